--- /dev/null
+++ b/cmd/coralhub/names_test.go
@@ -0,0 +1,28 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+
+	"coralhub/internal/golden"
+)
+
+// Scripts go by the names of commands and flags and by what flags are unless they are set.
+func TestNamesOfCommandsAndFlags(t *testing.T) {
+	t.Setenv("TMPDIR", "/tmp")
+	var out strings.Builder
+	var list func(cmd *cobra.Command, indent string)
+	list = func(cmd *cobra.Command, indent string) {
+		fmt.Fprintf(&out, "%s%s\n", indent, cmd.Name())
+		cmd.Flags().VisitAll(func(f *pflag.Flag) { fmt.Fprintf(&out, "%s  --%s %s = %s\n", indent, f.Name, f.Value.Type(), f.DefValue) })
+		for _, sub := range cmd.Commands() {
+			list(sub, indent+"  ")
+		}
+	}
+	list(command(), "")
+	golden.Check(t, "commands.txt", out.String())
+}
--- /dev/null
+++ b/internal/estimate/stored_values_test.go
@@ -0,0 +1,35 @@
+package estimate
+
+import (
+	"reflect"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"coralhub/internal/golden"
+)
+
+// Learnt run times outlive the version that wrote them.
+func TestStoredValues(t *testing.T) {
+	c := &Chunk{UpTo: 3, Epoch: 4, Seen: 5,
+		Base: []storedGroup{{Level: uint8(Everything), A: "a", B: "b", Class: "train", Gen: 6, Alone: true, Used: 7, Sums: [7]int64{8, 9, 7, 11, 12, 13, 14}, Errors: []int64{1, 2, 3}}},
+		Own:  []storedGroup{{Level: uint8(Everything) + 1, A: "c", B: "d", Class: "sweep", Gen: 15, Used: 16, Sums: [7]int64{1, 2, 1, 3, 4, 5, 6}}},
+		Trust: []storedTrust{{Class: "train", Stated: 17, Inside: [3]uint16{18, 19, 20}}}, Speeds: []storedSpeed{{Machine: "m-1", N: 21, Sum: 22, Spread: 23}}}
+	plain, err := msgpack.Marshal(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.CheckBytes(t, "stored/chunk-plain.hex", plain)
+	value, err := c.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.CheckBytes(t, "stored/chunk.hex", value)
+	got, err := Decode(golden.Bytes(t, "stored/chunk.hex"))
+	if err != nil || !reflect.DeepEqual(got, c) {
+		t.Errorf("read %+v, %v", got, err)
+	}
+	if Chunks != 4 {
+		t.Error("the division of stored values has changed")
+	}
+}
--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,114 @@
+// Package golden lets tests hold what the program writes against recorded files. It is for
+// everything that other versions, other programs or people rely on: stored values, messages,
+// field names.
+package golden
+
+import (
+	"encoding/hex"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// Check compares got with the file testdata/NAME of the test's package. A file that does not
+// exist is recorded, and the test fails so that the recording is read before it is committed.
+func Check(t testing.TB, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	want, err := os.ReadFile(path)
+	if os.IsNotExist(err) {
+		if err := os.MkdirAll(filepath.Dir(path), 0o750); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		t.Errorf("%s did not exist and was recorded: read it before committing it", path)
+		return
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs\n got: %s\nwant: %s", path, got, want)
+	}
+}
+
+// Bytes reads a file of hexadecimal text, as CheckBytes records it.
+func Bytes(t testing.TB, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// CheckBytes compares bytes with a file of hexadecimal text.
+func CheckBytes(t testing.TB, name string, got []byte) {
+	t.Helper()
+	Check(t, name, hex.EncodeToString(got)+"\n")
+}
+
+// Names describes a type as an encoder sees it that goes by the struct tag key: each field's
+// name in the encoding, its options and its kind, and so on for the types of the fields. A field
+// without a tag goes by its Go name.
+func Names(key string, types ...any) string {
+	var out strings.Builder
+	for i, v := range types {
+		fmt.Fprintf(&out, "%d\n", i)
+		describe(&out, key, reflect.TypeOf(v), "  ", nil)
+	}
+	return out.String()
+}
+
+func describe(out *strings.Builder, key string, t reflect.Type, indent string, outer []reflect.Type) {
+	switch t.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
+		describe(out, key, t.Elem(), indent, outer)
+		return
+	case reflect.Struct:
+	default:
+		return
+	}
+	for _, o := range outer {
+		if o == t {
+			fmt.Fprintf(out, "%s(as above)\n", indent)
+			return
+		}
+	}
+	for i := range t.NumField() {
+		f := t.Field(i)
+		tag, tagged := f.Tag.Lookup(key)
+		if tag == "-" || !f.IsExported() && !f.Anonymous {
+			continue
+		}
+		if f.Anonymous && !tagged {
+			describe(out, key, f.Type, indent, append(outer, t))
+			continue
+		}
+		name, options, _ := strings.Cut(tag, ",")
+		if name == "" {
+			name = f.Name
+		}
+		fmt.Fprintf(out, "%s%s %s %s\n", indent, name, kind(f.Type), options)
+		describe(out, key, f.Type, indent+"  ", append(outer, t))
+	}
+}
+
+func kind(t reflect.Type) string {
+	switch t.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Array:
+		return t.Kind().String() + " of " + kind(t.Elem())
+	case reflect.Map:
+		return "map of " + kind(t.Elem())
+	}
+	return t.Kind().String()
+}
--- /dev/null
+++ b/internal/node/metrics/names_test.go
@@ -0,0 +1,51 @@
+package metrics
+
+import (
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"coralhub/internal/core/leader"
+	"coralhub/internal/core/msg"
+	"coralhub/internal/core/served"
+	"coralhub/internal/golden"
+)
+
+type fixedStore struct{}
+
+func (fixedStore) Totals() map[string]float64   { return map[string]float64{"later_pace": 1, "first_taken": 2} }
+func (fixedStore) Requests() map[string]float64 { return map[string]float64{"read": 1} }
+func (fixedStore) Changes() map[string]float64  { return map[string]float64{"accept": 1} }
+
+// Dashboards and alerts go by the names of metrics and labels.
+func TestNamesOfMetrics(t *testing.T) {
+	var gauges leader.Gauges
+	gauges.Waiting, gauges.Machines = map[string]int{"train": 1}, map[string]int{"usable": 2}
+	gauges.Used = []leader.AccountRow{{Team: "red", Class: "train", Kind: "batch"}}
+	shares := served.Shares{Class: map[string]served.Share{"train": {}}, Team: map[string]served.Share{"red": {}}, Largest: map[string]served.Share{"train": {}}}
+	gauges.Served, gauges.Begun = shares, shares
+	m := New(func() (leader.Gauges, bool) { return gauges, true }, fixedStore{}, func() map[string]float64 { return map[string]float64{"handed": 1} })
+	for _, in := range []msg.Input{msg.Tick{}, msg.Snapshot{}, msg.Changed{}, msg.CommitDone{}, msg.ReadDone{}, msg.LeaseDone{}, msg.ReportIn{}, msg.CommandDone{},
+		msg.CatalogDone{}, msg.ListDone{}, msg.RentDone{}, msg.ReleaseDone{}, msg.SubmitIn{}, msg.PollIn{}, msg.CancelIn{}, msg.ForwardDone{}, msg.BeatIn{},
+		msg.BeatDone{}, msg.PeerHeard{}, msg.Hint{}, msg.AdminIn{}} {
+		m.Stepped(in, time.Millisecond)
+	}
+	w := httptest.NewRecorder()
+	m.ServeHTTP(w, httptest.NewRequest("GET", Path, nil))
+	var names []string
+	for line := range strings.Lines(w.Body.String()) {
+		name, _, _ := strings.Cut(strings.TrimSpace(line), " ")
+		if strings.HasPrefix(name, "coralhub_") && !strings.Contains(name, `le="`) {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	golden.Check(t, "names.txt", strings.Join(names, "\n")+"\n")
+	var purposes []string
+	for p := range msg.Purposes {
+		purposes = append(purposes, p.String())
+	}
+	golden.Check(t, "purposes.txt", strings.Join(purposes, "\n")+"\n")
+}
--- /dev/null
+++ b/internal/node/peer/compat_test.go
@@ -0,0 +1,140 @@
+package peer
+
+import (
+	"bytes"
+	"encoding/gob"
+	"net"
+	"net/rpc"
+	"reflect"
+	"testing"
+	"time"
+
+	"coralhub/internal/core/msg"
+	"coralhub/wire"
+)
+
+// Nodes of two versions serve side by side during an upgrade. gob matches fields by name and
+// net/rpc methods by name: a node that calls them otherwise is not understood, and no error says
+// so. These are the names of the versions in production, as they were first released.
+type (
+	oldEvent struct {
+		Key     string
+		Value   []byte
+		Version uint64
+	}
+	oldReport       struct{ Body []byte }
+	oldReportAnswer struct {
+		Body []byte
+		Busy bool
+	}
+	oldHeard struct {
+		Machine      string
+		Session, Seq uint64
+	}
+	oldBeat struct {
+		Node     string
+		Revision uint64
+		Heard    []oldHeard
+	}
+	oldBeatAnswer struct {
+		Wanted  []string
+		StandIn int64
+	}
+	oldStatus struct {
+		StateOK bool
+		Says    bool
+		Accepts float64
+	}
+)
+
+// recode writes a value as one version and reads it as another.
+func recode(t *testing.T, from, to any) {
+	t.Helper()
+	var b bytes.Buffer
+	if err := gob.NewEncoder(&b).Encode(from); err != nil {
+		t.Fatal(err)
+	}
+	if err := gob.NewDecoder(&b).Decode(to); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestMessagesOfOtherVersions(t *testing.T) {
+	for _, x := range []struct{ old, now any }{
+		{&oldEvent{"k", []byte("v"), 3}, &Event{Key: "k", Value: []byte("v"), Version: 3}},
+		{&oldReport{[]byte("b")}, &Report{Body: []byte("b")}},
+		{&oldReportAnswer{[]byte("b"), true}, &ReportAnswer{Body: []byte("b"), Busy: true}},
+		{&oldBeat{"n1", 7, []oldHeard{{"m-1", 2, 3}, {"m-2", 4, 5}}},
+			&Beat{Node: "n1", Revision: 7, Heard: []msg.Heard{{Machine: "m-1", Session: 2, Seq: 3}, {Machine: "m-2", Session: 4, Seq: 5}}}},
+		{&oldBeatAnswer{[]string{"m-1"}, 9}, &BeatAnswer{Wanted: []string{"m-1"}, StandIn: 9}},
+		{&oldStatus{true, true, 1.5}, &Status{StateOK: true, Says: true, Accepts: 1.5}},
+	} {
+		read := reflect.New(reflect.TypeOf(x.now).Elem()).Interface()
+		recode(t, x.old, read)
+		if !reflect.DeepEqual(read, x.now) {
+			t.Errorf("an older node's %+v is read as %+v", x.old, read)
+		}
+		read = reflect.New(reflect.TypeOf(x.old).Elem()).Interface()
+		recode(t, x.now, read)
+		if !reflect.DeepEqual(read, x.old) {
+			t.Errorf("an older node reads %+v as %+v", x.now, read)
+		}
+	}
+}
+
+type fixedAnswers struct{}
+
+func (fixedAnswers) Report(r wire.Report) msg.Answer {
+	return msg.Answer{Status: 200, Body: wire.ReportAnswer{Token: r.Token}}
+}
+
+func (fixedAnswers) Beat(b msg.BeatIn) msg.Answer {
+	return msg.Answer{Body: msg.BeatAnswer{Wanted: []string{b.Node, b.Heard[0].Machine}, StandIn: int64(b.Revision)}}
+}
+
+// An older node finds the methods by their names.
+func TestCallsOfOtherVersions(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	posted := make(chan msg.Input, 1)
+	go func() {
+		_ = Serve(l, func(in msg.Input) { posted <- in }, fixedAnswers{}, func() Status { return Status{StateOK: true, Says: true, Accepts: 2} })
+	}()
+	client, err := rpc.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = client.Close() })
+
+	var status oldStatus
+	if err := client.Call("Peer.Status", &struct{}{}, &status); err != nil || status != (oldStatus{true, true, 2}) {
+		t.Errorf("%+v %v", status, err)
+	}
+	var beat oldBeatAnswer
+	if err := client.Call("Peer.Beat", &oldBeat{"n1", 7, []oldHeard{{"m-1", 2, 3}}}, &beat); err != nil || !reflect.DeepEqual(beat, oldBeatAnswer{[]string{"n1", "m-1"}, 7}) {
+		t.Errorf("%+v %v", beat, err)
+	}
+	body, err := wire.Marshal(&wire.Report{Machine: "m-1", Token: 41})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var report oldReportAnswer
+	var answer wire.ReportAnswer
+	if err := client.Call("Peer.Report", &oldReport{body}, &report); err != nil || wire.Unmarshal(report.Body, &answer) != nil || answer.Token != 41 {
+		t.Errorf("%+v %+v %v", report, answer, err)
+	}
+	if err := client.Call("Peer.Tell", &oldEvent{"k", []byte("v"), 3}, &struct{}{}); err != nil {
+		t.Error(err)
+	}
+	select {
+	case in := <-posted:
+		if want := (msg.Hint{Event: wire.Change{Put: "k", Value: []byte("v"), Version: 3}}); !reflect.DeepEqual(in, want) {
+			t.Errorf("%+v", in)
+		}
+	case <-time.After(10 * time.Second):
+		t.Error("nothing was posted")
+	}
+}
--- /dev/null
+++ b/internal/scale/names_test.go
@@ -0,0 +1,17 @@
+package scale
+
+import (
+	"testing"
+
+	"coralhub/internal/golden"
+	"coralhub/internal/hollow"
+	"coralhub/internal/judge"
+)
+
+// Settings files, results and what processes of a run tell each other keep their names.
+func TestNamesInFiles(t *testing.T) {
+	golden.Check(t, "settings-names.txt", golden.Names("toml", Settings{}))
+	golden.Check(t, "settings-json-names.txt", golden.Names("json", Settings{}))
+	golden.Check(t, "result-names.txt", golden.Names("json", Result{}))
+	golden.Check(t, "process-names.txt", golden.Names("json", hollow.Config{}, hollow.Command{}, hollow.Event{}, judge.Event{}, judge.Broken{}))
+}
--- /dev/null
+++ b/internal/scenario/digest_test.go
@@ -0,0 +1,69 @@
+package scenario
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"reflect"
+	"slices"
+
+	"coralhub/internal/core/msg"
+)
+
+// effectNumbers number the effects in digests. What types and fields are called has no part in
+// a digest, nor has the log: a digest tells what nodes do, whatever the code calls it.
+var effectNumbers = map[reflect.Type]int{}
+
+func init() {
+	for i, e := range []msg.Effect{msg.Commit{}, msg.Read{}, msg.GrantLease{}, msg.RenewLease{}, msg.DropLease{}, msg.FollowClosely{}, msg.Relist{}, msg.Answer{},
+		msg.Command{}, msg.FetchCatalog{}, msg.ListMachines{}, msg.Rent{}, msg.Release{}, msg.Tell{}, msg.Forward{}, msg.Beat{}, msg.Retire{}} {
+		effectNumbers[reflect.TypeOf(e)] = i + 1
+	}
+}
+
+// digestEffect writes what an effect holds, in the order of its fields.
+func digestEffect(w io.Writer, at int64, node string, e msg.Effect) {
+	if _, ok := e.(msg.Log); ok {
+		return
+	}
+	number := effectNumbers[reflect.TypeOf(e)]
+	if number == 0 {
+		panic(fmt.Sprintf("effect %T has no number", e))
+	}
+	fmt.Fprintf(w, "%d %s %d ", at, node, number)
+	digestValue(w, reflect.ValueOf(e))
+	fmt.Fprintln(w)
+}
+
+func digestValue(w io.Writer, v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Invalid:
+		fmt.Fprint(w, "nil ")
+	case reflect.Pointer, reflect.Interface:
+		digestValue(w, v.Elem())
+	case reflect.Struct:
+		fmt.Fprint(w, "{ ")
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				digestValue(w, v.Field(i))
+			}
+		}
+		fmt.Fprint(w, "} ")
+	case reflect.Slice, reflect.Array:
+		fmt.Fprintf(w, "[%d ", v.Len())
+		for i := range v.Len() {
+			digestValue(w, v.Index(i))
+		}
+		fmt.Fprint(w, "] ")
+	case reflect.Map:
+		keys := v.MapKeys()
+		slices.SortFunc(keys, func(a, b reflect.Value) int { return cmp.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
+		fmt.Fprintf(w, "map %d ", len(keys))
+		for _, k := range keys {
+			digestValue(w, k)
+			digestValue(w, v.MapIndex(k))
+		}
+	default:
+		fmt.Fprintf(w, "%q ", fmt.Sprint(v))
+	}
+}
--- a/internal/scenario/runner_test.go
+++ b/internal/scenario/runner_test.go
@@ -4,7 +4,6 @@
 package scenario
 
 import (
-	"encoding/json"
 	"fmt"
 	"hash"
 	"maps"
@@ -194,12 +193,7 @@
 	out := n.core.Step(s.now-n.born+1, in)
 	if s.effects != nil {
 		for _, e := range out {
-			raw, err := json.Marshal(e)
-			if err != nil {
-				raw = []byte(err.Error())
-			}
-			_, kind, _ := strings.Cut(fmt.Sprintf("%T", e), ".")
-			fmt.Fprintf(s.effects, "%d %s %s %s\n", s.now, n.name, kind, raw)
+			digestEffect(s.effects, s.now, n.name, e)
 		}
 	}
 	return out
