--- a/cmd/coralhub/bound.go
+++ b/cmd/coralhub/bound.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"coralhub/internal/planner"
+	"coralhub/internal/startbound"
 )
 
 // boundCommand tells what anyone could have begun in time, beside what the log says had.
@@ -20,7 +20,7 @@
   coralhub bound --gpus 4 node.log`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var l planner.Log
+			var l startbound.Log
 			for _, name := range args {
 				f, err := os.Open(name)
 				if err != nil {
@@ -41,7 +41,7 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "class\tjobs\tcould have begun\thad\tof the largest tenth")
 			for _, r := range rows {
-				fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\n", r.Class, r.Jobs, r.Bound, r.Begun, r.Largest)
+				fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\n", r.Class, r.Jobs, r.Bound, r.Started, r.Largest)
 			}
 			return w.Flush()
 		},
--- a/cmd/coralhub/experiment.go
+++ b/cmd/coralhub/experiment.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"coralhub/internal/rehearse"
+	"coralhub/internal/faulttest"
 )
 
 func experimentCommand() *cobra.Command {
@@ -24,7 +24,7 @@
 		Example: "  coralhub experiment testdata/experiments/rank.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			e, err := rehearse.LoadExperiment(args[0])
+			e, err := faulttest.LoadExperiment(args[0])
 			if err != nil {
 				return err
 			}
@@ -38,7 +38,7 @@
 				if err != nil {
 					return err
 				}
-				opt := rehearse.Options{Program: program, Log: "info", Dir: folder}
+				opt := faulttest.Options{Program: program, Log: "info", Dir: folder}
 				opt.Say = func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
 				t, err := e.Play(ctx, opt)
 				if err != nil {
--- a/cmd/coralhub/rehearse.go
+++ b/cmd/coralhub/faulttest.go
@@ -16,7 +16,7 @@
 	"github.com/mattn/go-isatty"
 	"github.com/spf13/cobra"
 
-	"coralhub/internal/rehearse"
+	"coralhub/internal/faulttest"
 	"coralhub/internal/view"
 )
 
@@ -36,8 +36,8 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			for _, name := range rehearse.Names() {
-				s, err := rehearse.Load(name)
+			for _, name := range faulttest.Names() {
+				s, err := faulttest.Load(name)
 				if err != nil {
 					return err
 				}
@@ -75,7 +75,7 @@
 			}
 			out, failed := cmd.OutOrStdout(), false
 			for _, name := range args {
-				s, err := rehearse.Load(name)
+				s, err := faulttest.Load(name)
 				if err != nil {
 					return err
 				}
@@ -89,7 +89,7 @@
 				if err != nil {
 					return err
 				}
-				opt := rehearse.Options{Program: program, Seed: seed, Settings: settings, Log: level, Dir: folder}
+				opt := faulttest.Options{Program: program, Seed: seed, Settings: settings, Log: level, Dir: folder}
 				began := time.Now()
 				var screen *view.Screen
 				if f, ok := out.(*os.File); ok && !plain && !asJSON && isatty.IsTerminal(f.Fd()) {
@@ -99,13 +99,13 @@
 					opt.Say = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(began).Seconds(), line) }
 					fmt.Fprintf(out, "%s: %s\n", s.Name, s.About)
 				}
-				res, err := rehearse.Run(ctx, s, opt)
+				res, err := faulttest.Run(ctx, s, opt)
 				screen.Close()
 				if err != nil {
 					if ctx.Err() != nil {
 						return err
 					}
-					res = &rehearse.Result{Scenario: s.Name, Seed: seed, Why: err.Error()}
+					res = &faulttest.Result{Scenario: s.Name, Seed: seed, Why: err.Error()}
 				}
 				failed = failed || !res.Passed
 				if err := tell(out, res, opt.Dir, plain, asJSON); err != nil {
@@ -139,7 +139,7 @@
 	return os.MkdirTemp(dir, fmt.Sprintf("%s-%s-", name, time.Now().Format("20060102-150405")))
 }
 
-func tell(out io.Writer, res *rehearse.Result, dir string, plain, asJSON bool) error {
+func tell(out io.Writer, res *faulttest.Result, dir string, plain, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(res)
 	}
@@ -157,7 +157,7 @@
 	return err
 }
 
-func printResult(out io.Writer, res *rehearse.Result) error {
+func printResult(out io.Writer, res *faulttest.Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tsubmitted\taccepted\tstarted\tdone\tcancelled\tsubmit p50/p99 ms\tstart p50/p90/max s\tdone p50/p90/max s\t")
 	for _, c := range res.Classes {
@@ -171,7 +171,7 @@
 		fmt.Fprintf(out, "%s: %.1f s of processor, %.0f MB at most, %d restarts\n", n.Node, n.CPUS, n.PeakMB, n.Restarts)
 	}
 	fmt.Fprintf(out, "state service: %d requests (%d refused), %d changes; %d machines rented\n", res.Requests, res.Refused, res.Changes, res.Machines)
-	for _, b := range res.Broken {
+	for _, b := range res.Violations {
 		fmt.Fprintf(out, "broken: %s\n", b)
 	}
 	for _, f := range res.Findings {
@@ -192,7 +192,7 @@
 		Example: "  coralhub rehearse report /tmp/coralhub-runs/surge-20261201-101500-123456789 --out surge.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			res, err := rehearse.Open(args[0])
+			res, err := faulttest.Open(args[0])
 			if err != nil {
 				return err
 			}
@@ -203,7 +203,7 @@
 			if err != nil {
 				return err
 			}
-			if err := errors.Join(rehearse.Report(f, res), f.Close()); err != nil {
+			if err := errors.Join(faulttest.Report(f, res), f.Close()); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintln(cmd.OutOrStdout(), out)
--- a/cmd/coralhub/names_test.go
+++ b/cmd/coralhub/names_test.go
@@ -18,7 +18,9 @@
 	var list func(cmd *cobra.Command, indent string)
 	list = func(cmd *cobra.Command, indent string) {
 		fmt.Fprintf(&out, "%s%s\n", indent, cmd.Name())
-		cmd.Flags().VisitAll(func(f *pflag.Flag) { fmt.Fprintf(&out, "%s  --%s %s = %s\n", indent, f.Name, f.Value.Type(), f.DefValue) })
+		cmd.Flags().VisitAll(func(f *pflag.Flag) {
+			fmt.Fprintf(&out, "%s  --%s %s = %s\n", indent, f.Name, f.Value.Type(), f.DefValue)
+		})
 		for _, sub := range cmd.Commands() {
 			list(sub, indent+"  ")
 		}
--- a/cmd/coralhub/up.go
+++ b/cmd/coralhub/up.go
@@ -12,7 +12,7 @@
 
 	"coralhub/internal/cluster"
 	"coralhub/internal/config"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -36,7 +36,7 @@
 				opt := cluster.Options{Program: program, Nodes: nodes, Settings: settings, Log: level, Cluster: demo(nodes), Boot: 2 * config.Second,
 					Types:        []wire.MachineType{{Name: "g4", CPUs: 64, GPUs: 4, MemoryGB: 256, CacheGB: 500, FetchGBs: 0.4, Price: 8, SpotPrice: 3, BootS: 2, Zones: demoZones}},
 					Capacity:     map[string]int{demoZones[0]: (machines + 1) / 2, demoZones[1]: machines / 2},
-					Model:        &standin.Model{Rand: rand.New(rand.NewPCG(1, 1)), BootSpread: 0.3, ListLag: 2 * config.Second, Speed: 0.1, BootTimes: 1},
+					Model:        &emulator.Model{Rand: rand.New(rand.NewPCG(1, 1)), BootSpread: 0.3, ListLag: 2 * config.Second, Speed: 0.1, BootTimes: 1},
 					RestartAfter: 2 * time.Second}
 				if opt.Dir = dir; data != "" {
 					opt.Dir, opt.Data = data, filepath.Join(data, "state.db")
@@ -59,7 +59,7 @@
 				if err := c.AwaitReady(ready); err != nil {
 					return err
 				}
-				door, err := c.OpenDoor(listen)
+				door, err := c.StartLoadBalancer(listen)
 				if err != nil {
 					return err
 				}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -17,11 +17,11 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"coralhub/internal/config"
+	"coralhub/internal/emulator"
 	"coralhub/internal/faults"
-	"coralhub/internal/judge"
+	"coralhub/internal/invariants"
+	"coralhub/internal/jobclient"
 	"coralhub/internal/process"
-	"coralhub/internal/standin"
-	"coralhub/internal/user"
 	"coralhub/internal/wait"
 	"coralhub/wire"
 )
@@ -37,9 +37,9 @@
 	Cluster  config.Cluster
 	Types    []wire.MachineType
 	Capacity map[string]int // ordinary machines, by zone
-	Model    *standin.Model
-	Boot     standin.Micros
-	Watch    func(judge.Event)
+	Model    *emulator.Model
+	Boot     emulator.Micros
+	Watch    func(invariants.Event)
 	// Failed hears why a connection of this process was not made; nil: nobody does. It is called
 	// by several goroutines.
 	Failed func(error)
@@ -49,11 +49,11 @@
 
 // Cluster is a running cluster.
 type Cluster struct {
-	Servers *standin.Servers
+	Servers *emulator.Servers
 	Nodes   []*Node
 
 	opt     Options
-	disk    *standin.Disk
+	disk    *emulator.Disk
 	servers []*http.Server
 	proxies []*faults.Proxy
 	stop    context.CancelFunc
@@ -79,7 +79,7 @@
 
 // Start starts a cluster. It returns when the processes run, not when they serve.
 func Start(opt Options) (_ *Cluster, err error) {
-	c := &Cluster{Servers: standin.NewServers(), opt: opt}
+	c := &Cluster{Servers: emulator.NewServers(), opt: opt}
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
 	defer func() {
@@ -88,13 +88,13 @@
 		}
 	}()
 	if opt.Data != "" {
-		if c.disk, err = standin.OpenDisk(opt.Data); err != nil {
+		if c.disk, err = emulator.OpenDisk(opt.Data); err != nil {
 			return nil, err
 		}
 		if c.Servers.State, err = c.disk.Load(); err != nil {
 			return nil, err
 		}
-		if c.Servers.World.Jobs, err = c.disk.Uploads(); err != nil {
+		if c.Servers.Environment.Jobs, err = c.disk.Uploads(); err != nil {
 			return nil, err
 		}
 	}
@@ -103,7 +103,7 @@
 	s.State.Keep = 10_000
 	s.State.ValueBytes, s.State.TxnOps = int(cl.State.ValueKB*1024), cl.State.TxnOps
 	s.SetQuotas(cl.State.RPS, cl.State.WriteRPS, cl.Cloud.RPS)
-	w := s.World
+	w := s.Environment
 	w.Types, w.Capacity, w.Model, w.Boot, w.Watch = opt.Types, opt.Capacity, opt.Model, opt.Boot, opt.Watch
 	w.Lease, w.GangWait = config.FromSeconds(cl.Workers.LeaseS), config.FromSeconds(cl.Workers.GangWaitS)
 	w.CancelIn, w.ReportEvery = config.FromSeconds(cl.Workers.CancelS), config.FromSeconds(cl.Workers.ReportS)
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.lay(state, cloud); err != nil {
+	if err := c.writeSettings(state, cloud); err != nil {
 		return nil, err
 	}
 	for _, n := range c.Nodes {
@@ -133,7 +133,7 @@
 		if err := c.run(n); err != nil {
 			return nil, err
 		}
-		c.wg.Go(func() { c.mind(ctx, n) })
+		c.wg.Go(func() { c.superviseNode(ctx, n) })
 	}
 	c.wg.Go(func() { s.Drive(ctx, workers) })
 	c.wg.Go(func() { c.measure(ctx) })
@@ -164,8 +164,8 @@
 	return p, err
 }
 
-// lay lays the links.
-func (c *Cluster) lay(state, cloud string) error {
+// writeSettings lays the links.
+func (c *Cluster) writeSettings(state, cloud string) error {
 	zones := c.opt.Cluster.Zones
 	for i := range c.opt.Nodes {
 		n := &Node{Name: fmt.Sprintf("node-%d", i), Zone: zones[i%len(zones)], Links: map[string]*faults.Proxy{}}
@@ -208,8 +208,8 @@
 
 // write writes a node's settings, as the platform hands them over.
 func (c *Cluster) write(n *Node) error {
-	p := config.Platform{Node: n.Name, Location: n.Zone, Listen: n.listen, PeerListen: n.peerListen, Cluster: c.opt.Cluster,
-		External: config.Outside{State: n.Links["state"].Addr(), Cloud: n.Links["cloud"].Addr()}}
+	p := config.Platform{Node: n.Name, Location: n.Zone, ClientListen: n.listen, PeerListen: n.peerListen, Cluster: c.opt.Cluster,
+		External: config.External{State: n.Links["state"].Addr(), Cloud: n.Links["cloud"].Addr()}}
 	for _, o := range c.Nodes {
 		if o != n {
 			p.Peers = append(p.Peers, config.Peer{Node: o.Name, Location: o.Zone, Address: n.Links[o.Name].Addr()})
@@ -244,8 +244,8 @@
 	return nil
 }
 
-// mind starts a node again some time after it has ended.
-func (c *Cluster) mind(ctx context.Context, n *Node) {
+// superviseNode starts a node again some time after it has ended.
+func (c *Cluster) superviseNode(ctx context.Context, n *Node) {
 	for {
 		select {
 		case <-n.current().Gone():
@@ -282,8 +282,8 @@
 	return nil
 }
 
-// Use is what a node has taken.
-type Use struct {
+// NodeUsage is what a node has taken.
+type NodeUsage struct {
 	Node     string  `json:"node"`
 	CPUS     float64 `json:"cpu_s"`
 	PeakMB   float64 `json:"peak_mb"`
@@ -291,12 +291,12 @@
 }
 
 // Use tells what the nodes have taken.
-func (c *Cluster) Use() []Use {
-	var out []Use
+func (c *Cluster) Use() []NodeUsage {
+	var out []NodeUsage
 	for _, n := range c.Nodes {
 		p := n.current()
 		n.mu.Lock()
-		u := Use{Node: n.Name, CPUS: n.cpu.Seconds(), PeakMB: n.peakMB, Restarts: n.restarts}
+		u := NodeUsage{Node: n.Name, CPUS: n.cpu.Seconds(), PeakMB: n.peakMB, Restarts: n.restarts}
 		n.mu.Unlock()
 		if p != nil {
 			u.CPUS += p.CPU().Seconds()
@@ -324,7 +324,7 @@
 
 // Ready tells whether a node takes requests.
 func (n *Node) Ready(ctx context.Context, client *http.Client) bool {
-	return user.Ready(ctx, client, n.Users.Addr())
+	return jobclient.Ready(ctx, client, n.Users.Addr())
 }
 
 // AwaitReady waits until every node takes requests.
@@ -367,8 +367,8 @@
 		p.Close()
 	}
 	c.Servers.With(func() { // whoever waits for a machine that hangs waits no more
-		for name := range c.Servers.World.Machines {
-			delete(c.Servers.World.Machines, name)
+		for name := range c.Servers.Environment.Machines {
+			delete(c.Servers.Environment.Machines, name)
 		}
 	})
 	c.wg.Wait()
--- a/internal/cluster/door.go
+++ b/internal/cluster/load_balancer.go
@@ -11,25 +11,25 @@
 	"time"
 
 	"coralhub/internal/config"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/internal/wait"
 	"coralhub/wire"
 )
 
-// Door is where users come in: a balancer that hands each request to a node that is
+// LoadBalancer is where users come in: a balancer that hands each request to a node that is
 // ready. It takes down what they submit, as users upload descriptions for the workers
 // to fetch.
-type Door struct {
-	c      *Cluster
-	client *http.Client
-	mu     sync.Mutex
-	ready  []*Node
+type LoadBalancer struct {
+	cluster *Cluster
+	client  *http.Client
+	mu      sync.Mutex
+	ready   []*Node
 }
 
-// OpenDoor serves users at an address until the cluster closes, and returns the address
+// StartLoadBalancer serves users at an address until the cluster closes, and returns the address
 // that it got.
-func (c *Cluster) OpenDoor(addr string) (string, error) {
-	d := &Door{c: c, client: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+func (c *Cluster) StartLoadBalancer(addr string) (string, error) {
+	d := &LoadBalancer{cluster: c, client: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	addr, err := c.serve(addr, d)
 	if err != nil {
 		return "", err
@@ -42,11 +42,11 @@
 }
 
 // probe finds out every second which nodes are ready.
-func (d *Door) probe(ctx context.Context) {
+func (d *LoadBalancer) probe(ctx context.Context) {
 	defer d.client.CloseIdleConnections()
 	look := func() {
 		var ready []*Node
-		for _, n := range d.c.Nodes {
+		for _, n := range d.cluster.Nodes {
 			if n.Ready(ctx, d.client) {
 				ready = append(ready, n)
 			}
@@ -62,19 +62,19 @@
 // tries is how many nodes a request is handed to, if they refuse the connection.
 const tries = 3
 
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *LoadBalancer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 	if err != nil {
 		return
 	}
 	if r.Method == http.MethodPost && r.URL.Path == wire.PathJobs {
-		d.upload(body)
+		d.saveUpload(body)
 	}
 	d.mu.Lock()
 	nodes := append([]*Node(nil), d.ready...)
 	d.mu.Unlock()
 	if len(nodes) == 0 {
-		nodes = d.c.Nodes
+		nodes = d.cluster.Nodes
 	}
 	rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	for _, n := range nodes[:min(tries, len(nodes))] {
@@ -99,19 +99,19 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// upload keeps a description for the workers. A task runs as long as its owner thinks,
+// saveUpload keeps a description for the workers. A task runs as long as its owner thinks,
 // give or take a half.
-func (d *Door) upload(body []byte) {
+func (d *LoadBalancer) saveUpload(body []byte) {
 	j, err := wire.ParseJob(body)
 	if err != nil {
 		return
 	}
 	run := config.FromSeconds(max(j.EstimateS, 1) * math.Exp(0.3*rand.NormFloat64()))
-	d.c.Servers.With(func() {
-		w := d.c.Servers.World
+	d.cluster.Servers.With(func() {
+		w := d.cluster.Servers.Environment
 		if w.Jobs[j.ID] == nil {
-			w.Jobs[j.ID] = &standin.JobIn{Job: j, Run: run}
-			d.c.disk.Upload(w.Jobs[j.ID])
+			w.Jobs[j.ID] = &emulator.SubmittedJob{Job: j, Run: run}
+			d.cluster.disk.Upload(w.Jobs[j.ID])
 		}
 	})
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,13 +25,13 @@
 // Platform is the file that the platform hands over. Fields it does not name
 // are ignored.
 type Platform struct {
-	Node       string  `toml:"node"`
-	Location   string  `toml:"location"`
-	Listen     string  `toml:"client_listen"`
-	PeerListen string  `toml:"peer_listen"`
-	Peers      []Peer  `toml:"peers"`
-	External   Outside `toml:"external"`
-	Cluster    Cluster `toml:"cluster"`
+	Node         string   `toml:"node"`
+	Location     string   `toml:"location"`
+	ClientListen string   `toml:"client_listen"`
+	PeerListen   string   `toml:"peer_listen"`
+	Peers        []Peer   `toml:"peers"`
+	External     External `toml:"external"`
+	Cluster      Cluster  `toml:"cluster"`
 }
 
 // Peer is another controller node.
@@ -41,8 +41,8 @@
 	Address  string `toml:"address"`
 }
 
-// Outside holds the addresses of the systems that the service depends on.
-type Outside struct {
+// External holds the addresses of the systems that the service depends on.
+type External struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
@@ -87,12 +87,12 @@
 	CancelS   float64 `toml:"cancel_s"`
 }
 
-// drift is by how much a worker's clock may be slow against ours, both drifting.
-const drift = 0.001
+// clockDriftMargin is by how much a worker's clock may be slow against ours, both drifting.
+const clockDriftMargin = 0.001
 
 // LeaseEndsInTime tells whether a worker's lease that is renewed no more is sure to end within
 // the time that a cancellation has. If not, silence is no way for a task to end in time.
-func (w *Workers) LeaseEndsInTime() bool { return w.LeaseS*(1+drift) < w.CancelS }
+func (w *Workers) LeaseEndsInTime() bool { return w.LeaseS*(1+clockDriftMargin) < w.CancelS }
 
 // State holds the limits of the state service, and those that it will have from
 // some moment on that nobody announces; a limit of 0 stays as it is.
@@ -109,7 +109,7 @@
 	} `toml:"next"`
 }
 
-func lower[N int | float64](now, next N) N {
+func lowerLimit[N int | float64](now, next N) N {
 	if next > 0 {
 		return min(now, next)
 	}
@@ -117,13 +117,13 @@
 }
 
 // ValueBytes is how large a value may be, now and later.
-func (s *State) ValueBytes() int { return int(lower(s.ValueKB, s.Next.ValueKB) * 1024) }
+func (s *State) ValueBytes() int { return int(lowerLimit(s.ValueKB, s.Next.ValueKB) * 1024) }
 
 // Ops is how many changes a transaction may have, now and later.
-func (s *State) Ops() int { return lower(s.TxnOps, s.Next.TxnOps) }
+func (s *State) Ops() int { return lowerLimit(s.TxnOps, s.Next.TxnOps) }
 
 // LeastWriteRPS is the lower of the rates of changes, now and later.
-func (s *State) LeastWriteRPS() float64 { return lower(s.WriteRPS, s.Next.WriteRPS) }
+func (s *State) LeastWriteRPS() float64 { return lowerLimit(s.WriteRPS, s.Next.WriteRPS) }
 
 // Cloud holds the limits of the cloud's interface.
 type Cloud struct {
@@ -140,36 +140,36 @@
 
 // Settings are the operators' own; see settings.schema.json.
 type Settings struct {
-	AgeWeight       float64 `json:"age_weight"`
-	ShareWeight     float64 `json:"share_weight"`
-	AgeCapS         float64 `json:"age_cap_s"`
-	UsageWindowS    float64 `json:"usage_window_s"`
-	ScanPeriodS     float64 `json:"scan_period_s"`
-	PassIntervalMS  float64 `json:"pass_interval_ms"`
-	LeaderLeaseMS   float64 `json:"leader_lease_ms"`
-	StandInS        float64 `json:"stand_in_s"`
-	IdleReturnS     float64 `json:"idle_return_s"`
-	SilentReleaseS  float64 `json:"silent_release_s"`
-	MemoryShare     float64 `json:"memory_share"`
-	BootGiveUpTimes float64 `json:"boot_give_up_times"`
-	RentSurplus     float64 `json:"rent_surplus"`
-	GatherPerS      float64 `json:"gather_per_s"`
-	BeginWithinS    float64 `json:"begin_within_s"`
-	InTimeFirst     bool    `json:"in_time_first"`
-	DrainS          float64 `json:"drain_s"`
-	ShareFetches    bool    `json:"share_fetches"`
-	HoldFormat      bool    `json:"hold_format"`
-	SharedParts     bool    `json:"shared_parts"`
-
-	Estimates       bool    `json:"estimates"`
-	EstimateGroups  int     `json:"estimate_groups"`
-	Admin           bool    `json:"admin"`
-	Metrics         bool    `json:"metrics"`
-	Rank            string  `json:"rank"`
-	VictimsByLeft   bool    `json:"victims_by_remaining"`
-	GangsAvoidSlow  bool    `json:"gangs_avoid_slow"`
-	SlowTimes       float64 `json:"slow_times"`
-	RentAgainstBoot bool    `json:"rent_against_boot"`
+	AgeWeight          float64 `json:"age_weight"`
+	ShareWeight        float64 `json:"share_weight"`
+	AgeCapS            float64 `json:"age_cap_s"`
+	UsageWindowS       float64 `json:"usage_window_s"`
+	ScanPeriodS        float64 `json:"scan_period_s"`
+	CycleIntervalMS    float64 `json:"pass_interval_ms"`
+	LeaderLeaseMS      float64 `json:"leader_lease_ms"`
+	DelegationS        float64 `json:"stand_in_s"`
+	IdleScaleInS       float64 `json:"idle_return_s"`
+	SilentScaleInS     float64 `json:"silent_release_s"`
+	MemoryShare        float64 `json:"memory_share"`
+	BootTimeoutFactor  float64 `json:"boot_give_up_times"`
+	ScaleOutSurplus    float64 `json:"rent_surplus"`
+	DefragMovesPerS    float64 `json:"gather_per_s"`
+	StartWithinS       float64 `json:"begin_within_s"`
+	StartDeadlineFirst bool    `json:"in_time_first"`
+	ReserveFreedS      float64 `json:"drain_s"`
+	ShareFetches       bool    `json:"share_fetches"`
+	HoldFormat         bool    `json:"hold_format"`
+	PlacementPages     bool    `json:"shared_parts"`
+
+	Estimates           bool    `json:"estimates"`
+	EstimateGroups      int     `json:"estimate_groups"`
+	Admin               bool    `json:"admin"`
+	Metrics             bool    `json:"metrics"`
+	Rank                string  `json:"rank"`
+	VictimsByRemaining  bool    `json:"victims_by_remaining"`
+	GangsAvoidSlow      bool    `json:"gangs_avoid_slow"`
+	SlowFactor          float64 `json:"slow_times"`
+	ScaleOutAgainstBoot bool    `json:"rent_against_boot"`
 }
 
 // How jobs of one level are ranked.
@@ -191,9 +191,9 @@
 func Defaults() Settings {
 	return Settings{
 		AgeWeight: 1, ShareWeight: 1, AgeCapS: 300, UsageWindowS: 60, ScanPeriodS: 10,
-		PassIntervalMS: 100, LeaderLeaseMS: 3000, StandInS: 60, IdleReturnS: 0, SilentReleaseS: 0,
-		MemoryShare: 0.6, BootGiveUpTimes: 3, RentSurplus: 0.5, GatherPerS: 2, BeginWithinS: 240, InTimeFirst: true, DrainS: 60, SharedParts: true,
-		Estimates: true, EstimateGroups: 512, Rank: RankCredit, SlowTimes: 1.3,
+		CycleIntervalMS: 100, LeaderLeaseMS: 3000, DelegationS: 60, IdleScaleInS: 0, SilentScaleInS: 0,
+		MemoryShare: 0.6, BootTimeoutFactor: 3, ScaleOutSurplus: 0.5, DefragMovesPerS: 2, StartWithinS: 240, StartDeadlineFirst: true, ReserveFreedS: 60, PlacementPages: true,
+		Estimates: true, EstimateGroups: 512, Rank: RankCredit, SlowFactor: 1.3,
 	}
 }
 
@@ -245,7 +245,7 @@
 		return errors.New("field node: missing")
 	}
 	addrs := []struct{ field, addr string }{
-		{"client_listen", c.Listen}, {"peer_listen", c.PeerListen},
+		{"client_listen", c.ClientListen}, {"peer_listen", c.PeerListen},
 		{"external.cloud", c.External.Cloud}, {"external.state", c.External.State},
 	}
 	names := map[string]bool{c.Node: true}
@@ -317,10 +317,10 @@
 // FromMillis converts an amount of milliseconds.
 func FromMillis(ms float64) Micros { return Micros(math.Round(ms * 1e3)) }
 
-// Silence is how long a worker may say nothing before its machine is deleted:
+// SilenceLimit is how long a worker may say nothing before its machine is deleted:
 // a few reports, and no less than half its lease.
-func (c *Config) Silence() Micros {
-	if s := c.Settings.SilentReleaseS; s > 0 {
+func (c *Config) SilenceLimit() Micros {
+	if s := c.Settings.SilentScaleInS; s > 0 {
 		return FromSeconds(s)
 	}
 	w := &c.Cluster.Workers
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/autoscaler/provisioner_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"flag"
@@ -20,24 +20,24 @@
 }
 
 // oneByOne packs every need into every machine by itself.
-func oneByOne(needs []Need, booting []Kind, cheapest func(*Need, map[Kind]int) (Kind, bool)) map[Kind]int {
+func oneByOne(needs []Demand, booting []Pool, cheapest func(*Demand, map[Pool]int) (Pool, bool)) map[Pool]int {
 	type box struct {
-		kind Kind
-		free zone.Res
+		kind Pool
+		free zone.Resources
 	}
-	full := map[string]zone.Res{}
+	full := map[string]zone.Resources{}
 	for _, t := range types {
-		full[t.Name] = zone.Res{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+		full[t.Name] = zone.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 	}
 	var boxes []*box
 	for _, k := range booting {
 		boxes = append(boxes, &box{k, full[k.Type]})
 	}
-	rent := map[Kind]int{}
+	rent := map[Pool]int{}
 	for _, n := range needs {
 		left := n.Count
 		fill := func(b *box) {
-			fit := min(left, n.Task.Times(b.free))
+			fit := min(left, n.Task.Count(b.free))
 			b.free = b.free.Plus(n.Task, -float64(fit))
 			left -= fit
 		}
@@ -62,29 +62,29 @@
 
 func TestPlanAgreesWithPackingOneByOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shapes := []Need{
-			{Task: zone.Res{CPUs: 5, GPUs: 1, MemoryGB: 9}, Spot: true},
-			{Task: zone.Res{CPUs: 16, GPUs: 4, MemoryGB: 60}},
-			{Task: zone.Res{CPUs: 3, GPUs: 0, MemoryGB: 20}, Zone: "b"},
-			{Task: zone.Res{CPUs: 7, GPUs: 2, MemoryGB: 16}, Zone: "a", Spot: true},
+		shapes := []Demand{
+			{Task: zone.Resources{CPUs: 5, GPUs: 1, MemoryGB: 9}, Spot: true},
+			{Task: zone.Resources{CPUs: 16, GPUs: 4, MemoryGB: 60}},
+			{Task: zone.Resources{CPUs: 3, GPUs: 0, MemoryGB: 20}, Zone: "b"},
+			{Task: zone.Resources{CPUs: 7, GPUs: 2, MemoryGB: 16}, Zone: "a", Spot: true},
 		}
-		var needs []Need
+		var needs []Demand
 		for range rapid.IntRange(0, 30).Draw(t, "needs") {
 			n := rapid.SampledFrom(shapes).Draw(t, "shape")
 			n.Count = rapid.IntRange(1, 20).Draw(t, "tasks")
 			n.Types = map[string]bool{"t4": true, "t8": rapid.Bool().Draw(t, "large")}
 			needs = append(needs, n)
 		}
-		var booting []Kind
+		var booting []Pool
 		for range rapid.IntRange(0, 20).Draw(t, "booting") {
-			booting = append(booting, rapid.SampledFrom([]Kind{{"t4", "a", false}, {"t4", "b", true}, {"t8", "a", true}}).Draw(t, "kind"))
+			booting = append(booting, rapid.SampledFrom([]Pool{{"t4", "a", false}, {"t4", "b", true}, {"t8", "a", true}}).Draw(t, "kind"))
 		}
-		f := New(1000)
+		f := NewProvisioner(1000)
 		if rapid.Bool().Draw(t, "scarce") {
-			f.none[Kind{"t4", "b", true}], f.none[Kind{"t4", "b", false}] = 10, 10
+			f.exhaustedUntil[Pool{"t4", "b", true}], f.exhaustedUntil[Pool{"t4", "b", false}] = 10, 10
 		}
-		got := f.Plan(1, needs, booting, map[Kind]int{}, types)
-		want := oneByOne(needs, booting, func(n *Need, rent map[Kind]int) (Kind, bool) { return f.cheapest(1, n, rent, map[Kind]int{}, types) })
+		got := f.Plan(1, needs, booting, map[Pool]int{}, types)
+		want := oneByOne(needs, booting, func(n *Demand, rent map[Pool]int) (Pool, bool) { return f.cheapest(1, n, rent, map[Pool]int{}, types) })
 		if !maps.Equal(got, want) {
 			t.Fatalf("%v, should be %v", got, want)
 		}
@@ -94,20 +94,20 @@
 // A need that no cloud could fill leads to a few requests, and to none any more for a kind
 // of which there is nothing.
 func TestAsksNoMoreThanTheCloudTakes(t *testing.T) {
-	f := New(8)
-	need := []Need{{Task: zone.Res{CPUs: 4, GPUs: 1}, Count: 1_000_000, Types: map[string]bool{"t4": true}}}
+	f := NewProvisioner(8)
+	need := []Demand{{Task: zone.Resources{CPUs: 4, GPUs: 1}, Count: 1_000_000, Types: map[string]bool{"t4": true}}}
 	plan := func(now Micros) {
-		f.Ask(1, f.Plan(now, need, nil, map[Kind]int{}, types))
+		f.Enqueue(1, f.Plan(now, need, nil, map[Pool]int{}, types))
 	}
 	plan(1)
 	if len(f.pending) != 40 {
 		t.Errorf("%d requests, a cloud that takes 8 a second takes 40 in 5 s", len(f.pending))
 	}
 	due := f.Due(1)
-	if len(due) != mostOut || len(f.Due(1)) != 0 {
+	if len(due) != maxInFlight || len(f.Due(1)) != 0 {
 		t.Fatalf("%d requests on their way", len(due))
 	}
-	f.Done(2, due[0].Name, 0, true)
+	f.Complete(2, due[0].Name, 0, true)
 	for _, p := range f.pending {
 		if !p.sent && p.Zone == due[0].Zone {
 			t.Fatalf("%s is still to be asked for in %s, where there is nothing", p.Name, p.Zone)
@@ -119,7 +119,7 @@
 			sent++
 		}
 	}
-	if sent != mostOut-1 {
+	if sent != maxInFlight-1 {
 		t.Errorf("%d of the others are still known", sent)
 	}
 	plan(2)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,25 +11,25 @@
 	"strings"
 
 	"coralhub/internal/config"
-	"coralhub/internal/core/accounts"
-	"coralhub/internal/core/claim"
-	"coralhub/internal/core/fleet"
-	"coralhub/internal/core/front"
-	"coralhub/internal/core/home"
+	"coralhub/internal/core/accounting"
+	"coralhub/internal/core/autoscaler"
+	"coralhub/internal/core/election"
+	"coralhub/internal/core/frontend"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/leader"
 	"coralhub/internal/core/msg"
 	"coralhub/internal/core/outbox"
-	"coralhub/internal/core/owner"
+	"coralhub/internal/core/reconciler"
 	"coralhub/internal/core/records"
+	"coralhub/internal/core/relay"
 	"coralhub/internal/core/zone"
 	"coralhub/wire"
 )
 
 // Keys beside the jobs'.
 const (
-	leaderKey  = job.Root + "leader"
-	catalogKey = job.Root + "catalog"
+	leaderKey  = job.KeyRoot + "leader"
+	catalogKey = job.KeyRoot + "catalog"
 )
 
 // Micros is a time or a duration in whole microseconds.
@@ -39,116 +39,116 @@
 type Core struct {
 	cfg *config.Config
 
-	box     *outbox.Box
-	form    *records.Form
-	catalog *zone.Catalog
-	front   *front.Front
-	claim   *claim.Claim // to lead
-	home    *home.Home
-	leader  *leader.Leader
-	keeper  *fleet.Keeper
-	owner   *owner.Owner // of every zone, as the leader
+	outbox     *outbox.Outbox
+	encoding   *records.Encoding
+	catalog    *zone.Catalog
+	frontend   *frontend.Frontend
+	elector    *election.Elector // to lead
+	relay      *relay.Relay
+	leader     *leader.Leader
+	autoscaler *autoscaler.Autoscaler
+	reconciler *reconciler.Reconciler // of every zone, as the leader
 
-	loaded         bool             // a first Snapshot has come
-	replica        *records.Replica // what is committed about jobs
-	catalogVersion uint64
-	catalogAsked   Micros
+	loaded             bool             // a first Snapshot has come
+	replica            *records.Replica // what is committed about jobs
+	catalogVersion     uint64
+	catalogRequestedAt Micros
 
-	upgrade
+	formatState
 }
 
 // New returns a node that knows nothing yet. The seed decides the moments at
 // which nodes that start together do things.
 func New(cfg *config.Config, seed uint64) *Core {
-	c := &Core{cfg: cfg, form: records.NewForm(&cfg.Cluster.State), catalog: &zone.Catalog{}, upgrade: upgrade{announced: map[string]job.Format{}}}
-	c.box = outbox.New(c.malformed)
-	c.claim = claim.New(c.box, leaderKey, cfg.Node, config.FromMillis(cfg.Settings.LeaderLeaseMS), seed, claimListener{c})
-	c.leader = leader.New(cfg, c.box, c.form, c.catalog, c.claim)
-	hears := &listener{Leader: c.leader}
+	c := &Core{cfg: cfg, encoding: records.NewEncoding(&cfg.Cluster.State), catalog: &zone.Catalog{}, formatState: formatState{announcedFormats: map[string]job.Format{}}}
+	c.outbox = outbox.New(c.reduceMaxValueBytes)
+	c.elector = election.New(c.outbox, leaderKey, cfg.Node, config.FromMillis(cfg.Settings.LeaderLeaseMS), seed, electionListener{c})
+	c.leader = leader.New(cfg, c.outbox, c.encoding, c.catalog, c.elector)
+	hears := &recordsListener{Leader: c.leader}
 	c.replica = records.New(hears)
-	c.front = front.New(cfg, c.box, c.replica, c.form, c.catalog, frontNode{c})
-	hears.front = c.front
-	c.home = home.New(cfg, c.box, c.replica, c.form, c.claim)
-	hears.home = c.home
-	c.owner = owner.New(cfg, c.box, c.replica, c.claim, c.leader.Desk())
-	c.keeper = fleet.NewKeeper(cfg, c.box, c.replica, c.catalog, c.claim, c.owner, c.leader.Desk())
-	c.leader.Use(c.replica, c.owner, c.keeper)
+	c.frontend = frontend.New(cfg, c.outbox, c.replica, c.encoding, c.catalog, frontendNode{c})
+	hears.frontend = c.frontend
+	c.relay = relay.New(cfg, c.outbox, c.replica, c.encoding, c.elector)
+	hears.relay = c.relay
+	c.reconciler = reconciler.New(cfg, c.outbox, c.replica, c.elector, c.leader.EventHandler())
+	c.autoscaler = autoscaler.New(cfg, c.outbox, c.replica, c.catalog, c.elector, c.reconciler, c.leader.EventHandler())
+	c.leader.Attach(c.replica, c.reconciler, c.autoscaler)
 	return c
 }
 
 // Step handles one input.
 func (c *Core) Step(now Micros, in msg.Input) []msg.Effect {
-	c.box.Begin(now)
+	c.outbox.Begin(now)
 	switch x := in.(type) {
 	case msg.Tick:
-		c.leader.SetWall(x.Wall)
+		c.leader.SetWallClock(x.WallClock)
 		c.tick()
 	case msg.Snapshot:
 		c.snapshot(x)
 	case msg.Changed:
 		for i := range x.Events {
 			c.apply(&x.Events[i])
-			c.replica.Upto(x.Events[i].Version)
+			c.replica.NoteRevision(x.Events[i].Version)
 		}
-		c.replica.Current(x.AsOf)
-		c.front.Followed()
+		c.replica.NoteCurrent(x.CurrentAt)
+		c.frontend.WatchAdvanced()
 	case msg.ForwardDone:
-		c.home.ForwardDone(x)
-	case msg.BeatIn:
-		c.leader.BeatIn(x)
-	case msg.BeatDone:
-		c.home.BeatDone(x)
-	case msg.PeerHeard:
-		c.home.PeerHeard(x)
-	case msg.Hint:
-		c.hint(&x.Event)
+		c.relay.ForwardDone(x)
+	case msg.HeartbeatBatchIn:
+		c.leader.HeartbeatBatchIn(x)
+	case msg.HeartbeatBatchDone:
+		c.relay.HeartbeatBatchDone(x)
+	case msg.PeerAlive:
+		c.relay.PeerAlive(x)
+	case msg.PeerUpdate:
+		c.applyPeerUpdate(&x.Change)
 	case msg.CommitDone:
-		c.box.CommitDone(x)
+		c.outbox.CommitDone(x)
 	case msg.ReadDone:
-		c.box.ReadDone(x)
+		c.outbox.ReadDone(x)
 	case msg.LeaseDone:
-		c.claim.LeaseDone(x)
-	case msg.ReportIn:
-		c.report(x)
+		c.elector.LeaseDone(x)
+	case msg.HeartbeatIn:
+		c.handleHeartbeat(x)
 	case msg.CommandDone:
-		c.owner.CommandDone(x)
+		c.reconciler.CommandDone(x)
 	case msg.CatalogDone:
 		c.catalogDone(x)
 	case msg.ListDone:
-		c.keeper.ListDone(x)
-	case msg.RentDone:
-		c.keeper.RentDone(x)
-	case msg.ReleaseDone:
-		c.keeper.ReleaseDone(x)
+		c.autoscaler.ListDone(x)
+	case msg.ScaleOutDone:
+		c.autoscaler.ScaleOutDone(x)
+	case msg.ScaleInDone:
+		c.autoscaler.ScaleInDone(x)
 	case msg.SubmitIn:
-		c.front.Submit(x)
+		c.frontend.Submit(x)
 	case msg.PollIn:
-		c.front.Poll(x)
+		c.frontend.Poll(x)
 	case msg.CancelIn:
-		c.front.Cancel(x)
+		c.frontend.Cancel(x)
 	case msg.AdminIn:
-		c.leader.Admin(x)
+		c.leader.AnswerQuery(x)
 	}
 	if c.leader.Ready() {
-		c.leader.Settle()
+		c.leader.AfterStep()
 	}
-	c.front.Flush()
-	return c.box.End()
+	c.frontend.Flush()
+	return c.outbox.End()
 }
 
 // tick does what is due by time alone.
 func (c *Core) tick() {
-	c.front.Tick()
-	c.home.Tick(c.leader.Ready())
+	c.frontend.Tick()
+	c.relay.Tick(c.leader.Ready())
 	c.announceFormat()
-	if c.serving() {
-		c.claim.Tick()
+	if c.canServe() {
+		c.elector.Tick()
 	}
 	// Without the machine types no job can be accepted: a node whose records don't have
 	// them asks at once.
-	if !c.catalog.Known() && c.loaded && (c.catalogAsked == 0 || c.box.Now()-c.catalogAsked > config.Second) || c.leader.Ready() && c.box.Now()-c.catalogAsked > 30*config.Second {
-		c.catalogAsked = c.box.Now()
-		c.box.Emit(msg.FetchCatalog{})
+	if !c.catalog.Known() && c.loaded && (c.catalogRequestedAt == 0 || c.outbox.Now()-c.catalogRequestedAt > config.Second) || c.leader.Ready() && c.outbox.Now()-c.catalogRequestedAt > 30*config.Second {
+		c.catalogRequestedAt = c.outbox.Now()
+		c.outbox.Emit(msg.FetchCatalog{})
 	}
 	if c.leader.Ready() {
 		c.raiseFormat()
@@ -165,18 +165,18 @@
 		listed[it.Key] = true
 		ev := &wire.Change{Put: it.Key, Value: it.Value, Version: it.Version}
 		if it.Key == leaderKey {
-			c.claim.Apply(ev, false)
+			c.elector.Apply(ev, false)
 			continue
 		}
 		c.apply(ev)
 	}
 	if !listed[leaderKey] {
-		c.claim.Listed(s.Revision)
+		c.elector.ApplyListingWithoutHolder(s.Revision)
 	}
-	c.replica.Listed(s.Revision, listed)
-	c.replica.Upto(s.Revision)
+	c.replica.ApplyListing(s.Revision, listed)
+	c.replica.NoteRevision(s.Revision)
 	c.loaded = true
-	c.leader.Read(s.Revision)
+	c.leader.OnRecordsRead(s.Revision)
 }
 
 // apply takes a put or a delete that has happened.
@@ -187,7 +187,7 @@
 	}
 	switch {
 	case key == leaderKey:
-		c.claim.Apply(ev, true)
+		c.elector.Apply(ev, true)
 		return
 	case key == catalogKey:
 		var cat wire.Catalog
@@ -197,11 +197,11 @@
 		}
 		return
 	case key == formatKey:
-		c.formatIn(ev)
+		c.applyFormat(ev)
 		return
 	}
 	if name, ok := strings.CutPrefix(key, announcePrefix); ok {
-		c.announcementIn(name, ev)
+		c.applyAnnouncement(name, ev)
 		return
 	}
 	c.leader.Apply(key, ev)
@@ -226,10 +226,10 @@
 	c.setCatalog(&x.Catalog)
 	if c.leader.Ready() && (!same || c.catalogVersion == 0) {
 		value, err := job.Encode(&x.Catalog)
-		if err != nil || !c.form.Fits(value) {
+		if err != nil || !c.encoding.Fits(value) {
 			return
 		}
-		c.box.Commit(wire.Commit{Changes: []wire.Change{{Put: catalogKey, Value: value}}}, msg.ForOther, func(d msg.CommitDone) {
+		c.outbox.Commit(wire.Transaction{Changes: []wire.Change{{Put: catalogKey, Value: value}}}, msg.PurposeOther, func(d msg.CommitDone) {
 			if d.Outcome == msg.OK && d.Revision > c.catalogVersion {
 				c.catalogVersion = d.Revision
 			}
@@ -237,28 +237,28 @@
 	}
 }
 
-// malformed is told of a transaction that the state service has refused as
+// reduceMaxValueBytes is told of a transaction that the state service has refused as
 // malformed: a defect, or limits below those that this node was told of. The
 // same bytes must not be sent for ever; so values become smaller, down to a bound.
-func (c *Core) malformed(t *wire.Commit) {
+func (c *Core) reduceMaxValueBytes(t *wire.Transaction) {
 	var puts []string
 	for i := range t.Changes {
 		if t.Changes[i].Put != "" {
 			puts = append(puts, t.Changes[i].Put)
 		}
 	}
-	c.box.Log("refused as malformed by the state service", "puts", strings.Join(puts, " "), "value_bytes", c.form.Room())
+	c.outbox.Log("refused as malformed by the state service", "puts", strings.Join(puts, " "), "value_bytes", c.encoding.MaxValueBytes())
 	if len(puts) == 0 {
 		return // no value is at fault
 	}
-	c.form.Tighten()
+	c.encoding.ReduceMaxValueBytes()
 }
 
-// Looked tells what this node's passes have looked at.
-func (c *Core) Looked() leader.Looked { return c.leader.Looked() }
+// CycleStatistics tells what this node's passes have looked at.
+func (c *Core) CycleStatistics() leader.CycleStatistics { return c.leader.CycleStatistics() }
 
-// Accounts are what the records say that teams and classes have used.
-func (c *Core) Accounts() *accounts.Book { return c.leader.Accounts() }
+// UsageLedger are what the records say that teams and classes have used.
+func (c *Core) UsageLedger() *accounting.Ledger { return c.leader.UsageLedger() }
 
 // Audit holds what passes go by against the records, for tests.
 func (c *Core) Audit() error { return c.leader.Audit() }
--- a/internal/core/gather/gather.go
+++ b/internal/core/defrag/plan.go
@@ -1,8 +1,8 @@
-// Package gather decides which machines to clear of work that never ends, so that they become
+// Package defrag decides which machines to clear of work that never ends, so that they become
 // whole for a gang that finds no room though there is enough in sum. Most-room packing spreads
 // replicas over all machines; once most of a flood's are cancelled, a few are left on each, and
 // no machine becomes whole by itself ever again.
-package gather
+package defrag
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 type Replica struct {
 	Job   string
 	Task  int
-	Needs zone.Res
+	Needs zone.Resources
 	Types map[string]bool // on which it may run
 	Spot  bool            // spot machines will do
 }
@@ -24,30 +24,30 @@
 type Machine struct {
 	Name, Type string
 	Spot       bool
-	Free       zone.Res
-	Suits      bool      // the gang may use it
+	Free       zone.Resources
+	Suitable   bool      // the gang may use it
 	Movable    bool      // nothing but Replicas is there
 	Replicas   []Replica // may be moved now
 }
 
 // Plan is which machines to clear, and which have the rest of the gang's room already.
 type Plan struct {
-	Clear, Whole []*Machine
-	Moves        int
+	Clear, Whole  []*Machine
+	MovedReplicas int
 }
 
-// For plans room for so many tasks of a gang on the machines of one zone, with as few moves as
+// NewPlan plans room for so many tasks of a gang on the machines of one zone, with as few moves as
 // it finds and no more than most; nil: it finds none. What is moved fits elsewhere in the zone,
 // on machines that are not whole, and no two of one job are moved at a time.
-func For(needs zone.Res, count, most int, machines []*Machine) *Plan {
+func NewPlan(needs zone.Resources, count, most int, machines []*Machine) *Plan {
 	p := &Plan{}
 	var clear []*Machine
 	gain := map[*Machine]int{}
 	for _, m := range machines {
-		if !m.Suits {
+		if !m.Suitable {
 			continue
 		}
-		if has := needs.Times(m.Free); has > 0 {
+		if has := needs.Count(m.Free); has > 0 {
 			if count > 0 {
 				p.Whole = append(p.Whole, m)
 				count -= has
@@ -58,7 +58,7 @@
 		for _, r := range m.Replicas {
 			free = free.Plus(r.Needs, 1)
 		}
-		if n := needs.Times(free); m.Movable && n > 0 {
+		if n := needs.Count(free); m.Movable && n > 0 {
 			clear = append(clear, m)
 			gain[m] = n
 		}
@@ -75,11 +75,11 @@
 		if count <= 0 {
 			break
 		}
-		if p.Moves+len(m.Replicas) > most || !to.take(m, moved) {
+		if p.MovedReplicas+len(m.Replicas) > most || !to.place(m, moved) {
 			continue
 		}
 		p.Clear = append(p.Clear, m)
-		p.Moves += len(m.Replicas)
+		p.MovedReplicas += len(m.Replicas)
 		count -= gain[m]
 	}
 	if count > 0 {
@@ -88,40 +88,40 @@
 	return p
 }
 
-// room is what is left on a machine that replicas may be moved to.
-type room struct {
+// slot is what is left on a machine that replicas may be moved to.
+type slot struct {
 	*Machine
-	free   zone.Res
+	free   zone.Resources
 	taken  int  // replicas that it is to take
 	closed bool // it is cleared
 }
 
-// rooms are those machines, the fullest first: what is nearly full never becomes whole.
-type rooms []*room
+// slots are those machines, the fullest first: what is nearly full never becomes whole.
+type slots []*slot
 
-func targets(machines []*Machine, needs zone.Res) rooms {
-	var out rooms
+func targets(machines []*Machine, needs zone.Resources) slots {
+	var out slots
 	for _, m := range machines {
 		if !needs.Fits(m.Free) { // whole machines stay whole
-			out = append(out, &room{Machine: m, free: m.Free})
+			out = append(out, &slot{Machine: m, free: m.Free})
 		}
 	}
-	slices.SortFunc(out, func(a, b *room) int {
+	slices.SortFunc(out, func(a, b *slot) int {
 		return cmp.Or(cmp.Compare(a.free.Weight(), b.free.Weight()), cmp.Compare(a.Name, b.Name))
 	})
 	return out
 }
 
-// take finds places for all replicas of a machine, and keeps them; false: not for all, or it
+// place finds places for all replicas of a machine, and keeps them; false: not for all, or it
 // is to take some itself.
-func (rs rooms) take(m *Machine, moved map[string]bool) bool {
-	own := rs[slices.IndexFunc(rs, func(t *room) bool { return t.Machine == m })]
+func (rs slots) place(m *Machine, moved map[string]bool) bool {
+	own := rs[slices.IndexFunc(rs, func(t *slot) bool { return t.Machine == m })]
 	if own.taken > 0 {
 		return false
 	}
 	type step struct {
-		to *room
-		by zone.Res
+		to *slot
+		by zone.Resources
 	}
 	var steps []step
 	jobs := map[string]bool{}
@@ -129,7 +129,7 @@
 		r := &m.Replicas[i]
 		at := -1
 		if !moved[r.Job] && !jobs[r.Job] {
-			at = slices.IndexFunc(rs, func(t *room) bool {
+			at = slices.IndexFunc(rs, func(t *slot) bool {
 				return t != own && !t.closed && r.Types[t.Type] && (r.Spot || !t.Spot) && r.Needs.Fits(t.free)
 			})
 		}
--- a/internal/core/gather/gather_test.go
+++ b/internal/core/defrag/plan_test.go
@@ -1,4 +1,4 @@
-package gather
+package defrag
 
 import (
 	"flag"
@@ -15,13 +15,13 @@
 
 var (
 	any8  = map[string]bool{"g8": true}
-	whole = zone.Res{CPUs: 57, GPUs: 8}
-	one   = zone.Res{CPUs: 5, GPUs: 1}
+	whole = zone.Resources{CPUs: 57, GPUs: 8}
+	one   = zone.Resources{CPUs: 5, GPUs: 1}
 )
 
 // machine has so many replicas, each of a job of its own.
 func machine(name string, replicas int) *Machine {
-	m := &Machine{Name: name, Type: "g8", Suits: true, Movable: true, Free: zone.Res{CPUs: 64, GPUs: 8, MemoryGB: 256}.Plus(one, -float64(replicas))}
+	m := &Machine{Name: name, Type: "g8", Suitable: true, Movable: true, Free: zone.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}.Plus(one, -float64(replicas))}
 	for i := range replicas {
 		m.Replicas = append(m.Replicas, Replica{Job: fmt.Sprint(name, "-", i), Needs: one, Types: any8})
 	}
@@ -30,28 +30,28 @@
 
 func TestClearsTheCheapest(t *testing.T) {
 	ms := []*Machine{machine("a", 4), machine("b", 2), machine("c", 3), machine("d", 3)}
-	p := For(whole, 1, 10, ms)
-	if p == nil || len(p.Clear) != 1 || p.Clear[0].Name != "b" || p.Moves != 2 {
+	p := NewPlan(whole, 1, 10, ms)
+	if p == nil || len(p.Clear) != 1 || p.Clear[0].Name != "b" || p.MovedReplicas != 2 {
 		t.Fatalf("%+v", p)
 	}
-	if p := For(whole, 2, 10, ms); p == nil || p.Moves != 5 {
+	if p := NewPlan(whole, 2, 10, ms); p == nil || p.MovedReplicas != 5 {
 		t.Fatalf("%+v", p)
 	}
-	if p := For(whole, 2, 4, ms); p != nil {
+	if p := NewPlan(whole, 2, 4, ms); p != nil {
 		t.Errorf("more moves than allowed: %+v", p)
 	}
-	if p := For(whole, 3, 99, ms); p != nil {
+	if p := NewPlan(whole, 3, 99, ms); p != nil {
 		t.Errorf("twelve replicas on one machine: %+v", p)
 	}
 	ms[1].Movable = false
-	if p := For(whole, 1, 10, ms); p == nil || p.Clear[0].Name != "c" {
+	if p := NewPlan(whole, 1, 10, ms); p == nil || p.Clear[0].Name != "c" {
 		t.Errorf("%+v", p)
 	}
 	ms = append(ms, machine("e", 0))
-	if p := For(whole, 2, 10, ms); p == nil || len(p.Whole) != 1 || p.Whole[0].Name != "e" || len(p.Clear) != 1 {
+	if p := NewPlan(whole, 2, 10, ms); p == nil || len(p.Whole) != 1 || p.Whole[0].Name != "e" || len(p.Clear) != 1 {
 		t.Errorf("a machine that is whole: %+v", p)
 	}
-	if p := For(whole, 1, 10, ms); p != nil {
+	if p := NewPlan(whole, 1, 10, ms); p != nil {
 		t.Errorf("nothing needs to be cleared: %+v", p)
 	}
 }
@@ -63,7 +63,7 @@
 		var ms []*Machine
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 			m := machine(fmt.Sprint("m", i), rapid.IntRange(0, 8).Draw(t, "replicas"))
-			m.Suits, m.Movable = rapid.IntRange(0, 4).Draw(t, "suits") > 0, rapid.IntRange(0, 4).Draw(t, "movable") > 0
+			m.Suitable, m.Movable = rapid.IntRange(0, 4).Draw(t, "suits") > 0, rapid.IntRange(0, 4).Draw(t, "movable") > 0
 			m.Spot = rapid.IntRange(0, 4).Draw(t, "spot") == 0
 			for k := range m.Replicas {
 				m.Replicas[k].Job = fmt.Sprint("j-", rapid.IntRange(0, 40).Draw(t, "job"))
@@ -71,13 +71,13 @@
 			ms = append(ms, m)
 		}
 		count, most := rapid.IntRange(1, 4).Draw(t, "count"), rapid.IntRange(0, 20).Draw(t, "most")
-		p := For(whole, count, most, ms)
+		p := NewPlan(whole, count, most, ms)
 		if p == nil {
 			return
 		}
 		has, moves, jobs, cleared := len(p.Whole), 0, map[string]bool{}, map[*Machine]bool{}
 		for _, m := range p.Clear {
-			if cleared[m] = true; !m.Suits || !m.Movable {
+			if cleared[m] = true; !m.Suitable || !m.Movable {
 				t.Fatalf("%s can't be cleared", m.Name)
 			}
 			has++
@@ -88,13 +88,13 @@
 				jobs[r.Job] = true
 			}
 		}
-		if has < count || moves != p.Moves || moves > most || len(p.Clear) == 0 {
+		if has < count || moves != p.MovedReplicas || moves > most || len(p.Clear) == 0 {
 			t.Fatalf("%d machines for %d, %d moves of %d", has, count, moves, most)
 		}
 		room := 0
 		for _, m := range ms {
 			if !cleared[m] && !m.Spot && !whole.Fits(m.Free) {
-				room += one.Times(m.Free)
+				room += one.Count(m.Free)
 			}
 		}
 		if room < moves {
--- a/internal/core/claim/claim_test.go
+++ b/internal/core/election/elector_test.go
@@ -1,4 +1,4 @@
-package claim
+package election
 
 import (
 	"slices"
@@ -15,26 +15,30 @@
 // the other alone.
 type two struct {
 	t    *testing.T
-	box  *outbox.Box
+	box  *outbox.Outbox
 	now  Micros
-	a, b *Claim
+	a, b *Elector
 	said []string
 }
 
-type ear struct {
+type recordingListener struct {
 	w    *two
 	name string
 }
 
-func (e ear) Won()                       { e.w.said = append(e.w.said, e.name+" won") }
-func (e ear) Lost(why string, _ uint64)  { e.w.said = append(e.w.said, e.name+" lost: "+why) }
-func (e ear) HolderChanged(_, to string) { e.w.said = append(e.w.said, e.name+" passed to "+to) }
+func (e recordingListener) OnElected() { e.w.said = append(e.w.said, e.name+" won") }
+func (e recordingListener) OnDeposed(why string, _ uint64) {
+	e.w.said = append(e.w.said, e.name+" lost: "+why)
+}
+func (e recordingListener) OnHolderChanged(_, to string) {
+	e.w.said = append(e.w.said, e.name+" passed to "+to)
+}
 
 const ttl = 4 * config.Second
 
 func newTwo(t *testing.T) *two {
-	w := &two{t: t, box: outbox.New(func(*wire.Commit) {})}
-	w.a, w.b = New(w.box, "zone/a", "n1", ttl, 100, ear{w, "a"}), New(w.box, "zone/b", "n1", ttl, 200, ear{w, "b"})
+	w := &two{t: t, box: outbox.New(func(*wire.Transaction) {})}
+	w.a, w.b = New(w.box, "zone/a", "n1", ttl, 100, recordingListener{w, "a"}), New(w.box, "zone/b", "n1", ttl, 200, recordingListener{w, "b"})
 	return w
 }
 
@@ -76,22 +80,22 @@
 }
 
 // win has a claim made and granted at a revision.
-func (w *two) win(c *Claim, lease, revision uint64) {
+func (w *two) win(c *Elector, lease, revision uint64) {
 	w.t.Helper()
 	w.step(c.Tick)
 	t := w.transaction(w.step(func() { c.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: lease}) }))
-	if t.Txn.Guards[0] != (wire.Guard{Key: c.Key()}) || t.Txn.Changes[0].Lease != lease {
-		w.t.Fatalf("%+v", t.Txn)
+	if t.Transaction.Conditions[0] != (wire.Condition{Key: c.Key()}) || t.Transaction.Changes[0].Lease != lease {
+		w.t.Fatalf("%+v", t.Transaction)
 	}
 	w.step(func() { w.box.CommitDone(msg.CommitDone{ID: t.ID, Outcome: msg.OK, Revision: revision}) })
-	if !c.Held() || c.Token() != revision || c.Base() != revision || c.Guard() != (wire.Guard{Key: c.Key(), Version: revision}) {
-		w.t.Fatalf("held %v, token %d", c.Held(), c.Token())
+	if !c.IsLeader() || c.FencingToken() != revision || c.TermStart() != revision || c.Condition() != (wire.Condition{Key: c.Key(), Version: revision}) {
+		w.t.Fatalf("held %v, token %d", c.IsLeader(), c.FencingToken())
 	}
 }
 
-func (w *two) written(c *Claim, node string, nonce, revision uint64) {
+func (w *two) written(c *Elector, node string, nonce, revision uint64) {
 	w.t.Helper()
-	raw, err := job.Encode(Value{node, nonce})
+	raw, err := job.Encode(LeaseRecord{node, nonce})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -105,19 +109,19 @@
 	w.heard("a won", "b won")
 
 	// A lease that ends takes its own claim alone.
-	w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.Gone, Lease: 7, Renewal: true}) })
+	w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.Gone, Lease: 7, IsRenewal: true}) })
 	w.heard("a lost: lease ended")
-	if !w.b.Held() || w.a.Held() || w.a.Token() != 0 {
+	if !w.b.IsLeader() || w.a.IsLeader() || w.a.FencingToken() != 0 {
 		t.Fatal("b is still held and a is not")
 	}
 
 	// What is held by another is followed, and not claimed.
 	w.written(w.a, "n2", 1, 50)
 	w.heard("a passed to n2")
-	if w.a.Elsewhere() != "n2" || len(w.step(w.a.Tick)) != 0 {
+	if w.a.OtherHolder() != "n2" || len(w.step(w.a.Tick)) != 0 {
 		t.Fatalf("%+v", w.a.Holder())
 	}
-	w.step(func() { w.a.Listed(60) })
+	w.step(func() { w.a.ApplyListingWithoutHolder(60) })
 	w.step(w.a.Tick)
 	w.win(w.a, 9, 61)
 	w.heard("a won")
@@ -127,15 +131,15 @@
 func TestRaise(t *testing.T) {
 	w := newTwo(t)
 	w.win(w.a, 7, 40)
-	w.step(w.a.RaiseIfWanted)
-	w.a.WantRaise()
-	raise := w.transaction(w.step(w.a.RaiseIfWanted))
-	if raise.Txn.Guards[0] != (wire.Guard{Key: "zone/a", Version: 40}) || !w.a.Raising() {
-		t.Fatalf("%+v", raise.Txn)
+	w.step(w.a.ReplaceTokenIfRequested)
+	w.a.RequestNewToken()
+	raise := w.transaction(w.step(w.a.ReplaceTokenIfRequested))
+	if raise.Transaction.Conditions[0] != (wire.Condition{Key: "zone/a", Version: 40}) || !w.a.TokenChangePending() {
+		t.Fatalf("%+v", raise.Transaction)
 	}
 	w.step(func() { w.box.CommitDone(msg.CommitDone{ID: raise.ID, Outcome: msg.OK, Revision: 45}) })
-	if w.a.Token() != 45 || w.a.Base() != 40 || w.a.Raising() {
-		t.Fatalf("token %d, base %d", w.a.Token(), w.a.Base())
+	if w.a.FencingToken() != 45 || w.a.TermStart() != 40 || w.a.TokenChangePending() {
+		t.Fatalf("token %d, base %d", w.a.FencingToken(), w.a.TermStart())
 	}
 	// Another node's claim that the guards should have ruled out is believed.
 	w.written(w.a, "n2", 1, 50)
@@ -144,8 +148,8 @@
 	// The same with an answer that never comes: whether it was written is not known, so it
 	// is not held any more.
 	w.win(w.b, 8, 41)
-	w.b.WantRaise()
-	raise = w.transaction(w.step(w.b.RaiseIfWanted))
+	w.b.RequestNewToken()
+	raise = w.transaction(w.step(w.b.ReplaceTokenIfRequested))
 	w.step(func() { w.box.CommitDone(msg.CommitDone{ID: raise.ID, Outcome: msg.Unknown}) })
 	w.heard("b won", "b lost: claim lost")
 }
@@ -156,7 +160,7 @@
 	w := newTwo(t)
 	w.step(w.a.Tick)
 	w.written(w.a, "n1", 3, 30)
-	if effects := w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }); len(effects) != 0 || w.a.Held() {
+	if effects := w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }); len(effects) != 0 || w.a.IsLeader() {
 		t.Fatalf("%v", effects)
 	}
 	for range 10 {
@@ -180,14 +184,14 @@
 	for i := range 12 {
 		free := w.now
 		for !asks(w.step(w.a.Tick)) {
-			if w.now-free > mostPause+2*config.Second {
+			if w.now-free > maxCampaignDelay+2*config.Second {
 				t.Fatal("never claims again")
 			}
 		}
 		switch paused := w.now - free; {
 		case i == 0 && paused > config.Second:
 			t.Errorf("the first claim pauses for %d us", paused)
-		case i > 6 && i < 11 && paused < mostPause:
+		case i > 6 && i < 11 && paused < maxCampaignDelay:
 			t.Errorf("many lapses pause for %d us", paused)
 		case i == 11 && paused > config.Second:
 			t.Errorf("pauses for %d us after a long reign", paused)
@@ -195,11 +199,11 @@
 		claim := w.transaction(w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: uint64(i + 1)}) }))
 		w.step(func() { w.box.CommitDone(msg.CommitDone{ID: claim.ID, Outcome: msg.OK, Revision: revision}) })
 		if i == 10 {
-			w.now += shortReign // a long reign makes up for those before it
+			w.now += shortTerm // a long reign makes up for those before it
 		}
 		revision += 2
 		w.step(func() { w.a.Apply(&wire.Change{Delete: "zone/a", Version: revision - 1}, true) })
-		if w.a.Held() {
+		if w.a.IsLeader() {
 			t.Fatal("held though it is removed")
 		}
 	}
@@ -214,7 +218,7 @@
 func TestBaseOfOthersClaims(t *testing.T) {
 	w := newTwo(t)
 	raw := func(node string) []byte {
-		v, err := job.Encode(Value{node, 1})
+		v, err := job.Encode(LeaseRecord{node, 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,7 +232,7 @@
 	}
 	is := func(what string, version, base uint64) {
 		t.Helper()
-		if h := w.a.Holder(); h.Version != version || h.Base != base {
+		if h := w.a.Holder(); h.Version != version || h.TermStart != base {
 			t.Errorf("%s: %+v, want version %d and base %d", what, h, version, base)
 		}
 	}
@@ -246,7 +250,7 @@
 	gone(21)
 	put("n9", 30, false)
 	is("listed, after an end that was seen", 30, 0)
-	w.step(func() { w.a.Listed(40) })
+	w.step(func() { w.a.ApplyListingWithoutHolder(40) })
 	put("n9", 44, true)
 	is("made after a listing without any", 44, 44)
 	put("n9", 50, false)
@@ -262,12 +266,12 @@
 	w.step(func() { w.a.Tick() })
 	made := w.transaction(w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }))
 	w.step(func() { w.box.CommitDone(msg.CommitDone{ID: made.ID, Outcome: msg.Refused}) })
-	value, err := job.Encode(Value{"n1", 3})
+	value, err := job.Encode(LeaseRecord{"n1", 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.step(func() { w.a.Apply(&wire.Change{Put: "zone/a", Value: value, Version: 9}, true) })
-	if w.a.Held() {
+	if w.a.IsLeader() {
 		t.Error("it leads by the claim of an earlier process")
 	}
 }
--- a/internal/core/claim_test.go
+++ b/internal/core/election_test.go
@@ -25,7 +25,7 @@
 // claim returns the transaction among the effects that puts the leader's key.
 func claim(effects []msg.Effect) *msg.Commit {
 	for _, e := range effects {
-		if x, ok := e.(msg.Commit); ok && len(x.Txn.Changes) == 1 && x.Txn.Changes[0].Put == job.Root+"leader" {
+		if x, ok := e.(msg.Commit); ok && len(x.Transaction.Changes) == 1 && x.Transaction.Changes[0].Put == job.KeyRoot+"leader" {
 			return &x
 		}
 	}
@@ -44,7 +44,7 @@
 		if x := claim(effects); x != nil {
 			return x
 		}
-		in = msg.Tick{Wall: c.now}
+		in = msg.Tick{WallClock: c.now}
 	}
 	c.t.Fatal("no claim was made")
 	return nil
@@ -56,10 +56,10 @@
 func TestClaimWithoutAnAnswer(t *testing.T) {
 	c := &claimant{t: t, core: core.New(fleetConfig(10), 5), now: config.Second}
 	c.step(msg.Snapshot{Revision: 3})
-	first := c.mustClaim(msg.Tick{Wall: c.now})
+	first := c.mustClaim(msg.Tick{WallClock: c.now})
 	c.step(msg.CommitDone{ID: first.ID, Outcome: msg.Unknown}) // it is applied, as revision 9
-	second := c.mustClaim(msg.Tick{Wall: c.now})
-	told := wire.Change{Put: first.Txn.Changes[0].Put, Value: first.Txn.Changes[0].Value, Version: 9}
+	second := c.mustClaim(msg.Tick{WallClock: c.now})
+	told := wire.Change{Put: first.Transaction.Changes[0].Put, Value: first.Transaction.Changes[0].Value, Version: 9}
 	effects := c.step(msg.Changed{Events: []wire.Change{told}})
 	effects = append(effects, c.step(msg.CommitDone{ID: second.ID, Outcome: msg.Conflict, Failed: []string{told.Put}})...)
 	leads := false
@@ -68,14 +68,14 @@
 		for _, e := range effects {
 			switch x := e.(type) {
 			case msg.Log:
-				leads = leads || x.Text == "leading"
+				leads = leads || x.Message == "leading"
 			case msg.Relist:
-				next = append(next, c.step(msg.Snapshot{Items: []wire.Item{{Key: told.Put, Value: told.Value, Version: 9, Lease: 7}}, Revision: 9})...)
+				next = append(next, c.step(msg.Snapshot{Items: []wire.KeyValue{{Key: told.Put, Value: told.Value, Version: 9, Lease: 7}}, Revision: 9})...)
 			case msg.RenewLease:
-				next = append(next, c.step(msg.LeaseDone{Outcome: msg.OK, Lease: x.Lease, Renewal: true})...)
+				next = append(next, c.step(msg.LeaseDone{Outcome: msg.OK, Lease: x.Lease, IsRenewal: true})...)
 			}
 		}
-		effects = append(next, c.step(msg.Tick{Wall: c.now})...)
+		effects = append(next, c.step(msg.Tick{WallClock: c.now})...)
 	}
 	if !leads {
 		t.Error("nobody leads, though the claim is this node's")
@@ -87,19 +87,19 @@
 func TestLeaseWithoutLeadingEnds(t *testing.T) {
 	c := &claimant{t: t, core: core.New(fleetConfig(10), 5), now: config.Second}
 	c.step(msg.Snapshot{Revision: 3})
-	x := c.mustClaim(msg.Tick{Wall: c.now})
+	x := c.mustClaim(msg.Tick{WallClock: c.now})
 	value, err := job.Encode(map[string]any{"node": "n1", "nonce": uint64(1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.step(msg.Changed{Events: []wire.Change{{Put: job.Root + "leader", Value: value, Version: 9}}})
-	c.step(msg.CommitDone{ID: x.ID, Outcome: msg.Conflict, Failed: []string{job.Root + "leader"}})
+	c.step(msg.Changed{Events: []wire.Change{{Put: job.KeyRoot + "leader", Value: value, Version: 9}}})
+	c.step(msg.CommitDone{ID: x.ID, Outcome: msg.Conflict, Failed: []string{job.KeyRoot + "leader"}})
 	renewals := 0
 	for range 100 {
-		for _, e := range c.step(msg.Tick{Wall: c.now}) {
+		for _, e := range c.step(msg.Tick{WallClock: c.now}) {
 			if r, ok := e.(msg.RenewLease); ok {
 				renewals++
-				c.step(msg.LeaseDone{Outcome: msg.OK, Lease: r.Lease, Renewal: true})
+				c.step(msg.LeaseDone{Outcome: msg.OK, Lease: r.Lease, IsRenewal: true})
 			}
 		}
 	}
--- a/internal/core/flood_test.go
+++ b/internal/core/flood_test.go
@@ -17,7 +17,7 @@
 	f := newQueue(tb, machines, 0)
 	for i := range waiting {
 		f.put(tb, waitingName(i), &job.Record{Spec: &wire.Job{ID: waitingName(i), Class: "flood", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 1 + i*7%50,
-			CPUs: 5, GPUs: 1, MemoryGB: 36, Image: fmt.Sprint("image-", i%5), ImageGB: 3.5, EstimateS: 40, CheckpointS: 30, Spot: true}, Created: int64(machines + i + 1)})
+			CPUs: 5, GPUs: 1, MemoryGB: 36, Image: fmt.Sprint("image-", i%5), ImageGB: 3.5, EstimateS: 40, CheckpointS: 30, Spot: true}, CreatedAt: int64(machines + i + 1)})
 	}
 	return f
 }
@@ -26,7 +26,7 @@
 func (f *fleet) late() {
 	it := f.records[len(f.records)-1]
 	f.version++
-	f.step(10*config.Second, msg.Hint{Event: wire.Change{Put: it.Key, Value: it.Value, Version: f.version + 1<<40}})
+	f.step(10*config.Second, msg.PeerUpdate{Change: wire.Change{Put: it.Key, Value: it.Value, Version: f.version + 1<<40}})
 }
 
 // A pass bids for one job of each kind that finds no room. Ten times the jobs only make its
@@ -37,11 +37,11 @@
 		f := newFlood(t, 500, waiting)
 		f.takeOver(t)
 		f.hear()
-		f.step(config.Second, msg.Tick{Wall: f.now})
+		f.step(config.Second, msg.Tick{WallClock: f.now})
 		f.late()
-		before := f.core.Looked().Passes
+		before := f.core.CycleStatistics().Cycles
 		allocs[i] = testing.AllocsPerRun(3, f.late)
-		if f.core.Looked().Passes-before < 3 {
+		if f.core.CycleStatistics().Cycles-before < 3 {
 			t.Fatal("no passes")
 		}
 		if err := f.core.Audit(); err != nil {
@@ -67,14 +67,14 @@
 				}
 				b.StartTimer()
 				f.step(1000, list)
-				f.step(11*config.Second, msg.Tick{Wall: f.now})
+				f.step(11*config.Second, msg.Tick{WallClock: f.now})
 			}
 		})
 		b.Run(fmt.Sprintf("pass/%d", waiting), func(b *testing.B) {
 			f := newFlood(b, 1250, waiting)
 			f.takeOver(b)
 			f.hear()
-			f.step(config.Second, msg.Tick{Wall: f.now})
+			f.step(config.Second, msg.Tick{WallClock: f.now})
 			rounds := 0
 			var spent time.Duration
 			for b.Loop() {
--- a/internal/core/upgrade_test.go
+++ b/internal/core/format_test.go
@@ -10,12 +10,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"coralhub/internal/config"
-	"coralhub/internal/core/claim"
-	"coralhub/internal/core/home"
+	"coralhub/internal/core/election"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/leader"
 	"coralhub/internal/core/msg"
 	"coralhub/internal/core/records"
+	"coralhub/internal/core/relay"
 	"coralhub/wire"
 )
 
@@ -37,44 +37,44 @@
 	spec := &wire.Job{ID: "j-000412", Class: "train", Team: "red", Shape: wire.Gang, Priority: wire.High, Tasks: 40, CPUs: 8, GPUs: 1,
 		MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240,
 		CheckpointS: 30, SaveS: 4, DeadlineS: &due}
-	return job.Record{Spec: spec, Cancel: true, Created: 1764600000000000, Attempt: 3, Count: 2, Part: job.Part{Done: "5",
+	return job.Record{Spec: spec, CancelRequested: true, CreatedAt: 1764600000000000, LastAttempt: 3, DoneTasks: 2, Shard: job.Shard{DoneSet: "5",
 		Open: []job.Placement{{Task: 1, Attempt: 2, Machine: "m-000231", Session: 1, Zone: "a"},
 			{Task: 3, Attempt: 2, Machine: "m-000231", Session: 1, Zone: "a"}, {Task: 31, Attempt: 3, Machine: "m-000240", Session: 4, Zone: "b"}}}}
 }
 
-var productionPart = job.Part{Done: "1", Open: []job.Placement{{Task: 33, Attempt: 3, Machine: "m-000240", Session: 4, Zone: "b"}}}
+var productionPart = job.Shard{DoneSet: "1", Open: []job.Placement{{Task: 33, Attempt: 3, Machine: "m-000240", Session: 4, Zone: "b"}}}
 
 // What the version in production has written means the same to this one.
 func TestReadsProduction(t *testing.T) {
 	var rec, final job.Record
-	var p job.Part
+	var p job.Shard
 	if err := job.DecodeRecord(production(t, "record"), &rec); err != nil || !reflect.DeepEqual(rec, productionRecord()) {
 		t.Errorf("%v %+v", err, rec)
 	}
-	if err := job.DecodeRecord(production(t, "final"), &final); err != nil || !reflect.DeepEqual(final, job.Record{Phase: job.Done, Count: 40}) {
+	if err := job.DecodeRecord(production(t, "final"), &final); err != nil || !reflect.DeepEqual(final, job.Record{Phase: job.Done, DoneTasks: 40}) {
 		t.Errorf("%v %+v", err, final)
 	}
-	if err := job.DecodePart(production(t, "part"), &p); err != nil || !reflect.DeepEqual(p, productionPart) {
+	if err := job.DecodeShard(production(t, "part"), &p); err != nil || !reflect.DeepEqual(p, productionPart) {
 		t.Errorf("%v %+v", err, p)
 	}
-	ended, err := records.DecodePage(production(t, "ended"))
-	if err != nil || !reflect.DeepEqual(ended, []records.Ended{
+	ended, err := records.DecodeCompletionPage(production(t, "ended"))
+	if err != nil || !reflect.DeepEqual(ended, []records.CompletionEntry{
 		{Job: "j-000412", Task: 33, Attempt: 3, Machine: "m-000240", Done: true}, {Job: "j-7", Attempt: 1, Machine: "m-1"}}) {
 		t.Errorf("%v %+v", err, ended)
 	}
-	var hints []leader.Hint
-	if err := job.Decode(production(t, "hints"), &hints); err != nil || !reflect.DeepEqual(hints, []leader.Hint{
+	var hints []leader.CachedMachine
+	if err := job.Decode(production(t, "hints"), &hints); err != nil || !reflect.DeepEqual(hints, []leader.CachedMachine{
 		{Name: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Images: []string{"img-07", "img-08"}}}) {
 		t.Errorf("%v %+v", err, hints)
 	}
-	var mail []home.Line
+	var mail []relay.RelayedHeartbeat
 	notice := 7.5
-	if err := job.Decode(production(t, "mail"), &mail); err != nil || !reflect.DeepEqual(mail, []home.Line{{Machine: "m-000231", Session: 2,
-		Seq: 88, Token: 41, NoticeS: &notice, Tasks: []home.Task{{Task: "j-000412/3", Attempt: 2, State: wire.Exited, Cause: wire.CauseStopped, Saved: true}}}}) {
+	if err := job.Decode(production(t, "mail"), &mail); err != nil || !reflect.DeepEqual(mail, []relay.RelayedHeartbeat{{Machine: "m-000231", Incarnation: 2,
+		Sequence: 88, FencingToken: 41, NoticeS: &notice, Tasks: []relay.RelayedTask{{Task: "j-000412/3", Attempt: 2, State: wire.Exited, Cause: wire.CauseStopped, Saved: true}}}}) {
 		t.Errorf("%v %+v", err, mail)
 	}
-	var cl claim.Value
-	if err := job.Decode(production(t, "claim"), &cl); err != nil || cl != (claim.Value{Node: "n1", Nonce: 7}) {
+	var cl election.LeaseRecord
+	if err := job.Decode(production(t, "claim"), &cl); err != nil || cl != (election.LeaseRecord{Node: "n1", Nonce: 7}) {
 		t.Errorf("%v %+v", err, cl)
 	}
 }
@@ -83,15 +83,15 @@
 // production: it reads them with nothing lost.
 func TestWritesAsProduction(t *testing.T) {
 	rec := productionRecord()
-	if got, err := job.EncodeRecord(&rec, job.Placements); err != nil || string(got) != string(production(t, "record")) {
+	if got, err := job.EncodeRecord(&rec, job.FormatPlacements); err != nil || string(got) != string(production(t, "record")) {
 		t.Errorf("%v %x", err, got)
 	}
 	part := productionPart
-	if got, err := job.EncodePart(&part, job.Placements); err != nil || string(got) != string(production(t, "part")) {
+	if got, err := job.EncodeShard(&part, job.FormatPlacements); err != nil || string(got) != string(production(t, "part")) {
 		t.Errorf("%v %x", err, got)
 	}
-	final := job.Record{Phase: job.Done, Count: 40}
-	for _, f := range []job.Format{job.Placements, job.Grouped} {
+	final := job.Record{Phase: job.Done, DoneTasks: 40}
+	for _, f := range []job.Format{job.FormatPlacements, job.FormatGrouped} {
 		if got, err := job.EncodeRecord(&final, f); err != nil || string(got) != string(production(t, "final")) {
 			t.Errorf("%v %x", err, got)
 		}
@@ -101,9 +101,9 @@
 // The newest format keeps all of a record, in less room.
 func TestGrouped(t *testing.T) {
 	rec := productionRecord()
-	rec.Apart = true
+	rec.ShardsOnly = true
 	rec.Spec.Needs = []string{"j-1", "j-2"}
-	value, err := job.EncodeRecord(&rec, job.Grouped)
+	value, err := job.EncodeRecord(&rec, job.FormatGrouped)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 	if err := job.DecodeRecord(value, &got); err != nil || !reflect.DeepEqual(got, rec) {
 		t.Fatalf("%v %+v", err, got)
 	}
-	old, err := job.EncodeRecord(&rec, job.Placements)
+	old, err := job.EncodeRecord(&rec, job.FormatPlacements)
 	if err != nil || wire.JSONSize(value) >= wire.JSONSize(old) {
 		t.Fatalf("%v: %d bytes grouped, %d before", err, wire.JSONSize(value), wire.JSONSize(old))
 	}
@@ -125,13 +125,13 @@
 // 2 KiB, and so does the record of such a gang with a description of usual length.
 func TestRoomForAPart(t *testing.T) {
 	rec := productionRecord()
-	rec.Open, rec.Done = nil, ""
-	for i := range job.PartTasks {
+	rec.Open, rec.DoneSet = nil, ""
+	for i := range job.TasksPerShard {
 		rec.Open = append(rec.Open, job.Placement{Task: i, Attempt: 12, Machine: "m-000231"[:7] + string(rune('A'+i)), Session: 12, Zone: "portland-rack"})
 	}
-	for _, f := range []job.Format{job.Placements, job.Grouped} {
+	for _, f := range []job.Format{job.FormatPlacements, job.FormatGrouped} {
 		value, err := job.EncodeRecord(&rec, f)
-		if form := records.NewForm(&config.State{ValueKB: 2, TxnOps: 8}); err != nil || !form.Fits(value) {
+		if form := records.NewEncoding(&config.State{ValueKB: 2, TxnOps: 8}); err != nil || !form.Fits(value) {
 			t.Errorf("format %d: %v, %d bytes", f, err, wire.JSONSize(value))
 		}
 	}
@@ -143,28 +143,28 @@
 	cfg.Node = "n1"
 	cfg.Cluster.State = config.State{RPS: 10, WriteRPS: 10, ValueKB: 4, TxnOps: 8}
 	c := New(cfg, 1)
-	value, err := job.Encode(formatMark{job.Newest + 1})
+	value, err := job.Encode(formatMark{job.NewestFormat + 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	retired, told := false, false
-	for _, e := range c.Step(1, msg.Snapshot{Items: []wire.Item{{Key: formatKey, Value: value, Version: 3}}, Revision: 3}) {
+	for _, e := range c.Step(1, msg.Snapshot{Items: []wire.KeyValue{{Key: formatKey, Value: value, Version: 3}}, Revision: 3}) {
 		switch x := e.(type) {
-		case msg.Retire:
+		case msg.StopServing:
 			retired = true
 		case msg.Log:
-			told = told || strings.Contains(x.Text, "later format")
+			told = told || strings.Contains(x.Message, "later format")
 		}
 	}
 	if !retired || !told {
 		t.Fatalf("retired %v, told %v", retired, told)
 	}
-	for _, in := range []msg.Input{msg.PollIn{Req: 1, ID: "j-1"}, msg.CancelIn{Req: 1, ID: "j-1"}, msg.ReportIn{Req: 1, Report: wire.Report{Machine: "m", Session: 1}}} {
+	for _, in := range []msg.Input{msg.PollIn{RequestID: 1, JobID: "j-1"}, msg.CancelIn{RequestID: 1, JobID: "j-1"}, msg.HeartbeatIn{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m", Incarnation: 1}}} {
 		out := c.Step(2, in)
 		if len(out) != 1 {
 			t.Fatalf("%+v", out)
 		}
-		if a, ok := out[0].(msg.Answer); !ok || a.Status != 503 || a.RetryAfter == 0 {
+		if a, ok := out[0].(msg.Respond); !ok || a.Status != 503 || a.RetryAfter == 0 {
 			t.Errorf("%T: %+v", in, out[0])
 		}
 	}
--- a/internal/core/job/format.go
+++ b/internal/core/job/format.go
@@ -17,23 +17,23 @@
 type Format int
 
 const (
-	// Placements is the first format: each open placement stands for itself, and
+	// FormatPlacements is the first format: each open placement stands for itself, and
 	// no job needs another. Its writer, and this name, may go once no deployment
 	// is left that has not raised its format; its reader once no value of it is. What
 	// serves it alone asks whether the format is below Grouped.
-	Placements Format = 1
-	// Grouped puts the tasks that one machine has of a job into one group, and
+	FormatPlacements Format = 1
+	// FormatGrouped puts the tasks that one machine has of a job into one group, and
 	// descriptions may name needed jobs.
-	Grouped Format = 2
-	// Standing has leaders commit by which decisions work is set aside before they stop it. Open
+	FormatGrouped Format = 2
+	// FormatPreemption has leaders commit by which decisions work is set aside before they stop it. Open
 	// placements have the time at which they were made, parts and the log of ended attempts what
 	// was used, and what is left of a job that is over has its account.
-	Standing Format = 3
-	// SharedParts has leaders place tasks of many jobs in one value, see package records. A record
+	FormatPreemption Format = 3
+	// FormatPlacementPages has leaders place tasks of many jobs in one value, see package records. A record
 	// doesn't tell any more by itself whether anything of its job was ever placed.
-	SharedParts Format = 4
-	// Newest is the last format that this version reads.
-	Newest = SharedParts
+	FormatPlacementPages Format = 4
+	// NewestFormat is the last format that this version reads.
+	NewestFormat = FormatPlacementPages
 )
 
 // group is the tasks of a part that share a machine and an attempt.
@@ -48,9 +48,9 @@
 	Zone     string
 }
 
-// timed is a group with the time at which its tasks were placed: twice that, and one more on a
+// timedGroup is a group with the time at which its tasks were placed: twice that, and one more on a
 // spot machine.
-type timed struct {
+type timedGroup struct {
 	//lint:ignore U1000 read by the encoder: a group is a list, to be short
 	_msgpack struct{} `msgpack:",as_array"`
 	First    int
@@ -59,15 +59,15 @@
 	Machine  string
 	Session  uint64
 	Zone     string
-	At       int64
+	PlacedAt int64
 }
 
 // pack returns the part as the format writes it.
-func (p Part) pack(f Format) Part {
-	if f < Standing {
-		p.Spent = nil
+func (p Shard) pack(f Format) Shard {
+	if f < FormatPreemption {
+		p.Usage = nil
 	}
-	if f < Grouped || len(p.Open) == 0 {
+	if f < FormatGrouped || len(p.Open) == 0 {
 		return p
 	}
 	type at struct {
@@ -77,24 +77,24 @@
 	}
 	var order []at
 	masks := map[at]uint64{}
-	first := p.Open[0].Task / PartTasks * PartTasks
+	first := p.Open[0].Task / TasksPerShard * TasksPerShard
 	for _, o := range p.Open {
 		k := at{o.Attempt, o.Session, o.Machine, o.Zone, 0}
-		if f >= Standing {
-			if k.time = o.At * 2; o.Cheap {
+		if f >= FormatPreemption {
+			if k.time = o.PlacedAt * 2; o.Spot {
 				k.time++
 			}
 		}
 		if masks[k] == 0 {
 			order = append(order, k)
 		}
-		masks[k] |= 1 << uint(o.Task%PartTasks)
+		masks[k] |= 1 << uint(o.Task%TasksPerShard)
 	}
-	q := Part{Done: p.Done, Spent: p.Spent}
+	q := Shard{DoneSet: p.DoneSet, Usage: p.Usage}
 	for _, k := range order {
-		if f >= Standing {
-			q.Timed = append(q.Timed, timed{First: first, Tasks: strconv.FormatUint(masks[k], 16), Attempt: k.attempt,
-				Machine: k.machine, Session: k.session, Zone: k.zone, At: k.time})
+		if f >= FormatPreemption {
+			q.TimedGroups = append(q.TimedGroups, timedGroup{First: first, Tasks: strconv.FormatUint(masks[k], 16), Attempt: k.attempt,
+				Machine: k.machine, Session: k.session, Zone: k.zone, PlacedAt: k.time})
 			continue
 		}
 		q.Groups = append(q.Groups, group{First: first, Tasks: strconv.FormatUint(masks[k], 16), Attempt: k.attempt,
@@ -104,21 +104,21 @@
 }
 
 // unpack turns groups into placements.
-func (p *Part) unpack() {
+func (p *Shard) unpack() {
 	for _, g := range p.Groups {
-		p.Timed = append(p.Timed, timed{First: g.First, Tasks: g.Tasks, Attempt: g.Attempt, Machine: g.Machine, Session: g.Session, Zone: g.Zone})
+		p.TimedGroups = append(p.TimedGroups, timedGroup{First: g.First, Tasks: g.Tasks, Attempt: g.Attempt, Machine: g.Machine, Session: g.Session, Zone: g.Zone})
 	}
-	for _, g := range p.Timed {
+	for _, g := range p.TimedGroups {
 		mask, _ := strconv.ParseUint(g.Tasks, 16, 64)
-		for i := range PartTasks {
+		for i := range TasksPerShard {
 			if mask>>uint(i)&1 == 1 {
 				p.Open = append(p.Open, Placement{Task: g.First + i, Attempt: g.Attempt, Machine: g.Machine, Session: g.Session, Zone: g.Zone,
-					At: g.At / 2, Cheap: g.At%2 == 1})
+					PlacedAt: g.PlacedAt / 2, Spot: g.PlacedAt%2 == 1})
 			}
 		}
 	}
-	if p.Timed != nil {
-		p.Groups, p.Timed = nil, nil
+	if p.TimedGroups != nil {
+		p.Groups, p.TimedGroups = nil, nil
 		slices.SortStableFunc(p.Open, func(a, b Placement) int { return a.Task - b.Task })
 	}
 }
@@ -126,12 +126,12 @@
 // EncodeRecord turns a record into a value.
 func EncodeRecord(r *Record, f Format) ([]byte, error) {
 	c := *r
-	c.Part = r.pack(f)
+	c.Shard = r.pack(f)
 	return Encode(&c)
 }
 
-// EncodePart turns a part into a value.
-func EncodePart(p *Part, f Format) ([]byte, error) {
+// EncodeShard turns a part into a value.
+func EncodeShard(p *Shard, f Format) ([]byte, error) {
 	q := p.pack(f)
 	return Encode(&q)
 }
@@ -143,8 +143,8 @@
 	return err
 }
 
-// DecodePart reads a part of any format.
-func DecodePart(b []byte, p *Part) error {
+// DecodeShard reads a part of any format.
+func DecodeShard(b []byte, p *Shard) error {
 	err := Decode(b, p)
 	p.unpack()
 	return err
--- a/internal/core/job/job_test.go
+++ b/internal/core/job/job_test.go
@@ -13,8 +13,8 @@
 	due := 900.5
 	r := &Record{Spec: &wire.Job{ID: "j-123456789012", Class: strings.Repeat("c", 40), Team: strings.Repeat("t", 40), Shape: wire.Array, Priority: wire.Normal,
 		Tasks: wire.MaxTasks, CPUs: 1.2345678901234, GPUs: 1, MemoryGB: 29.000001, Image: strings.Repeat("i", 40), Types: []string{"g8", "g16"}, DeadlineS: &due},
-		Created: 1_900_000_000_000_000, Attempt: 123456, Count: wire.MaxTasks}
-	for i := range PartTasks {
+		CreatedAt: 1_900_000_000_000_000, LastAttempt: 123456, DoneTasks: wire.MaxTasks}
+	for i := range TasksPerShard {
 		r.Open = append(r.Open, Placement{Task: i, Attempt: 123456, Machine: "m-00000231", Session: 12, Zone: zone})
 		r.SetDone(i)
 	}
@@ -41,9 +41,9 @@
 }
 
 func TestShrink(t *testing.T) {
-	r := Record{Spec: &wire.Job{}, Phase: Done, Count: 3}
+	r := Record{Spec: &wire.Job{}, Phase: Done, DoneTasks: 3}
 	r.Shrink()
-	if r.Spec != nil || r.Phase != Done || r.Count != 3 || !r.Final() {
+	if r.Spec != nil || r.Phase != Done || r.DoneTasks != 3 || !r.Final() {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -51,10 +51,10 @@
 // Done tasks and open placements of a part behave like sets.
 func TestPartProperties(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	var p Part
+	var p Shard
 	done, open := map[int]bool{}, map[int]bool{}
 	for range 5000 {
-		i := rnd.IntN(PartTasks)
+		i := rnd.IntN(TasksPerShard)
 		switch rnd.IntN(3) {
 		case 0:
 			p.SetDone(i)
@@ -74,10 +74,10 @@
 			}
 			delete(open, i)
 		}
-		if p.Count() != len(done) || len(p.Open) != len(open) || p.IsDone(i) != done[i] {
+		if p.DoneCount() != len(done) || len(p.Open) != len(open) || p.IsDone(i) != done[i] {
 			t.Fatalf("%+v, want %v done and %v open", p, done, open)
 		}
-		for _, m := range p.Missing(PartTasks) {
+		for _, m := range p.Missing(TasksPerShard) {
 			if done[m] || open[m] {
 				t.Fatalf("%d is not missing", m)
 			}
@@ -92,9 +92,9 @@
 		ok      bool
 	}{
 		{RecordKey("j-1"), "j-1", 0, true},
-		{PartKey("j-1", 7), "j-1", 7, true},
-		{PartKey("j-1", 0), "j-1", 0, false},
-		{Root + "leader", "", 0, false},
+		{ShardKey("j-1", 7), "j-1", 7, true},
+		{ShardKey("j-1", 0), "j-1", 0, false},
+		{KeyRoot + "leader", "", 0, false},
 		{"", "", 0, false},
 	} {
 		id, part, ok := ParseKey(tt.key)
--- a/internal/core/leader/admin.go
+++ b/internal/core/leader/admin.go
@@ -4,10 +4,10 @@
 	"math"
 	"net/http"
 
-	"coralhub/internal/core/front"
+	"coralhub/internal/core/frontend"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/core/served"
+	"coralhub/internal/core/slo"
 	"coralhub/internal/estimate"
 	"coralhub/internal/history"
 	"coralhub/wire"
@@ -55,14 +55,14 @@
 
 // JobOutlook is what can be said of a job's end.
 type JobOutlook struct {
-	Job      JobState     `json:"job"`
-	Class    string       `json:"class,omitempty"`
-	Estimate *EstimateRow `json:"estimate,omitempty"` // of one task, or of a gang
-	LeftS    *float64     `json:"left_s,omitempty"`   // until the job is done, with what it needs
-	DueInS   *float64     `json:"due_in_s,omitempty"`
-	Verdict  string       `json:"deadline,omitempty"`
-	Chance   *float64     `json:"chance,omitempty"`
-	Overdue  []string     `json:"overdue_tasks,omitempty"` // running for longer than the widest interval
+	Job            JobState     `json:"job"`
+	Class          string       `json:"class,omitempty"`
+	Estimate       *EstimateRow `json:"estimate,omitempty"` // of one task, or of a gang
+	LeftS          *float64     `json:"left_s,omitempty"`   // until the job is done, with what it needs
+	DueInS         *float64     `json:"due_in_s,omitempty"`
+	Verdict        string       `json:"deadline,omitempty"`
+	DeadlineChance *float64     `json:"chance,omitempty"`
+	Overdue        []string     `json:"overdue_tasks,omitempty"` // running for longer than the widest interval
 }
 
 // JobState is a job's state, as users are told it.
@@ -82,89 +82,89 @@
 
 // Gauges are what a node can count of itself at a moment, and since it began.
 type Gauges struct {
-	Leading      bool
-	Records      int            // jobs known, finished ones too
-	Unfinished   int            // jobs
-	Waiting      map[string]int // jobs that want places, by class; of a leader
-	Machines     map[string]int // by state; of a leader
-	Placements   int            // open
-	Writing      int            // changes of jobs on their way
-	Takeovers    uint64
-	Looked       Looked
-	EstimateRuns uint64
+	Leading         bool
+	Records         int            // jobs known, finished ones too
+	Unfinished      int            // jobs
+	Waiting         map[string]int // jobs that want places, by class; of a leader
+	Machines        map[string]int // by state; of a leader
+	Placements      int            // open
+	InFlightChanges int            // changes of jobs on their way
+	Failovers       uint64
+	Statistics      CycleStatistics
+	EstimateRuns    uint64
 
-	Served, Begun served.Shares // of a leader
-	Used          []AccountRow
+	CompletedInTime, StartedInTime slo.Attainment // of a leader
+	Usage                          []UsageRow
 }
 
 // gauges counts.
 func (l *Leader) gauges() Gauges {
-	g := Gauges{Leading: l.ready, Records: len(l.jobs), Unfinished: len(l.active), Writing: l.writing, Takeovers: l.takeovers, Looked: l.survey.lookedAt,
+	g := Gauges{Leading: l.ready, Records: len(l.jobs), Unfinished: len(l.unfinished), InFlightChanges: l.inFlightChanges, Failovers: l.failovers, Statistics: l.snapshot.statistics,
 		Waiting: map[string]int{}, Machines: map[string]int{}}
-	for _, j := range l.active {
-		g.Placements += j.Open
+	for _, j := range l.unfinished {
+		g.Placements += j.OpenTasks
 	}
 	if !l.ready {
 		return g
 	}
-	for j := range l.survey.wanting {
-		class := j.Rec.Spec.Class
+	for j := range l.snapshot.wanting {
+		class := j.Record.Spec.Class
 		if _, had := g.Waiting[class]; !had && len(g.Waiting) >= maxClasses {
 			class = "" // users choose the names: whoever reads this must not drown in them
 		}
 		g.Waiting[class]++
 	}
 	g.Machines = l.states()
-	g.Used = l.listAccounts(maxClasses)
-	g.Served, g.Begun = l.service.tally.Shares(l.wall()), l.service.tally.Begun(l.wall())
-	if l.learning.model != nil {
-		g.EstimateRuns = l.learning.model.Observed()
+	g.Usage = l.listUsage(maxClasses)
+	g.CompletedInTime, g.StartedInTime = l.slo.tracker.CompletedInTime(l.wallClock()), l.slo.tracker.StartedInTime(l.wallClock())
+	if l.estimates.model != nil {
+		g.EstimateRuns = l.estimates.model.Observed()
 	}
 	return g
 }
 
-// Admin answers an operator.
-func (l *Leader) Admin(x msg.AdminIn) {
-	if x.What == msg.AskGauges {
-		l.box.Answer(x.Req, http.StatusOK, l.gauges())
+// answerQuery answers an operator.
+func (l *Leader) answerQuery(x msg.AdminIn) {
+	if x.Query == msg.QueryGauges {
+		l.outbox.Respond(x.RequestID, http.StatusOK, l.gauges())
 		return
 	}
 	most := maxListed
-	if x.Most > 0 {
-		most = min(most, x.Most)
+	if x.Limit > 0 {
+		most = min(most, x.Limit)
 	}
-	if x.What == msg.AskAccounts {
-		l.box.Answer(x.Req, http.StatusOK, l.listAccounts(most))
+	if x.Query == msg.QueryAccounts {
+		l.outbox.Respond(x.RequestID, http.StatusOK, l.listUsage(most))
 		return
 	}
 	if !l.ready {
-		l.box.LaterWith(x.Req, AdminError{"not the leader", l.claim.Holder().Node})
+		l.outbox.RetryLaterWith(x.RequestID, AdminError{"not the leader", l.elector.Holder().Node})
 		return
 	}
-	if l.adminOfAll(x, most) {
+	if l.answerWithoutEstimates(x, most) {
 		return
 	}
-	if l.learning.model == nil {
-		l.box.Answer(x.Req, http.StatusNotFound, AdminError{Error: "run times are not learnt: see the setting estimates"})
+	if l.estimates.model == nil {
+		l.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "run times are not learnt: see the setting estimates"})
 		return
 	}
-	switch x.What {
-	case msg.AskEstimates:
-		l.box.Answer(x.Req, http.StatusOK, l.listEstimates(most))
-	case msg.AskRuns:
-		l.box.Answer(x.Req, http.StatusOK, l.listRuns(x.From, most))
-	case msg.AskJob:
-		j := l.jobs[x.ID]
+	switch x.Query {
+	case msg.QueryEstimates:
+		l.outbox.Respond(x.RequestID, http.StatusOK, l.listEstimates(most))
+	case msg.QueryRuns:
+		l.outbox.Respond(x.RequestID, http.StatusOK, l.listRuns(x.From, most))
+	case msg.QueryJob:
+		j := l.jobs[x.JobID]
 		if j == nil || j.Version == 0 {
-			l.box.Answer(x.Req, http.StatusNotFound, AdminError{Error: "no such job"})
+			l.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "no such job"})
 			return
 		}
-		l.box.Answer(x.Req, http.StatusOK, l.jobOutlook(j))
+		l.outbox.Respond(x.RequestID, http.StatusOK, l.jobOutlook(j))
 	}
 }
 
 func (l *Leader) listEstimates(most int) Estimates {
-	m := l.learning.model
+	m := l.estimates.model
 	out := Estimates{Runs: m.Observed(), Changes: m.Changes(), Kinds: []EstimateRow{}, Machines: []SlowMachine{}}
 	m.Kinds(func(f estimate.Features) bool {
 		if out.More = len(out.Kinds) == most; out.More {
@@ -176,7 +176,7 @@
 		out.Kinds = append(out.Kinds, row)
 		return true
 	})
-	m.Slow(l.cfg.Settings.SlowTimes, func(machine string) {
+	m.Slow(l.cfg.Settings.SlowFactor, func(machine string) {
 		if len(out.Machines) < most {
 			out.Machines = append(out.Machines, SlowMachine{machine, round(m.Slowness(machine))})
 		}
@@ -201,8 +201,8 @@
 }
 
 func (l *Leader) listRuns(from uint64, most int) Runs {
-	learnt := &l.learning
-	first := learnt.runsEnd - uint64(len(learnt.runs))
+	learnt := &l.estimates
+	first := learnt.runsEnd - uint64(len(learnt.recentRuns))
 	out := Runs{Runs: []history.Line{}}
 	if from > learnt.runsEnd { // another leader's count
 		from = 0
@@ -211,20 +211,20 @@
 		out.Missed, from = first-from, first
 	}
 	for ; from < learnt.runsEnd && len(out.Runs) < most; from++ {
-		out.Runs = append(out.Runs, learnt.runs[from%keptRuns])
+		out.Runs = append(out.Runs, learnt.recentRuns[from%keptRuns])
 	}
 	out.Next = from
 	return out
 }
 
 func (l *Leader) stateOfJob(j *Job) JobState {
-	st := front.Status(j.Job)
+	st := frontend.Status(j.Job)
 	return JobState{ID: st.ID, Status: st.Status, Done: *st.Done, Running: *st.Running}
 }
 
 func (l *Leader) jobOutlook(j *Job) JobOutlook {
 	out := JobOutlook{Job: l.stateOfJob(j)}
-	spec := j.Rec.Spec
+	spec := j.Record.Spec
 	if spec == nil {
 		return out
 	}
@@ -233,28 +233,28 @@
 		return out
 	}
 	f := l.features(j, "")
-	a := l.learning.model.Estimate(&f)
+	a := l.estimates.model.Estimate(&f)
 	if a.Level != estimate.Unknown {
 		row := rowOf(&a)
 		out.Estimate = &row
 	}
-	if s, ok := l.outlook(j, 0); ok && !j.Rec.Final() {
+	if s, ok := l.completionEstimate(j, 0); ok && !j.Record.Final() {
 		left := round(s.mean)
 		out.LeftS = &left
 	}
 	if spec.DeadlineS != nil {
-		due := round(float64(j.Rec.Created-l.wallAhead-l.box.Now())/1e6 + *spec.DeadlineS)
+		due := round(float64(j.Record.CreatedAt-l.wallClockOffset-l.outbox.Now())/1e6 + *spec.DeadlineS)
 		out.DueInS = &due
 	}
-	if v, chance := l.judge(j); v != "" {
+	if v, chance := l.deadlineVerdict(j); v != "" {
 		out.Verdict = v
 		if chance >= 0 {
 			chance = round(chance)
-			out.Chance = &chance
+			out.DeadlineChance = &chance
 		}
 	}
-	j.EachOpen(func(p job.Placement) {
-		if _, runs := j.started[p.Task]; runs && len(out.Overdue) < maxListed && a.Overdue(l.worked(j, &p)) {
+	j.EachPlacement(func(p job.Placement) {
+		if _, runs := j.startedAt[p.Task]; runs && len(out.Overdue) < maxListed && a.Overdue(l.workedTime(j, &p)) {
 			out.Overdue = append(out.Overdue, wire.TaskName(j.ID, p.Task))
 		}
 	})
--- a/internal/core/leader/apart.go
+++ b/internal/core/leader/anti_affinity.go
@@ -8,26 +8,26 @@
 	"coralhub/wire"
 )
 
-// apart keeps the replicas of a service on more than one machine: most-room packing and images
+// replicaSpread keeps the replicas of a service on more than one machine: most-room packing and images
 // draw them all to the same one, and its loss would take the whole service. No machine gets more
 // than half of them, rounded up, as long as there is room elsewhere.
-type apart struct {
-	most int            // on one machine
-	on   map[string]int // replicas by machine
+type replicaSpread struct {
+	maxPerMachine int            // on one machine
+	on            map[string]int // replicas by machine
 }
 
-// replicasApart tells where a service's replicas are; nil: a job whose tasks may be anywhere.
-func (l *Leader) replicasApart(j *Job) *apart {
-	spec := j.Rec.Spec
+// newReplicaSpread tells where a service's replicas are; nil: a job whose tasks may be anywhere.
+func (l *Leader) newReplicaSpread(j *Job) *replicaSpread {
+	spec := j.Record.Spec
 	if spec.Shape != wire.Service || spec.Tasks < 2 {
 		return nil
 	}
-	a := &apart{most: (spec.Tasks + 1) / 2, on: map[string]int{}}
-	j.EachOpen(func(p job.Placement) { a.on[p.Machine]++ })
+	a := &replicaSpread{maxPerMachine: (spec.Tasks + 1) / 2, on: map[string]int{}}
+	j.EachPlacement(func(p job.Placement) { a.on[p.Machine]++ })
 	return a
 }
 
-func (a *apart) place(machine string) {
+func (a *replicaSpread) place(machine string) {
 	if a != nil {
 		a.on[machine]++
 	}
@@ -35,14 +35,14 @@
 
 // bid asks for a bid without the machines that have enough of the replicas, and if there is none that
 // needs no victims, with them.
-func (a *apart) bid(q *zone.Request, ask func() *zone.Bid) *zone.Bid {
+func (a *replicaSpread) bid(q *zone.Request, ask func() *zone.Bid) *zone.Bid {
 	if a == nil {
 		return ask()
 	}
 	avoid := q.Avoid
 	full := false
 	for name, n := range a.on {
-		if n < a.most {
+		if n < a.maxPerMachine {
 			continue
 		}
 		if !full {
@@ -51,7 +51,7 @@
 				q.Avoid = map[string]Micros{}
 			}
 		}
-		q.Avoid[name] = forLong
+		q.Avoid[name] = longRunLevel
 	}
 	if !full {
 		return ask()
@@ -64,5 +64,5 @@
 	return ask()
 }
 
-// forLong is beyond any time that a pass has.
-const forLong = Micros(1) << 62
+// longRunLevel is beyond any time that a pass has.
+const longRunLevel = Micros(1) << 62
--- a/internal/core/leader/audit.go
+++ b/internal/core/leader/audit.go
@@ -10,28 +10,28 @@
 	"coralhub/internal/core/zone"
 )
 
-// Audit holds what passes go by against the records, added up from nothing. What is
+// audit holds what passes go by against the records, added up from nothing. What is
 // on the lists to be looked at again is left out. It is for tests: a change that
 // nobody has put on a list would show here.
-func (l *Leader) Audit() error {
+func (l *Leader) audit() error {
 	if err := l.auditAccounts(); err != nil {
 		return err
 	}
-	if !l.ready || l.survey.whole || l.claim.Raising() {
+	if !l.ready || l.snapshot.rebuildDue || l.elector.TokenChangePending() {
 		return nil
 	}
 	used := map[string]queue.Amount{}
-	settled := len(l.survey.jobs) == 0
-	planned := map[string]zone.Res{}
-	for _, j := range l.active {
-		spec := j.Rec.Spec
-		n := j.Open + len(j.plan)
+	settled := len(l.snapshot.staleJobs) == 0
+	planned := map[string]zone.Resources{}
+	for _, j := range l.unfinished {
+		spec := j.Record.Spec
+		n := j.OpenTasks + len(j.plan)
 		used[spec.Team] = used[spec.Team].Plus(taskAmount(spec), float64(n))
 		for _, p := range j.plan {
-			planned[p.Machine] = planned[p.Machine].Plus(taskRes(spec), 1)
+			planned[p.Machine] = planned[p.Machine].Plus(taskResources(spec), 1)
 		}
-		wants := !j.Held() && j.Done+j.Open < spec.Tasks && !j.Rec.Final() && !j.Rec.Cancel && l.teams[spec.Team] != nil
-		if !j.listed && wants != l.survey.wanting[j] {
+		wants := !j.Blocked() && j.DoneTasks+j.OpenTasks < spec.Tasks && !j.Record.Final() && !j.Record.CancelRequested && l.teams[spec.Team] != nil
+		if !j.stale && wants != l.snapshot.wanting[j] {
 			return fmt.Errorf("%s wants places: %v", j.ID, wants)
 		}
 	}
@@ -39,28 +39,28 @@
 		return err
 	}
 	for _, team := range l.cfg.Cluster.Teams {
-		a, b := used[team.Name], l.survey.used[team.Name]
+		a, b := used[team.Name], l.snapshot.used[team.Name]
 		if settled && math.Abs(a.GPUs-b.GPUs)+math.Abs(a.CPUs-b.CPUs) > 1e-6 {
 			return fmt.Errorf("team %s uses %v, reckoned with %v", team.Name, a, b)
 		}
 	}
-	for _, m := range l.owner.Roster().All() {
-		if m.Stale || m.Room == nil {
-			if !m.Stale && l.offers(m) {
+	for _, m := range l.reconciler.Registry().All() {
+		if m.Stale || m.Offer == nil {
+			if !m.Stale && l.schedulable(m) {
 				return fmt.Errorf("machine %s offers nothing", m.Name)
 			}
 			continue
 		}
 		on := planned[m.Name]
-		for _, key := range job.SortedKeys(l.replica.OpenOn(m.Name)) {
-			if j := l.jobs[key.Job]; j != nil && j.Rec.Spec != nil {
-				on = on.Plus(taskRes(j.Rec.Spec), 1)
+		for _, key := range job.SortedAttemptKeys(l.replica.PlacementsOn(m.Name)) {
+			if j := l.jobs[key.Job]; j != nil && j.Record.Spec != nil {
+				on = on.Plus(taskResources(j.Record.Spec), 1)
 			}
 		}
-		if d := on.Plus(m.Used, -1); math.Abs(d.GPUs)+math.Abs(d.CPUs)+math.Abs(d.MemoryGB) > 1e-6 {
-			return fmt.Errorf("machine %s has %v placed, reckoned with %v", m.Name, on, m.Used)
+		if d := on.Plus(m.Allocated, -1); math.Abs(d.GPUs)+math.Abs(d.CPUs)+math.Abs(d.MemoryGB) > 1e-6 {
+			return fmt.Errorf("machine %s has %v placed, reckoned with %v", m.Name, on, m.Allocated)
 		}
-		if idle := len(l.replica.OpenOn(m.Name)) == 0 && planned[m.Name] == (zone.Res{}); idle != (m.IdleSince != 0) {
+		if idle := len(l.replica.PlacementsOn(m.Name)) == 0 && planned[m.Name] == (zone.Resources{}); idle != (m.IdleSince != 0) {
 			return fmt.Errorf("machine %s is idle: %v", m.Name, idle)
 		}
 	}
@@ -69,18 +69,18 @@
 
 // auditGuarantees adds up from the front of each team's line who is within its guarantee.
 func (l *Leader) auditGuarantees() error {
-	inLine := slices.SortedFunc(slices.Values(l.active), (*Job).before)
+	inLine := slices.SortedFunc(slices.Values(l.unfinished), (*Job).compareQueuePosition)
 	sums := map[string]queue.Amount{}
 	for _, j := range inLine {
-		spec := j.Rec.Spec
+		spec := j.Record.Spec
 		team := l.teams[spec.Team]
-		if j.Rec.Final() || team == nil || j.Held() || j.behind || !queue.HasGuarantee(team) {
+		if j.Record.Final() || team == nil || j.Blocked() || j.queuedBehind || !queue.HasGuarantee(team) {
 			continue
 		}
-		sum := sums[spec.Team].Plus(taskAmount(spec), float64(spec.Tasks-j.Done))
+		sum := sums[spec.Team].Plus(taskAmount(spec), float64(spec.Tasks-j.DoneTasks))
 		sums[spec.Team] = sum
-		if queue.UnderGuarantee(team, sum) != l.within(j) {
-			return fmt.Errorf("%s is within its guarantee: %v", j.ID, !l.within(j))
+		if queue.UnderGuarantee(team, sum) != l.withinGuarantee(j) {
+			return fmt.Errorf("%s is within its guarantee: %v", j.ID, !l.withinGuarantee(j))
 		}
 	}
 	return nil
@@ -91,15 +91,15 @@
 	open := 0
 	var wrong error
 	for _, j := range l.jobs {
-		j.EachOpen(func(p job.Placement) {
+		j.EachPlacement(func(p job.Placement) {
 			open++
-			if _, ok := l.replica.OpenOn(p.Machine)[p.Key(j.ID)]; !ok {
+			if _, ok := l.replica.PlacementsOn(p.Machine)[p.AttemptKey(j.ID)]; !ok {
 				wrong = fmt.Errorf("%s/%d is not known to be on %s", j.ID, p.Task, p.Machine)
 			}
 		})
 	}
-	for _, machine := range l.replica.Used() {
-		open -= len(l.replica.OpenOn(machine))
+	for _, machine := range l.replica.OccupiedMachines() {
+		open -= len(l.replica.PlacementsOn(machine))
 	}
 	if wrong == nil && open != 0 {
 		wrong = fmt.Errorf("%d placements more by job than by machine", open)
--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -11,192 +11,192 @@
 	"coralhub/wire"
 )
 
-// txn is a transaction on a job's record that has no answer yet.
-type txn struct {
-	commit wire.Commit
-	token  uint64
-	closes []closing
-	rec    *job.Record // nil: unchanged
-	whole  bool        // the record says something new
-	parts  map[int]job.Part
-	placed []job.Placement
-	ends   bool // it would do nothing but close placements of a job that goes on
-
-	resendAt Micros // 0: no answer is missing
-	unsure   bool   // a sending of it had no answer
+// jobTransaction is a transaction on a job's record that has no answer yet.
+type jobTransaction struct {
+	transaction     wire.Transaction
+	fencingToken    uint64
+	completions     []completion
+	record          *job.Record // nil: unchanged
+	writesRecord    bool        // the record says something new
+	shards          map[int]job.Shard
+	placed          []job.Placement
+	completionsOnly bool // it would do nothing but close placements of a job that goes on
+
+	resendAt       Micros // 0: no answer is missing
+	outcomeUnknown bool   // a sending of it had no answer
 }
 
 const (
-	commitPause = 300 * 1000
-	// dropPause spreads the removal of a large job's parts, which is never
+	commitRetryInterval = 300 * 1000
+	// shardDeletionInterval spreads the removal of a large job's parts, which is never
 	// urgent but counts against the quota of changes.
-	dropPause = config.Second
+	shardDeletionInterval = config.Second
 )
 
-// flushJobs commits what has been learnt or decided about jobs.
-func (l *Leader) flushJobs() {
-	if len(l.dirty) == 0 {
+// commitPendingJobs commits what has been learnt or decided about jobs.
+func (l *Leader) commitPendingJobs() {
+	if len(l.pendingCommits) == 0 {
 		return
 	}
-	ids := slices.Sorted(maps.Keys(l.dirty))
-	clear(l.dirty)
+	ids := slices.Sorted(maps.Keys(l.pendingCommits))
+	clear(l.pendingCommits)
 	for _, id := range ids {
-		if !l.flush(l.jobs[id]) {
-			l.delayed[id] = true
+		if !l.commitJob(l.jobs[id]) {
+			l.deferredCommits[id] = true
 		}
 	}
 }
 
-// wakeJobs has another look at the jobs that could not be committed before.
-func (l *Leader) wakeJobs() {
-	for id := range l.delayed {
-		l.dirty[id] = true
+// retryDeferredCommits has another look at the jobs that could not be committed before.
+func (l *Leader) retryDeferredCommits() {
+	for id := range l.deferredCommits {
+		l.pendingCommits[id] = true
 	}
-	clear(l.delayed)
+	clear(l.deferredCommits)
 }
 
-// flush commits a job's next state; it returns false if there is more to do
+// commitJob commits a job's next state; it returns false if there is more to do
 // after the transaction in flight, or later.
-func (l *Leader) flush(j *Job) bool {
-	if t := j.txn; t != nil && t.resendAt != 0 && l.box.Now() >= t.resendAt {
+func (l *Leader) commitJob(j *Job) bool {
+	if t := j.transaction; t != nil && t.resendAt != 0 && l.outbox.Now() >= t.resendAt {
 		t.resendAt = 0
-		l.send(j, t)
+		l.sendTransaction(j, t)
 	}
 	if j.Version == 0 {
 		return true // its record has not come yet
 	}
-	if j.txn != nil || l.box.Now() < j.retryAt || l.claim.Raising() {
+	if j.transaction != nil || l.outbox.Now() < j.retryAt || l.elector.TokenChangePending() {
 		return false
 	}
 	l.confirmCancellation(j)
-	t, more := l.fitting(j)
-	if t == nil || t.ends {
-		if len(j.plan) > 0 && l.placesInPages(j) {
+	t, more := l.fittingTransaction(j)
+	if t == nil || t.completionsOnly {
+		if len(j.plan) > 0 && l.placedInPages(j) {
 			l.queuePlacement(j)
 		}
 		if t == nil { // a cancellation waits for workers to be heard: look again
-			return !j.Rec.Cancel || j.Rec.Final()
+			return !j.Record.CancelRequested || j.Record.Final()
 		}
-		l.logEnds(j, t.closes)
+		l.logCompletions(j, t.completions)
 		return !more
 	}
-	if len(j.plan) == 0 && !j.Rec.Cancel && !j.Doomed() && j.AwaitedBy() == 0 && l.writing >= l.mostEnding() {
+	if len(j.plan) == 0 && !j.Record.CancelRequested && !j.DependencyCancelled() && j.DependentCount() == 0 && l.inFlightChanges >= l.maxInFlightCompletions() {
 		return false
 	}
-	if !l.placesInPages(j) {
+	if !l.placedInPages(j) {
 		t.placed = j.plan
 	}
-	j.txn = t
-	l.send(j, t)
+	j.transaction = t
+	l.sendTransaction(j, t)
 	return !more
 }
 
-// placesInPages tells whether a job's places go into pages with those of others.
-func (l *Leader) placesInPages(j *Job) bool { return l.pagesInUse() && !j.alone }
+// placedInPages tells whether a job's places go into pages with those of others.
+func (l *Leader) placedInPages(j *Job) bool { return l.usesPlacementPages() && !j.ownRecordOnly }
 
-// placeCost is what placing a job, or 32 more tasks of it, counts of a pass's changes.
-func (l *Leader) placeCost(j *Job) float64 {
-	if l.placesInPages(j) {
-		return sharedCost
+// placementCost is what placing a job, or 32 more tasks of it, counts of a pass's changes.
+func (l *Leader) placementCost(j *Job) float64 {
+	if l.placedInPages(j) {
+		return pagePlacementCost
 	}
 	return 1
 }
 
-// fitting returns a job's next transaction, made so small that every value of it
+// fittingTransaction returns a job's next transaction, made so small that every value of it
 // may be put: a plan is cut down, and ends go by the log.
-func (l *Leader) fitting(j *Job) (*txn, bool) {
+func (l *Leader) fittingTransaction(j *Job) (*jobTransaction, bool) {
 	for {
-		t, more := l.next(j)
-		if t == nil || t.ends || l.putable(&t.commit) {
+		t, more := l.buildTransaction(j)
+		if t == nil || t.completionsOnly || l.valuesFit(&t.transaction) {
 			return t, more
 		}
 		if !j.tooLarge {
 			j.tooLarge = true
-			l.box.Log("record too large to be written whole", "job", j.ID, "limit", l.form.Room())
+			l.outbox.Log("record too large to be written whole", "job", j.ID, "limit", l.encoding.MaxValueBytes())
 		}
 		switch {
-		case j.Rec.Spec != nil && l.replica.Shorten(j.Job, l.catalog.Slim(j.Rec.Spec)):
-		case l.canPart(j):
-			j.parting = true
-		case len(j.plan) > 1 && j.Rec.Spec.Shape != wire.Gang:
+		case j.Record.Spec != nil && l.replica.ShortenSpec(j.Job, l.catalog.Slim(j.Record.Spec)):
+		case l.canMoveToShards(j):
+			j.movingToShards = true
+		case len(j.plan) > 1 && j.Record.Spec.Shape != wire.Gang:
 			l.setPlan(j, j.plan[:len(j.plan)/2])
 		case len(j.plan) > 0:
 			l.setPlan(j, nil)
-			j.holdUntil = l.box.Now() + 10*config.Second
-		case len(t.closes) > 0 && !j.Rec.Final():
-			t.ends = true
+			j.holdUntil = l.outbox.Now() + 10*config.Second
+		case len(t.completions) > 0 && !j.Record.Final():
+			t.completionsOnly = true
 			return t, more
 		default:
-			j.mergeNow = false
-			j.retryAt = l.box.Now() + 10*config.Second
+			j.mergeRequested = false
+			j.retryAt = l.outbox.Now() + 10*config.Second
 			return nil, false
 		}
 	}
 }
 
-// canPart tells whether the tasks can be moved out of a job's record in one
+// canMoveToShards tells whether the tasks can be moved out of a job's record in one
 // transaction: if they are all in it.
-func (l *Leader) canPart(j *Job) bool {
-	if j.parting || j.Rec.Apart || l.form.Format < job.Grouped {
+func (l *Leader) canMoveToShards(j *Job) bool {
+	if j.movingToShards || j.Record.ShardsOnly || l.encoding.Format < job.FormatGrouped {
 		return false
 	}
-	return !slices.ContainsFunc(j.Parts, func(p records.Part) bool { return p.Version != 0 })
+	return !slices.ContainsFunc(j.Shards, func(p records.Shard) bool { return p.Version != 0 })
 }
 
-// putable tells whether every value of a transaction may be put.
-func (l *Leader) putable(t *wire.Commit) bool {
+// valuesFit tells whether every value of a transaction may be put.
+func (l *Leader) valuesFit(t *wire.Transaction) bool {
 	for i := range t.Changes {
-		if t.Changes[i].Put != "" && !l.form.Fits(t.Changes[i].Value) {
+		if t.Changes[i].Put != "" && !l.encoding.Fits(t.Changes[i].Value) {
 			return false
 		}
 	}
 	return true
 }
 
-// next builds the transaction that brings a job's record up to what is known.
-func (l *Leader) next(j *Job) (*txn, bool) {
-	if j.Rec.Spec == nil {
-		return l.leftover(j)
+// buildTransaction builds the transaction that brings a job's record up to what is known.
+func (l *Leader) buildTransaction(j *Job) (*jobTransaction, bool) {
+	if j.Record.Spec == nil {
+		return l.deleteLeftovers(j)
 	}
-	if t := l.finish(j); t != nil {
+	if t := l.finishJob(j); t != nil {
 		return t, true
 	}
-	rec := j.Rec.Clone()
-	t := &txn{token: l.claim.Token(), parts: map[int]job.Part{}}
-	room := l.form.Ops() - 1
+	rec := j.Record.Clone()
+	t := &jobTransaction{fencingToken: l.elector.FencingToken(), shards: map[int]job.Shard{}}
+	room := l.encoding.MaxOps() - 1
 	more, changed := false, false
-	if j.parting && !rec.Apart {
-		rec.Apart, t.whole, changed = true, true, true
-		t.parts[1], rec.Part = rec.Part, job.Part{}
+	if j.movingToShards && !rec.ShardsOnly {
+		rec.ShardsOnly, t.writesRecord, changed = true, true, true
+		t.shards[1], rec.Shard = rec.Shard, job.Shard{}
 	}
-	part := func(task int) *job.Part {
-		n := rec.PartOf(task)
+	part := func(task int) *job.Shard {
+		n := rec.ShardOf(task)
 		if n == 0 {
-			return &rec.Part
+			return &rec.Shard
 		}
-		p, ok := t.parts[n]
+		p, ok := t.shards[n]
 		if !ok {
-			if len(t.parts) == room {
+			if len(t.shards) == room {
 				more = true
 				return nil
 			}
-			old, _ := j.Part(n)
+			old, _ := j.Shard(n)
 			p = old.Clone()
-			t.parts[n] = p
+			t.shards[n] = p
 		}
 		return &p
 	}
-	keep := func(task int, p *job.Part) {
-		if n := rec.PartOf(task); n > 0 {
-			t.parts[n] = *p
+	keep := func(task int, p *job.Shard) {
+		if n := rec.ShardOf(task); n > 0 {
+			t.shards[n] = *p
 		} else {
-			t.whole = true
+			t.writesRecord = true
 		}
 		changed = true
 	}
-	var inPages []closing
-	for _, cl := range j.closes {
-		if j.InPage(cl.key.Task, cl.key.Attempt, cl.machine) {
+	var inPages []completion
+	for _, cl := range j.completions {
+		if j.InPlacementPage(cl.key.Task, cl.key.Attempt, cl.machine) {
 			inPages = append(inPages, cl) // the log closes it there: the record says nothing of it
 			continue
 		}
@@ -204,84 +204,84 @@
 		if p == nil {
 			continue
 		}
-		t.closes = append(t.closes, cl)
-		if p.Close(cl.key.Task, cl.key.Attempt, cl.machine, cl.stay) {
+		t.completions = append(t.completions, cl)
+		if p.Close(cl.key.Task, cl.key.Attempt, cl.machine, cl.occupancy) {
 			keep(cl.key.Task, p)
 		}
-		if cl.done && !p.IsDone(cl.key.Task%job.PartTasks) {
-			p.SetDone(cl.key.Task % job.PartTasks)
+		if cl.done && !p.IsDone(cl.key.Task%job.TasksPerShard) {
+			p.SetDone(cl.key.Task % job.TasksPerShard)
 			keep(cl.key.Task, p)
 		}
 	}
-	l.logEnds(j, inPages)
+	l.logCompletions(j, inPages)
 	// A service wants its replicas back at once; the log takes its time.
-	t.ends = changed && !j.parting && !j.mergeNow && (len(j.plan) == 0 || l.placesInPages(j)) && (rec.Spec.Shape != wire.Service || rec.Cancel || rec.Final())
-	if j.mergeNow {
+	t.completionsOnly = changed && !j.movingToShards && !j.mergeRequested && (len(j.plan) == 0 || l.placedInPages(j)) && (rec.Spec.Shape != wire.Service || rec.CancelRequested || rec.Final())
+	if j.mergeRequested {
 		changed = true
-		j.Unmerged(func(task int) {
+		j.EachUnmerged(func(task int) {
 			if p := part(task); p != nil {
 				keep(task, p)
 			}
 		})
 	}
-	if !rec.Cancel && !rec.Final() && !l.placesInPages(j) {
+	if !rec.CancelRequested && !rec.Final() && !l.placedInPages(j) {
 		for _, pl := range j.plan {
 			p := part(pl.Task)
 			if p == nil {
 				continue
 			}
 			p.Open = append(p.Open, pl)
-			t.whole = t.whole || pl.Attempt > rec.Attempt
-			rec.Attempt = max(rec.Attempt, pl.Attempt)
+			t.writesRecord = t.writesRecord || pl.Attempt > rec.LastAttempt
+			rec.LastAttempt = max(rec.LastAttempt, pl.Attempt)
 			keep(pl.Task, p)
 		}
 	}
-	done, open := t.after(j, &rec)
+	done, open := t.countAfter(j, &rec)
 	if rec.Spec.Shape == wire.Gang && done > 0 && !rec.Final() {
 		// A gang completes together: if one task is done, so are all.
-		rec.Phase, rec.Count, changed, t.ends, t.whole = job.Done, rec.Spec.Tasks, true, false, true
+		rec.Phase, rec.DoneTasks, changed, t.completionsOnly, t.writesRecord = job.Done, rec.Spec.Tasks, true, false, true
 	}
 	if done >= rec.Spec.Tasks && !rec.Final() {
-		rec.Phase, rec.Count, changed, t.ends, t.whole = job.Done, done, true, false, true
+		rec.Phase, rec.DoneTasks, changed, t.completionsOnly, t.writesRecord = job.Done, done, true, false, true
 	}
 	if j.cancelling && !rec.Final() {
-		rec.Phase, rec.Count, changed, t.ends, t.whole = job.Cancelled, done, true, false, true
+		rec.Phase, rec.DoneTasks, changed, t.completionsOnly, t.writesRecord = job.Cancelled, done, true, false, true
 	}
 	if rec.Final() && open == 0 { // with the first format alone: finish does it otherwise
-		t.ends, t.whole = false, true
-		if n := l.dropParts(j, t, room); n > 0 {
+		t.completionsOnly, t.writesRecord = false, true
+		if n := l.deleteShards(j, t, room); n > 0 {
 			more, changed = true, true
-			j.retryAt = l.box.Now() + dropPause
+			j.retryAt = l.outbox.Now() + shardDeletionInterval
 		} else {
 			rec.Shrink()
 			changed = true
 		}
 	}
 	if !changed {
-		j.forget(t.closes) // known already; those that found no room stay
+		j.dropCompletions(t.completions) // known already; those that found no room stay
 		return nil, more
 	}
-	if t.ends {
+	if t.completionsOnly {
 		return t, more
 	}
-	rec.Count = max(rec.Count, done)
-	if err := l.fill(j, t, &rec); err != nil {
-		l.box.Log("record not written", "job", j.ID, "error", err.Error())
+	rec.DoneTasks = max(rec.DoneTasks, done)
+	if err := l.encodeTransaction(j, t, &rec); err != nil {
+		l.outbox.Log("record not written", "job", j.ID, "error", err.Error())
 		return nil, false
 	}
 	return t, more
 }
 
-// finish returns the transaction that ends a job, if what is known completes it
+// finishJob returns the transaction that ends a job, if what is known completes it
 // and nothing of it stays open: its record shrinks at once, whichever tasks are
 // in how many parts. The parts are void from then on and deleted at leisure. With
 // the first format, whose readers take a part at its word, they go before.
-func (l *Leader) finish(j *Job) *txn {
-	if l.form.Format < job.Grouped {
+func (l *Leader) finishJob(j *Job) *jobTransaction {
+	if l.encoding.Format < job.FormatGrouped {
 		return nil
 	}
-	done, open := j.Done, j.Open
-	for _, cl := range j.closes {
+	done, open := j.DoneTasks, j.OpenTasks
+	for _, cl := range j.completions {
 		if j.IsOpen(cl.key.Task, cl.key.Attempt, cl.machine) {
 			open--
 		}
@@ -289,229 +289,229 @@
 			done++
 		}
 	}
-	spec := j.Rec.Spec
-	rec := &job.Record{Phase: j.Rec.Phase, Count: max(j.Rec.Count, done)}
+	spec := j.Record.Spec
+	rec := &job.Record{Phase: j.Record.Phase, DoneTasks: max(j.Record.DoneTasks, done)}
 	switch {
 	case open > 0:
 		return nil
 	case rec.Final():
 	case done >= spec.Tasks || spec.Shape == wire.Gang && done > 0:
-		rec.Phase, rec.Count = job.Done, spec.Tasks
-	case j.cancelling || j.Doomed():
+		rec.Phase, rec.DoneTasks = job.Done, spec.Tasks
+	case j.cancelling || j.DependencyCancelled():
 		rec.Phase = job.Cancelled
 	default:
 		return nil
 	}
-	if l.form.Format >= job.Standing {
-		rec.Account = job.AccountOf(spec, j.spent(true), l.wall())
+	if l.encoding.Format >= job.FormatPreemption {
+		rec.Account = job.NewUsageAccount(spec, j.usage(true), l.wallClock())
 	}
-	t := &txn{token: l.claim.Token(), closes: slices.Clone(j.closes), whole: true}
-	if err := l.fill(j, t, rec); err != nil {
-		l.box.Log("record not written", "job", j.ID, "error", err.Error())
+	t := &jobTransaction{fencingToken: l.elector.FencingToken(), completions: slices.Clone(j.completions), writesRecord: true}
+	if err := l.encodeTransaction(j, t, rec); err != nil {
+		l.outbox.Log("record not written", "job", j.ID, "error", err.Error())
 		return nil
 	}
 	return t
 }
 
-// after counts the done tasks and the open placements that a job would have with a transaction
+// countAfter counts the done tasks and the open placements that a job would have with a transaction
 // applied: by its record and parts as they would be, and by pages.
-func (t *txn) after(j *Job, rec *job.Record) (done, open int) {
-	last := max(len(j.Parts), j.LastShared(rec))
-	for n := range t.parts {
+func (t *jobTransaction) countAfter(j *Job, rec *job.Record) (done, open int) {
+	last := max(len(j.Shards), j.LastPageShard(rec))
+	for n := range t.shards {
 		last = max(last, n)
 	}
 	for n := range last + 1 {
-		p := &rec.Part
-		if q, written := t.parts[n]; written {
+		p := &rec.Shard
+		if q, written := t.shards[n]; written {
 			p = &q
 		} else if n > 0 {
-			p, _ = j.Part(n)
+			p, _ = j.Shard(n)
 		}
 		open += len(p.Open)
-		done += job.CountDone(job.UnionDone(p.Done, j.SharedDone(rec, n)))
+		done += job.CountDoneSet(job.UnionDoneSets(p.DoneSet, j.PageDoneSet(rec, n)))
 	}
-	return done, open + j.SharedOpen()
+	return done, open + j.PageOpenTasks()
 }
 
-// leftover returns the deletion of what parts are left of a job that is over.
-func (l *Leader) leftover(j *Job) (*txn, bool) {
-	t := &txn{token: l.claim.Token()}
-	if !j.Over() || l.dropParts(j, t, l.form.Ops()) == 0 {
+// deleteLeftovers returns the deletion of what parts are left of a job that is over.
+func (l *Leader) deleteLeftovers(j *Job) (*jobTransaction, bool) {
+	t := &jobTransaction{fencingToken: l.elector.FencingToken()}
+	if !j.Archived() || l.deleteShards(j, t, l.encoding.MaxOps()) == 0 {
 		return nil, false
 	}
-	t.commit.Guards = append(t.commit.Guards, l.claim.Guard())
-	j.retryAt = l.box.Now() + dropPause
+	t.transaction.Conditions = append(t.transaction.Conditions, l.elector.Condition())
+	j.retryAt = l.outbox.Now() + shardDeletionInterval
 	return t, true
 }
 
-// dropParts puts the deletion of parts into t, as many as there is room for.
+// deleteShards puts the deletion of parts into t, as many as there is room for.
 // It returns how many are left or dropped; 0 means that none existed.
-func (l *Leader) dropParts(j *Job, t *txn, room int) int {
+func (l *Leader) deleteShards(j *Job, t *jobTransaction, room int) int {
 	n := 0
-	t.parts = map[int]job.Part{}
-	for i := range j.Parts {
-		if j.Parts[i].Version == 0 {
+	t.shards = map[int]job.Shard{}
+	for i := range j.Shards {
+		if j.Shards[i].Version == 0 {
 			continue
 		}
 		if n++; n > room {
 			break
 		}
-		key := job.PartKey(j.ID, i+1)
-		t.commit.Guards = append(t.commit.Guards, wire.Guard{Key: key, Version: j.Parts[i].Version})
-		t.commit.Changes = append(t.commit.Changes, wire.Change{Delete: key})
+		key := job.ShardKey(j.ID, i+1)
+		t.transaction.Conditions = append(t.transaction.Conditions, wire.Condition{Key: key, Version: j.Shards[i].Version})
+		t.transaction.Changes = append(t.transaction.Changes, wire.Change{Delete: key})
 	}
 	return n
 }
 
-// fill turns the new values into guards and changes.
-func (l *Leader) fill(j *Job, t *txn, rec *job.Record) error {
+// encodeTransaction turns the new values into guards and changes.
+func (l *Leader) encodeTransaction(j *Job, t *jobTransaction, rec *job.Record) error {
 	key := job.RecordKey(j.ID)
-	t.commit.Guards = append(t.commit.Guards, l.claim.Guard(), wire.Guard{Key: key, Version: j.Version})
+	t.transaction.Conditions = append(t.transaction.Conditions, l.elector.Condition(), wire.Condition{Key: key, Version: j.Version})
 	// A record that says nothing new is guarded and not written. In the first
 	// format it always is.
-	if t.whole || l.form.Format < job.Grouped {
-		value, err := job.EncodeRecord(rec, l.form.Format)
+	if t.writesRecord || l.encoding.Format < job.FormatGrouped {
+		value, err := job.EncodeRecord(rec, l.encoding.Format)
 		if err != nil {
 			return err
 		}
-		t.rec = rec
-		t.commit.Changes = append(t.commit.Changes, wire.Change{Put: key, Value: value})
+		t.record = rec
+		t.transaction.Changes = append(t.transaction.Changes, wire.Change{Put: key, Value: value})
 	}
-	nums := slices.Sorted(maps.Keys(t.parts))
+	nums := slices.Sorted(maps.Keys(t.shards))
 	for _, n := range nums {
-		p := t.parts[n]
-		value, err := job.EncodePart(&p, l.form.Format)
+		p := t.shards[n]
+		value, err := job.EncodeShard(&p, l.encoding.Format)
 		if err != nil {
 			return err
 		}
-		_, version := j.Part(n)
-		t.commit.Guards = append(t.commit.Guards, wire.Guard{Key: job.PartKey(j.ID, n), Version: version})
-		t.commit.Changes = append(t.commit.Changes, wire.Change{Put: job.PartKey(j.ID, n), Value: value})
+		_, version := j.Shard(n)
+		t.transaction.Conditions = append(t.transaction.Conditions, wire.Condition{Key: job.ShardKey(j.ID, n), Version: version})
+		t.transaction.Changes = append(t.transaction.Changes, wire.Change{Put: job.ShardKey(j.ID, n), Value: value})
 	}
 	return nil
 }
 
-// mostWriting is how many changes to jobs may be on their way at a time: what
+// maxInFlightChanges is how many changes to jobs may be on their way at a time: what
 // the state service takes in about half a second. More would wait in a line that
 // knows no ranks.
-func (l *Leader) mostWriting() int {
-	return max(l.form.Ops(), int(l.cfg.Cluster.State.LeastWriteRPS()/2))
+func (l *Leader) maxInFlightChanges() int {
+	return max(l.encoding.MaxOps(), int(l.cfg.Cluster.State.LeastWriteRPS()/2))
 }
 
-// mostEnding is how many changes may be on their way for another one to be made for the end of a
+// maxInFlightCompletions is how many changes may be on their way for another one to be made for the end of a
 // job. Where a page of placements is one change for many jobs, half is left to pages: ends that wait for their
 // turn would hold up the starts of everybody else.
-func (l *Leader) mostEnding() int {
-	if l.pagesInUse() {
-		return max(1, l.mostWriting()/2)
+func (l *Leader) maxInFlightCompletions() int {
+	if l.usesPlacementPages() {
+		return max(1, l.maxInFlightChanges()/2)
 	}
-	return l.mostWriting()
+	return l.maxInFlightChanges()
 }
 
-func (l *Leader) send(j *Job, t *txn) {
-	reign := l.reigns
-	l.writing += len(t.commit.Changes)
+func (l *Leader) sendTransaction(j *Job, t *jobTransaction) {
+	reign := l.term
+	l.inFlightChanges += len(t.transaction.Changes)
 	// An end that others wait for doesn't give way, nor does a cancellation that
 	// a job before this one has brought.
-	turn := msg.Later
-	if t.rec != nil && t.rec.Final() && (j.AwaitedBy() > 0 || j.Doomed()) {
-		turn = msg.First
+	turn := msg.Deferrable
+	if t.record != nil && t.record.Final() && (j.DependentCount() > 0 || j.DependencyCancelled()) {
+		turn = msg.Critical
 	}
-	l.box.Transact(t.commit, turn, t.purpose(), func(d msg.CommitDone) {
-		if reign == l.reigns {
-			l.writing -= len(t.commit.Changes)
+	l.outbox.CommitWithPriority(t.transaction, turn, t.purpose(), func(d msg.CommitDone) {
+		if reign == l.term {
+			l.inFlightChanges -= len(t.transaction.Changes)
 		}
-		if !l.claim.Held() || j.txn != t {
+		if !l.elector.IsLeader() || j.transaction != t {
 			return
 		}
-		l.dirty[j.ID] = true
+		l.pendingCommits[j.ID] = true
 		settled := func() {
-			j.txn = nil
+			j.transaction = nil
 			l.setPlan(j, nil)
-			l.passDue = true
+			l.cycleDue = true
 		}
 		switch d.Outcome {
 		case msg.OK:
 			settled()
-			l.committed(j, t, d.Revision)
+			l.applyCommitted(j, t, d.Revision)
 		case msg.Unknown:
 			// It may be applied later. The same transaction again: either it
 			// or the late one fails by its guards, and until then what it
 			// places is counted.
-			t.unsure, t.resendAt = true, l.box.Now()+commitPause
+			t.outcomeUnknown, t.resendAt = true, l.outbox.Now()+commitRetryInterval
 		case msg.Conflict, msg.Invalid:
-			if d.Outcome == msg.Conflict && l.claim.Failed(t.token, d.Failed) {
+			if d.Outcome == msg.Conflict && l.elector.DeposedBy(t.fencingToken, d.Failed) {
 				return
 			}
-			if t.unsure {
+			if t.outcomeUnknown {
 				// It is an earlier sending, perhaps, that this one has met. Until the records have been
 				// read what it places stays counted, or the team's limit is given away twice. No
 				// sending of it takes effect from now on.
-				l.reread(j, t, settled)
+				l.readAfterConflict(j, t, settled)
 				return
 			}
 			settled()
 			failed := d.Failed
 			if d.Outcome == msg.Invalid {
-				failed = t.keys()
+				failed = t.jobKeys()
 			}
-			l.conflict(j, failed)
+			l.onConflict(j, failed)
 		default:
-			if t.unsure { // this sending was refused; an earlier one may still be applied
-				t.resendAt = l.box.Now() + commitPause
+			if t.outcomeUnknown { // this sending was refused; an earlier one may still be applied
+				t.resendAt = l.outbox.Now() + commitRetryInterval
 				return
 			}
 			settled()
-			j.retryAt = l.box.Now() + commitPause
+			j.retryAt = l.outbox.Now() + commitRetryInterval
 		}
 	})
 }
 
 // purpose is what the transaction is counted as.
-func (t *txn) purpose() msg.Purpose {
+func (t *jobTransaction) purpose() msg.Purpose {
 	switch {
-	case t.rec != nil && t.rec.Final():
-		return msg.ForJobEnd
+	case t.record != nil && t.record.Final():
+		return msg.PurposeJobEnd
 	case len(t.placed) > 0:
-		return msg.ForPlacement
-	case len(t.closes) > 0:
-		return msg.ForClosing
+		return msg.PurposePlacement
+	case len(t.completions) > 0:
+		return msg.PurposeCompletion
 	}
-	return msg.ForCleanup
+	return msg.PurposeCleanup
 }
 
-// forget drops closings that have been dealt with.
-func (j *Job) forget(closes []closing) {
-	j.closes = slices.DeleteFunc(j.closes, func(cl closing) bool {
-		return slices.ContainsFunc(closes, func(o closing) bool { return o.key == cl.key && o.machine == cl.machine })
+// dropCompletions drops closings that have been dealt with.
+func (j *Job) dropCompletions(closes []completion) {
+	j.completions = slices.DeleteFunc(j.completions, func(cl completion) bool {
+		return slices.ContainsFunc(closes, func(o completion) bool { return o.key == cl.key && o.machine == cl.machine })
 	})
 }
 
-// committed takes over what a transaction has written.
-func (l *Leader) committed(j *Job, t *txn, revision uint64) {
-	j.forget(t.closes)
-	j.mergeNow, j.parting = false, false
-	if t.rec != nil && j.Version < revision { // first: tasks may have moved out of it
-		l.replica.SetRecord(j.ID, *t.rec, revision)
+// applyCommitted takes over what a transaction has written.
+func (l *Leader) applyCommitted(j *Job, t *jobTransaction, revision uint64) {
+	j.dropCompletions(t.completions)
+	j.mergeRequested, j.movingToShards = false, false
+	if t.record != nil && j.Version < revision { // first: tasks may have moved out of it
+		l.replica.SetRecord(j.ID, *t.record, revision)
 	}
-	nums := slices.Sorted(maps.Keys(t.parts))
+	nums := slices.Sorted(maps.Keys(t.shards))
 	for _, n := range nums {
-		if _, v := j.Part(n); v < revision {
-			l.replica.SetPart(j.Job, n, t.parts[n], revision)
+		if _, v := j.Shard(n); v < revision {
+			l.replica.SetShard(j.Job, n, t.shards[n], revision)
 		}
 	}
-	for _, ch := range t.commit.Changes {
-		if _, n, ok := job.ParseKey(ch.Delete); ok && n > 0 && n <= len(j.Parts) {
-			l.replica.SetPart(j.Job, n, job.Part{}, 0)
+	for _, ch := range t.transaction.Changes {
+		if _, n, ok := job.ParseKey(ch.Delete); ok && n > 0 && n <= len(j.Shards) {
+			l.replica.SetShard(j.Job, n, job.Shard{}, 0)
 		}
 	}
-	l.noteMine(j, t.placed)
+	l.noteOwnPlacements(j, t.placed)
 }
 
-// keys are the keys of the job that a transaction goes by.
-func (t *txn) keys() []string {
+// jobKeys are the keys of the job that a transaction goes by.
+func (t *jobTransaction) jobKeys() []string {
 	var out []string
-	for _, g := range t.commit.Guards {
+	for _, g := range t.transaction.Conditions {
 		if _, _, ok := job.ParseKey(g.Key); ok {
 			out = append(out, g.Key)
 		}
@@ -519,34 +519,34 @@
 	return out
 }
 
-// conflict reads what has changed under us.
-func (l *Leader) conflict(j *Job, failed []string) {
+// onConflict reads what has changed under us.
+func (l *Leader) onConflict(j *Job, failed []string) {
 	for _, key := range failed {
 		if _, _, ok := job.ParseKey(key); !ok {
 			continue // the claim
 		}
-		j.retryAt = l.box.Now() + config.Second // unless the answer comes sooner
-		l.read(j, key, func(ok bool) {
+		j.retryAt = l.outbox.Now() + config.Second // unless the answer comes sooner
+		l.readKeys(j, key, func(ok bool) {
 			if ok {
-				j.retryAt = l.box.Now()
+				j.retryAt = l.outbox.Now()
 			}
 		})
 	}
 }
 
-// reread reads everything that a transaction goes by, and calls then once all of it has been
+// readAfterConflict reads everything that a transaction goes by, and calls then once all of it has been
 // read. If any of it can't be, the transaction is sent again.
-func (l *Leader) reread(j *Job, t *txn, then func()) {
-	keys := t.keys()
+func (l *Leader) readAfterConflict(j *Job, t *jobTransaction, then func()) {
+	keys := t.jobKeys()
 	left, failed := len(keys), false
 	for _, key := range keys {
-		l.read(j, key, func(ok bool) {
+		l.readKeys(j, key, func(ok bool) {
 			left--
 			failed = failed || !ok
 			switch {
-			case left > 0 || j.txn != t:
+			case left > 0 || j.transaction != t:
 			case failed:
-				t.resendAt = l.box.Now() + commitPause
+				t.resendAt = l.outbox.Now() + commitRetryInterval
 			default:
 				then()
 			}
@@ -554,20 +554,20 @@
 	}
 }
 
-// read brings a job up to what a key of it holds now, and tells whether it could be read.
-func (l *Leader) read(j *Job, key string, then func(ok bool)) {
-	l.box.Read(key, func(d msg.ReadDone) {
-		if !l.claim.Held() {
+// readKeys brings a job up to what a key of it holds now, and tells whether it could be read.
+func (l *Leader) readKeys(j *Job, key string, then func(ok bool)) {
+	l.outbox.Read(key, func(d msg.ReadDone) {
+		if !l.elector.IsLeader() {
 			return
 		}
 		if d.Outcome == msg.OK {
 			if d.Item.Version != 0 {
-				l.take(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
+				l.applyRecord(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
 			} else if _, n, ok := job.ParseKey(key); ok && n > 0 {
-				l.replica.SetPart(j.Job, n, job.Part{}, 0)
+				l.replica.SetShard(j.Job, n, job.Shard{}, 0)
 			}
 		}
-		l.dirty[j.ID] = true
+		l.pendingCommits[j.ID] = true
 		then(d.Outcome == msg.OK)
 	})
 }
@@ -578,44 +578,44 @@
 // could take effect after that. Where a lease may outlast a cancellation's time, only
 // proof that all of it is over will do: a worker that hears nothing keeps its tasks until then.
 func (l *Leader) confirmCancellation(j *Job) {
-	if !j.Rec.Cancel || j.Rec.Final() {
+	if !j.Record.CancelRequested || j.Record.Final() {
 		j.cancelling = false
 		return
 	}
-	sure := j.Open == 0 || l.cfg.Cluster.Workers.LeaseEndsInTime() && l.known(j.Version) // else one could keep a task of it alive
-	j.EachOpen(func(p job.Placement) {
-		m := l.owner.Roster().Get(p.Machine)
-		if m == nil || m.Token < l.claim.Base() {
+	sure := j.OpenTasks == 0 || l.cfg.Cluster.Workers.LeaseEndsInTime() && l.cancelKnown(j.Version) // else one could keep a task of it alive
+	j.EachPlacement(func(p job.Placement) {
+		m := l.reconciler.Registry().Get(p.Machine)
+		if m == nil || m.FencingToken < l.elector.TermStart() {
 			sure = false
 			return
 		}
-		if _, seen := m.Tasks[p.Key(j.ID)]; !seen && m.StartOnItsWay(l.box.Now()) {
+		if _, seen := m.Tasks[p.AttemptKey(j.ID)]; !seen && m.StartMayArrive(l.outbox.Now()) {
 			sure = false
-			if !m.DirectStart && m.Unsure() {
-				l.claim.WantRaise()
+			if !m.StartInFlight && m.StartUncertain() {
+				l.elector.RequestNewToken()
 			}
 		}
 	})
 	if sure {
 		j.cancelling = true
-		if j.Open > 0 {
-			l.assured = max(l.assured, j.Version)
+		if j.OpenTasks > 0 {
+			l.acknowledgedCancel = max(l.acknowledgedCancel, j.Version)
 		}
 	}
 }
 
 // isClosing tells whether a placement's end is known and not committed yet.
-func (j *Job) isClosing(key job.Key, machine string) bool {
-	return slices.ContainsFunc(j.closes, func(cl closing) bool { return cl.key == key && cl.machine == machine })
+func (j *Job) isClosing(key job.AttemptKey, machine string) bool {
+	return slices.ContainsFunc(j.completions, func(cl completion) bool { return cl.key == key && cl.machine == machine })
 }
 
-// close notes proof that a placement is over.
-func (l *Leader) close(key job.Key, machine string, done bool) {
-	l.closeSaved(key, machine, done, false)
+// closePlacement notes proof that a placement is over.
+func (l *Leader) closePlacement(key job.AttemptKey, machine string, done bool) {
+	l.closeWithProgress(key, machine, done, false)
 }
 
-// closeSaved does so for a task whose progress may have been saved.
-func (l *Leader) closeSaved(key job.Key, machine string, done, saved bool) {
+// closeWithProgress does so for a task whose progress may have been saved.
+func (l *Leader) closeWithProgress(key job.AttemptKey, machine string, done, saved bool) {
 	j := l.jobs[key.Job]
 	if j == nil {
 		return
@@ -623,14 +623,14 @@
 	if j.isClosing(key, machine) {
 		return
 	}
-	l.learnRun(j, key, machine, done)
-	j.closes = append(j.closes, closing{key: key, machine: machine, done: done, stay: l.stay(j, key, machine, done || saved)})
-	if j.Rec.Spec != nil && j.Rec.Spec.Shape == wire.Gang {
-		if j.left == nil {
-			j.left = map[string]uint64{}
+	l.observeRun(j, key, machine, done)
+	j.completions = append(j.completions, completion{key: key, machine: machine, done: done, occupancy: l.occupancyOf(j, key, machine, done || saved)})
+	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang {
+		if j.leftMachines == nil {
+			j.leftMachines = map[string]uint64{}
 		}
-		j.left[machine] = key.Attempt
+		j.leftMachines[machine] = key.Attempt
 	}
-	l.owner.Over(key)
-	l.dirty[key.Job] = true
+	l.reconciler.TerminationDone(key)
+	l.pendingCommits[key.Job] = true
 }
--- a/internal/core/leader/counters.go
+++ b/internal/core/leader/counters.go
@@ -12,7 +12,7 @@
 // that goes badly without a broken rule is then explained by its log.
 type counters struct {
 	at      Micros
-	passes  int
+	cycles  int
 	placed  int // tasks
 	pending int // jobs that wanted places in the last pass
 	without int // of them, jobs that found none for some task
@@ -34,19 +34,19 @@
 
 func (l *Leader) stateOf(m *zone.Machine) string {
 	switch {
-	case m.Releasing || m.Failed || m.NoticeAt != 0:
+	case m.Releasing || m.Failed || m.ReclaimedAt != 0:
 		return leaving
-	case m.Session == 0:
+	case m.Incarnation == 0:
 		return booting
-	case m.Sick() && !m.Retried:
+	case m.Quarantined() && !m.OnProbation:
 		return sick
-	case m.Hearing.Deaf():
+	case m.Reachability.Unreachable():
 		return deaf
-	case m.Mute != 0:
+	case m.SilentSince != 0:
 		return mute
-	case m.Mailed:
+	case m.Relayed:
 		return mailed
-	case l.box.Now()-m.Spoke > l.suspectAfter():
+	case l.outbox.Now()-m.LastContactAt > l.heartbeatTimeout():
 		return quiet
 	}
 	return usable
@@ -55,7 +55,7 @@
 // states counts the machines.
 func (l *Leader) states() map[string]int {
 	out := map[string]int{}
-	for _, m := range l.owner.Roster().All() {
+	for _, m := range l.reconciler.Registry().All() {
 		out[l.stateOf(m)]++
 	}
 	return out
@@ -63,17 +63,17 @@
 
 // count writes the line when it is due.
 func (l *Leader) count() {
-	if l.box.Now()-l.counters.at < countEvery {
+	if l.outbox.Now()-l.counters.at < countEvery {
 		return
 	}
 	states := l.states()
 	closing := 0
-	for _, j := range l.active {
-		closing += len(j.closes)
+	for _, j := range l.unfinished {
+		closing += len(j.completions)
 	}
 	n := &l.counters
-	l.box.Debug("leader", "passes", n.passes, "placed", n.placed, "pending", n.pending, "without", n.without, "held", n.held, "moved", n.moved,
-		"writing", l.writing, "waiting", len(l.dirty)+len(l.delayed), "closing", closing, "log", len(l.ended.fresh),
+	l.outbox.Debug("leader", "passes", n.cycles, "placed", n.placed, "pending", n.pending, "without", n.without, "held", n.held, "moved", n.moved,
+		"writing", l.inFlightChanges, "waiting", len(l.pendingCommits)+len(l.deferredCommits), "closing", closing, "log", len(l.completionLog.unwritten),
 		usable, states[usable], quiet, states[quiet], mailed, states[mailed], sick, states[sick], deaf, states[deaf], mute, states[mute], booting, states[booting], leaving, states[leaving])
-	l.counters = counters{at: l.box.Now()}
+	l.counters = counters{at: l.outbox.Now()}
 }
--- a/internal/core/leader/workers.go
+++ b/internal/core/leader/workers.go
@@ -4,162 +4,162 @@
 	"net/http"
 
 	"coralhub/internal/config"
-	"coralhub/internal/core/home"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
+	"coralhub/internal/core/relay"
 	"coralhub/internal/core/zone"
 	"coralhub/wire"
 )
 
-func (l *Leader) running(j *Job, key job.Key) {
-	if j.started == nil {
-		j.started = map[int]Micros{}
-	}
-	if _, ok := j.started[key.Task]; !ok {
-		j.started[key.Task] = l.box.Now()
-		if spec := j.Rec.Spec; spec != nil && len(j.started) == spec.Tasks {
-			l.box.Debug("all tasks run", "job", j.ID, "class", spec.Class, "age_ms", (l.box.Now()-j.arrived)/1000)
+func (l *Leader) onTaskRunning(j *Job, key job.AttemptKey) {
+	if j.startedAt == nil {
+		j.startedAt = map[int]Micros{}
+	}
+	if _, ok := j.startedAt[key.Task]; !ok {
+		j.startedAt[key.Task] = l.outbox.Now()
+		if spec := j.Record.Spec; spec != nil && len(j.startedAt) == spec.Tasks {
+			l.outbox.Debug("all tasks run", "job", j.ID, "class", spec.Class, "age_ms", (l.outbox.Now()-j.arrivedAt)/1000)
 		}
 	}
-	if j.Rec.Spec != nil && j.Rec.Spec.Shape == wire.Gang {
-		j.gangRan = max(j.gangRan, key.Attempt)
+	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang {
+		j.ranGangAttempt = max(j.ranGangAttempt, key.Attempt)
 	}
 }
 
-// exited closes a placement whose task has ended, by the worker's word.
-func (l *Leader) exited(m *zone.Machine, j *Job, key job.Key, t *zone.Task) {
+// onTaskExited closes a placement whose task has ended, by the worker's word.
+func (l *Leader) onTaskExited(m *zone.Machine, j *Job, key job.AttemptKey, t *zone.Task) {
 	if j.isClosing(key, m.Name) {
 		return
 	}
-	l.passDue = true
+	l.cycleDue = true
 	switch t.Cause {
 	case wire.Done:
-		if m.Absolves(j.started[key.Task]) {
-			clear(m.Errors)
-			l.reconsider(m)
+		if m.ClearedBySuccess(j.startedAt[key.Task]) {
+			clear(m.FailedJobs)
+			l.checkAvailability(m)
 		}
 		j.failures = 0
 	case wire.CauseError:
-		l.failed(m, j)
-	case wire.CauseNoRoom:
-		m.FullUntil = l.box.Now() + config.Second
+		l.onTaskFailed(m, j)
+	case wire.CauseNoCapacity:
+		m.FullUntil = l.outbox.Now() + config.Second
 	case wire.CauseUnknown, wire.CauseBusy:
-		j.holdUntil = l.box.Now() + 2*config.Second
+		j.holdUntil = l.outbox.Now() + 2*config.Second
 	}
-	if j.Rec.Spec != nil && j.Rec.Spec.Shape == wire.Gang && t.Cause != wire.CauseNoRoom && t.Cause != wire.CauseBusy {
-		j.deadGang = max(j.deadGang, key.Attempt)
+	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang && t.Cause != wire.CauseNoCapacity && t.Cause != wire.CauseBusy {
+		j.failedGangAttempt = max(j.failedGangAttempt, key.Attempt)
 	}
-	l.closeSaved(key, m.Name, t.Cause == wire.Done, t.Saved)
+	l.closeWithProgress(key, m.Name, t.Cause == wire.Done, t.Saved)
 }
 
-// elsewhereFor is how long a task that failed on a machine is tried elsewhere. The machine may be sound again and
+// failureBackoff is how long a task that failed on a machine is tried elsewhere. The machine may be sound again and
 // have the only room, and that may not lie idle for 90 s while the job waits.
-const elsewhereFor = 60 * config.Second
+const failureBackoff = 60 * config.Second
 
-// failed tells machines that fail everything from jobs that fail everywhere.
+// onTaskFailed tells machines that fail everything from jobs that fail everywhere.
 // The task is tried elsewhere first; a job that keeps failing waits longer and
 // longer, and a machine on which different jobs fail gets no more work.
-func (l *Leader) failed(m *zone.Machine, j *Job) {
-	wasSick := m.Sick()
+func (l *Leader) onTaskFailed(m *zone.Machine, j *Job) {
+	wasSick := m.Quarantined()
 	if j.failures < 3 { // a job that fails everywhere says nothing about machines
-		m.Errors[j.ID], m.Retried = l.box.Now(), false
-		l.reconsider(m)
+		m.FailedJobs[j.ID], m.OnProbation = l.outbox.Now(), false
+		l.checkAvailability(m)
 	}
 	if j.failedOn == nil {
 		j.failedOn = map[string]Micros{}
 	}
-	j.failedOn[m.Name] = l.box.Now() + elsewhereFor
-	if m.Sick() {
+	j.failedOn[m.Name] = l.outbox.Now() + failureBackoff
+	if m.Quarantined() {
 		if !wasSick {
-			l.box.Log("machine fails its tasks", "machine", m.Name)
+			l.outbox.Log("machine fails its tasks", "machine", m.Name)
 		}
 		return
 	}
 	j.failures++
 	if j.failures > 2 {
-		j.holdUntil = l.box.Now() + config.Second<<min(j.failures, 6)
+		j.holdUntil = l.outbox.Now() + config.Second<<min(j.failures, 6)
 		j.failedOn = nil
 	}
 }
 
-// standIn is what another node may do for this leader.
-type standIn struct {
+// delegate is what another node may do for this leader.
+type delegate struct {
 	until    Micros // it may stand in, however old its copy of the records gets
 	revision uint64 // up to which that copy is known to go
 }
 
-// allow has a node stand in for this one for a while from now on, and notes what it knows.
+// grantDelegation has a node stand in for this one for a while from now on, and notes what it knows.
 // It counts from when it sent the beat, which was earlier. One that doesn't know of every
 // cancellation that was told gets no such word.
-func (l *Leader) allow(x msg.BeatIn) Micros {
-	length := config.FromSeconds(l.cfg.Settings.StandInS)
-	if length <= 0 || x.Node == "" || x.Revision < l.assured {
+func (l *Leader) grantDelegation(x msg.HeartbeatBatchIn) Micros {
+	length := config.FromSeconds(l.cfg.Settings.DelegationS)
+	if length <= 0 || x.Node == "" || x.Revision < l.acknowledgedCancel {
 		return 0
 	}
-	s := l.standIns[x.Node]
-	l.standIns[x.Node] = standIn{l.box.Now() + length, max(s.revision, x.Revision)}
+	s := l.delegates[x.Node]
+	l.delegates[x.Node] = delegate{l.outbox.Now() + length, max(s.revision, x.Revision)}
 	return length
 }
 
-// known tells whether every node that may stand in for this one knows of a change.
-func (l *Leader) known(revision uint64) bool {
-	for _, s := range l.standIns {
-		if l.box.Now() < s.until && s.revision < revision {
+// cancelKnown tells whether every node that may stand in for this one knows of a change.
+func (l *Leader) cancelKnown(revision uint64) bool {
+	for _, s := range l.delegates {
+		if l.outbox.Now() < s.until && s.revision < revision {
 			return false
 		}
 	}
 	return true
 }
 
-// BeatIn hears, as the leader, of workers that their homes have answered. It
+// onHeartbeatBatch hears, as the leader, of workers that their homes have answered. It
 // answers with those whose next report it wants to see.
-func (l *Leader) BeatIn(x msg.BeatIn) {
+func (l *Leader) onHeartbeatBatch(x msg.HeartbeatBatchIn) {
 	if !l.ready {
-		l.box.Later(x.Req, "not the leader")
+		l.outbox.RetryLater(x.RequestID, "not the leader")
 		return
 	}
 	var wanted []string
-	for _, h := range x.Heard {
-		m := l.owner.Roster().Get(h.Machine)
-		if m == nil || m.Session != h.Session || m.Token < l.claim.Base() || m.Wanted {
+	for _, h := range x.Acks {
+		m := l.reconciler.Registry().Get(h.Machine)
+		if m == nil || m.Incarnation != h.Incarnation || m.FencingToken < l.elector.TermStart() || m.WantsFullHeartbeat {
 			wanted = append(wanted, h.Machine)
 		}
-		if m != nil && m.Beat(l.box.Now(), h.Session, h.Seq) {
-			m.Hearing.Answered(l.box.Now())
-			l.owner.Roster().Touch(m, l.box.Now())
-			l.reconsider(m)
+		if m != nil && m.ApplyAck(l.outbox.Now(), h.Incarnation, h.Sequence) {
+			m.Reachability.NoteAnswered(l.outbox.Now())
+			l.reconciler.Registry().NoteContact(m, l.outbox.Now())
+			l.checkAvailability(m)
 		}
 	}
-	l.box.Answer(x.Req, http.StatusOK, msg.BeatAnswer{Wanted: wanted, StandIn: l.allow(x)})
+	l.outbox.Respond(x.RequestID, http.StatusOK, msg.HeartbeatBatchResponse{ResendMachines: wanted, Delegation: l.grantDelegation(x)})
 }
 
-// mailIn takes a deputy's mail.
-func (l *Leader) mailIn(ev *wire.Change) {
-	if !l.ready || ev.Put == "" || ev.Version <= l.claim.Base() {
+// applyRelayedHeartbeats takes a deputy's mail.
+func (l *Leader) applyRelayedHeartbeats(ev *wire.Change) {
+	if !l.ready || ev.Put == "" || ev.Version <= l.elector.TermStart() {
 		return
 	}
-	var lines []home.Line
+	var lines []relay.RelayedHeartbeat
 	if job.Decode(ev.Value, &lines) != nil {
 		return
 	}
 	for i := range lines {
 		line := &lines[i]
-		m := l.owner.Roster().Get(line.Machine)
-		if m == nil || line.Token > l.claim.Token() {
+		m := l.reconciler.Registry().Get(line.Machine)
+		if m == nil || line.FencingToken > l.elector.FencingToken() {
 			continue
 		}
-		if !m.Mailed {
-			l.box.Debug("hearing of a worker by way of the state service", "machine", m.Name)
+		if !m.Relayed {
+			l.outbox.Debug("hearing of a worker by way of the state service", "machine", m.Name)
 		}
-		r := wire.Report{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			Session: line.Session, Seq: line.Seq, Token: line.Token, NoticeS: line.NoticeS}
+		r := wire.Heartbeat{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+			Incarnation: line.Incarnation, Sequence: line.Sequence, FencingToken: line.FencingToken, NoticeS: line.NoticeS}
 		for _, t := range line.Tasks {
-			r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.Task, Attempt: t.Attempt, State: t.State, Cause: t.Cause, Saved: t.Saved})
+			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.Task, Attempt: t.Attempt, State: t.State, Cause: t.Cause, Saved: t.Saved})
 		}
-		if l.owner.Hear(m, &r, false) {
-			m.Mailed, m.Mute = true, 0 // a home has heard its report
-			l.owner.Roster().Introduce(m)
-			l.reconsider(m)
+		if l.reconciler.Observe(m, &r, false) {
+			m.Relayed, m.SilentSince = true, 0 // a home has heard its report
+			l.reconciler.Registry().Introduce(m)
+			l.checkAvailability(m)
 		}
 	}
 }
--- a/internal/core/listeners.go
+++ b/internal/core/listeners.go
@@ -3,60 +3,60 @@
 import (
 	"net/http"
 
-	"coralhub/internal/core/front"
-	"coralhub/internal/core/home"
+	"coralhub/internal/core/frontend"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/leader"
 	"coralhub/internal/core/msg"
 	"coralhub/internal/core/records"
+	"coralhub/internal/core/relay"
 	"coralhub/wire"
 )
 
-// listener passes what the records say on to the roles.
-type listener struct {
+// recordsListener passes what the records say on to the roles.
+type recordsListener struct {
 	*leader.Leader
-	front *front.Front
-	home  *home.Home
+	frontend *frontend.Frontend
+	relay    *relay.Relay
 }
 
-// Recorded has the home tell the leader soon that it knows of a cancellation.
-func (l listener) Recorded(r *records.Job) {
-	l.Leader.Recorded(r)
-	if r.Rec.Cancel && !r.Rec.Final() {
-		l.home.Marked()
+// RecordChanged has the home tell the leader soon that it knows of a cancellation.
+func (l recordsListener) RecordChanged(r *records.Job) {
+	l.Leader.RecordChanged(r)
+	if r.Record.CancelRequested && !r.Record.Final() {
+		l.relay.OnCancelRequested()
 	}
 }
 
-// Ended has the front answer who waits for a job to be over as well.
-func (l listener) Ended(r *records.Job) {
-	l.Leader.Ended(r)
-	l.front.Ended(r)
+// JobFinished has the front answer who waits for a job to be over as well.
+func (l recordsListener) JobFinished(r *records.Job) {
+	l.Leader.JobFinished(r)
+	l.frontend.JobFinished(r)
 }
 
-// claimListener hears how the claim to lead fares.
-type claimListener struct{ c *Core }
+// electionListener hears how the claim to lead fares.
+type electionListener struct{ core *Core }
 
-func (t claimListener) Won()                          { t.c.leader.Won() }
-func (t claimListener) Lost(why string, token uint64) { t.c.leader.Lost(why, token) }
-func (t claimListener) HolderChanged(from, to string) { t.c.home.HolderChanged(from, to) }
+func (t electionListener) OnElected()                         { t.core.leader.OnElected() }
+func (t electionListener) OnDeposed(why string, token uint64) { t.core.leader.OnDeposed(why, token) }
+func (t electionListener) OnHolderChanged(from, to string)    { t.core.relay.OnHolderChanged(from, to) }
 
-// frontNode is what the front knows of the rest of its node.
-type frontNode struct{ c *Core }
+// frontendNode is what the front knows of the rest of its node.
+type frontendNode struct{ core *Core }
 
-func (h frontNode) Refusal() string      { return h.c.refusal() }
-func (h frontNode) Heard(ev wire.Change) { h.c.apply(&ev) }
+func (h frontendNode) NotServingReason() string { return h.core.notServingReason() }
+func (h frontendNode) ApplyRead(ev wire.Change) { h.core.apply(&ev) }
 
-func (h frontNode) Wrote(ev wire.Change) {
-	h.c.apply(&ev)
-	if l := h.c.claim.Elsewhere(); l != "" {
-		h.c.box.Emit(msg.Tell{Node: l, Event: ev})
+func (h frontendNode) ApplyWritten(ev wire.Change) {
+	h.core.apply(&ev)
+	if l := h.core.elector.OtherHolder(); l != "" {
+		h.core.outbox.Emit(msg.SendPeerUpdate{Node: l, Change: ev})
 	}
 }
 
-// refusal tells why this node doesn't serve; "": it does.
-func (c *Core) refusal() string {
+// notServingReason tells why this node doesn't serve; "": it does.
+func (c *Core) notServingReason() string {
 	switch {
-	case c.foreign:
+	case c.formatUnknown:
 		return "the records are of a later version"
 	case !c.loaded:
 		return "starting"
@@ -64,43 +64,43 @@
 	return ""
 }
 
-// hint takes what another node has just written, ahead of the watch.
-func (c *Core) hint(ev *wire.Change) {
+// applyPeerUpdate takes what another node has just written, ahead of the watch.
+func (c *Core) applyPeerUpdate(ev *wire.Change) {
 	if id, n, ok := job.ParseKey(ev.Put); ok && n == 0 && id != "" && c.loaded {
 		c.apply(ev)
 	}
 }
 
-// report answers a worker. Only an owner whose records are read may do so; a
+// handleHeartbeat answers a worker. Only an owner whose records are read may do so; a
 // 200 from anybody else would hold the worker there while its lease runs out.
-func (c *Core) report(x msg.ReportIn) {
-	r := &x.Report
-	if c.foreign {
-		c.box.Later(x.Req, c.refusal())
+func (c *Core) handleHeartbeat(x msg.HeartbeatIn) {
+	r := &x.Heartbeat
+	if c.formatUnknown {
+		c.outbox.RetryLater(x.RequestID, c.notServingReason())
 		return
 	}
 	if !c.leader.Ready() {
-		if c.claim.Elsewhere() != "" && r.Machine != "" {
-			c.home.Relay(x)
+		if c.elector.OtherHolder() != "" && r.Machine != "" {
+			c.relay.HandleHeartbeat(x)
 			return
 		}
-		if c.claim.Held() && r.Machine != "" && c.home.KeepsAlive(x) {
+		if c.elector.IsLeader() && r.Machine != "" && c.relay.KeepAlive(x) {
 			return // the records are still being read
 		}
-		c.box.Later(x.Req, "no leader")
+		c.outbox.RetryLater(x.RequestID, "no leader")
 		return
 	}
-	if r.Token > c.claim.Token() && !c.claim.Raising() {
-		c.box.Answer(x.Req, http.StatusMisdirectedRequest, wire.Redirect{})
-		c.claim.Resign("a worker has seen a higher token")
+	if r.FencingToken > c.elector.FencingToken() && !c.elector.TokenChangePending() {
+		c.outbox.Respond(x.RequestID, http.StatusMisdirectedRequest, wire.Redirect{})
+		c.elector.Resign("a worker has seen a higher token")
 		return
 	}
-	if r.Machine == "" || r.Session == 0 {
-		c.box.Answer(x.Req, http.StatusBadRequest, wire.Error{Error: "no machine or session"})
+	if r.Machine == "" || r.Incarnation == 0 {
+		c.outbox.Respond(x.RequestID, http.StatusBadRequest, wire.Error{Error: "no machine or session"})
 		return
 	}
-	if !x.Forwarded && c.home.SendHome(x) {
+	if !x.Forwarded && c.relay.Redirect(x) {
 		return
 	}
-	c.owner.Report(x)
+	c.reconciler.HandleHeartbeat(x)
 }
--- a/internal/core/msg/msg.go
+++ b/internal/core/msg/msg.go
@@ -24,15 +24,15 @@
 	Unknown
 )
 
-// Turn is what a transaction is for, and with that whose changes of the state service it takes.
-type Turn int
+// WritePriority is what a transaction is for, and with that whose changes of the state service it takes.
+type WritePriority int
 
 // The turns.
 const (
-	First  Turn = iota // somebody is to be answered, or a claim hangs on it
-	Accept             // a job is accepted
-	Later              // it gives way to the others
-	Turns              // how many there are
+	Critical        WritePriority = iota // somebody is to be answered, or a claim hangs on it
+	Admission                            // a job is accepted
+	Deferrable                           // it gives way to the others
+	WritePriorities                      // how many there are
 )
 
 // Input is what a core takes: one of the types below.
@@ -44,17 +44,17 @@
 // Inputs.
 type (
 	// Tick tells that time has passed, and the time of day.
-	Tick struct{ Wall Micros }
+	Tick struct{ WallClock Micros }
 	// Snapshot is a listing of every key, with the revision before it began.
 	Snapshot struct {
-		Items    []wire.Item
+		Items    []wire.KeyValue
 		Revision uint64
 	}
 	// Changed tells of puts and deletes, in the order of their revisions. AsOf is
 	// when the watch was asked, or a little earlier: everything before that has come.
 	Changed struct {
-		Events []wire.Change
-		AsOf   Micros
+		Events    []wire.Change
+		CurrentAt Micros
 	}
 	// CommitDone answers Commit.
 	CommitDone struct {
@@ -68,28 +68,28 @@
 		ID      uint64
 		Outcome Outcome
 		Key     string
-		Item    wire.Item
+		Item    wire.KeyValue
 	}
 	// LeaseDone answers GrantLease and RenewLease, and tells of renewals that were made
 	// for the core between two of its own. Age is how long ago it was asked for.
 	LeaseDone struct {
-		Outcome Outcome
-		Lease   uint64
-		Renewal bool
-		Age     Micros
+		Outcome   Outcome
+		Lease     uint64
+		IsRenewal bool
+		Age       Micros
 	}
-	// ReportIn is a worker's report that waits for an answer.
-	ReportIn struct {
-		Req       uint64
-		Report    wire.Report
+	// HeartbeatIn is a worker's report that waits for an answer.
+	HeartbeatIn struct {
+		RequestID uint64
+		Heartbeat wire.Heartbeat
 		Forwarded bool // by the worker's home
 	}
 	// CommandDone answers Command. Report is nil unless the worker answered.
 	CommandDone struct {
-		ID      uint64
-		Machine string
-		Outcome Outcome
-		Report  *wire.Report
+		ID        uint64
+		Machine   string
+		Outcome   Outcome
+		Heartbeat *wire.Heartbeat
 	}
 	// CatalogDone answers FetchCatalog.
 	CatalogDone struct {
@@ -101,99 +101,99 @@
 		Outcome  Outcome
 		Machines []wire.Machine
 	}
-	// RentDone answers Rent; Conflict stands for a lack of capacity.
-	RentDone struct {
+	// ScaleOutDone answers Rent; Conflict stands for a lack of capacity.
+	ScaleOutDone struct {
 		Name     string
 		Outcome  Outcome
 		Machines []string
 	}
-	// ReleaseDone answers Release.
-	ReleaseDone struct {
+	// ScaleInDone answers Release.
+	ScaleInDone struct {
 		Machines []string
 		Outcome  Outcome
 	}
 	// SubmitIn is a submission that waits for an answer.
 	SubmitIn struct {
-		Req  uint64
-		Wall Micros
-		Body []byte
+		RequestID uint64
+		WallClock Micros
+		Body      []byte
 	}
 	// PollIn is a query that waits for an answer.
 	PollIn struct {
-		Req uint64
-		ID  string
+		RequestID uint64
+		JobID     string
 	}
 	// CancelIn is a cancellation that waits for an answer.
 	CancelIn struct {
-		Req uint64
-		ID  string
+		RequestID uint64
+		JobID     string
 	}
 	// ForwardDone answers Forward. Answer is nil unless the leader gave one. Busy means that
 	// it is there and had no time for it.
 	ForwardDone struct {
-		Req    uint64
-		Report wire.Report
-		Answer *wire.ReportAnswer
-		Busy   bool
+		RequestID uint64
+		Heartbeat wire.Heartbeat
+		Response  *wire.HeartbeatResponse
+		Busy      bool
 	}
-	// Heard is a worker's report that its home has answered for the leader.
-	Heard struct {
-		Machine      string
-		Session, Seq uint64
+	// HeartbeatAck is a worker's report that its home has answered for the leader.
+	HeartbeatAck struct {
+		Machine               string
+		Incarnation, Sequence uint64
 	}
-	// BeatIn tells the leader of workers that their homes have answered; its
+	// HeartbeatBatchIn tells the leader of workers that their homes have answered; its
 	// answer's body is a BeatAnswer.
-	BeatIn struct {
-		Req      uint64
-		Node     string // who sends it; "": a version that didn't say
-		Revision uint64 // its copy of the records holds all changes up to this one
-		Heard    []Heard
+	HeartbeatBatchIn struct {
+		RequestID uint64
+		Node      string // who sends it; "": a version that didn't say
+		Revision  uint64 // its copy of the records holds all changes up to this one
+		Acks      []HeartbeatAck
 	}
-	// BeatDone answers Beat.
-	BeatDone struct {
-		Beat Beat
-		BeatAnswer
+	// HeartbeatBatchDone answers Beat.
+	HeartbeatBatchDone struct {
+		Batch HeartbeatBatch
+		HeartbeatBatchResponse
 	}
-	// BeatAnswer is what the leader says to a Beat.
-	BeatAnswer struct {
-		Wanted  []string // workers whose next report it wants
-		StandIn Micros   // how long the sender may stand in for it, from when it sent the Beat
+	// HeartbeatBatchResponse is what the leader says to a Beat.
+	HeartbeatBatchResponse struct {
+		ResendMachines []string // workers whose next report it wants
+		Delegation     Micros   // how long the sender may stand in for it, from when it sent the Beat
 	}
-	// PeerHeard tells that a peer has answered.
-	PeerHeard struct{ Node string }
-	// Hint is a peer's copy of a key that it has just written.
-	Hint struct{ Event wire.Change }
+	// PeerAlive tells that a peer has answered.
+	PeerAlive struct{ Node string }
+	// PeerUpdate is a peer's copy of a key that it has just written.
+	PeerUpdate struct{ Change wire.Change }
 )
 
-func (Tick) input()        {}
-func (Snapshot) input()    {}
-func (Changed) input()     {}
-func (CommitDone) input()  {}
-func (ReadDone) input()    {}
-func (LeaseDone) input()   {}
-func (ReportIn) input()    {}
-func (CommandDone) input() {}
-func (CatalogDone) input() {}
-func (ListDone) input()    {}
-func (RentDone) input()    {}
-func (ReleaseDone) input() {}
-func (SubmitIn) input()    {}
-func (PollIn) input()      {}
-func (CancelIn) input()    {}
-func (Hint) input()        {}
-func (PeerHeard) input()   {}
-func (BeatIn) input()      {}
-func (BeatDone) input()    {}
-func (ForwardDone) input() {}
+func (Tick) input()               {}
+func (Snapshot) input()           {}
+func (Changed) input()            {}
+func (CommitDone) input()         {}
+func (ReadDone) input()           {}
+func (LeaseDone) input()          {}
+func (HeartbeatIn) input()        {}
+func (CommandDone) input()        {}
+func (CatalogDone) input()        {}
+func (ListDone) input()           {}
+func (ScaleOutDone) input()       {}
+func (ScaleInDone) input()        {}
+func (SubmitIn) input()           {}
+func (PollIn) input()             {}
+func (CancelIn) input()           {}
+func (PeerUpdate) input()         {}
+func (PeerAlive) input()          {}
+func (HeartbeatBatchIn) input()   {}
+func (HeartbeatBatchDone) input() {}
+func (ForwardDone) input()        {}
 
 // Effects.
 type (
 	// Commit is a transaction for the state service.
 	Commit struct {
-		ID   uint64
-		Txn  wire.Commit
-		Turn Turn
-		For  Purpose `json:"-"`
+		ID          uint64
+		Transaction wire.Transaction
+		Priority    WritePriority
+		Purpose     Purpose `json:"-"`
 	}
 	// Read asks for a key.
 	Read struct {
@@ -208,16 +208,16 @@
 		Lease uint64
 		TTL   Micros
 	}
-	// DropLease has a lease kept no longer.
-	DropLease struct{ Lease uint64 }
-	// FollowClosely has the watch answer often for some seconds, though nothing changes.
-	FollowClosely struct{}
+	// ReleaseLease has a lease kept no longer.
+	ReleaseLease struct{ Lease uint64 }
+	// PollWatchFast has the watch answer often for some seconds, though nothing changes.
+	PollWatchFast struct{}
 	// Relist asks for a new Snapshot.
 	Relist struct{}
-	// Answer answers a request of a user or worker. RetryAfter is in seconds,
+	// Respond answers a request of a user or worker. RetryAfter is in seconds,
 	// 0 for none. Busy: the node had no time to ask its core.
-	Answer struct {
-		Req        uint64
+	Respond struct {
+		RequestID  uint64
 		Status     int
 		Body       any
 		RetryAfter int
@@ -227,72 +227,72 @@
 	Command struct {
 		ID            uint64
 		Machine, Addr string
-		Commands      wire.Commands
+		Commands      wire.CommandRequest
 	}
 	// FetchCatalog asks the cloud for its machine types.
 	FetchCatalog struct{}
 	// ListMachines asks the cloud for all machines.
 	ListMachines struct{}
-	// Rent asks the cloud for machines.
-	Rent struct{ Request wire.Rent }
-	// Release deletes machines.
-	Release struct{ Machines []string }
-	// Tell gives the leader a copy of a key just written.
-	Tell struct {
-		Node  string
-		Event wire.Change
+	// ScaleOut asks the cloud for machines.
+	ScaleOut struct{ Request wire.RentalRequest }
+	// ScaleIn deletes machines.
+	ScaleIn struct{ Machines []string }
+	// SendPeerUpdate gives the leader a copy of a key just written.
+	SendPeerUpdate struct {
+		Node   string
+		Change wire.Change
 	}
 	// Forward hands a worker's report to the leader.
 	Forward struct {
-		Req    uint64
-		Node   string
-		Report wire.Report
+		RequestID uint64
+		Node      string
+		Heartbeat wire.Heartbeat
 	}
-	// Beat tells the leader of workers that this node has answered for it.
-	Beat struct {
+	// HeartbeatBatch tells the leader of workers that this node has answered for it.
+	HeartbeatBatch struct {
 		Node     string
-		Claim    uint64 // the version that it is sent under
-		Sent     Micros
+		Term     uint64 // the version that it is sent under
+		SentAt   Micros
 		Revision uint64
-		Heard    []Heard
+		Acks     []HeartbeatAck
 	}
-	// Retire tells that this node can't serve: the records are of a later version.
-	Retire struct{}
+	// StopServing tells that this node can't serve: the records are of a later version.
+	StopServing struct{}
 	// Log is a line for the operator.
 	Log struct {
-		Debug bool
-		Text  string
-		Args  []any
+		Debug   bool
+		Message string
+		Args    []any
 	}
 )
 
-func (Commit) effect()        {}
-func (Read) effect()          {}
-func (GrantLease) effect()    {}
-func (RenewLease) effect()    {}
-func (DropLease) effect()     {}
-func (FollowClosely) effect() {}
-func (Relist) effect()        {}
-func (Answer) effect()        {}
-func (Command) effect()       {}
-func (FetchCatalog) effect()  {}
-func (ListMachines) effect()  {}
-func (Rent) effect()          {}
-func (Release) effect()       {}
-func (Tell) effect()          {}
-func (Retire) effect()        {}
-func (Log) effect()           {}
-func (Forward) effect()       {}
-func (Beat) effect()          {}
+func (Commit) effect()         {}
+func (Read) effect()           {}
+func (GrantLease) effect()     {}
+func (RenewLease) effect()     {}
+func (ReleaseLease) effect()   {}
+func (PollWatchFast) effect()  {}
+func (Relist) effect()         {}
+func (Respond) effect()        {}
+func (Command) effect()        {}
+func (FetchCatalog) effect()   {}
+func (ListMachines) effect()   {}
+func (ScaleOut) effect()       {}
+func (ScaleIn) effect()        {}
+func (SendPeerUpdate) effect() {}
+func (StopServing) effect()    {}
+func (Log) effect()            {}
+func (Forward) effect()        {}
+func (HeartbeatBatch) effect() {}
 
 // AdminIn is a question of an operator. What is learnt is the leader's: another node
 // says who that is.
 type AdminIn struct {
-	Req  uint64
-	What AdminQuery
-	ID   string
-	From uint64
-	Most int
+	RequestID uint64
+	Query     AdminQuery
+	JobID     string
+	From      uint64
+	Limit     int
 }
 
 func (AdminIn) input() {}
@@ -302,12 +302,12 @@
 
 // The queries.
 const (
-	AskEstimates AdminQuery = iota
-	AskJob
-	AskRuns
-	AskAccounts // of any node
-	AskStanding
-	AskWaits
-	// AskGauges is answered by every node.
-	AskGauges
+	QueryEstimates AdminQuery = iota
+	QueryJob
+	QueryRuns
+	QueryAccounts // of any node
+	QueryPreemptions
+	QueryWaitReason
+	// QueryGauges is answered by every node.
+	QueryGauges
 )
--- a/internal/core/placing_test.go
+++ b/internal/core/placing_test.go
@@ -51,14 +51,14 @@
 		}
 		p.take(p.step(1, in))
 	}
-	p.take(p.step(d, msg.Tick{Wall: p.now}))
+	p.take(p.step(d, msg.Tick{WallClock: p.now}))
 }
 
 func (p *placer) take(effects []msg.Effect) {
 	for _, e := range effects {
 		switch x := e.(type) {
 		case msg.Commit:
-			if slices.ContainsFunc(x.Txn.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put, job.Root+"placed/") }) {
+			if slices.ContainsFunc(x.Transaction.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put, job.KeyRoot+"placed/") }) {
 				p.pending = append(p.pending, x)
 				continue
 			}
@@ -72,8 +72,8 @@
 
 func (p *placer) submit(id, priority string, tasks int) {
 	p.t.Helper()
-	value, err := job.EncodeRecord(&job.Record{Created: p.now, Spec: &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.Array, Priority: priority,
-		Tasks: tasks, CPUs: 1, GPUs: p.gpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 5}}, job.Newest)
+	value, err := job.EncodeRecord(&job.Record{CreatedAt: p.now, Spec: &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.Array, Priority: priority,
+		Tasks: tasks, CPUs: 1, GPUs: p.gpus, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 5}}, job.NewestFormat)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 // placedBy lists the jobs that the waiting transactions place.
 func (p *placer) placedBy() (out []string) {
 	for _, x := range p.pending {
-		for _, g := range x.Txn.Guards {
+		for _, g := range x.Transaction.Conditions {
 			if id, _, ok := job.ParseKey(g.Key); ok {
 				out = append(out, id)
 			}
@@ -126,21 +126,21 @@
 		p.run(200_000)
 		p.run(200_000)
 		again := p.only() // and nothing of j-3: the limit is reached by what may have been placed
-		if !reflect.DeepEqual(again.Txn, first.Txn) {
-			t.Fatalf("sent again %+v, before %+v", again.Txn, first.Txn)
+		if !reflect.DeepEqual(again.Transaction, first.Transaction) {
+			t.Fatalf("sent again %+v, before %+v", again.Transaction, first.Transaction)
 		}
 		p.done(again, msg.CommitDone{Outcome: msg.Refused})
 	}
 	p.run(500_000)
 	again := p.only()
-	p.done(again, msg.CommitDone{Outcome: msg.Conflict, Failed: []string{again.Txn.Changes[0].Put}})
+	p.done(again, msg.CommitDone{Outcome: msg.Conflict, Failed: []string{again.Transaction.Changes[0].Put}})
 	p.run(200_000)
-	if len(p.pending) > 0 || len(p.reads) != 1 || p.reads[0].Key != again.Txn.Changes[0].Put {
+	if len(p.pending) > 0 || len(p.reads) != 1 || p.reads[0].Key != again.Transaction.Changes[0].Put {
 		t.Fatalf("before the page was read: %v, reads %v", p.placedBy(), p.reads)
 	}
 	p.version++
 	p.take(p.step(1, msg.ReadDone{ID: p.reads[0].ID, Outcome: msg.OK, Key: p.reads[0].Key,
-		Item: wire.Item{Key: p.reads[0].Key, Value: again.Txn.Changes[0].Value, Version: p.version + 1<<40}}))
+		Item: wire.KeyValue{Key: p.reads[0].Key, Value: again.Transaction.Changes[0].Value, Version: p.version + 1<<40}}))
 	p.run(300_000)
 	if len(p.pending) > 0 {
 		t.Errorf("placed beyond the limit: %v", p.placedBy())
@@ -199,7 +199,7 @@
 	if got := p.placedBy(); len(p.pending) != 1 || len(got) != 4 {
 		t.Errorf("%d transactions, of %v", len(p.pending), got)
 	}
-	if pages := p.only().Txn.Changes; len(pages) != 1 {
+	if pages := p.only().Transaction.Changes; len(pages) != 1 {
 		t.Errorf("%d pages", len(pages))
 	}
 }
@@ -207,17 +207,17 @@
 // A gang of 512 tasks on machines of its own is placed by one transaction within the limits of today's large sites.
 func TestGangOf512FitsATransaction(t *testing.T) {
 	for _, limits := range []struct{ kb, ops int }{{8, 12}, {4, 8}} {
-		var parts []records.SharedPart
+		var parts []records.PlacementEntry
 		for n := range 512 {
-			if n%job.PartTasks == 0 {
-				parts = append(parts, records.SharedPart{Job: "j-123456", Index: n / job.PartTasks, Last: 3})
+			if n%job.TasksPerShard == 0 {
+				parts = append(parts, records.PlacementEntry{Job: "j-123456", Index: n / job.TasksPerShard, LastAttempt: 3})
 			}
 			last := &parts[len(parts)-1]
-			last.Open = append(last.Open, job.Placement{Task: n, Attempt: 3, Machine: fmt.Sprintf("m-%06d", 200000+n), Session: 12, Zone: "portland-rack", At: 123456})
+			last.Open = append(last.Open, job.Placement{Task: n, Attempt: 3, Machine: fmt.Sprintf("m-%06d", 200000+n), Session: 12, Zone: "portland-rack", PlacedAt: 123456})
 		}
 		pages, size := 0, 0
 		for i := range parts {
-			value, err := records.EncodeShared(parts[i : i+1])
+			value, err := records.EncodePlacementPage(parts[i : i+1])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -250,13 +250,13 @@
 	if len(p.pending) > 0 {
 		t.Fatalf("placed again before the page was read: %v", p.placedBy())
 	}
-	key := again.Txn.Changes[0].Put
+	key := again.Transaction.Changes[0].Put
 	i := slices.IndexFunc(p.reads, func(r msg.Read) bool { return r.Key == key })
 	if i < 0 {
 		t.Fatalf("reads %v, not %s", p.reads, key)
 	}
 	p.version++
-	p.take(p.step(1, msg.ReadDone{ID: p.reads[i].ID, Outcome: msg.OK, Key: key, Item: wire.Item{Key: key, Value: again.Txn.Changes[0].Value, Version: p.version + 1<<40}}))
+	p.take(p.step(1, msg.ReadDone{ID: p.reads[i].ID, Outcome: msg.OK, Key: key, Item: wire.KeyValue{Key: key, Value: again.Transaction.Changes[0].Value, Version: p.version + 1<<40}}))
 	p.run(300_000)
 	if n := len(p.tasksOnFree()); len(p.pending) > 0 || n != 4 {
 		t.Errorf("%d tasks were started, placed again %v", n, p.placedBy())
@@ -280,11 +280,11 @@
 	p.run(200_000)
 	p.run(200_000)
 	second := p.only()
-	if second.Txn.Changes[0].Put == first.Txn.Changes[0].Put {
-		t.Errorf("two transactions write %s", first.Txn.Changes[0].Put)
+	if second.Transaction.Changes[0].Put == first.Transaction.Changes[0].Put {
+		t.Errorf("two transactions write %s", first.Transaction.Changes[0].Put)
 	}
-	if want := records.SharedKey(2); second.Txn.Changes[0].Put != want || len(second.Txn.Changes) != 1 {
-		t.Errorf("%s is begun, not %s", second.Txn.Changes[0].Put, want)
+	if want := records.PlacementPageKey(2); second.Transaction.Changes[0].Put != want || len(second.Transaction.Changes) != 1 {
+		t.Errorf("%s is begun, not %s", second.Transaction.Changes[0].Put, want)
 	}
 	for n := range 60 {
 		p.submit(fmt.Sprintf("j-%d", 200+n), wire.Normal, 1)
@@ -292,7 +292,7 @@
 	p.run(200_000)
 	p.run(200_000)
 	if len(p.pending) > 0 { // page 1 is being written, page 2 begun: page 3 has to wait
-		t.Errorf("%s is begun before page 2 is known to exist", p.pending[0].Txn.Changes[0].Put)
+		t.Errorf("%s is begun before page 2 is known to exist", p.pending[0].Transaction.Changes[0].Put)
 	}
 	p.ok(second)
 	if len(p.pending) == 0 {
--- a/internal/core/standing/standing.go
+++ b/internal/core/preemption/decisions.go
@@ -1,11 +1,11 @@
-// Package standing keeps the decisions by which work is set aside for other work: who wins,
+// Package preemption keeps the decisions by which work is set aside for other work: who wins,
 // who yields, which machines are kept for the winner, by which standing and until when. A decision
 // is committed before anything is stopped for it, so that an heir goes on with it: the places that
 // become free stay the winner's, and nobody is stopped for him a second time.
 //
 // The package is bookkeeping alone: it packs decisions into pages, tells which of them are in
 // force, and counts who yielded to whom. The leader makes them and carries them out.
-package standing
+package preemption
 
 import (
 	"cmp"
@@ -20,42 +20,42 @@
 type Micros = config.Micros
 
 const (
-	// Prefix is where the pages of decisions are.
-	Prefix = job.Root + "standing/"
-	// Pages is how many there are.
-	Pages = 8
-	// MostOpen bounds the decisions that are in force or to be committed.
-	MostOpen = 256
-	// Longest is how long a decision can be in force.
-	Longest = 60 * config.Second
+	// KeyPrefix is where the pages of decisions are.
+	KeyPrefix = job.KeyRoot + "standing/"
+	// PageCount is how many there are.
+	PageCount = 8
+	// MaxOpenDecisions bounds the decisions that are in force or to be committed.
+	MaxOpenDecisions = 256
+	// MaxDuration is how long a decision can be in force.
+	MaxDuration = 60 * config.Second
 )
 
-// Key is where a page is.
-func Key(page int) string { return Prefix + strconv.Itoa(page) }
+// PageKey is where a page is.
+func PageKey(page int) string { return KeyPrefix + strconv.Itoa(page) }
 
-// ParseKey reads the number of a page from the rest of its key.
-func ParseKey(rest string) (int, bool) {
+// ParsePage reads the number of a page from the rest of its key.
+func ParsePage(rest string) (int, bool) {
 	n, err := strconv.Atoi(rest)
-	return n, err == nil && n >= 0 && n < Pages
+	return n, err == nil && n >= 0 && n < PageCount
 }
 
-// Why tells by which right work yields.
-type Why int
+// Reason tells by which right work yields.
+type Reason int
 
 // The rights. They are stored: numbers stay what they mean.
 const (
-	Priority  Why = 1 // the winner's priority is higher
-	Guarantee Why = 2 // the winner's team takes back what it is guaranteed
-	Whole     Why = 3 // replicas are moved so that machines become whole for a gang
+	ReasonPriority        Reason = 1 // the winner's priority is higher
+	ReasonGuarantee       Reason = 2 // the winner's team takes back what it is guaranteed
+	ReasonDefragmentation Reason = 3 // replicas are moved so that machines become whole for a gang
 )
 
-func (w Why) String() string {
+func (w Reason) String() string {
 	switch w {
-	case Priority:
+	case ReasonPriority:
 		return "priority"
-	case Guarantee:
+	case ReasonGuarantee:
 		return "guarantee"
-	case Whole:
+	case ReasonDefragmentation:
 		return "whole machines"
 	}
 	return "right " + strconv.Itoa(int(w))
@@ -77,27 +77,27 @@
 // Decision sets work aside for other work.
 type Decision struct {
 	//lint:ignore U1000 read by the encoder: a decision is a list, to be short
-	_msgpack struct{} `msgpack:",as_array"`
-	Winner   string
-	Why      Why
-	Level    int    // at which the winner ranked
-	Order    uint64 // 0; kept for a revision of the order in force
-	Until    Micros // time of day: the machines are kept until then
-	Keep     []string
-	Victims  []Victim
+	_msgpack         struct{} `msgpack:",as_array"`
+	Preemptor        string
+	Reason           Reason
+	Level            int    // at which the winner ranked
+	Order            uint64 // 0; kept for a revision of the order in force
+	Until            Micros // time of day: the machines are kept until then
+	ReservedMachines []string
+	Victims          []Victim
 }
 
 // InForce tells whether a decision still binds at a time of day. One that says to last for
 // longer than any can comes from a clock that is wrong.
-func (d *Decision) InForce(wall Micros) bool { return wall < d.Until && d.Until-wall <= Longest }
+func (d *Decision) InForce(wall Micros) bool { return wall < d.Until && d.Until-wall <= MaxDuration }
 
 // split parts a decision in two halves, for pages that are too small for the whole.
 func (d *Decision) split() []Decision {
-	if len(d.Keep)+len(d.Victims) <= 1 {
+	if len(d.ReservedMachines)+len(d.Victims) <= 1 {
 		return nil
 	}
 	a, b := *d, *d
-	a.Keep, b.Keep = d.Keep[:len(d.Keep)/2], d.Keep[len(d.Keep)/2:]
+	a.ReservedMachines, b.ReservedMachines = d.ReservedMachines[:len(d.ReservedMachines)/2], d.ReservedMachines[len(d.ReservedMachines)/2:]
 	a.Victims, b.Victims = d.Victims[:(len(d.Victims)+1)/2], d.Victims[(len(d.Victims)+1)/2:]
 	return []Decision{a, b}
 }
@@ -108,11 +108,11 @@
 	decisions []Decision
 }
 
-// Book is what is stored of decisions.
-type Book struct{ pages [Pages]page }
+// Decisions is what is stored of decisions.
+type Decisions struct{ pages [PageCount]page }
 
 // Apply takes a page as the state service has it; a version of 0: there is none.
-func (b *Book) Apply(n int, version uint64, value []byte) error {
+func (b *Decisions) Apply(n int, version uint64, value []byte) error {
 	if version != 0 && version <= b.pages[n].version {
 		return nil
 	}
@@ -127,11 +127,11 @@
 }
 
 // Version is a page's.
-func (b *Book) Version(n int) uint64 { return b.pages[n].version }
+func (b *Decisions) Version(n int) uint64 { return b.pages[n].version }
 
 // InForce lists the decisions that bind at a time of day, those of one winner one after the
 // other.
-func (b *Book) InForce(wall Micros) []Decision {
+func (b *Decisions) InForce(wall Micros) []Decision {
 	var out []Decision
 	for n := range b.pages {
 		for _, d := range b.pages[n].decisions {
@@ -140,12 +140,12 @@
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(x, y Decision) int { return cmp.Compare(x.Winner, y.Winner) })
+	slices.SortStableFunc(out, func(x, y Decision) int { return cmp.Compare(x.Preemptor, y.Preemptor) })
 	return out
 }
 
-// Write is a page to be written.
-type Write struct {
+// PageWrite is a page to be written.
+type PageWrite struct {
 	Page    int
 	Version uint64 // that it is written over
 	Value   []byte
@@ -154,9 +154,9 @@
 // Pack puts fresh decisions into as few pages as take them, beside those there that are still
 // needed, and returns the pages to write, at most so many, and how many of the decisions are in
 // them. Whatever is not needed any more goes from a page that is written.
-func (b *Book) Pack(fresh []Decision, most int, needed func(*Decision) bool, fits func([]byte) bool) (writes []Write, packed int) {
-	order := make([]int, Pages)
-	kept := make([][]Decision, Pages)
+func (b *Decisions) Pack(fresh []Decision, most int, needed func(*Decision) bool, fits func([]byte) bool) (writes []PageWrite, packed int) {
+	order := make([]int, PageCount)
+	kept := make([][]Decision, PageCount)
 	for n := range b.pages {
 		order[n] = n
 		for _, d := range b.pages[n].decisions {
@@ -181,21 +181,21 @@
 			packed++
 		}
 		if value != nil {
-			writes = append(writes, Write{n, b.pages[n].version, value})
+			writes = append(writes, PageWrite{n, b.pages[n].version, value})
 		}
 	}
 	return writes, packed
 }
 
-// Fitting returns a decision in as many parts as it takes for each to fit into a page alone.
-func Fitting(d Decision, fits func([]byte) bool) []Decision {
+// SplitToFit returns a decision in as many parts as it takes for each to fit into a page alone.
+func SplitToFit(d Decision, fits func([]byte) bool) []Decision {
 	raw, err := job.Encode([]Decision{d})
 	if err == nil && fits(raw) {
 		return []Decision{d}
 	}
 	var out []Decision
 	for _, part := range d.split() {
-		out = append(out, Fitting(part, fits)...)
+		out = append(out, SplitToFit(part, fits)...)
 	}
 	return out
 }
--- a/internal/core/standing/standing_test.go
+++ b/internal/core/preemption/decisions_test.go
@@ -1,4 +1,4 @@
-package standing
+package preemption
 
 import (
 	"flag"
@@ -15,9 +15,9 @@
 var _ = flag.Set("rapid.seed", "1")
 
 func decision(t *rapid.T, name string, until Micros) Decision {
-	d := Decision{Winner: name, Why: Why(rapid.IntRange(1, 3).Draw(t, "why")), Level: 4, Until: until}
+	d := Decision{Preemptor: name, Reason: Reason(rapid.IntRange(1, 3).Draw(t, "why")), Level: 4, Until: until}
 	for i := range rapid.IntRange(0, 40).Draw(t, "kept") {
-		d.Keep = append(d.Keep, fmt.Sprintf("m-%06d", i))
+		d.ReservedMachines = append(d.ReservedMachines, fmt.Sprintf("m-%06d", i))
 	}
 	for i := range rapid.IntRange(1, 40).Draw(t, "victims") {
 		d.Victims = append(d.Victims, Victim{Job: fmt.Sprintf("j-%06d", i), Task: i, Attempt: uint64(i)})
@@ -32,7 +32,7 @@
 	const room = 1500
 	fits := func(raw []byte) bool { return len(raw) <= room }
 	rapid.Check(t, func(t *rapid.T) {
-		var b Book
+		var b Decisions
 		now, revision := Micros(1000*config.Second), uint64(0)
 		want := map[string]Micros{} // until when, by winner
 		parts := map[string]int{}
@@ -41,13 +41,13 @@
 			var fresh []Decision
 			for k := range rapid.IntRange(0, 6).Draw(t, "decisions") {
 				d := decision(t, fmt.Sprintf("j-%d-%d", i, k), now+Micros(rapid.IntRange(1, 20).Draw(t, "for"))*config.Second)
-				split := Fitting(d, fits)
+				split := SplitToFit(d, fits)
 				kept, victims := 0, 0
 				for _, p := range split {
-					kept, victims = kept+len(p.Keep), victims+len(p.Victims)
+					kept, victims = kept+len(p.ReservedMachines), victims+len(p.Victims)
 				}
-				if kept != len(d.Keep) || victims != len(d.Victims) {
-					t.Fatalf("%d of %d machines, %d of %d victims in the parts", kept, len(d.Keep), victims, len(d.Victims))
+				if kept != len(d.ReservedMachines) || victims != len(d.Victims) {
+					t.Fatalf("%d of %d machines, %d of %d victims in the parts", kept, len(d.ReservedMachines), victims, len(d.Victims))
 				}
 				fresh = append(fresh, split...)
 			}
@@ -65,12 +65,12 @@
 				}
 			}
 			for _, d := range fresh[:packed] {
-				want[d.Winner] = d.Until
-				parts[d.Winner]++
+				want[d.Preemptor] = d.Until
+				parts[d.Preemptor]++
 			}
 			got := map[string]int{}
 			for _, d := range b.InForce(now) {
-				got[d.Winner]++
+				got[d.Preemptor]++
 			}
 			for name, until := range want {
 				if now < until && got[name] != parts[name] || now >= until && got[name] != 0 {
@@ -84,10 +84,10 @@
 // A page that comes late, or again, changes nothing; a decision that a wrong clock has made to
 // last is none.
 func TestApply(t *testing.T) {
-	var b Book
+	var b Decisions
 	now := Micros(1000 * config.Second)
 	value := func(winner string, until Micros) []byte {
-		raw, err := job.Encode([]Decision{{Winner: winner, Until: until}})
+		raw, err := job.Encode([]Decision{{Preemptor: winner, Until: until}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,10 +101,10 @@
 			t.Fatal(err)
 		}
 	}
-	if ds := b.InForce(now); len(ds) != 1 || ds[0].Winner != "new" || b.Version(2) != 7 {
+	if ds := b.InForce(now); len(ds) != 1 || ds[0].Preemptor != "new" || b.Version(2) != 7 {
 		t.Errorf("%+v", ds)
 	}
-	if err := b.Apply(3, 8, value("for ever", now+2*Longest)); err != nil {
+	if err := b.Apply(3, 8, value("for ever", now+2*MaxDuration)); err != nil {
 		t.Fatal(err)
 	}
 	if ds := b.InForce(now); len(ds) != 1 {
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -18,10 +18,10 @@
 // Plus adds n times b.
 func (a Amount) Plus(b Amount, n float64) Amount { return Amount{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs} }
 
-// slack absorbs the rounding of sums of amounts.
-const slack = 1e-6
+// tolerance absorbs the rounding of sums of amounts.
+const tolerance = 1e-6
 
-func within(a, limit float64) bool { return limit <= 0 || a <= limit+slack }
+func within(a, limit float64) bool { return limit <= 0 || a <= limit+tolerance }
 
 // UnderLimit tells whether a team may use a.
 func UnderLimit(t *config.Team, a Amount) bool {
@@ -37,9 +37,9 @@
 	return within(a.CPUs, t.CPUs) && within(a.GPUs, t.GPUs)
 }
 
-// beyond is by how much jobs beyond their team's guarantee rank lower: below
+// beyondGuarantee is by how much jobs beyond their team's guarantee rank lower: below
 // every job that is within one, whatever their priorities.
-const beyond = 4
+const beyondGuarantee = 4
 
 // Level orders the jobs; higher goes first. Those within their team's guarantee
 // come by priority, then those beyond it, again by priority.
@@ -54,43 +54,43 @@
 		level = 2
 	}
 	if within {
-		level += beyond
+		level += beyondGuarantee
 	}
 	return level
 }
 
 // Usage averages the use of each team over a window, by exponential decay.
 type Usage struct {
-	window float64
-	at     config.Micros
-	avg    map[string]float64
+	window  float64
+	at      config.Micros
+	average map[string]float64
 }
 
 // NewUsage returns a Usage over a window.
 func NewUsage(window config.Micros) *Usage {
-	return &Usage{window: float64(window), avg: map[string]float64{}}
+	return &Usage{window: float64(window), average: map[string]float64{}}
 }
 
 // Observe takes the present use of every team, in GPUs where there are any.
 func (u *Usage) Observe(now config.Micros, used map[string]Amount) {
 	keep := math.Exp(-float64(now-u.at) / u.window)
 	u.at = now
-	for team := range u.avg {
-		u.avg[team] *= keep
+	for team := range u.average {
+		u.average[team] *= keep
 	}
 	for team, a := range used {
-		u.avg[team] += (1 - keep) * Weigh(a)
+		u.average[team] += (1 - keep) * Weigh(a)
 	}
 }
 
 // Weigh makes one number of an amount; a GPU counts for far more than a CPU.
 func Weigh(a Amount) float64 { return a.GPUs + a.CPUs/64 }
 
-// Recall takes what a team has used on average, as the accounts tell it, from before this
+// Restore takes what a team has used on average, as the accounts tell it, from before this
 // Usage began.
-func (u *Usage) Recall(now config.Micros, team string, used float64) {
+func (u *Usage) Restore(now config.Micros, team string, used float64) {
 	u.at = now
-	u.avg[team] = used
+	u.average[team] = used
 }
 
 // Shares are the parts of all use that are the teams', 0 to 1, each held against its weight;
@@ -98,16 +98,16 @@
 func (u *Usage) Shares(weights map[string]float64) map[string]float64 {
 	of := func(team string) float64 {
 		if w := weights[team]; w > 0 {
-			return u.avg[team] / w
+			return u.average[team] / w
 		}
-		return u.avg[team]
+		return u.average[team]
 	}
 	total := 0.0
-	for _, team := range slices.Sorted(maps.Keys(u.avg)) {
+	for _, team := range slices.Sorted(maps.Keys(u.average)) {
 		total += of(team)
 	}
-	out := make(map[string]float64, len(u.avg))
-	for team := range u.avg {
+	out := make(map[string]float64, len(u.average))
+	for team := range u.average {
 		if total > 0 {
 			out[team] = of(team) / total
 		}
@@ -144,8 +144,8 @@
 type Entry struct {
 	ID      string
 	Level   int
-	Turn    int     // orders those of a level that is short of places; 0 goes first
-	Within  float64 // orders those of a level before their credit does; 0 where it doesn't
+	Tier    int     // orders those of a level that is short of places; 0 goes first
+	Cost    float64 // orders those of a level before their credit does; 0 where it doesn't
 	Credit  float64
 	Created config.Micros
 }
@@ -156,10 +156,10 @@
 	switch {
 	case a.Level != b.Level:
 		return a.Level > b.Level
-	case a.Turn != b.Turn:
-		return a.Turn < b.Turn
-	case a.Within != b.Within:
-		return a.Within < b.Within
+	case a.Tier != b.Tier:
+		return a.Tier < b.Tier
+	case a.Cost != b.Cost:
+		return a.Cost < b.Cost
 	case a.Credit != b.Credit:
 		return a.Credit > b.Credit
 	case a.Created != b.Created:
@@ -173,19 +173,19 @@
 	sort.Slice(entries, func(i, j int) bool { return entries[i].Before(&entries[j]) })
 }
 
-// Beyond puts an entry where it ranks if it isn't within its team's guarantee.
-func (a *Entry) Beyond() {
-	if a.Level > beyond {
-		a.Level -= beyond
+// DemoteBeyondGuarantee puts an entry where it ranks if it isn't within its team's guarantee.
+func (a *Entry) DemoteBeyondGuarantee() {
+	if a.Level > beyondGuarantee {
+		a.Level -= beyondGuarantee
 	}
 }
 
-// Walk goes through ranked entries. One for which claims says no any more when its turn comes
+// Visit goes through ranked entries. One for which claims says no any more when its turn comes
 // ranks beyond its team's guarantee, and comes again where that is.
-func Walk(entries []Entry, claims func(*Entry) bool, visit func(*Entry)) {
-	var fell [beyond + 1][]Entry // by level, each in order
-	before := func(e *Entry) {   // visits what fell and comes before e; nil: all
-		for level := beyond; level > 0; level-- {
+func Visit(entries []Entry, claims func(*Entry) bool, visit func(*Entry)) {
+	var fell [beyondGuarantee + 1][]Entry // by level, each in order
+	before := func(e *Entry) {            // visits what fell and comes before e; nil: all
+		for level := beyondGuarantee; level > 0; level-- {
 			for len(fell[level]) > 0 && (e == nil || fell[level][0].Before(e)) {
 				x := fell[level][0]
 				fell[level] = fell[level][1:]
@@ -196,8 +196,8 @@
 	for i := range entries {
 		e := &entries[i]
 		before(e)
-		if e.Level > beyond && !claims(e) {
-			e.Beyond()
+		if e.Level > beyondGuarantee && !claims(e) {
+			e.DemoteBeyondGuarantee()
 			fell[e.Level] = append(fell[e.Level], *e)
 			continue
 		}
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -37,14 +37,14 @@
 // where it ranks beyond it, and nothing is left out or comes twice.
 func TestWalk(t *testing.T) {
 	entries := []Entry{
-		{ID: "a", Level: Level(wire.High, true), Turn: 1}, {ID: "b", Level: Level(wire.High, true), Turn: 2},
-		{ID: "c", Level: Level(wire.High, true), Turn: 3}, {ID: "d", Level: Level(wire.Low, true)},
-		{ID: "e", Level: Level(wire.Production, false)}, {ID: "f", Level: Level(wire.High, false), Turn: 2, Credit: 1},
+		{ID: "a", Level: Level(wire.High, true), Tier: 1}, {ID: "b", Level: Level(wire.High, true), Tier: 2},
+		{ID: "c", Level: Level(wire.High, true), Tier: 3}, {ID: "d", Level: Level(wire.Low, true)},
+		{ID: "e", Level: Level(wire.Production, false)}, {ID: "f", Level: Level(wire.High, false), Tier: 2, Credit: 1},
 		{ID: "g", Level: Level(wire.Low, false)},
 	}
 	var order []string
 	left := 1
-	Walk(entries, func(e *Entry) bool { left--; return left >= 0 }, func(e *Entry) { order = append(order, e.ID) })
+	Visit(entries, func(e *Entry) bool { left--; return left >= 0 }, func(e *Entry) { order = append(order, e.ID) })
 	if got := strings.Join(order, " "); got != "a e f b c d g" {
 		t.Errorf("visited %s", got)
 	}
--- a/internal/core/queue/line.go
+++ b/internal/core/queue/team_queue.go
@@ -7,72 +7,72 @@
 	"coralhub/internal/config"
 )
 
-// Member is a job in its team's line.
-type Member struct {
-	Created config.Micros
-	ID      string
-	Within  bool // it fits into the guarantee together with the earlier ones
+// QueuedJob is a job in its team's line.
+type QueuedJob struct {
+	Created         config.Micros
+	ID              string
+	WithinGuarantee bool // it fits into the guarantee together with the earlier ones
 
 	amount Amount
-	in     bool
+	queued bool
 }
 
-// Line keeps a team's unfinished jobs, the oldest first, and how many of them fit
+// TeamQueue keeps a team's unfinished jobs, the oldest first, and how many of them fit
 // into the team's guarantee. What they need only adds up, so those within are the
 // first so many; a change moves that border instead of adding up anew.
-type Line struct {
+type TeamQueue struct {
 	team    *config.Team
-	members []*Member
+	members []*QueuedJob
 	within  int    // so many, from the first on
 	sum     Amount // of them
 }
 
-// NewLine returns the line of a team that has a guarantee.
-func NewLine(t *config.Team) *Line { return &Line{team: t} }
+// NewTeamQueue returns the line of a team that has a guarantee.
+func NewTeamQueue(t *config.Team) *TeamQueue { return &TeamQueue{team: t} }
 
-func order(a, b *Member) int {
+func order(a, b *QueuedJob) int {
 	return cmp.Or(cmp.Compare(a.Created, b.Created), cmp.Compare(a.ID, b.ID))
 }
 
-// Set takes what a job that is in line needs now.
-func (l *Line) Set(m *Member, a Amount) {
+// Update takes what a job that is in line needs now.
+func (l *TeamQueue) Update(m *QueuedJob, a Amount) {
 	switch {
-	case !m.in:
+	case !m.queued:
 		i, _ := slices.BinarySearchFunc(l.members, m, order)
 		l.members = slices.Insert(l.members, i, m)
-		m.in = true
-		if m.Within = i < l.within; m.Within {
+		m.queued = true
+		if m.WithinGuarantee = i < l.within; m.WithinGuarantee {
 			l.within++
 			l.sum = l.sum.Plus(a, 1)
 		}
-	case m.Within:
+	case m.WithinGuarantee:
 		l.sum = l.sum.Plus(a, 1).Plus(m.amount, -1)
 	}
 	m.amount = a
-	l.settle()
+	l.recompute()
 }
 
-// Leave takes a job out of the line.
-func (l *Line) Leave(m *Member) {
-	if !m.in {
+// Remove takes a job out of the line.
+func (l *TeamQueue) Remove(m *QueuedJob) {
+	if !m.queued {
 		return
 	}
 	i, _ := slices.BinarySearchFunc(l.members, m, order)
 	l.members = slices.Delete(l.members, i, i+1)
-	if m.Within {
+	if m.WithinGuarantee {
 		l.within--
 		l.sum = l.sum.Plus(m.amount, -1)
 	}
-	m.in, m.Within = false, false
-	l.settle()
+	m.queued, m.WithinGuarantee = false, false
+	l.recompute()
 }
 
-// settle moves the border to where the guarantee ends.
-func (l *Line) settle() {
+// recompute moves the border to where the guarantee ends.
+func (l *TeamQueue) recompute() {
 	for l.within > 0 && !UnderGuarantee(l.team, l.sum) {
 		l.within--
 		m := l.members[l.within]
-		m.Within = false
+		m.WithinGuarantee = false
 		l.sum = l.sum.Plus(m.amount, -1)
 	}
 	for l.within < len(l.members) {
@@ -81,7 +81,7 @@
 		if !UnderGuarantee(l.team, more) {
 			return
 		}
-		m.Within = true
+		m.WithinGuarantee = true
 		l.sum = more
 		l.within++
 	}
--- a/internal/core/queue/line_test.go
+++ b/internal/core/queue/team_queue_test.go
@@ -18,23 +18,23 @@
 func TestLineAgreesWithAddingUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		team := &config.Team{GPUs: float64(rapid.IntRange(0, 20).Draw(t, "gpus")), CPUs: 8}
-		l := NewLine(team)
-		need := map[*Member]Amount{}
-		var all []*Member
+		l := NewTeamQueue(team)
+		need := map[*QueuedJob]Amount{}
+		var all []*QueuedJob
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			var m *Member
+			var m *QueuedJob
 			if len(all) == 0 || rapid.Bool().Draw(t, "new") {
-				m = &Member{Created: int64(rapid.IntRange(0, 9).Draw(t, "created")), ID: fmt.Sprint(i)}
+				m = &QueuedJob{Created: int64(rapid.IntRange(0, 9).Draw(t, "created")), ID: fmt.Sprint(i)}
 				all = append(all, m)
 			} else {
 				m = rapid.SampledFrom(all).Draw(t, "member")
 			}
 			if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
-				l.Leave(m)
+				l.Remove(m)
 				delete(need, m)
 			} else {
 				need[m] = Amount{GPUs: float64(rapid.IntRange(0, 9).Draw(t, "need")), CPUs: float64(rapid.IntRange(0, 3).Draw(t, "cpus"))}
-				l.Set(m, need[m])
+				l.Update(m, need[m])
 			}
 			for _, m := range all {
 				sum := Amount{}
@@ -44,8 +44,8 @@
 					}
 				}
 				_, in := need[m]
-				if want := in && UnderGuarantee(team, sum); m.Within != want {
-					t.Fatalf("%s within: %v, should be %v", m.ID, m.Within, want)
+				if want := in && UnderGuarantee(team, sum); m.WithinGuarantee != want {
+					t.Fatalf("%s within: %v, should be %v", m.ID, m.WithinGuarantee, want)
 				}
 			}
 		}
--- a/internal/core/records/chain_test.go
+++ b/internal/core/records/dependencies_test.go
@@ -13,21 +13,21 @@
 // all of it at each step, to be noticed.
 const links = 20000
 
-// heard notes which jobs were freed.
-type heard struct{ freed []string }
+// recordingListener notes which jobs were freed.
+type recordingListener struct{ freed []string }
 
-func (h *heard) Born(*Job)                                     {}
-func (h *heard) Placed(*Job, []job.Placement, []job.Placement) {}
-func (h *heard) Stored(*Job)                                   {}
-func (h *heard) Recorded(*Job)                                 {}
-func (h *heard) Ended(*Job)                                    {}
-func (h *heard) Changed(*Job)                                  {}
-func (h *heard) Freed(j *Job)                                  { h.freed = append(h.freed, j.ID) }
-func (h *heard) Doomed(*Job)                                   {}
+func (h *recordingListener) JobAdded(*Job)                                            {}
+func (h *recordingListener) PlacementsChanged(*Job, []job.Placement, []job.Placement) {}
+func (h *recordingListener) PlanOutdated(*Job)                                        {}
+func (h *recordingListener) RecordChanged(*Job)                                       {}
+func (h *recordingListener) JobFinished(*Job)                                         {}
+func (h *recordingListener) JobChanged(*Job)                                          {}
+func (h *recordingListener) DependenciesMet(j *Job)                                   { h.freed = append(h.freed, j.ID) }
+func (h *recordingListener) DependencyCancelled(*Job)                                 {}
 
 func put(t *testing.T, b *Replica, version uint64, rec job.Record, n int) {
 	t.Helper()
-	value, err := job.EncodeRecord(&rec, job.Grouped)
+	value, err := job.EncodeRecord(&rec, job.FormatGrouped)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,9 +38,9 @@
 
 // chained returns a copy that holds a chain whose last job alone is urgent. The
 // records come in any order.
-func chained(t *testing.T, backwards bool) (*Replica, *heard) {
+func chained(t *testing.T, backwards bool) (*Replica, *recordingListener) {
 	t.Helper()
-	h := &heard{}
+	h := &recordingListener{}
 	b := New(h)
 	order := make([]int, links)
 	for i := range order {
@@ -50,7 +50,7 @@
 		slices.Reverse(order)
 	}
 	for v, n := range order {
-		rec := job.Record{Created: Micros(n + 1), Spec: &wire.Job{Shape: wire.Array, Priority: wire.Low, Tasks: 1}}
+		rec := job.Record{CreatedAt: Micros(n + 1), Spec: &wire.Job{Shape: wire.Array, Priority: wire.Low, Tasks: 1}}
 		if n > 0 {
 			rec.Spec.Needs = []string{fmt.Sprintf("j-%d", n-1)}
 		}
@@ -67,17 +67,17 @@
 		b, h := chained(t, backwards)
 		for n := range links {
 			j := b.Job(fmt.Sprintf("j-%d", n))
-			if j.Held() != (n > 0) || j.Priority() != wire.High {
-				t.Fatalf("job %d: held %v, priority %s", n, j.Held(), j.Priority())
+			if j.Blocked() != (n > 0) || j.Priority() != wire.High {
+				t.Fatalf("job %d: held %v, priority %s", n, j.Blocked(), j.Priority())
 			}
 		}
 		put(t, b, links+1, job.Record{Phase: job.Done}, 0)
-		if b.Job("j-1").Held() || !b.Job("j-2").Held() || !slices.Equal(h.freed, []string{"j-1"}) {
+		if b.Job("j-1").Blocked() || !b.Job("j-2").Blocked() || !slices.Equal(h.freed, []string{"j-1"}) {
 			t.Fatal("the end of a job frees the next and no other")
 		}
 		put(t, b, links+2, job.Record{Phase: job.Cancelled}, 1)
 		for n := 2; n < links; n++ {
-			if !b.Job(fmt.Sprintf("j-%d", n)).Doomed() {
+			if !b.Job(fmt.Sprintf("j-%d", n)).DependencyCancelled() {
 				t.Fatalf("job %d goes on after a cancellation", n)
 			}
 		}
