--- a/internal/core/records/shared_test.go
+++ b/internal/core/records/placement_pages_test.go
@@ -15,34 +15,34 @@
 )
 
 func TestSharedIsReadAsWritten(t *testing.T) {
-	parts := []SharedPart{
-		{Job: "j-1", Index: 0, Last: 3, Part: job.Part{Done: "5", Spent: &job.Spent{Time: 7, Cheap: 2, Lost: 1}, Open: []job.Placement{
-			{Task: 1, Attempt: 2, Machine: "m-1", Session: 1, Zone: "a", At: 12},
-			{Task: 4, Attempt: 2, Machine: "m-1", Session: 1, Zone: "a", At: 12},
-			{Task: 6, Attempt: 2, Machine: "m-2", Session: 9, Zone: "b", At: 12, Cheap: true},
-			{Task: 31, Attempt: 3, Machine: "m-2", Session: 9, Zone: "b", At: 13, Cheap: true}}}},
-		{Job: "j-2", Index: 3, Last: 1, Part: job.Part{Open: []job.Placement{{Task: 96, Attempt: 1, Machine: "m-3", Session: 1, Zone: "a"}}}},
-		{Job: "j-3", Index: 0, Last: 8},
+	parts := []PlacementEntry{
+		{Job: "j-1", Index: 0, LastAttempt: 3, Shard: job.Shard{DoneSet: "5", Usage: &job.Usage{Time: 7, Spot: 2, Lost: 1}, Open: []job.Placement{
+			{Task: 1, Attempt: 2, Machine: "m-1", Session: 1, Zone: "a", PlacedAt: 12},
+			{Task: 4, Attempt: 2, Machine: "m-1", Session: 1, Zone: "a", PlacedAt: 12},
+			{Task: 6, Attempt: 2, Machine: "m-2", Session: 9, Zone: "b", PlacedAt: 12, Spot: true},
+			{Task: 31, Attempt: 3, Machine: "m-2", Session: 9, Zone: "b", PlacedAt: 13, Spot: true}}}},
+		{Job: "j-2", Index: 3, LastAttempt: 1, Shard: job.Shard{Open: []job.Placement{{Task: 96, Attempt: 1, Machine: "m-3", Session: 1, Zone: "a"}}}},
+		{Job: "j-3", Index: 0, LastAttempt: 8},
 	}
-	value, err := EncodeShared(parts)
+	value, err := EncodePlacementPage(parts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := DecodeShared(value)
+	got, err := DecodePlacementPage(value)
 	if err != nil || !reflect.DeepEqual(got, parts) {
 		t.Errorf("%v\n%+v\n%+v", err, got, parts)
 	}
 	for _, page := range []storedPage{
-		{Parts: []storedPart{{Job: "j-1", Attempts: []storedAttempt{{Places: []storedPlace{{Tasks: "1", Zone: 2}}}}}}},
-		{Zones: []string{"a"}, Parts: []storedPart{{Job: "j-1", Attempts: []storedAttempt{{Places: []storedPlace{{Tasks: "x"}}}}}}},
-		{Zones: []string{"a"}, Parts: []storedPart{{Job: "j-1", Attempts: []storedAttempt{{Places: []storedPlace{{Tasks: "1ffffffff"}}}}}}},
-		{Zones: []string{"a"}, Parts: []storedPart{{Job: "j-1", Attempts: []storedAttempt{{Places: []storedPlace{{Tasks: "1", Zone: -1}}}}}}},
+		{Entries: []storedEntry{{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "1", Zone: 2}}}}}}},
+		{Zones: []string{"a"}, Entries: []storedEntry{{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "x"}}}}}}},
+		{Zones: []string{"a"}, Entries: []storedEntry{{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "1ffffffff"}}}}}}},
+		{Zones: []string{"a"}, Entries: []storedEntry{{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "1", Zone: -1}}}}}}},
 	} {
 		value, err := job.Encode(&page)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := DecodeShared(value); err == nil {
+		if _, err := DecodePlacementPage(value); err == nil {
 			t.Errorf("%+v was read", page)
 		}
 	}
@@ -51,7 +51,7 @@
 // sharedWorld is a state service that one writer changes as a leader does, with the writer's copy.
 type sharedWorld struct {
 	t       *rapid.T
-	store   map[string]wire.Item
+	store   map[string]wire.KeyValue
 	version uint64
 	replica *Replica
 	jobs    int
@@ -60,7 +60,7 @@
 
 func (w *sharedWorld) put(key string, value []byte) {
 	w.version++
-	w.store[key] = wire.Item{Key: key, Value: value, Version: w.version}
+	w.store[key] = wire.KeyValue{Key: key, Value: value, Version: w.version}
 	w.apply(w.replica, wire.Change{Put: key, Value: value, Version: w.version})
 }
 
@@ -74,11 +74,11 @@
 	id := fmt.Sprintf("j-%d", w.jobs)
 	w.jobs++
 	tasks := rapid.IntRange(1, 70).Draw(w.t, "tasks")
-	w.record(id, &job.Record{Created: 1, Spec: &wire.Job{ID: id, Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks, CPUs: 1}})
+	w.record(id, &job.Record{CreatedAt: 1, Spec: &wire.Job{ID: id, Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks, CPUs: 1}})
 }
 
 func (w *sharedWorld) record(id string, rec *job.Record) {
-	value, err := job.EncodeRecord(rec, job.Newest)
+	value, err := job.EncodeRecord(rec, job.NewestFormat)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 func (w *sharedWorld) pick() *Job {
 	var open []*Job
 	for i := range w.jobs {
-		if j := w.replica.Job(fmt.Sprintf("j-%d", i)); !j.Over() {
+		if j := w.replica.Job(fmt.Sprintf("j-%d", i)); !j.Archived() {
 			open = append(open, j)
 		}
 	}
@@ -105,23 +105,23 @@
 	if j == nil {
 		return
 	}
-	page := rapid.Uint64Range(1, w.replica.NextShared()).Draw(w.t, "page")
-	parts := w.replica.Folded(page)
-	attempt := j.Rec.Attempt + 1
-	for n, end := j.Rec.Parts(j.Rec.Spec.Tasks); n < end; n++ {
-		first, count := j.Rec.Span(n, j.Rec.Spec.Tasks)
-		missing := j.Whole(n).Missing(count)
+	page := rapid.Uint64Range(1, w.replica.NextPlacementPage()).Draw(w.t, "page")
+	parts := w.replica.Compacted(page)
+	attempt := j.Record.LastAttempt + 1
+	for n, end := j.Record.ShardRange(j.Record.Spec.Tasks); n < end; n++ {
+		first, count := j.Record.ShardSpan(n, j.Record.Spec.Tasks)
+		missing := j.CombinedShard(n).Missing(count)
 		if len(missing) == 0 {
 			continue
 		}
 		missing = missing[:rapid.IntRange(1, len(missing)).Draw(w.t, "how many")]
-		added := SharedPart{Job: j.ID, Index: first / job.PartTasks, Last: attempt}
+		added := PlacementEntry{Job: j.ID, Index: first / job.TasksPerShard, LastAttempt: attempt}
 		for _, i := range missing {
-			added.Open = append(added.Open, job.Placement{Task: first + i, Attempt: attempt, Machine: fmt.Sprintf("m-%d", i%5), Session: 1, Zone: "a", At: 5})
+			added.Open = append(added.Open, job.Placement{Task: first + i, Attempt: attempt, Machine: fmt.Sprintf("m-%d", i%5), Session: 1, Zone: "a", PlacedAt: 5})
 		}
-		if at := slices.IndexFunc(parts, func(p SharedPart) bool { return p.Job == j.ID && p.Index == added.Index }); at >= 0 {
+		if at := slices.IndexFunc(parts, func(p PlacementEntry) bool { return p.Job == j.ID && p.Index == added.Index }); at >= 0 {
 			p := &parts[at]
-			p.Open, p.Last = append(slices.Clip(p.Open), added.Open...), attempt
+			p.Open, p.LastAttempt = append(slices.Clip(p.Open), added.Open...), attempt
 		} else {
 			parts = append(parts, added)
 		}
@@ -129,45 +129,45 @@
 	w.write(page, parts)
 }
 
-func (w *sharedWorld) write(page uint64, parts []SharedPart) {
-	value, err := EncodeShared(parts)
+func (w *sharedWorld) write(page uint64, parts []PlacementEntry) {
+	value, err := EncodePlacementPage(parts)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.put(SharedKey(page), value)
+	w.put(PlacementPageKey(page), value)
 }
 
 // fold rewrites a page with nothing new.
 func (w *sharedWorld) fold() {
-	if pages := w.replica.SharedPages(); len(pages) > 0 {
+	if pages := w.replica.PlacementPages(); len(pages) > 0 {
 		n := rapid.SampledFrom(pages).Draw(w.t, "page")
-		w.write(n, w.replica.Folded(n))
+		w.write(n, w.replica.Compacted(n))
 	}
 }
 
 // end writes some ends of a job's tasks into the log.
 func (w *sharedWorld) end() {
 	j := w.pick()
-	if j == nil || j.Open == 0 {
+	if j == nil || j.OpenTasks == 0 {
 		return
 	}
-	var lines []Ended
-	if p := w.replica.Page(w.ended); p != nil {
-		for _, f := range p.Facts {
-			lines = append(lines, f.Ended)
+	var lines []CompletionEntry
+	if p := w.replica.CompletionPage(w.ended); p != nil {
+		for _, f := range p.Completions {
+			lines = append(lines, f.CompletionEntry)
 		}
 	}
-	j.EachOpen(func(p job.Placement) {
+	j.EachPlacement(func(p job.Placement) {
 		if rapid.Bool().Draw(w.t, "ends") {
-			lines = append(lines, Ended{Job: j.ID, Task: p.Task, Attempt: p.Attempt, Machine: p.Machine, Done: rapid.Bool().Draw(w.t, "done"),
-				Stay: job.Stay{End: p.At + 10}})
+			lines = append(lines, CompletionEntry{Job: j.ID, Task: p.Task, Attempt: p.Attempt, Machine: p.Machine, Done: rapid.Bool().Draw(w.t, "done"),
+				Occupancy: job.Occupancy{End: p.PlacedAt + 10}})
 		}
 	})
-	value, err := EncodePage(lines, job.Newest)
+	value, err := EncodeCompletionPage(lines, job.NewestFormat)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.put(PageKey(w.ended), value)
+	w.put(CompletionPageKey(w.ended), value)
 	if rapid.Bool().Draw(w.t, "next page") {
 		w.ended++
 	}
@@ -175,44 +175,44 @@
 
 // tidy deletes pages of the log that nothing needs any more.
 func (w *sharedWorld) tidy() {
-	for _, n := range w.replica.Pages() {
-		needed := slices.ContainsFunc(w.replica.Page(n).Facts, func(f *Fact) bool {
+	for _, n := range w.replica.CompletionPages() {
+		needed := slices.ContainsFunc(w.replica.CompletionPage(n).Completions, func(f *Completion) bool {
 			j := w.replica.Job(f.Job)
-			return !f.Merged && j.Rec.Spec != nil
+			return !f.Merged && j.Record.Spec != nil
 		})
 		if needed || n == w.ended {
 			continue
 		}
 		w.version++
-		delete(w.store, PageKey(n))
-		w.apply(w.replica, wire.Change{Delete: PageKey(n), Version: w.version})
+		delete(w.store, CompletionPageKey(n))
+		w.apply(w.replica, wire.Change{Delete: CompletionPageKey(n), Version: w.version})
 	}
 }
 
 // rewrite writes a job's record as it is known, as a node does that marks it.
 func (w *sharedWorld) rewrite() {
 	if j := w.pick(); j != nil {
-		rec := j.Rec.Clone()
+		rec := j.Record.Clone()
 		w.record(j.ID, &rec)
 	}
 }
 
 // finish ends a job that has nothing open.
 func (w *sharedWorld) finish() {
-	if j := w.pick(); j != nil && j.Open == 0 {
-		w.record(j.ID, &job.Record{Phase: job.Cancelled, Count: j.Done, Account: job.AccountOf(j.Rec.Spec, w.spent(j), 0)})
+	if j := w.pick(); j != nil && j.OpenTasks == 0 {
+		w.record(j.ID, &job.Record{Phase: job.Cancelled, DoneTasks: j.DoneTasks, Account: job.NewUsageAccount(j.Record.Spec, w.spent(j), 0)})
 	}
 }
 
-func (w *sharedWorld) spent(j *Job) *job.Spent {
-	return j.Rec.Spent.Plus(j.SharedSpent())
+func (w *sharedWorld) spent(j *Job) *job.Usage {
+	return j.Record.Usage.Plus(j.PageUsage())
 }
 
 // said is what a copy says of a job.
 type said struct {
 	Done, Open int
-	Spent      job.Spent
-	Account    *job.Account
+	Spent      job.Usage
+	Account    *job.UsageAccount
 	Attempt    uint64
 	Places     []job.Placement
 }
@@ -221,14 +221,14 @@
 	out := map[string]said{}
 	for i := range w.jobs {
 		j := b.Job(fmt.Sprintf("j-%d", i))
-		s := said{Done: j.Done, Open: j.Open, Account: j.Rec.Account}
+		s := said{Done: j.DoneTasks, Open: j.OpenTasks, Account: j.Record.Account}
 		if spent := w.spent(j); spent != nil {
 			s.Spent = *spent
 		}
-		if !j.Over() {
-			s.Attempt = j.Rec.Attempt
+		if !j.Archived() {
+			s.Attempt = j.Record.LastAttempt
 		}
-		j.EachOpen(func(p job.Placement) { s.Places = append(s.Places, p) })
+		j.EachPlacement(func(p job.Placement) { s.Places = append(s.Places, p) })
 		slices.SortFunc(s.Places, func(a, b job.Placement) int {
 			return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 		})
@@ -241,7 +241,7 @@
 // of each job as the leader knows, in whichever order it reads.
 func TestSharedMeansTheSameToAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &sharedWorld{t: t, store: map[string]wire.Item{}, replica: New(silent{}), ended: 1}
+		w := &sharedWorld{t: t, store: map[string]wire.KeyValue{}, replica: New(noopListener{}), ended: 1}
 		w.submit()
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			step := rapid.SampledFrom([]func(){w.submit, w.place, w.place, w.place, w.end, w.end, w.fold, w.tidy, w.rewrite, w.finish}).Draw(t, "step")
@@ -250,7 +250,7 @@
 		want := w.said(w.replica)
 		keys := slices.Sorted(maps.Keys(w.store))
 		for _, order := range [][]string{keys, rapid.Permutation(keys).Draw(t, "order")} {
-			fresh := New(silent{})
+			fresh := New(noopListener{})
 			for _, key := range order {
 				it := w.store[key]
 				w.apply(fresh, wire.Change{Put: key, Value: it.Value, Version: it.Version})
@@ -262,14 +262,14 @@
 	})
 }
 
-// silent is a listener that hears nothing.
-type silent struct{}
+// noopListener is a listener that hears nothing.
+type noopListener struct{}
 
-func (silent) Born(*Job)                                     {}
-func (silent) Placed(*Job, []job.Placement, []job.Placement) {}
-func (silent) Stored(*Job)                                   {}
-func (silent) Recorded(*Job)                                 {}
-func (silent) Ended(*Job)                                    {}
-func (silent) Changed(*Job)                                  {}
-func (silent) Freed(*Job)                                    {}
-func (silent) Doomed(*Job)                                   {}
+func (noopListener) JobAdded(*Job)                                            {}
+func (noopListener) PlacementsChanged(*Job, []job.Placement, []job.Placement) {}
+func (noopListener) PlanOutdated(*Job)                                        {}
+func (noopListener) RecordChanged(*Job)                                       {}
+func (noopListener) JobFinished(*Job)                                         {}
+func (noopListener) JobChanged(*Job)                                          {}
+func (noopListener) DependenciesMet(*Job)                                     {}
+func (noopListener) DependencyCancelled(*Job)                                 {}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -20,7 +20,7 @@
 	core     *core.Core
 	now      core.Micros
 	machines int
-	records  []wire.Item
+	records  []wire.KeyValue
 	seq      uint64
 	token    uint64
 	version  uint64
@@ -59,19 +59,19 @@
 			MemoryGB: 1, Image: "i", ImageGB: 1}
 	}
 	for i := 0; i < machines; i += 2 {
-		rec := &job.Record{Spec: spec(jobName(i), "red", 2*tasksOn), Created: int64(i + 1), Attempt: 1}
+		rec := &job.Record{Spec: spec(jobName(i), "red", 2*tasksOn), CreatedAt: int64(i + 1), LastAttempt: 1}
 		for task := range 2 * tasksOn {
 			m := i + task/tasksOn
 			rec.Open = append(rec.Open, job.Placement{Task: task, Attempt: 1, Machine: machineName(m), Session: 1, Zone: machineZone(m)})
 		}
 		put(jobName(i), rec)
 	}
-	full := &job.Record{Spec: spec("j-800000", "blue", 1), Created: 1, Attempt: 1}
+	full := &job.Record{Spec: spec("j-800000", "blue", 1), CreatedAt: 1, LastAttempt: 1}
 	full.Spec.GPUs = 0
 	full.Open = []job.Placement{{Attempt: 1, Machine: machineName(0), Session: 1, Zone: machineZone(0)}}
 	put("j-800000", full)
 	for i := range waiting {
-		put(waitingName(i), &job.Record{Spec: spec(waitingName(i), "blue", 2), Created: int64(i + 1)})
+		put(waitingName(i), &job.Record{Spec: spec(waitingName(i), "blue", 2), CreatedAt: int64(i + 1)})
 	}
 	catalog, err := job.Encode(&wire.Catalog{Types: []wire.MachineType{{Name: "t4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 100,
 		FetchGBs: 1, Price: 4, SpotPrice: 2, BootS: 50, Zones: []string{"a", "b"}}}})
@@ -79,23 +79,23 @@
 		tb.Fatal(err)
 	}
 	f.version++
-	f.records = append(f.records, wire.Item{Key: job.Root + "catalog", Value: catalog, Version: f.version})
+	f.records = append(f.records, wire.KeyValue{Key: job.KeyRoot + "catalog", Value: catalog, Version: f.version})
 	f.takeOver(tb)
 	for i := range machines {
 		f.step(1, f.report(i, nil))
 	}
-	f.step(config.Second, msg.Tick{Wall: f.now})
+	f.step(config.Second, msg.Tick{WallClock: f.now})
 	return f
 }
 
 // put adds a job's record to those that a node reads.
 func (f *fleet) put(tb testing.TB, id string, rec *job.Record) {
-	value, err := job.EncodeRecord(rec, job.Newest)
+	value, err := job.EncodeRecord(rec, job.NewestFormat)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	f.version++
-	f.records = append(f.records, wire.Item{Key: job.RecordKey(id), Value: value, Version: f.version})
+	f.records = append(f.records, wire.KeyValue{Key: job.RecordKey(id), Value: value, Version: f.version})
 }
 
 func jobName(i int) string { return fmt.Sprintf("j-%06d", i) }
@@ -108,7 +108,7 @@
 	tb.Helper()
 	f.core = core.New(cfg, 0)
 	f.step(1, msg.Snapshot{Items: f.records, Revision: f.version})
-	f.step(config.Second, msg.Tick{Wall: f.now})
+	f.step(config.Second, msg.Tick{WallClock: f.now})
 	for _, e := range f.step(1, msg.LeaseDone{Outcome: msg.OK, Lease: 9}) {
 		if claim, ok := e.(msg.Commit); ok {
 			f.version++
@@ -129,15 +129,15 @@
 // report is what a machine's worker says.
 func (f *fleet) report(i int, notice *float64) msg.Input {
 	f.seq++
-	r := wire.Report{Machine: machineName(i), Addr: "10.0.0.1:9000", Type: "t4", Zone: machineZone(i), Session: 1, Seq: f.seq,
-		Token: f.token, NoticeS: notice}
+	r := wire.Heartbeat{Machine: machineName(i), Addr: "10.0.0.1:9000", Type: "t4", Zone: machineZone(i), Incarnation: 1, Sequence: f.seq,
+		FencingToken: f.token, NoticeS: notice}
 	if i == 0 {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName("j-800000", 0), Attempt: 1, State: wire.Running})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName("j-800000", 0), Attempt: 1, State: wire.Running})
 	}
 	for k := range tasksOn {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName(jobName(i-i%2), (i%2)*tasksOn+k), Attempt: 1, State: wire.Running})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(jobName(i-i%2), (i%2)*tasksOn+k), Attempt: 1, State: wire.Running})
 	}
-	return msg.ReportIn{Req: 1, Report: r, Forwarded: true}
+	return msg.HeartbeatIn{RequestID: 1, Heartbeat: r, Forwarded: true}
 }
 
 // change has a hundredth of the machines change what they offer, all over the fleet.
@@ -165,7 +165,7 @@
 func (f *fleet) pass() []msg.Effect {
 	it := f.records[f.machines/2+1] // of a job that waits
 	f.version++
-	return f.step(150*1000, msg.Hint{Event: wire.Change{Put: it.Key, Value: it.Value, Version: f.version + 1<<40}})
+	return f.step(150*1000, msg.PeerUpdate{Change: wire.Change{Put: it.Key, Value: it.Value, Version: f.version + 1<<40}})
 }
 
 // A pass looks at what has changed, not at the fleet: the count of machines and jobs
@@ -175,11 +175,11 @@
 		f := newFleet(t, machines)
 		f.hear()
 		f.pass()
-		before := f.core.Looked()
+		before := f.core.CycleStatistics()
 		changed := f.change(0)
 		f.pass()
-		after := f.core.Looked()
-		passes := after.Passes - before.Passes
+		after := f.core.CycleStatistics()
+		passes := after.Cycles - before.Cycles
 		if passes == 0 {
 			t.Fatal("no pass")
 		}
@@ -202,7 +202,7 @@
 		f := newFleet(t, machines)
 		f.hear()
 		f.pass()
-		allocs[i] = testing.AllocsPerRun(5, func() { f.step(1000, msg.Tick{Wall: f.now}) })
+		allocs[i] = testing.AllocsPerRun(5, func() { f.step(1000, msg.Tick{WallClock: f.now}) })
 	}
 	if allocs[1] > allocs[0]+2 {
 		t.Errorf("a tick takes %v allocations with 500 machines and %v with 2,000", allocs[0], allocs[1])
@@ -228,7 +228,7 @@
 			f := newFleet(b, n)
 			f.hear()
 			for b.Loop() {
-				f.step(1, msg.Tick{Wall: f.now})
+				f.step(1, msg.Tick{WallClock: f.now})
 			}
 		})
 	}
--- a/internal/core/served/served_test.go
+++ b/internal/core/slo/tracker_test.go
@@ -1,4 +1,4 @@
-package served
+package slo
 
 import (
 	"flag"
@@ -19,7 +19,7 @@
 
 func TestSize(t *testing.T) {
 	for tasks, want := range map[int]int{1: 1, 7: 7, 8: 8, 9: 8, 10: 10, 16: 16, 19: 16, 20: 20, 90: 80, 100_000: 98304} {
-		if got := Size(tasks); got != want {
+		if got := SizeBucket(tasks); got != want {
 			t.Errorf("%d tasks count as %d", tasks, got)
 		}
 	}
@@ -32,9 +32,9 @@
 	now := Micros(1000 * config.Second)
 	accept := func(class string, tasks, count, begun int) {
 		for i := range count {
-			j := tally.Accepted(now, &wire.Job{Class: class, Tasks: tasks}, now)
+			j := tally.JobAccepted(now, &wire.Job{Class: class, Tasks: tasks}, now)
 			if i < begun {
-				tally.Began(now+config.Second, j)
+				tally.JobStarted(now+config.Second, j)
 			}
 		}
 	}
@@ -43,18 +43,18 @@
 	accept("mixed", 16, 10, 2)
 	accept("alike", 2, 5, 1)
 	classes := tally.Classes(now)
-	if c := classes["mixed"]; c != (Class{16, Share{10, 2}, Share{90, 75}}) {
+	if c := classes["mixed"]; c != (ClassStarts{16, Ratio{10, 2}, Ratio{90, 75}}) {
 		t.Errorf("mixed: %+v", c)
 	}
-	if c := classes["alike"]; c != (Class{2, Share{5, 1}, Share{}}) {
+	if c := classes["alike"]; c != (ClassStarts{2, Ratio{5, 1}, Ratio{}}) {
 		t.Errorf("alike: %+v", c)
 	}
 	now += within + bucket
-	got := tally.Begun(now)
-	if got.Class["mixed"] != (Share{100, 77}) || got.Largest["mixed"] != (Share{10, 2}) || got.Largest["alike"] != (Share{5, 1}) {
+	got := tally.StartedInTime(now)
+	if got.Class["mixed"] != (Ratio{100, 77}) || got.Largest["mixed"] != (Ratio{10, 2}) || got.Largest["alike"] != (Ratio{5, 1}) {
 		t.Errorf("%+v", got)
 	}
-	if late := tally.Shares(now).Class["mixed"]; late != (Share{100, 0}) {
+	if late := tally.CompletedInTime(now).Class["mixed"]; late != (Ratio{100, 0}) {
 		t.Errorf("served: %+v", late)
 	}
 }
@@ -70,7 +70,7 @@
 		{wire.Job{Shape: wire.Gang, EstimateS: 100}, 400},
 		{wire.Job{Shape: wire.Array, EstimateS: 100, DeadlineS: &late}, 900},
 	} {
-		if got := Due(&tt.spec, config.Second); got != config.Second+tt.want*config.Second {
+		if got := CompletionDeadline(&tt.spec, config.Second); got != config.Second+tt.want*config.Second {
 			t.Errorf("%+v: due after %d us", tt.spec, got-config.Second)
 		}
 	}
@@ -79,16 +79,16 @@
 func TestNamesAreBounded(t *testing.T) {
 	tally := New(within)
 	now := Micros(1000 * config.Second)
-	for i := range 3 * mostKeys {
+	for i := range 3 * maxKeys {
 		now += config.Second
-		tally.Accepted(now, &wire.Job{Class: fmt.Sprint("c", i), Shape: wire.Array}, now)
+		tally.JobAccepted(now, &wire.Job{Class: fmt.Sprint("c", i), Shape: wire.Array}, now)
 	}
-	classes := tally.Shares(now).Class
+	classes := tally.CompletedInTime(now).Class
 	jobs := 0
 	for _, s := range classes {
 		jobs += s.Jobs
 	}
-	if len(classes) > mostKeys+1 || jobs < 500 {
+	if len(classes) > maxKeys+1 || jobs < 500 {
 		t.Errorf("%d names, %d jobs", len(classes), jobs)
 	}
 }
@@ -111,18 +111,18 @@
 			if what <= 1 || len(all) == 0 {
 				spec := &wire.Job{Class: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"), Team: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "team"),
 					Shape: wire.Array, EstimateS: float64(rapid.IntRange(1, 60).Draw(t, "estimate"))}
-				all = append(all, &one{Job: tally.Accepted(now, spec, now), class: spec.Class, team: spec.Team, dueAt: Due(spec, now)})
+				all = append(all, &one{Job: tally.JobAccepted(now, spec, now), class: spec.Class, team: spec.Team, dueAt: CompletionDeadline(spec, now)})
 				continue
 			}
 			o := rapid.SampledFrom(all).Draw(t, "job")
 			if what == 2 && o.cancelled == 0 && o.done == 0 {
 				o.done = now
-				tally.Served(now, o.Job)
+				tally.JobCompleted(now, o.Job)
 			} else if what == 3 && o.cancelled == 0 {
 				o.cancelled = now
-				tally.Cancelled(now, o.Job)
+				tally.JobCancelled(now, o.Job)
 			}
-			classes, teams := map[string]Share{}, map[string]Share{}
+			classes, teams := map[string]Ratio{}, map[string]Ratio{}
 			for _, o := range all {
 				at := o.dueAt - o.dueAt%bucket
 				if at+bucket > now || at+bucket <= now-Window || o.cancelled != 0 && o.cancelled <= o.dueAt {
@@ -132,15 +132,15 @@
 				if o.done != 0 && o.done <= o.dueAt {
 					served = 1
 				}
-				classes[o.class] = Share{classes[o.class].Jobs + 1, classes[o.class].Served + served}
-				teams[o.team] = Share{teams[o.team].Jobs + 1, teams[o.team].Served + served}
+				classes[o.class] = Ratio{classes[o.class].Jobs + 1, classes[o.class].Met + served}
+				teams[o.team] = Ratio{teams[o.team].Jobs + 1, teams[o.team].Met + served}
 			}
-			got := tally.Shares(now)
+			got := tally.CompletedInTime(now)
 			if !maps.Equal(got.Class, classes) || !maps.Equal(got.Team, teams) {
 				t.Fatalf("%v, should be %v %v", got, classes, teams)
 			}
-			if len(tally.served)+len(tally.begun) > 2*int(Window/bucket)+60 {
-				t.Fatalf("%d and %d buckets", len(tally.served), len(tally.begun))
+			if len(tally.completed)+len(tally.started) > 2*int(Window/bucket)+60 {
+				t.Fatalf("%d and %d buckets", len(tally.completed), len(tally.started))
 			}
 		}
 	})
--- a/internal/core/reign_test.go
+++ b/internal/core/term_test.go
@@ -16,7 +16,7 @@
 // status is that of the answer among effects; 0: there is none.
 func status(effects []msg.Effect) int {
 	for _, e := range effects {
-		if a, ok := e.(msg.Answer); ok {
+		if a, ok := e.(msg.Respond); ok {
 			return a.Status
 		}
 	}
@@ -29,7 +29,7 @@
 	f := newFleet(t, 2)
 	f.core = core.New(fleetConfig(2), 0)
 	f.step(1, msg.Snapshot{Items: f.records, Revision: f.version})
-	f.step(config.Second, msg.Tick{Wall: f.now})
+	f.step(config.Second, msg.Tick{WallClock: f.now})
 	var claim msg.Commit
 	for _, e := range f.step(1, msg.LeaseDone{Outcome: msg.OK, Lease: 9}) {
 		if x, ok := e.(msg.Commit); ok {
@@ -54,14 +54,14 @@
 func TestHigherTokenEndsAReign(t *testing.T) {
 	for name, hear := range map[string]func(f *fleet) msg.Input{
 		"by a report": func(f *fleet) msg.Input {
-			in := f.report(1, nil).(msg.ReportIn)
-			in.Report.Token = f.token + 7
+			in := f.report(1, nil).(msg.HeartbeatIn)
+			in.Heartbeat.FencingToken = f.token + 7
 			return in
 		},
 		"by the answer to a call": func(f *fleet) msg.Input {
-			r := f.report(1, nil).(msg.ReportIn).Report
-			r.Token = f.token + 7
-			return msg.CommandDone{Machine: r.Machine, Outcome: msg.Refused, Report: &r}
+			r := f.report(1, nil).(msg.HeartbeatIn).Heartbeat
+			r.FencingToken = f.token + 7
+			return msg.CommandDone{Machine: r.Machine, Outcome: msg.Refused, Heartbeat: &r}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -88,23 +88,23 @@
 		if err := job.DecodeRecord(f.records[0].Value, &rec); err != nil {
 			t.Fatal(err)
 		}
-		rec.Cancel = true
+		rec.CancelRequested = true
 		f.records = f.records[1:]
 		f.put(t, jobName(0), &rec)
 		f.takeOver(t)
 		if followed {
 			token = f.token
 		}
-		in := f.report(1, nil).(msg.ReportIn)
-		in.Report.Token, in.Report.Tasks = token, nil
+		in := f.report(1, nil).(msg.HeartbeatIn)
+		in.Heartbeat.FencingToken, in.Heartbeat.Tasks = token, nil
 		effects := f.step(1, in)
 		for range 3 {
-			effects = append(effects, f.step(config.Second, msg.Tick{Wall: f.now})...)
+			effects = append(effects, f.step(config.Second, msg.Tick{WallClock: f.now})...)
 		}
 		for _, e := range effects {
 			x, ok := e.(msg.Commit)
-			if ok && slices.ContainsFunc(x.Txn.Changes, func(c wire.Change) bool {
-				return c.Put == job.RecordKey(jobName(0)) || strings.HasPrefix(c.Put, job.Root+"ended/")
+			if ok && slices.ContainsFunc(x.Transaction.Changes, func(c wire.Change) bool {
+				return c.Put == job.RecordKey(jobName(0)) || strings.HasPrefix(c.Put, job.KeyRoot+"ended/")
 			}) {
 				n++
 			}
@@ -122,16 +122,16 @@
 // A task that no record places on its machine is never let run, whatever has started it there.
 func TestWhatIsNotPlacedIsStopped(t *testing.T) {
 	f := newFleet(t, 2)
-	in := f.report(1, nil).(msg.ReportIn)
+	in := f.report(1, nil).(msg.HeartbeatIn)
 	stray := wire.TaskName(waitingName(0), 0)
-	in.Report.Tasks = append(in.Report.Tasks, wire.TaskReport{Task: stray, Attempt: 1, State: wire.Running})
+	in.Heartbeat.Tasks = append(in.Heartbeat.Tasks, wire.TaskStatus{Task: stray, Attempt: 1, State: wire.Running})
 	for _, e := range f.step(1, in) {
-		a, ok := e.(msg.Answer)
+		a, ok := e.(msg.Respond)
 		if !ok {
 			continue
 		}
-		orders := a.Body.(wire.ReportAnswer).Orders
-		if len(orders) != 1 || orders[0].Verb != wire.Stop || orders[0].Task != stray || orders[0].GraceS == nil || *orders[0].GraceS != 0 {
+		orders := a.Body.(wire.HeartbeatResponse).Commands
+		if len(orders) != 1 || orders[0].Verb != wire.CommandStop || orders[0].Task != stray || orders[0].GraceS == nil || *orders[0].GraceS != 0 {
 			t.Errorf("it is told %+v", orders)
 		}
 		return
--- a/internal/core/units_test.go
+++ b/internal/core/units_test.go
@@ -8,7 +8,7 @@
 
 	"coralhub/internal/config"
 	"coralhub/internal/core"
-	leaderclaim "coralhub/internal/core/claim"
+	leaderclaim "coralhub/internal/core/election"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
 	"coralhub/wire"
@@ -22,19 +22,19 @@
 type roundTrip struct {
 	*fleet
 	free    int // machines beyond the full ones
-	tasks   map[string][]wire.TaskReport
+	tasks   map[string][]wire.TaskStatus
 	nextJob int
 }
 
 func newRoundTrip(tb testing.TB, machines, free, waiting, teams int) *roundTrip {
-	r := &roundTrip{fleet: newQueue(tb, machines, waiting), free: free, tasks: map[string][]wire.TaskReport{}}
+	r := &roundTrip{fleet: newQueue(tb, machines, waiting), free: free, tasks: map[string][]wire.TaskStatus{}}
 	if teams > 0 {
 		r.withTeams(tb, teams)
 	}
 	for i := machines; i < machines+free; i++ {
 		r.answer(r.step(1, r.reportOf(i)))
 	}
-	r.answer(r.step(config.Second, msg.Tick{Wall: r.now}))
+	r.answer(r.step(config.Second, msg.Tick{WallClock: r.now}))
 	return r
 }
 
@@ -52,11 +52,11 @@
 
 // reportOf is what the worker of a free machine says.
 func (r *roundTrip) reportOf(i int) msg.Input {
-	in, ok := r.report(i, nil).(msg.ReportIn)
+	in, ok := r.report(i, nil).(msg.HeartbeatIn)
 	if !ok {
 		panic("not a report")
 	}
-	in.Report.Tasks = r.tasks[machineName(i)]
+	in.Heartbeat.Tasks = r.tasks[machineName(i)]
 	return in
 }
 
@@ -68,19 +68,19 @@
 		effects = effects[1:]
 		switch x := e.(type) {
 		case msg.Commit:
-			changes += len(x.Txn.Changes)
+			changes += len(x.Transaction.Changes)
 			r.version++
 			effects = append(effects, r.step(1, msg.CommitDone{ID: x.ID, Outcome: msg.OK, Revision: r.version + 1<<40})...)
 		case msg.Command:
 			r.seq++
-			report := wire.Report{Machine: x.Machine, Addr: x.Addr, Type: "t4", Zone: "a", Session: 1, Seq: r.seq, Token: r.token}
-			for _, o := range x.Commands.Orders {
-				if o.Verb == wire.Start {
-					r.tasks[x.Machine] = append(r.tasks[x.Machine], wire.TaskReport{Task: o.Task, Attempt: o.Attempt, State: wire.Running})
+			report := wire.Heartbeat{Machine: x.Machine, Addr: x.Addr, Type: "t4", Zone: "a", Incarnation: 1, Sequence: r.seq, FencingToken: r.token}
+			for _, o := range x.Commands.Commands {
+				if o.Verb == wire.CommandStart {
+					r.tasks[x.Machine] = append(r.tasks[x.Machine], wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.Running})
 				}
 			}
 			report.Tasks = r.tasks[x.Machine]
-			effects = append(effects, r.step(1, msg.CommandDone{ID: x.ID, Machine: x.Machine, Outcome: msg.OK, Report: &report})...)
+			effects = append(effects, r.step(1, msg.CommandDone{ID: x.ID, Machine: x.Machine, Outcome: msg.OK, Heartbeat: &report})...)
 		}
 	}
 	return changes
@@ -92,7 +92,7 @@
 		r.nextJob++
 		id := fmt.Sprintf("j-7%07d", r.nextJob)
 		spec := &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.Array, Priority: wire.High, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 20}
-		value, err := job.EncodeRecord(&job.Record{Spec: spec, Created: r.now}, job.Newest)
+		value, err := job.EncodeRecord(&job.Record{Spec: spec, CreatedAt: r.now}, job.NewestFormat)
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -141,8 +141,8 @@
 				r.submitted(b)
 				learnt += time.Since(began)
 				began = time.Now()
-				placeChanges += r.answer(r.step(150_000, msg.Tick{Wall: r.now}))
-				placeChanges += r.answer(r.step(150_000, msg.Tick{Wall: r.now}))
+				placeChanges += r.answer(r.step(150_000, msg.Tick{WallClock: r.now}))
+				placeChanges += r.answer(r.step(150_000, msg.Tick{WallClock: r.now}))
 				placed += time.Since(began)
 				n := r.exited()
 				starts += n
@@ -172,7 +172,7 @@
 // newFollower returns a node whose leader is elsewhere.
 func newFollower(tb testing.TB, machines int) *fleet {
 	f := newFleet(tb, machines)
-	raw, err := job.Encode(leaderclaim.Value{Node: "n2", Nonce: 7})
+	raw, err := job.Encode(leaderclaim.LeaseRecord{Node: "n2", Nonce: 7})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -181,9 +181,9 @@
 	cfg := fleetConfig(machines)
 	cfg.Peers = []config.Peer{{Node: "n2", Location: "b", Address: "10.0.0.9:1"}}
 	f.core = core.New(cfg, 0)
-	items := append([]wire.Item{{Key: job.Root + "leader", Value: raw, Version: f.token, Lease: 5}}, f.records...)
+	items := append([]wire.KeyValue{{Key: job.KeyRoot + "leader", Value: raw, Version: f.token, Lease: 5}}, f.records...)
 	f.step(1, msg.Snapshot{Items: items, Revision: f.version})
-	f.step(1, msg.PeerHeard{Node: "n2"})
+	f.step(1, msg.PeerAlive{Node: "n2"})
 	return f
 }
 
@@ -195,7 +195,7 @@
 			f := newFollower(b, n)
 			relayed := f.relayed(b)
 			for b.Loop() {
-				f.step(1, msg.PeerHeard{Node: "n2"})
+				f.step(1, msg.PeerAlive{Node: "n2"})
 				f.step(1, relayed())
 			}
 		})
@@ -209,13 +209,13 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				f.accepted(f.step(1, msg.SubmitIn{Req: uint64(i), Wall: f.now, Body: body}))
+				f.accepted(f.step(1, msg.SubmitIn{RequestID: uint64(i), WallClock: f.now, Body: body}))
 			}
 		})
 		b.Run(fmt.Sprintf("poll/%d", n), func(b *testing.B) {
 			f := newFollower(b, n)
 			for b.Loop() {
-				f.accepted(f.step(config.Second, msg.PollIn{Req: 1, ID: jobName(0)}))
+				f.accepted(f.step(config.Second, msg.PollIn{RequestID: 1, JobID: jobName(0)}))
 			}
 		})
 	}
@@ -234,17 +234,17 @@
 // relayed has a report taken by the leader, and returns what makes others that repeat it.
 func (f *fleet) relayed(tb testing.TB) func() msg.Input {
 	tb.Helper()
-	first, ok := f.report(2, nil).(msg.ReportIn)
+	first, ok := f.report(2, nil).(msg.HeartbeatIn)
 	if !ok {
 		tb.Fatal("not a report")
 	}
 	first.Forwarded = false
 	f.step(1, first)
-	f.step(1, msg.ForwardDone{Req: 1, Report: first.Report, Answer: &wire.ReportAnswer{Token: f.token}})
+	f.step(1, msg.ForwardDone{RequestID: 1, Heartbeat: first.Heartbeat, Response: &wire.HeartbeatResponse{FencingToken: f.token}})
 	return func() msg.Input {
 		f.seq++
 		in := first
-		in.Report.Seq = f.seq
+		in.Heartbeat.Sequence = f.seq
 		return in
 	}
 }
@@ -259,9 +259,9 @@
 				for b.Loop() {
 					f := &fleet{machines: 10, now: config.Second, version: 1000}
 					for i := range n {
-						rec := &job.Record{Phase: job.Done, Count: 1}
+						rec := &job.Record{Phase: job.Done, DoneTasks: 1}
 						if !over {
-							rec = &job.Record{Created: int64(i + 1), Spec: &wire.Job{ID: waitingName(i), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal,
+							rec = &job.Record{CreatedAt: int64(i + 1), Spec: &wire.Job{ID: waitingName(i), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal,
 								Tasks: 2, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1}}
 						}
 						f.put(b, fmt.Sprintf("j-5%07d", i), rec)
--- a/internal/core/zone/bench_test.go
+++ b/internal/core/zone/bench_test.go
@@ -14,16 +14,16 @@
 	var victims []*Victim
 	for i := range machines {
 		m := New(fmt.Sprintf("m-%06d", i), "", "g8", "a", i%5 == 0, 0)
-		r := &Room{Machine: m, Zone: "a", Free: Res{CPUs: 96, GPUs: 8, MemoryGB: 768}, Idle: true}
+		r := &Offer{Machine: m, Zone: "a", Free: Resources{CPUs: 96, GPUs: 8, MemoryGB: 768}, Idle: true}
 		for rnd.Float64() >= free && r.Free.GPUs > 0 {
-			take := Res{CPUs: 8, GPUs: min(float64(1+rnd.IntN(4)), r.Free.GPUs), MemoryGB: 32}
+			take := Resources{CPUs: 8, GPUs: min(float64(1+rnd.IntN(4)), r.Free.GPUs), MemoryGB: 32}
 			r.Free, r.Idle = r.Free.Plus(take, -1), false
 			victims = append(victims, &Victim{Job: fmt.Sprintf("j-%d", len(victims)/4), Task: len(victims) % 4, Level: rnd.IntN(3),
-				Since: Micros(rnd.IntN(1e9)), Loss: Micros(rnd.IntN(1e9)), Takes: []Take{{r, take}}})
+				Since: Micros(rnd.IntN(1e9)), Loss: Micros(rnd.IntN(1e9)), Reclaims: []Reclaim{{r, take}}})
 		}
-		z.Put(r)
+		z.Add(r)
 	}
-	ByLoss(victims)
+	SortByLoss(victims)
 	z.Victims = func() []*Victim { return victims }
 	return z, victims
 }
@@ -39,12 +39,12 @@
 			z, _ := crowded(machines, at.free)
 			for _, tasks := range []int{1, 16} {
 				b.Run(fmt.Sprintf("%s/machines=%d/tasks=%d", at.name, machines, tasks), func(b *testing.B) {
-					q := &Request{Job: "new", Needs: Res{CPUs: 32, GPUs: 4, MemoryGB: 128}, Count: tasks, Whole: true, Spot: true, Types: map[string]bool{"g8": true}, TypeKey: "g8"}
+					q := &Request{Job: "new", Needs: Resources{CPUs: 32, GPUs: 4, MemoryGB: 128}, Count: tasks, AllOrNothing: true, Spot: true, Types: map[string]bool{"g8": true}, TypeKey: "g8"}
 					if at.evicts {
-						q.May = func(v *Victim) bool { return v.Level < 3 }
+						q.MayPreempt = func(v *Victim) bool { return v.Level < 3 }
 					}
 					for b.Loop() {
-						if bid := z.Plan(0, q); bid == nil || len(bid.Rooms) != tasks || (len(bid.Victims) > 0) != at.evicts {
+						if bid := z.Plan(0, q); bid == nil || len(bid.Offers) != tasks || (len(bid.Victims) > 0) != at.evicts {
 							b.Fatalf("%+v", bid)
 						}
 					}
--- a/internal/core/zone/bid.go
+++ b/internal/core/zone/bid.go
@@ -7,23 +7,23 @@
 	"sort"
 )
 
-// Res is what a task takes, or a machine has free.
-type Res struct{ CPUs, GPUs, MemoryGB float64 }
+// Resources is what a task takes, or a machine has free.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-const slack = 1e-6
+const tolerance = 1e-6
 
 // Fits tells whether a task that takes r fits into what is free.
-func (r Res) Fits(free Res) bool {
-	return r.CPUs <= free.CPUs+slack && r.GPUs <= free.GPUs+slack && r.MemoryGB <= free.MemoryGB+slack
+func (r Resources) Fits(free Resources) bool {
+	return r.CPUs <= free.CPUs+tolerance && r.GPUs <= free.GPUs+tolerance && r.MemoryGB <= free.MemoryGB+tolerance
 }
 
-// Times tells how many tasks that take r fit into what is free.
-func (r Res) Times(free Res) int {
+// Count tells how many tasks that take r fit into what is free.
+func (r Resources) Count(free Resources) int {
 	n := math.MaxInt32
 	for _, x := range [...][2]float64{{r.CPUs, free.CPUs}, {r.GPUs, free.GPUs}, {r.MemoryGB, free.MemoryGB}} {
 		if x[0] > 0 {
-			n = min(n, max(0, int((x[1]+slack)/x[0])))
-		} else if x[1] < -slack {
+			n = min(n, max(0, int((x[1]+tolerance)/x[0])))
+		} else if x[1] < -tolerance {
 			return 0
 		}
 	}
@@ -31,65 +31,65 @@
 }
 
 // Plus adds n times b.
-func (r Res) Plus(b Res, n float64) Res {
-	return Res{r.CPUs + n*b.CPUs, r.GPUs + n*b.GPUs, r.MemoryGB + n*b.MemoryGB}
+func (r Resources) Plus(b Resources, n float64) Resources {
+	return Resources{r.CPUs + n*b.CPUs, r.GPUs + n*b.GPUs, r.MemoryGB + n*b.MemoryGB}
 }
 
 // Weight makes one number of r; a GPU counts for far more than a CPU.
-func (r Res) Weight() float64 { return r.GPUs*64 + r.CPUs }
+func (r Resources) Weight() float64 { return r.GPUs*64 + r.CPUs }
 
 // Zone is what a zone bids with. It lasts from pass to pass: only rooms that
 // change are put anew.
 type Zone struct {
 	Name    string
-	shelves []*shelf                  // in a set order
-	plans   uint64                    // counts the plans that took victims
-	warm    map[string]map[*Room]bool // rooms by the images that their machines had when they were put
+	buckets []*bucket                  // in a set order
+	plans   uint64                     // counts the plans that took victims
+	byImage map[string]map[*Offer]bool // rooms by the images that their machines had when they were put
 	// Victims lists the work that could be stopped, in the order of ByLoss. It
 	// is asked only when free room is short.
 	Victims func() []*Victim
 }
 
-// Room is what a machine can offer in a pass.
-type Room struct {
-	Machine *Machine
-	Zone    string
-	Free    Res
-	Barred  bool     // kept for a job that ranks higher
-	Idle    bool     // nothing is placed there
-	Coming  []string // images of what is placed there, or about to be: they are there or being fetched
+// Offer is what a machine can offer in a pass.
+type Offer struct {
+	Machine       *Machine
+	Zone          string
+	Free          Resources
+	Reserved      bool     // kept for a job that ranks higher
+	Idle          bool     // nothing is placed there
+	PendingImages []string // images of what is placed there, or about to be: they are there or being fetched
 
-	shelf   *shelf
-	images  []string // by which its zone finds it
-	offered bool     // scratch of one Plan: it is among the offers
-	plan    uint64   // which plan that takes victims looked at it last, and found:
-	usable  bool     // the request may use it
-	gain    Res      // what victims leave
+	bucket       *bucket
+	images       []string  // by which its zone finds it
+	candidateFor bool      // scratch of one Plan: it is among the offers
+	plan         uint64    // which plan that takes victims looked at it last, and found:
+	reclaimable  bool      // the request may use it
+	gain         Resources // what victims leave
 }
 
-// Take is what a victim has of a machine.
-type Take struct {
-	Room *Room
-	Res
+// Reclaim is what a victim has of a machine.
+type Reclaim struct {
+	Offer *Offer
+	Resources
 }
 
 // Victim is work that could be stopped. A gang is one victim for all of its
 // tasks: it comes with every machine that it is on.
 type Victim struct {
-	Job   string
-	Task  int // -1: the whole gang
-	Level int
-	Since Micros // when it started
-	Loss  Micros // work that it can't save and will have to do again
-	Left  Micros // what it is expected to go on for; 0 where that is not asked
-	Takes []Take
-	Gone  bool // taken by an earlier grant of the pass
+	Job       string
+	Task      int // -1: the whole gang
+	Level     int
+	Since     Micros // when it started
+	Loss      Micros // work that it can't save and will have to do again
+	Left      Micros // what it is expected to go on for; 0 where that is not asked
+	Reclaims  []Reclaim
+	Preempted bool // taken by an earlier grant of the pass
 }
 
-// ByLoss sorts victims in the order in which they go: lowest priority first,
+// SortByLoss sorts victims in the order in which they go: lowest priority first,
 // then what loses least, then what has run longest: the last alone supposes that
 // everything can be saved.
-func ByLoss(vs []*Victim) {
+func SortByLoss(vs []*Victim) {
 	sort.Slice(vs, func(i, j int) bool {
 		a, b := vs[i], vs[j]
 		switch {
@@ -110,28 +110,28 @@
 
 // Request asks a zone for places.
 type Request struct {
-	Job     string
-	Needs   Res
-	Count   int
-	Whole   bool // all of Count or nothing
-	Spot    bool // spot machines will do
-	Types   map[string]bool
-	TypeKey string // the types in one text
-	Image   string
-	Avoid   map[string]Micros
-	May     func(v *Victim) bool // nil: no preemption
-	Keep    map[string]bool      // machines barred for others but not for this job
-	Share   bool                 // a machine that is fetching the image is better than one that isn't
+	Job              string
+	Needs            Resources
+	Count            int
+	AllOrNothing     bool // all of Count or nothing
+	Spot             bool // spot machines will do
+	Types            map[string]bool
+	TypeKey          string // the types in one text
+	Image            string
+	Avoid            map[string]Micros
+	MayPreempt       func(v *Victim) bool // nil: no preemption
+	ReservedMachines map[string]bool      // machines barred for others but not for this job
+	ShareFetches     bool                 // a machine that is fetching the image is better than one that isn't
 }
 
 // Bid is a zone's offer: a machine for each of the tasks it can take, and the
 // work that has to go first.
 type Bid struct {
-	Zone    string
-	Rooms   []*Room
-	Victims []*Victim
-	Warm    int     // tasks that find their image
-	Room    float64 // free in the zone
+	Zone         string
+	Offers       []*Offer
+	Victims      []*Victim
+	CachedImages int     // tasks that find their image
+	FreeCapacity float64 // free in the zone
 }
 
 // Better orders bids: more tasks, then no preemption, then less preemption of
@@ -140,8 +140,8 @@
 	if o == nil {
 		return true
 	}
-	if len(b.Rooms) != len(o.Rooms) {
-		return len(b.Rooms) > len(o.Rooms)
+	if len(b.Offers) != len(o.Offers) {
+		return len(b.Offers) > len(o.Offers)
 	}
 	if len(b.Victims) != len(o.Victims) {
 		return len(b.Victims) < len(o.Victims)
@@ -149,10 +149,10 @@
 	if bl, ol := highest(b.Victims), highest(o.Victims); bl != ol {
 		return bl < ol
 	}
-	if b.Warm != o.Warm {
-		return b.Warm > o.Warm
+	if b.CachedImages != o.CachedImages {
+		return b.CachedImages > o.CachedImages
 	}
-	return b.Room > o.Room
+	return b.FreeCapacity > o.FreeCapacity
 }
 
 func highest(vs []*Victim) int {
@@ -167,65 +167,65 @@
 // first: machines that have the image, then those with most free room. Only if
 // that is short are victims taken.
 func (z *Zone) Plan(now Micros, q *Request) *Bid {
-	bid := &Bid{Zone: z.Name, Room: z.roomFor(q)}
-	bid.fill(z.offers(now, q), q)
-	if len(bid.Rooms) == q.Count || len(bid.Rooms) > 0 && !q.Whole {
+	bid := &Bid{Zone: z.Name, FreeCapacity: z.freeFor(q)}
+	bid.fill(z.candidates(now, q), q)
+	if len(bid.Offers) == q.Count || len(bid.Offers) > 0 && !q.AllOrNothing {
 		return bid
 	}
-	if q.May != nil {
+	if q.MayPreempt != nil {
 		return z.preempt(now, bid, q)
 	}
 	return nil
 }
 
-// Rooms lists where tasks of a request would go if it had to take what there is, as many as it
+// FindOffers lists where tasks of a request would go if it had to take what there is, as many as it
 // asks for.
-func (z *Zone) Rooms(now Micros, q *Request) []*Room {
+func (z *Zone) FindOffers(now Micros, q *Request) []*Offer {
 	b := &Bid{}
-	b.fill(z.offers(now, q), q)
-	return b.Rooms
+	b.fill(z.candidates(now, q), q)
+	return b.Offers
 }
 
 // mayUse tells whether a request may use a room, whatever is free there.
-func (q *Request) mayUse(now Micros, r *Room) bool {
+func (q *Request) mayUse(now Micros, r *Offer) bool {
 	m := r.Machine
-	return (!r.Barred || q.Keep[m.Name]) && m.FullUntil <= now && (len(q.Avoid) == 0 || q.Avoid[m.Name] <= now)
+	return (!r.Reserved || q.ReservedMachines[m.Name]) && m.FullUntil <= now && (len(q.Avoid) == 0 || q.Avoid[m.Name] <= now)
 }
 
-// offer is a machine on which a task of the request fits.
-type offer struct {
-	*Room
-	free Res
-	near int
+// candidate is a machine on which a task of the request fits.
+type candidate struct {
+	*Offer
+	free     Resources
+	distance int
 }
 
 // How near a machine is to having an image.
 const (
-	far    = iota
-	coming // it is being fetched, and comes once for all tasks that want it
-	there
+	imageMissing = iota
+	imagePending // it is being fetched, and comes once for all tasks that want it
+	imageCached
 )
 
-// near tells how near the room's machine is to having a request's image.
-func (r *Room) near(q *Request) int {
+// imageDistance tells how near the room's machine is to having a request's image.
+func (r *Offer) imageDistance(q *Request) int {
 	switch {
-	case r.Machine.Cache.Has(q.Image):
-		return there
-	case q.Share && slices.Contains(r.Coming, q.Image):
-		return coming
+	case r.Machine.Images.Has(q.Image):
+		return imageCached
+	case q.ShareFetches && slices.Contains(r.PendingImages, q.Image):
+		return imagePending
 	}
-	return far
+	return imageMissing
 }
 
-// offers is a heap of them, the best first.
-type offers []offer
+// candidateHeap is a heap of them, the best first.
+type candidateHeap []candidate
 
-func (o offers) Len() int           { return len(o) }
-func (o offers) Less(i, j int) bool { return o[i].roomier(&o[j]) }
-func (o offers) Swap(i, j int)      { o[i], o[j] = o[j], o[i] }
-func (o *offers) Push(x any)        { *o = append(*o, x.(offer)) }
+func (o candidateHeap) Len() int           { return len(o) }
+func (o candidateHeap) Less(i, j int) bool { return o[i].better(&o[j]) }
+func (o candidateHeap) Swap(i, j int)      { o[i], o[j] = o[j], o[i] }
+func (o *candidateHeap) Push(x any)        { *o = append(*o, x.(candidate)) }
 
-func (o *offers) Pop() any {
+func (o *candidateHeap) Pop() any {
 	last := len(*o) - 1
 	x := (*o)[last]
 	*o = (*o)[:last]
@@ -233,16 +233,16 @@
 }
 
 // fill places as many tasks as fit.
-func (b *Bid) fill(from offers, q *Request) {
-	b.Rooms, b.Warm = nil, 0
+func (b *Bid) fill(from candidateHeap, q *Request) {
+	b.Offers, b.CachedImages = nil, 0
 	heap.Init(&from)
-	for len(b.Rooms) < q.Count && len(from) > 0 {
+	for len(b.Offers) < q.Count && len(from) > 0 {
 		o := &from[0]
-		b.Rooms = append(b.Rooms, o.Room)
-		if o.near == there {
-			b.Warm++
-		} else if q.Share {
-			o.near = coming
+		b.Offers = append(b.Offers, o.Offer)
+		if o.distance == imageCached {
+			b.CachedImages++
+		} else if q.ShareFetches {
+			o.distance = imagePending
 		}
 		if o.free = o.free.Plus(q.Needs, -1); q.Needs.Fits(o.free) {
 			heap.Fix(&from, 0)
@@ -252,12 +252,12 @@
 	}
 }
 
-func (a *offer) roomier(b *offer) bool {
+func (a *candidate) better(b *candidate) bool {
 	if a.Machine.Spot != b.Machine.Spot { // what may use spot machines leaves the others free
 		return a.Machine.Spot
 	}
-	if a.near != b.near {
-		return a.near > b.near
+	if a.distance != b.distance {
+		return a.distance > b.distance
 	}
 	if a.Idle != b.Idle { // whole machines are kept for what needs them, or go back
 		return b.Idle
@@ -276,35 +276,35 @@
 // costs no more than the machines that it is on.
 func (z *Zone) preempt(now Micros, bid *Bid, q *Request) *Bid {
 	want := q.Count
-	if !q.Whole {
+	if !q.AllOrNothing {
 		want = 1
 	}
 	z.plans++
 	// usable looks at a room once a plan, and only if something comes to it.
-	usable := func(r *Room) bool {
+	usable := func(r *Offer) bool {
 		if r.plan != z.plans {
-			r.plan, r.gain, r.usable = z.plans, Res{}, r.shelf.suits(q) && q.mayUse(now, r)
+			r.plan, r.gain, r.reclaimable = z.plans, Resources{}, r.bucket.suits(q) && q.mayUse(now, r)
 		}
-		return r.usable
+		return r.reclaimable
 	}
 	fit := 0
-	z.eachFit(q, func(r *Room) bool {
+	z.eachFit(q, func(r *Offer) bool {
 		if usable(r) {
-			fit += q.Needs.Times(r.Free)
+			fit += q.Needs.Count(r.Free)
 		}
 		return true
 	})
 	// move gives a victim's room away, or back.
 	move := func(v *Victim, n float64) (here bool) {
-		for i := range v.Takes {
-			r := v.Takes[i].Room
+		for i := range v.Reclaims {
+			r := v.Reclaims[i].Offer
 			if r.Machine.Zone != z.Name || !usable(r) {
 				continue
 			}
 			here = true
-			fit -= q.Needs.Times(r.Free.Plus(r.gain, 1))
-			r.gain = r.gain.Plus(v.Takes[i].Res, n)
-			fit += q.Needs.Times(r.Free.Plus(r.gain, 1))
+			fit -= q.Needs.Count(r.Free.Plus(r.gain, 1))
+			r.gain = r.gain.Plus(v.Reclaims[i].Resources, n)
+			fit += q.Needs.Count(r.Free.Plus(r.gain, 1))
 		}
 		return here
 	}
@@ -313,7 +313,7 @@
 		if fit >= want {
 			break
 		}
-		if !v.Gone && v.Job != q.Job && q.May(v) && move(v, 1) {
+		if !v.Preempted && v.Job != q.Job && q.MayPreempt(v) && move(v, 1) {
 			taken = append(taken, v)
 		}
 	}
@@ -330,22 +330,22 @@
 		}
 		taken = append(taken[:i], taken[i+1:]...)
 	}
-	left := slices.DeleteFunc(z.offers(now, q), func(o offer) bool { return o.plan == z.plans && o.gain != Res{} })
-	listed := map[*Room]bool{}
+	left := slices.DeleteFunc(z.candidates(now, q), func(o candidate) bool { return o.plan == z.plans && o.gain != Resources{} })
+	listed := map[*Offer]bool{}
 	for _, v := range taken {
-		for i := range v.Takes {
-			r := v.Takes[i].Room
+		for i := range v.Reclaims {
+			r := v.Reclaims[i].Offer
 			if r.Machine.Zone != z.Name || listed[r] || !usable(r) {
 				continue
 			}
 			listed[r] = true
 			if free := r.Free.Plus(r.gain, 1); q.Needs.Fits(free) {
-				left = append(left, offer{r, free, r.near(q)})
+				left = append(left, candidate{r, free, r.imageDistance(q)})
 			}
 		}
 	}
 	bid.fill(left, q)
-	bid.Rooms = bid.Rooms[:min(want, len(bid.Rooms))]
+	bid.Offers = bid.Offers[:min(want, len(bid.Offers))]
 	bid.Victims = taken
 	return bid
 }
@@ -353,8 +353,8 @@
 // size is how much of all machines a victim has.
 func (v *Victim) size() float64 {
 	s := 0.0
-	for i := range v.Takes {
-		s += v.Takes[i].Weight()
+	for i := range v.Reclaims {
+		s += v.Reclaims[i].Weight()
 	}
 	return s
 }
--- a/internal/core/zone/cache_test.go
+++ b/internal/core/zone/image_cache_test.go
@@ -9,26 +9,26 @@
 )
 
 func TestCacheForgetsWhatWasUsedLongestAgo(t *testing.T) {
-	var c Cache
-	c.Believe([]string{"noted"})
-	c.Use(20, map[string]float64{"a": 8})
-	c.Use(20, map[string]float64{"b": 8})
-	c.Use(20, map[string]float64{"a": 8})
-	if !c.Use(20, map[string]float64{"c": 8}) {
+	var c ImageCache
+	c.Restore([]string{"noted"})
+	c.Update(20, map[string]float64{"a": 8})
+	c.Update(20, map[string]float64{"b": 8})
+	c.Update(20, map[string]float64{"a": 8})
+	if !c.Update(20, map[string]float64{"c": 8}) {
 		t.Error("nothing came")
 	}
 	if got := c.Names(); !slices.Equal(got, []string{"a", "c"}) {
 		t.Errorf("%v: b was used longest ago, and what was only noted before it", got)
 	}
-	if c.Use(20, map[string]float64{"a": 8, "c": 8}) {
+	if c.Update(20, map[string]float64{"a": 8, "c": 8}) {
 		t.Error("something came or went")
 	}
 	// What runs there is there, whatever is said of the size.
-	c.Use(20, map[string]float64{"d": 15, "e": 15})
+	c.Update(20, map[string]float64{"d": 15, "e": 15})
 	if got := c.Names(); !slices.Equal(got, []string{"d", "e"}) {
 		t.Errorf("%v", got)
 	}
-	c.Use(0, map[string]float64{"f": 500})
+	c.Update(0, map[string]float64{"f": 500})
 	if got := c.Names(); len(got) != 3 {
 		t.Errorf("%v of a machine without a limit", got)
 	}
@@ -37,7 +37,7 @@
 // Beside what is in use there is never more than fits, and what was used last is there.
 func TestCacheKeepsToItsSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c Cache
+		var c ImageCache
 		sizes := map[string]float64{}
 		for i := range 12 {
 			sizes[fmt.Sprint("i", i)] = float64(1 + i*3%11)
@@ -52,7 +52,7 @@
 					inUse += sizes[name]
 				}
 			}
-			c.Use(20, use)
+			c.Update(20, use)
 			sum := 0.0
 			for _, name := range c.Names() {
 				sum += sizes[name]
--- a/internal/core/zone/model_test.go
+++ b/internal/core/zone/model_test.go
@@ -78,24 +78,24 @@
 	byLaterSession guard = "only a later session ends all of an earlier one"
 )
 
-var modelKey = job.Key{Job: "j-1", Task: 0, Attempt: 1}
+var modelKey = job.AttemptKey{Job: "j-1", Task: 0, Attempt: 1}
 
 func (n *mMemory) machine() *Machine {
 	m := New("m", "a", "t", "z", false, 0)
-	m.Session, m.Seq, m.Token = uint64(n.session), uint64(n.seq), uint64(n.seen)
+	m.Incarnation, m.Sequence, m.FencingToken = uint64(n.session), uint64(n.seq), uint64(n.seen)
 	if n.has {
 		m.Tasks[modelKey] = Task{State: wire.Running}
 	}
-	m.Direct, m.DirectStart, m.Ambiguous, m.ReplySeq = n.direct, n.directStart, uint64(n.ambiguous), uint64(n.reply)
-	m.directToken, m.directID, m.settled = uint64(n.dTok), uint64(n.directID), n.settled
+	m.CallInFlight, m.StartInFlight, m.AmbiguousToken, m.ReplySequence = n.direct, n.directStart, uint64(n.ambiguous), uint64(n.reply)
+	m.callToken, m.callID, m.settled = uint64(n.dTok), uint64(n.directID), n.settled
 	return m
 }
 
 func (n *mMemory) keep(m *Machine) {
-	n.session, n.seq, n.seen = uint8(m.Session), uint8(m.Seq), uint8(m.Token)
+	n.session, n.seq, n.seen = uint8(m.Incarnation), uint8(m.Sequence), uint8(m.FencingToken)
 	_, n.has = m.Tasks[modelKey]
-	n.direct, n.directStart, n.ambiguous, n.reply = m.Direct, m.DirectStart, uint8(m.Ambiguous), uint8(m.ReplySeq)
-	n.dTok, n.directID, n.settled = uint8(m.directToken), uint8(m.directID), m.settled
+	n.direct, n.directStart, n.ambiguous, n.reply = m.CallInFlight, m.StartInFlight, uint8(m.AmbiguousToken), uint8(m.ReplySequence)
+	n.dTok, n.directID, n.settled = uint8(m.callToken), uint8(m.callID), m.settled
 }
 
 // hear has a node take a report, as its owner does, and draw the conclusions. It returns what an
@@ -111,29 +111,29 @@
 	}
 	m := n.machine()
 	if g == byOrder {
-		m.Seq, m.Session = 0, 0
+		m.Sequence, m.Incarnation = 0, 0
 	}
 	if g == byToken || g == byHeirsToken && at == 1 {
-		m.Ambiguous = 0
+		m.AmbiguousToken = 0
 	}
 	if g == byCall {
-		m.DirectStart = false
+		m.StartInFlight = false
 	}
-	report := wire.Report{Session: uint64(r.session), Seq: uint64(seq), Token: uint64(r.token)}
+	report := wire.Heartbeat{Incarnation: uint64(r.session), Sequence: uint64(seq), FencingToken: uint64(r.token)}
 	if r.shows {
-		report.Tasks = []wire.TaskReport{{Task: wire.TaskName(modelKey.Job, modelKey.Task), Attempt: modelKey.Attempt, State: wire.Running}}
+		report.Tasks = []wire.TaskStatus{{Task: wire.TaskName(modelKey.Job, modelKey.Task), Attempt: modelKey.Attempt, State: wire.Running}}
 	}
-	if !m.Ingest(0, &report, isReport || g == byReportAlone) {
+	if !m.ApplyHeartbeat(0, &report, isReport || g == byReportAlone) {
 		return mAnswer{}, false
 	}
 	a := mAnswer{there: true, seq: seq, token: n.token}
 	_, has := m.Tasks[modelKey]
 	current := at == 1 || !s.node[1].alive && s.node[1].base == 0 || g == byClaim
-	later := m.Session > 1 || g == byLaterSession && m.Session != 1
+	later := m.Incarnation > 1 || g == byLaterSession && m.Incarnation != 1
 	switch {
 	case s.over:
 		a.stop = has
-	case later || g == byLaterSession && !has && m.Token >= uint64(n.base):
+	case later || g == byLaterSession && !has && m.FencingToken >= uint64(n.base):
 		s.over = s.over || current
 	case has:
 		a.stop = s.unwanted
@@ -146,7 +146,7 @@
 	}
 	if a.start && isReport {
 		settled := m.settled
-		m.SentByReply(nil)
+		m.NoteReply(nil)
 		m.settled = settled && g == byReply
 	}
 	n.keep(m)
@@ -210,7 +210,7 @@
 				}
 				t := s
 				m := n.machine()
-				m.SentDirect(0, uint64(i+1), uint64(n.token), start)
+				m.NoteCall(0, uint64(i+1), uint64(n.token), start)
 				t.node[at].keep(m)
 				t.calls[i] = mCall{state: 1, node: uint8(at), start: start, session: n.session, token: n.token}
 				add(t)
@@ -222,7 +222,7 @@
 		over := func(t *mState, unanswered bool) {
 			n := &t.node[c.node]
 			m := n.machine()
-			m.DirectOver(uint64(i+1), unanswered)
+			m.NoteCallDone(uint64(i+1), unanswered)
 			n.keep(m)
 		}
 		switch c.state {
--- a/internal/core/zone/zone_test.go
+++ b/internal/core/zone/zone_test.go
@@ -18,33 +18,33 @@
 // The same cases every run; -rapid.seed draws others.
 var _ = flag.Set("rapid.seed", "1")
 
-func room(name string, gpus float64, images ...string) *Room {
+func room(name string, gpus float64, images ...string) *Offer {
 	m := New(name, "", "t", "a", false, 0)
 	for _, i := range images {
-		m.Cache.Believe([]string{i})
+		m.Images.Restore([]string{i})
 	}
-	return &Room{Machine: m, Free: Res{CPUs: 16, GPUs: gpus, MemoryGB: 64}}
+	return &Offer{Machine: m, Free: Resources{CPUs: 16, GPUs: gpus, MemoryGB: 64}}
 }
 
-func zoneOf(victims []*Victim, rooms ...*Room) *Zone {
-	ByLoss(victims)
+func zoneOf(victims []*Victim, rooms ...*Offer) *Zone {
+	SortByLoss(victims)
 	z := &Zone{Name: "a", Victims: func() []*Victim { return victims }}
 	for _, r := range rooms {
-		z.Put(r)
+		z.Add(r)
 	}
 	return z
 }
 
 func names(b *Bid) []string {
 	var out []string
-	for _, r := range b.Rooms {
+	for _, r := range b.Offers {
 		out = append(out, r.Machine.Name)
 	}
 	return out
 }
 
 func request(gpus float64, count int, whole bool) *Request {
-	return &Request{Job: "j-9", Needs: Res{CPUs: 1, GPUs: gpus, MemoryGB: 1}, Count: count, Whole: whole,
+	return &Request{Job: "j-9", Needs: Resources{CPUs: 1, GPUs: gpus, MemoryGB: 1}, Count: count, AllOrNothing: whole,
 		Types: map[string]bool{"t": true}, Image: "i"}
 }
 
@@ -57,14 +57,14 @@
 	if z.Plan(1, request(4, 2, true)) != nil {
 		t.Fatal("half a gang was placed")
 	}
-	if bid := z.Plan(1, request(1, 20, false)); len(bid.Rooms) != 9 {
-		t.Fatalf("%d tasks placed on 9 GPUs", len(bid.Rooms))
+	if bid := z.Plan(1, request(1, 20, false)); len(bid.Offers) != 9 {
+		t.Fatalf("%d tasks placed on 9 GPUs", len(bid.Offers))
 	}
 }
 
 func TestPlanPrefersWarmMachines(t *testing.T) {
 	bid := zoneOf(nil, room("m1", 4), room("m2", 1, "i")).Plan(1, request(1, 1, false))
-	if names(bid)[0] != "m2" || bid.Warm != 1 {
+	if names(bid)[0] != "m2" || bid.CachedImages != 1 {
 		t.Fatalf("%+v", bid)
 	}
 }
@@ -75,10 +75,10 @@
 	r := room("m1", 0)
 	var victims []*Victim
 	for i, gpus := range []float64{4, 5, 12} {
-		victims = append(victims, &Victim{Job: string(rune('a' + i)), Level: 1, Since: Micros(i), Takes: []Take{{r, Res{GPUs: gpus}}}})
+		victims = append(victims, &Victim{Job: string(rune('a' + i)), Level: 1, Since: Micros(i), Reclaims: []Reclaim{{r, Resources{GPUs: gpus}}}})
 	}
 	q := request(10, 1, true)
-	q.May = func(*Victim) bool { return true }
+	q.MayPreempt = func(*Victim) bool { return true }
 	bid := zoneOf(victims, r).Plan(1, q)
 	if bid == nil || len(bid.Victims) != 1 || bid.Victims[0].Job != "c" {
 		t.Fatalf("%+v", bid)
@@ -87,19 +87,19 @@
 
 func TestPreemptionTakesLowestPriorityFirst(t *testing.T) {
 	r := room("m1", 0)
-	one := []Take{{r, Res{GPUs: 1}}}
+	one := []Reclaim{{r, Resources{GPUs: 1}}}
 	victims := []*Victim{
-		{Job: "normal", Level: 2, Since: 1, Takes: one},
-		{Job: "young", Level: 1, Since: 9, Takes: one},
-		{Job: "old", Level: 1, Since: 2, Takes: one},
+		{Job: "normal", Level: 2, Since: 1, Reclaims: one},
+		{Job: "young", Level: 1, Since: 9, Reclaims: one},
+		{Job: "old", Level: 1, Since: 2, Reclaims: one},
 	}
 	q := request(1, 1, false)
-	q.May = func(v *Victim) bool { return v.Level < 2 }
+	q.MayPreempt = func(v *Victim) bool { return v.Level < 2 }
 	bid := zoneOf(victims, r).Plan(1, q)
 	if bid == nil || len(bid.Victims) != 1 || bid.Victims[0].Job != "old" {
 		t.Fatalf("%+v", bid)
 	}
-	if b := (&Bid{Rooms: []*Room{r}, Victims: bid.Victims}); b.Better(&Bid{Rooms: []*Room{r}}) {
+	if b := (&Bid{Offers: []*Offer{r}, Victims: bid.Victims}); b.Better(&Bid{Offers: []*Offer{r}}) {
 		t.Error("preemption is not scored last")
 	}
 }
@@ -108,11 +108,11 @@
 func TestPreemptionOfGangs(t *testing.T) {
 	a, b, c := room("m1", 0), room("m2", 0), room("m3", 0)
 	victims := []*Victim{
-		{Job: "small", Task: -1, Level: 1, Since: 1, Takes: []Take{{c, Res{GPUs: 4}}}},
-		{Job: "gang", Task: -1, Level: 1, Since: 2, Takes: []Take{{a, Res{GPUs: 4}}, {b, Res{GPUs: 4}}}},
+		{Job: "small", Task: -1, Level: 1, Since: 1, Reclaims: []Reclaim{{c, Resources{GPUs: 4}}}},
+		{Job: "gang", Task: -1, Level: 1, Since: 2, Reclaims: []Reclaim{{a, Resources{GPUs: 4}}, {b, Resources{GPUs: 4}}}},
 	}
 	q := request(4, 2, true)
-	q.May = func(*Victim) bool { return true }
+	q.MayPreempt = func(*Victim) bool { return true }
 	bid := zoneOf(victims, a, b, c).Plan(9, q)
 	if bid == nil || len(bid.Victims) != 1 || bid.Victims[0].Job != "gang" || !reflect.DeepEqual(names(bid), []string{"m1", "m2"}) {
 		t.Fatalf("%+v", bid)
@@ -127,35 +127,35 @@
 // an answer keeps its worker unsettled until a higher token was seen.
 func TestIngest(t *testing.T) {
 	m := New("m1", "", "t", "a", false, 0)
-	report := func(session, seq, token uint64) *wire.Report {
-		return &wire.Report{Machine: "m1", Type: "t", Zone: "a", Session: session, Seq: seq, Token: token}
+	report := func(session, seq, token uint64) *wire.Heartbeat {
+		return &wire.Heartbeat{Machine: "m1", Type: "t", Zone: "a", Incarnation: session, Sequence: seq, FencingToken: token}
 	}
-	if !m.Ingest(1, report(2, 5, 10), true) || m.Ingest(2, report(2, 5, 10), true) || m.Ingest(2, report(1, 9, 10), true) {
+	if !m.ApplyHeartbeat(1, report(2, 5, 10), true) || m.ApplyHeartbeat(2, report(2, 5, 10), true) || m.ApplyHeartbeat(2, report(1, 9, 10), true) {
 		t.Fatal("order of reports")
 	}
 	if !m.Settled() {
 		t.Fatal("not settled with nothing on its way")
 	}
-	m.SentDirect(3, 1, 10, true)
-	m.DirectOver(1, true)
-	m.Ingest(4, report(2, 6, 10), true)
+	m.NoteCall(3, 1, 10, true)
+	m.NoteCallDone(1, true)
+	m.ApplyHeartbeat(4, report(2, 6, 10), true)
 	if m.Settled() {
 		t.Fatal("settled though a start may still arrive")
 	}
-	m.Ingest(5, report(2, 7, 11), true)
+	m.ApplyHeartbeat(5, report(2, 7, 11), true)
 	if !m.Settled() {
 		t.Fatal("not settled though the start is void")
 	}
-	m.SentByReply(nil)
-	m.Ingest(6, report(2, 8, 11), false)
-	if m.Settled() || !m.StartOnItsWay(6) {
+	m.NoteReply(nil)
+	m.ApplyHeartbeat(6, report(2, 8, 11), false)
+	if m.Settled() || !m.StartMayArrive(6) {
 		t.Fatal("the answer to a direct call says nothing about the answer to a report")
 	}
-	if m.StartOnItsWay(5+answerTime+config.Second) || m.Settled() {
+	if m.StartMayArrive(5+replyTimeout+config.Second) || m.Settled() {
 		t.Fatal("a worker takes no answer so late, and it has not said what became of it")
 	}
-	m.Ingest(7, report(2, 9, 11), true)
-	if !m.Settled() || m.StartOnItsWay(7) {
+	m.ApplyHeartbeat(7, report(2, 9, 11), true)
+	if !m.Settled() || m.StartMayArrive(7) {
 		t.Fatal("not settled after the next report")
 	}
 }
@@ -164,44 +164,44 @@
 // time: the paper's longest running first supposes cheap checkpoints.
 func TestPreemptionTakesWhatLosesLeast(t *testing.T) {
 	r := room("m1", 0)
-	one := []Take{{r, Res{GPUs: 1}}}
-	victims := []*Victim{{Job: "long", Level: 1, Since: 1, Loss: 90, Takes: one}, {Job: "short", Level: 1, Since: 80, Loss: 11, Takes: one}}
+	one := []Reclaim{{r, Resources{GPUs: 1}}}
+	victims := []*Victim{{Job: "long", Level: 1, Since: 1, Loss: 90, Reclaims: one}, {Job: "short", Level: 1, Since: 80, Loss: 11, Reclaims: one}}
 	q := request(1, 1, false)
-	q.May = func(*Victim) bool { return true }
+	q.MayPreempt = func(*Victim) bool { return true }
 	if bid := zoneOf(victims, r).Plan(91, q); bid == nil || len(bid.Victims) != 1 || bid.Victims[0].Job != "short" {
 		t.Fatalf("%+v", bid)
 	}
-	victims = append(victims, &Victim{Job: "saves", Level: 1, Since: 1, Takes: one})
+	victims = append(victims, &Victim{Job: "saves", Level: 1, Since: 1, Reclaims: one})
 	if bid := zoneOf(victims, r).Plan(91, q); bid == nil || len(bid.Victims) != 1 || bid.Victims[0].Job != "saves" {
 		t.Fatalf("%+v", bid)
 	}
 }
 
 // everywhere makes a bid for free room by looking at every room for every task.
-func everywhere(rooms map[string]*Room, q *Request) *Bid {
+func everywhere(rooms map[string]*Offer, q *Request) *Bid {
 	bid := &Bid{}
-	used := map[*Room]Res{}
-	for len(bid.Rooms) < q.Count {
-		var best *offer
+	used := map[*Offer]Resources{}
+	for len(bid.Offers) < q.Count {
+		var best *candidate
 		for _, r := range rooms {
-			o := &offer{r, r.Free.Plus(used[r], -1), r.near(q)}
-			if _, taken := used[r]; taken && q.Share {
-				o.near = max(o.near, coming)
+			o := &candidate{r, r.Free.Plus(used[r], -1), r.imageDistance(q)}
+			if _, taken := used[r]; taken && q.ShareFetches {
+				o.distance = max(o.distance, imagePending)
 			}
-			if (q.Spot || !r.Machine.Spot) && q.mayUse(1, r) && q.Needs.Fits(o.free) && (best == nil || o.roomier(best)) {
+			if (q.Spot || !r.Machine.Spot) && q.mayUse(1, r) && q.Needs.Fits(o.free) && (best == nil || o.better(best)) {
 				best = o
 			}
 		}
 		if best == nil {
 			break
 		}
-		used[best.Room] = used[best.Room].Plus(q.Needs, 1)
-		bid.Rooms = append(bid.Rooms, best.Room)
-		if best.near == there {
-			bid.Warm++
+		used[best.Offer] = used[best.Offer].Plus(q.Needs, 1)
+		bid.Offers = append(bid.Offers, best.Offer)
+		if best.distance == imageCached {
+			bid.CachedImages++
 		}
 	}
-	if len(bid.Rooms) == q.Count || len(bid.Rooms) > 0 && !q.Whole {
+	if len(bid.Offers) == q.Count || len(bid.Offers) > 0 && !q.AllOrNothing {
 		return bid
 	}
 	return nil
@@ -212,52 +212,52 @@
 func TestKeptZoneOffersTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kept := &Zone{Name: "a"}
-		rooms := map[string]*Room{}
+		rooms := map[string]*Offer{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprint("m", rapid.IntRange(0, 14).Draw(t, "machine"))
 			what := rapid.IntRange(0, 6).Draw(t, "what")
 			old := rooms[name]
 			if old != nil && what > 4 {
-				kept.Use(old, Res{CPUs: 1, GPUs: float64(rapid.IntRange(0, 2).Draw(t, "used")) / 2}, []string{"", "i1", "i2"}[i%3])
+				kept.Allocate(old, Resources{CPUs: 1, GPUs: float64(rapid.IntRange(0, 2).Draw(t, "used")) / 2}, []string{"", "i1", "i2"}[i%3])
 				continue
 			}
 			if old != nil {
-				kept.Drop(old)
+				kept.Remove(old)
 				delete(rooms, name)
 			}
 			if what > 0 {
 				r := room(name, float64(rapid.IntRange(0, 8).Draw(t, "gpus"))/2, fmt.Sprint("i", i%2))
-				r.Machine.Spot, r.Idle, r.Barred = i%3 == 0, i%5 == 0, i%7 == 0
+				r.Machine.Spot, r.Idle, r.Reserved = i%3 == 0, i%5 == 0, i%7 == 0
 				if i%4 == 0 {
-					r.Coming = []string{"i1"}
+					r.PendingImages = []string{"i1"}
 				}
 				rooms[name] = r
-				kept.Put(r)
+				kept.Add(r)
 			}
 		}
 		q := request(float64(rapid.IntRange(0, 6).Draw(t, "needs"))/2, rapid.IntRange(1, 9).Draw(t, "count"), rapid.Bool().Draw(t, "whole"))
 		q.Image, q.Spot = "i1", rapid.Bool().Draw(t, "spot")
-		q.Share = rapid.Bool().Draw(t, "share")
-		q.Avoid, q.Keep = map[string]Micros{"m3": 9}, map[string]bool{"m4": true}
+		q.ShareFetches = rapid.Bool().Draw(t, "share")
+		q.Avoid, q.ReservedMachines = map[string]Micros{"m3": 9}, map[string]bool{"m4": true}
 		a, b := kept.Plan(1, q), everywhere(rooms, q)
-		if (a == nil) != (b == nil) || a != nil && (a.Warm != b.Warm || !slices.Equal(names(a), names(b))) {
+		if (a == nil) != (b == nil) || a != nil && (a.CachedImages != b.CachedImages || !slices.Equal(names(a), names(b))) {
 			t.Fatalf("%+v and %+v", a, b)
 		}
 		sum := 0.0
 		for _, r := range rooms {
 			sum += r.Free.Weight()
 		}
-		if math.Abs(sum-kept.Free()) > 1e-6 {
-			t.Fatalf("%v free, %v by its shelves", sum, kept.Free())
+		if math.Abs(sum-kept.FreeCapacity()) > 1e-6 {
+			t.Fatalf("%v free, %v by its shelves", sum, kept.FreeCapacity())
 		}
 	})
 }
 
 // evicting makes a bid that takes victims by counting the room of every machine anew for
 // each victim.
-func evicting(z *Zone, rooms map[string]*Room, q *Request) (victims []*Victim) {
+func evicting(z *Zone, rooms map[string]*Offer, q *Request) (victims []*Victim) {
 	want := 1
-	if q.Whole {
+	if q.AllOrNothing {
 		want = q.Count
 	}
 	fit := func(gone []*Victim) int {
@@ -265,14 +265,14 @@
 		for _, r := range rooms {
 			free := r.Free
 			for _, v := range gone {
-				for _, t := range v.Takes {
-					if t.Room == r {
-						free = free.Plus(t.Res, 1)
+				for _, t := range v.Reclaims {
+					if t.Offer == r {
+						free = free.Plus(t.Resources, 1)
 					}
 				}
 			}
 			if (q.Spot || !r.Machine.Spot) && q.mayUse(1, r) {
-				n += q.Needs.Times(free)
+				n += q.Needs.Count(free)
 			}
 		}
 		return n
@@ -281,8 +281,8 @@
 		if fit(victims) >= want {
 			break
 		}
-		here := slices.ContainsFunc(v.Takes, func(t Take) bool { return (q.Spot || !t.Room.Machine.Spot) && q.mayUse(1, t.Room) })
-		if here && !v.Gone && q.May(v) {
+		here := slices.ContainsFunc(v.Reclaims, func(t Reclaim) bool { return (q.Spot || !t.Offer.Machine.Spot) && q.mayUse(1, t.Offer) })
+		if here && !v.Preempted && q.MayPreempt(v) {
 			victims = append(victims, v)
 		}
 	}
@@ -303,11 +303,11 @@
 func TestVictimsAreTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := &Zone{Name: "a"}
-		rooms := map[string]*Room{}
+		rooms := map[string]*Offer{}
 		var victims []*Victim
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 			r := room(fmt.Sprint("m", i), 0)
-			r.Machine.Zone, r.Machine.Spot, r.Barred = "a", i%3 == 0, i%7 == 6
+			r.Machine.Zone, r.Machine.Spot, r.Reserved = "a", i%3 == 0, i%7 == 6
 			left := 4
 			for left > 0 {
 				gpus := rapid.IntRange(1, left).Draw(t, "gpus")
@@ -316,21 +316,21 @@
 					continue
 				}
 				v := &Victim{Job: fmt.Sprint("j", len(victims)), Level: rapid.IntRange(0, 3).Draw(t, "level"), Since: Micros(len(victims)),
-					Takes: []Take{{r, Res{GPUs: float64(gpus)}}}}
+					Reclaims: []Reclaim{{r, Resources{GPUs: float64(gpus)}}}}
 				if n := len(victims); n > 0 && rapid.IntRange(0, 4).Draw(t, "gang") == 0 {
-					victims[n-1].Takes = append(victims[n-1].Takes, v.Takes...)
+					victims[n-1].Reclaims = append(victims[n-1].Reclaims, v.Reclaims...)
 					continue
 				}
 				victims = append(victims, v)
 			}
 			rooms[r.Machine.Name] = r
-			z.Put(r)
+			z.Add(r)
 		}
-		ByLoss(victims)
+		SortByLoss(victims)
 		z.Victims = func() []*Victim { return victims }
 		q := request(float64(rapid.IntRange(1, 4).Draw(t, "needs")), rapid.IntRange(1, 6).Draw(t, "count"), rapid.Bool().Draw(t, "whole"))
 		q.Spot, q.Avoid = rapid.Bool().Draw(t, "spot"), map[string]Micros{"m4": 9}
-		q.May = func(v *Victim) bool { return v.Level < 3 }
+		q.MayPreempt = func(v *Victim) bool { return v.Level < 3 }
 		bid, want := z.Plan(1, q), evicting(z, rooms, q)
 		switch {
 		case bid == nil:
@@ -339,7 +339,7 @@
 			}
 		case !slices.Equal(bid.Victims, want) && len(bid.Victims)+len(want) > 0:
 			t.Fatalf("%d victims, %d", len(bid.Victims), len(want))
-		case q.Whole && len(bid.Rooms) != q.Count:
+		case q.AllOrNothing && len(bid.Offers) != q.Count:
 			t.Fatalf("%+v", bid)
 		}
 		if again := z.Plan(1, q); !reflect.DeepEqual(bid, again) {
--- a/internal/standin/disk.go
+++ b/internal/emulator/disk.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"encoding/binary"
@@ -56,7 +56,7 @@
 			s.rev = binary.BigEndian.Uint64(raw)
 		}
 		return tx.Bucket(keysBucket).ForEach(func(k, v []byte) error {
-			var it wire.Item
+			var it wire.KeyValue
 			if err := msgpack.Unmarshal(v, &it); err != nil {
 				return fmt.Errorf("key %q: %w", k, err)
 			}
@@ -94,7 +94,7 @@
 				}
 				continue
 			}
-			raw, err := msgpack.Marshal(&wire.Item{Key: c.Put, Value: c.Value, Version: rev, Lease: c.Lease})
+			raw, err := msgpack.Marshal(&wire.KeyValue{Key: c.Put, Value: c.Value, Version: rev, Lease: c.Lease})
 			if err != nil {
 				return err
 			}
@@ -116,7 +116,7 @@
 
 // Upload keeps a description that a user has uploaded. One that can't be kept is lost
 // with the process, and its job's tasks are unknown then.
-func (d *Disk) Upload(j *JobIn) {
+func (d *Disk) Upload(j *SubmittedJob) {
 	if d == nil {
 		return
 	}
@@ -134,8 +134,8 @@
 }
 
 // Uploads returns the descriptions that are kept.
-func (d *Disk) Uploads() (map[string]*JobIn, error) {
-	out := map[string]*JobIn{}
+func (d *Disk) Uploads() (map[string]*SubmittedJob, error) {
+	out := map[string]*SubmittedJob{}
 	err := d.db.View(func(tx *bolt.Tx) error {
 		b := tx.Bucket(uploadsBucket)
 		if b == nil {
@@ -146,7 +146,7 @@
 			if err := msgpack.Unmarshal(v, &u); err != nil {
 				return fmt.Errorf("description of %s: %w", k, err)
 			}
-			out[string(k)] = &JobIn{Job: u.Job, Run: u.Run}
+			out[string(k)] = &SubmittedJob{Job: u.Job, Run: u.Run}
 			return nil
 		})
 	})
--- a/internal/standin/http.go
+++ b/internal/emulator/http.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bytes"
@@ -20,11 +20,11 @@
 
 // Servers puts the stand-ins behind HTTP, on the real clock.
 type Servers struct {
-	mu    sync.Mutex
-	State *State
-	World *World
-	Nodes []string // addresses that workers report to
-	Names []string // and the nodes' names, which redirections give
+	mu          sync.Mutex
+	State       *State
+	Environment *Environment
+	Nodes       []string // addresses that workers report to
+	Names       []string // and the nodes' names, which redirections give
 	// Failed hears why a report was not answered; nil: nobody does. It is called by several goroutines.
 	Failed func(error)
 	// Requests counts what was asked of the state service and refused for its quota.
@@ -41,7 +41,7 @@
 
 // NewServers returns stand-ins without quotas.
 func NewServers() *Servers {
-	return &Servers{State: NewState(), World: NewWorld(), start: time.Now(), wake: make(chan struct{}),
+	return &Servers{State: NewState(), Environment: NewEnvironment(), start: time.Now(), wake: make(chan struct{}),
 		calls: rate.NewLimiter(rate.Inf, 0), writes: rate.NewLimiter(rate.Inf, 0), cloud: rate.NewLimiter(rate.Inf, 0)}
 }
 
@@ -121,7 +121,7 @@
 	mux := http.NewServeMux()
 	handle := func(pattern string, h http.HandlerFunc) { mux.HandleFunc(pattern, s.admit(h)) }
 	handle("POST "+wire.PathCommit, func(w http.ResponseWriter, r *http.Request) {
-		var t wire.Commit
+		var t wire.Transaction
 		if !read(r, &t) {
 			write(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
@@ -133,7 +133,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		status, a := s.State.Commit(t)
-		s.ring()
+		s.wakeWatchers()
 		write(w, status, a)
 	})
 	handle("GET "+wire.PathStore, func(w http.ResponseWriter, r *http.Request) {
@@ -145,7 +145,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		items, more := s.State.Page(q.Get("under"), q.Get("from"), most)
-		write(w, http.StatusOK, wire.Items{Items: items, More: more, Revision: s.State.Revision()})
+		write(w, http.StatusOK, wire.KeyValuePage{Items: items, More: more, Revision: s.State.Revision()})
 	})
 	handle("GET "+wire.PathStore+"/{key...}", func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -154,7 +154,7 @@
 			write(w, http.StatusOK, it)
 			return
 		}
-		write(w, http.StatusNotFound, wire.CommitAnswer{Revision: s.State.Revision()})
+		write(w, http.StatusNotFound, wire.TransactionResult{Revision: s.State.Revision()})
 	})
 	handle("POST "+wire.PathLeases, func(w http.ResponseWriter, r *http.Request) {
 		var q wire.LeaseRequest
@@ -165,19 +165,19 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		status, id := s.State.Grant(s.Now(), q.TTLms*1000)
-		write(w, status, wire.LeaseAnswer{Lease: id})
+		write(w, status, wire.LeaseGrant{Lease: id})
 	})
 	lease := func(do func(now Micros, id uint64) int) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64) // no such lease otherwise
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			write(w, do(s.Now(), id), wire.LeaseAnswer{Lease: id})
-			s.ring()
+			write(w, do(s.Now(), id), wire.LeaseGrant{Lease: id})
+			s.wakeWatchers()
 		}
 	}
 	handle("POST "+wire.PathLeases+"/{id}/"+wire.ExtendVerb, lease(func(now Micros, id uint64) int { return s.State.Extend(now, id) }))
-	handle("DELETE "+wire.PathLeases+"/{id}", lease(func(now Micros, id uint64) int { return s.State.End(now, id) }))
+	handle("DELETE "+wire.PathLeases+"/{id}", lease(func(now Micros, id uint64) int { return s.State.EndLease(now, id) }))
 	handle("GET "+wire.PathChanges, s.changes)
 	return mux
 }
@@ -186,12 +186,12 @@
 func (s *Servers) Expire() {
 	s.With(func() {
 		s.State.Expire(s.Now())
-		s.ring()
+		s.wakeWatchers()
 	})
 }
 
-// ring wakes the watches. The lock is held.
-func (s *Servers) ring() {
+// wakeWatchers wakes the watches. The lock is held.
+func (s *Servers) wakeWatchers() {
 	close(s.wake)
 	s.wake = make(chan struct{})
 }
@@ -205,7 +205,7 @@
 	defer end.Stop()
 	for over := longest <= 0; ; {
 		s.mu.Lock()
-		a := wire.Changes{Revision: s.State.Revision()}
+		a := wire.WatchResponse{Revision: s.State.Revision()}
 		down, lost := s.State.Down, s.State.Lost(from)
 		if !down && !lost {
 			a.Events = s.State.Since(q.Get("under"), from)
@@ -240,7 +240,7 @@
 	handle := func(pattern string, h http.HandlerFunc) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			off := false
-			s.With(func() { off = s.World.CloudOff })
+			s.With(func() { off = s.Environment.CloudOff })
 			switch {
 			case off:
 				write(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
@@ -254,7 +254,7 @@
 	handle("GET "+wire.PathCatalog, func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		write(w, http.StatusOK, wire.Catalog{Types: s.World.Types})
+		write(w, http.StatusOK, wire.Catalog{Types: s.Environment.Types})
 	})
 	handle("GET "+wire.PathHosts, func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
@@ -264,7 +264,7 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		all := s.World.List(s.Now())
+		all := s.Environment.List(s.Now())
 		i, _ := slices.BinarySearchFunc(all, q.Get("from"), func(m wire.Machine, from string) int {
 			if m.Name <= from {
 				return -1
@@ -275,14 +275,14 @@
 		write(w, http.StatusOK, wire.MachineList{Machines: all[:min(most, len(all))], More: len(all) > most})
 	})
 	handle("POST "+wire.PathHosts, func(w http.ResponseWriter, r *http.Request) {
-		var q wire.Rent
-		if !read(r, &q) || q.Name == "" || q.Count < 1 || q.Count > wire.MaxRent {
+		var q wire.RentalRequest
+		if !read(r, &q) || q.Name == "" || q.Count < 1 || q.Count > wire.MaxRental {
 			write(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		names := s.World.Rent(s.Now(), q)
+		names := s.Environment.Rent(s.Now(), q)
 		if len(names) == 0 {
 			write(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 			return
@@ -297,7 +297,7 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.World.Release(s.Now(), q.Machines)
+		s.Environment.Release(s.Now(), q.Machines)
 		write(w, http.StatusOK, wire.MachineNames{})
 	})
 	return mux
@@ -311,15 +311,15 @@
 func (s *Servers) WorkerHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, verb, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-		var c wire.Commands
+		var c wire.CommandRequest
 		ok := verb == "status" || read(r, &c)
 		for {
 			s.mu.Lock()
-			m := s.World.Machines[name]
-			if m == nil || !m.Hang && m.Deaf == "" && s.Now() >= m.Up {
+			m := s.Environment.Machines[name]
+			if m == nil || !m.Hang && m.InboundLost == "" && s.Now() >= m.Up {
 				break
 			}
-			lost := m.Deaf == deafDrop
+			lost := m.InboundLost == inboundDrop
 			s.mu.Unlock()
 			if lost {
 				<-r.Context().Done() // no answer, and nothing of it comes late
@@ -330,14 +330,14 @@
 			wait.For(context.Background(), 100*time.Millisecond)
 		}
 		defer s.mu.Unlock()
-		m := s.World.Machines[name]
+		m := s.Environment.Machines[name]
 		switch {
 		case m == nil || !ok:
 			write(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		case verb == "status":
 			write(w, http.StatusOK, m.Status())
 		default:
-			status, report := s.World.Commands(s.Now(), m, c)
+			status, report := s.Environment.Commands(s.Now(), m, c)
 			write(w, status, report)
 		}
 	})
@@ -362,7 +362,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wait.Every(ctx, stepEvery, func() {
-		for _, d := range s.due(addr) {
+		for _, d := range s.dueHeartbeats(addr) {
 			select {
 			case sem <- struct{}{}:
 			case <-ctx.Done():
@@ -375,7 +375,7 @@
 			if d.again > 0 {
 				wg.Go(func() {
 					if wait.For(ctx, d.again) {
-						s.post(ctx, client, rand.IntN(len(s.Nodes)), &d.report)
+						s.post(ctx, client, rand.IntN(len(s.Nodes)), &d.heartbeat)
 					}
 				})
 			}
@@ -385,37 +385,37 @@
 
 // Values of Machine.Deaf.
 const (
-	deafDrop = "drop"
-	deafHold = "hold"
+	inboundDrop = "drop"
+	inboundHold = "hold"
 )
 
-type due struct {
-	m      *Machine
-	report wire.Report
-	sent   Micros
-	node   int
-	again  time.Duration // after which a copy comes; 0: none does
+type dueHeartbeat struct {
+	m         *Machine
+	heartbeat wire.Heartbeat
+	sent      Micros
+	node      int
+	again     time.Duration // after which a copy comes; 0: none does
 }
 
-// due lets time pass and lists the reports that are to go out.
-func (s *Servers) due(addr string) []due {
+// dueHeartbeats lets time pass and lists the reports that are to go out.
+func (s *Servers) dueHeartbeats(addr string) []dueHeartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
 	s.State.Expire(now)
-	s.World.Tick(now)
-	s.ring()
-	var out []due
-	for _, name := range s.World.Names() {
-		m := s.World.Machines[name]
+	s.Environment.Tick(now)
+	s.wakeWatchers()
+	var out []dueHeartbeat
+	for _, name := range s.Environment.Names() {
+		m := s.Environment.Machines[name]
 		m.Addr = addr + "/" + name
 		if len(s.Nodes) > 0 && m.Due(now) {
-			d := due{m, m.Status(), now, m.Node % len(s.Nodes), 0}
+			d := dueHeartbeat{m, m.Status(), now, m.Node % len(s.Nodes), 0}
 			if s.repeat > 0 && rand.IntN(copyOneOf) == 0 {
 				d.again = time.Duration(1e9 + rand.Float64()*max(s.repeat-1, 0)*1e9)
 			}
 			out = append(out, d)
-			every := s.World.ReportEvery
+			every := s.Environment.ReportEvery
 			if every == 0 {
 				every = Second
 			}
@@ -427,21 +427,21 @@
 }
 
 // send sends a report and does what the answer says.
-func (s *Servers) send(ctx context.Context, client *http.Client, d due) {
-	status, body := s.post(ctx, client, d.node, &d.report)
+func (s *Servers) send(ctx context.Context, client *http.Client, d dueHeartbeat) {
+	status, body := s.post(ctx, client, d.node, &d.heartbeat)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m, now := d.m, s.Now()
 	m.busy = false
-	if m.Deaf != "" {
+	if m.InboundLost != "" {
 		status = 0
 	}
-	var a wire.ReportAnswer
+	var a wire.HeartbeatResponse
 	var to wire.Redirect
 	switch {
 	case status == http.StatusOK && wire.Unmarshal(body, &a) == nil:
 		if !m.Hang {
-			s.World.Answered(now, d.sent, d.report.Session, m, a)
+			s.Environment.Answered(now, d.sent, d.heartbeat.Incarnation, m, a)
 		}
 		return
 	case status == http.StatusMisdirectedRequest && wire.Unmarshal(body, &to) == nil:
@@ -454,12 +454,12 @@
 }
 
 // post sends a report to a node; a status of 0: there was no answer.
-func (s *Servers) post(ctx context.Context, client *http.Client, node int, report *wire.Report) (int, []byte) {
+func (s *Servers) post(ctx context.Context, client *http.Client, node int, report *wire.Heartbeat) (int, []byte) {
 	raw, err := wire.Marshal(report)
 	if err != nil {
 		return 0, nil
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Nodes[node]+wire.PathReport, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Nodes[node]+wire.PathHeartbeat, bytes.NewReader(raw))
 	if err != nil {
 		return 0, nil
 	}
--- a/internal/standin/model.go
+++ b/internal/emulator/model.go
@@ -1,10 +1,10 @@
-package standin
+package emulator
 
 import (
 	"math"
 	"math/rand/v2"
 
-	"coralhub/internal/judge"
+	"coralhub/internal/invariants"
 	"coralhub/wire"
 )
 
@@ -28,7 +28,7 @@
 }
 
 // rented gives a new machine what is its own.
-func (m *Model) rented(now Micros, w *World, x *Machine) {
+func (m *Model) rented(now Micros, w *Environment, x *Machine) {
 	if m == nil {
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // list returns a list that lags.
-func (m *Model) list(now Micros, w *World) []wire.Machine {
+func (m *Model) list(now Micros, w *Environment) []wire.Machine {
 	if n := len(w.listed); n == 0 || now-w.listed[n-1].at >= Second/2 {
 		w.listed = append(w.listed, listing{now, w.listNow(now)})
 	}
@@ -62,7 +62,7 @@
 }
 
 // free tells whether one more machine can be rented, after so many in one request.
-func (w *World) free(r wire.Rent, got int) bool {
+func (w *Environment) free(r wire.RentalRequest, got int) bool {
 	if !r.Spot {
 		return w.Capacity[r.Zone] > 0
 	}
@@ -79,7 +79,7 @@
 }
 
 // has tells whether a machine has a job's image, which it fetches once for all.
-func (m *Machine) has(now Micros, j *JobIn) bool {
+func (m *Machine) has(now Micros, j *SubmittedJob) bool {
 	ready, known := m.images[j.Image]
 	if !known {
 		ready = now + Micros(j.ImageGB/0.4*float64(Second))
@@ -91,24 +91,24 @@
 	return now >= ready
 }
 
-func (w *World) tell(e judge.Event) {
+func (w *Environment) tell(e invariants.Event) {
 	if w.Watch != nil {
 		w.Watch(e)
 	}
 }
 
 // leave tells that a task is not on its machine any more.
-func (w *World) leave(now Micros, m *Machine, t *task) {
+func (w *Environment) leave(now Micros, m *Machine, t *task) {
 	if !t.on {
 		return
 	}
 	t.on = false
 	id, n, _ := wire.ParseTaskName(t.Task)
-	w.tell(judge.Event{At: now, Kind: judge.Off, Job: id, Task: n, Attempt: t.Attempt, Machine: m.Name})
+	w.tell(invariants.Event{At: now, Kind: invariants.TaskStopped, Job: id, Task: n, Attempt: t.Attempt, Machine: m.Name})
 }
 
 // lose ends all tasks of a machine; what they saved by themselves stays.
-func (w *World) lose(now Micros, m *Machine) {
+func (w *Environment) lose(now Micros, m *Machine) {
 	for _, t := range m.tasks {
 		id, n, _ := wire.ParseTaskName(t.Task)
 		if j := w.Jobs[id]; j != nil && t.State == wire.Running && j.CheckpointS > 0 {
@@ -121,7 +121,7 @@
 
 // progress is how far a running task has come. Without a model it counts from its
 // start.
-func (w *World) progress(now Micros, m *Machine, t *task) Micros {
+func (w *Environment) progress(now Micros, m *Machine, t *task) Micros {
 	if w.Model == nil {
 		return now - t.began
 	}
@@ -129,14 +129,14 @@
 }
 
 // progressOf is what a task starts from.
-func (w *World) progressOf(j *JobIn, n int) Micros {
+func (w *Environment) progressOf(j *SubmittedJob, n int) Micros {
 	if w.Model == nil {
 		return 0
 	}
 	return w.saved[j.ID][savedAs(j, n)]
 }
 
-func savedAs(j *JobIn, n int) int {
+func savedAs(j *SubmittedJob, n int) int {
 	if j.Shape == wire.Gang {
 		return -1
 	}
@@ -144,7 +144,7 @@
 }
 
 // keep notes progress that is safe outside of the machines.
-func (w *World) keep(j *JobIn, n int, progress Micros) {
+func (w *Environment) keep(j *SubmittedJob, n int, progress Micros) {
 	if w.Model == nil || j.CheckpointS <= 0 {
 		return
 	}
@@ -159,14 +159,14 @@
 }
 
 // slowest is the progress of a gang whose n-th running task has come so far.
-func (w *World) slowest(so Micros, n int, far Micros) Micros {
+func (w *Environment) slowest(so Micros, n int, far Micros) Micros {
 	if n == 1 || far < so || w.Model == nil {
 		return far
 	}
 	return so
 }
 
-func (w *World) gpusOf(m *Machine) float64 {
+func (w *Environment) gpusOf(m *Machine) float64 {
 	for i := range w.Types {
 		if w.Types[i].Name == m.Type {
 			return w.Types[i].GPUs
@@ -176,7 +176,7 @@
 }
 
 // RunOf is how long a task runs.
-func (j *JobIn) RunOf(n int) Micros { return j.Run + Micros(n)*j.Steps }
+func (j *SubmittedJob) RunOf(n int) Micros { return j.Run + Micros(n)*j.Steps }
 
 // Recall has the cloud take a machine back after so long, with or without notice.
 func (m *Machine) Recall(at Micros, silent bool) {
--- a/internal/standin/state.go
+++ b/internal/emulator/state.go
@@ -1,8 +1,8 @@
-// Package standin plays the systems that coralhub depends on, by their
+// Package emulator plays the systems that coralhub depends on, by their
 // published protocol: the state service, the cloud and the workers. The models
 // take the time as an argument, so that a scenario can run them on a made-up
 // clock; Servers puts them behind HTTP.
-package standin
+package emulator
 
 import (
 	"encoding/json"
@@ -25,7 +25,7 @@
 	ValueBytes, TxnOps int
 	Refused            int // transactions that went beyond a limit
 	rev                uint64
-	keys               map[string]wire.Item
+	keys               map[string]wire.KeyValue
 	leases             map[uint64]*lease
 	next               uint64
 	changes            []wire.Change
@@ -41,7 +41,7 @@
 
 // NewState returns an empty state service.
 func NewState() *State {
-	return &State{rev: 1, keys: map[string]wire.Item{}, leases: map[uint64]*lease{}}
+	return &State{rev: 1, keys: map[string]wire.KeyValue{}, leases: map[uint64]*lease{}}
 }
 
 // SetDown begins or ends an outage. After it every lease has its full time.
@@ -88,50 +88,50 @@
 }
 
 // Commit carries out a transaction and returns the HTTP status.
-func (s *State) Commit(t wire.Commit) (int, wire.CommitAnswer) {
+func (s *State) Commit(t wire.Transaction) (int, wire.TransactionResult) {
 	if s.Down {
-		return 503, wire.CommitAnswer{}
+		return 503, wire.TransactionResult{}
 	}
 	var failed []string
-	for _, g := range t.Guards {
+	for _, g := range t.Conditions {
 		if s.keys[g.Key].Version != g.Version {
 			failed = append(failed, g.Key)
 		}
 	}
 	for _, c := range t.Changes {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
-			return 400, wire.CommitAnswer{Error: wire.NoSuchLease}
+			return 400, wire.TransactionResult{Error: wire.NoSuchLease}
 		}
 	}
-	if s.beyond(&t) {
+	if s.violatedLimits(&t) {
 		s.Refused++
-		return 400, wire.CommitAnswer{Error: "too large"}
+		return 400, wire.TransactionResult{Error: "too large"}
 	}
 	if len(failed) > 0 {
-		return 409, wire.CommitAnswer{Failed: failed, Revision: s.rev}
+		return 409, wire.TransactionResult{Failed: failed, Revision: s.rev}
 	}
 	if len(t.Changes) == 0 {
-		return 200, wire.CommitAnswer{Revision: s.rev}
+		return 200, wire.TransactionResult{Revision: s.rev}
 	}
 	if err := s.Disk.save(s.rev+1, t.Changes); err != nil {
-		return 503, wire.CommitAnswer{Error: err.Error()}
+		return 503, wire.TransactionResult{Error: err.Error()}
 	}
 	s.rev++
-	s.forget()
+	s.trimHistory()
 	for _, c := range t.Changes {
 		if c.Put != "" {
-			s.keys[c.Put] = wire.Item{Key: c.Put, Value: c.Value, Version: s.rev, Lease: c.Lease}
+			s.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, Version: s.rev, Lease: c.Lease}
 			s.changes = append(s.changes, wire.Change{Put: c.Put, Value: c.Value, Version: s.rev})
 		} else {
 			delete(s.keys, c.Delete)
 			s.changes = append(s.changes, wire.Change{Delete: c.Delete, Version: s.rev})
 		}
 	}
-	return 200, wire.CommitAnswer{Revision: s.rev}
+	return 200, wire.TransactionResult{Revision: s.rev}
 }
 
-// forget drops changes that watches can't ask for any more, some at a time.
-func (s *State) forget() {
+// trimHistory drops changes that watches can't ask for any more, some at a time.
+func (s *State) trimHistory() {
 	if s.Keep > 0 && len(s.changes) > 2*s.Keep {
 		s.changes = append([]wire.Change(nil), s.changes[len(s.changes)-s.Keep:]...)
 	}
@@ -143,7 +143,7 @@
 }
 
 // Page returns keys under a prefix, in order, after a key: at most so many.
-func (s *State) Page(prefix, from string, most int) (items []wire.Item, more bool) {
+func (s *State) Page(prefix, from string, most int) (items []wire.KeyValue, more bool) {
 	all := s.List(prefix)
 	i := sort.Search(len(all), func(i int) bool { return all[i].Key > from })
 	all = all[i:]
@@ -159,8 +159,8 @@
 // maxPageBytes bounds a page of keys.
 const maxPageBytes = 512 << 10
 
-// End ends a lease at once.
-func (s *State) End(now Micros, id uint64) int {
+// EndLease ends a lease at once.
+func (s *State) EndLease(now Micros, id uint64) int {
 	if s.Down {
 		return 503
 	}
@@ -171,9 +171,9 @@
 	return 200
 }
 
-// beyond tells whether a transaction goes beyond the limits.
-func (s *State) beyond(t *wire.Commit) bool {
-	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Guards) > wire.GuardFactor*s.TxnOps) {
+// violatedLimits tells whether a transaction goes beyond the limits.
+func (s *State) violatedLimits(t *wire.Transaction) bool {
+	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Conditions) > wire.ConditionsPerChange*s.TxnOps) {
 		return true
 	}
 	if s.ValueBytes == 0 {
@@ -195,14 +195,14 @@
 }
 
 // Get returns a key; its version is 0 if there is none.
-func (s *State) Get(key string) wire.Item { return s.keys[key] }
+func (s *State) Get(key string) wire.KeyValue { return s.keys[key] }
 
 // Revision counts the changes.
 func (s *State) Revision() uint64 { return s.rev }
 
 // List returns the keys under a prefix, in order.
-func (s *State) List(prefix string) []wire.Item {
-	out := make([]wire.Item, 0, len(s.keys))
+func (s *State) List(prefix string) []wire.KeyValue {
+	out := make([]wire.KeyValue, 0, len(s.keys))
 	for k, it := range s.keys {
 		if strings.HasPrefix(k, prefix) {
 			out = append(out, it)
--- a/internal/standin/world.go
+++ b/internal/emulator/world.go
@@ -1,24 +1,24 @@
-package standin
+package emulator
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"coralhub/internal/judge"
+	"coralhub/internal/invariants"
 	"coralhub/wire"
 )
 
-// World is the cloud and the workers on its machines. It keeps watch over the
+// Environment is the cloud and the workers on its machines. It keeps watch over the
 // rules and notes in Broken what goes against them.
-type World struct {
+type Environment struct {
 	Types    []wire.MachineType
 	Lease    Micros // of workers
 	GangWait Micros
 	CancelIn Micros
 	Boot     Micros
-	Capacity map[string]int    // ordinary machines left, by zone
-	Jobs     map[string]*JobIn // what users have submitted
+	Capacity map[string]int           // ordinary machines left, by zone
+	Jobs     map[string]*SubmittedJob // what users have submitted
 	Machines map[string]*Machine
 	Fails    map[string]Micros // machines that fail every task that starts after that
 	// ReportEvery is how often workers report; 0 is a second.
@@ -35,7 +35,7 @@
 	// everything takes as long as it is said to.
 	Model *Model
 	// Watch hears what happens on machines; nil: nobody does.
-	Watch func(judge.Event)
+	Watch func(invariants.Event)
 
 	seq    int
 	asked  map[string][]string
@@ -44,8 +44,8 @@
 	listed []listing                 // lists of the last seconds, see List
 }
 
-// JobIn is a submission as its user sees it.
-type JobIn struct {
+// SubmittedJob is a submission as its user sees it.
+type SubmittedJob struct {
 	wire.Job
 	Cancelled Micros  // when the user was told; 0: not
 	Asked     bool    // the user has asked to cancel it
@@ -59,55 +59,55 @@
 // Machine is a rented machine and its worker.
 type Machine struct {
 	wire.Machine
-	Up      Micros // when the worker starts
-	Hang    bool
-	Session uint64
-	Seq     uint64
-	Token   uint64
-	alive   Micros // when the last answered report was sent
-	tasks   []*task
-	born    Micros
-	Node    int // which node it reports to
-	NextAt  Micros
-	sentAt  Micros
-	changed bool
-	busy    bool              // a report is on its way
-	Speed   float64           // how many times as fast as usual it runs
-	images  map[string]Micros // from when on it has them
-	recall  Micros            // when the cloud takes it back; 0: not
-	silent  bool              // and it gives no notice
-	Fails   bool              // every task that starts from now on fails
+	Up           Micros // when the worker starts
+	Hang         bool
+	Incarnation  uint64
+	Sequence     uint64
+	FencingToken uint64
+	alive        Micros // when the last answered report was sent
+	tasks        []*task
+	born         Micros
+	Node         int // which node it reports to
+	NextAt       Micros
+	sentAt       Micros
+	changed      bool
+	busy         bool              // a report is on its way
+	Speed        float64           // how many times as fast as usual it runs
+	images       map[string]Micros // from when on it has them
+	recall       Micros            // when the cloud takes it back; 0: not
+	silent       bool              // and it gives no notice
+	Fails        bool              // every task that starts from now on fails
 	// Deaf has its reports arrive while answers and commands don't reach it: "drop" loses
 	// them, "hold" has direct commands arrive once it is over.
-	Deaf string
+	InboundLost string
 	// Mute has none of its reports reach anybody, while commands reach it.
-	Mute bool
+	OutboundLost bool
 }
 
 type task struct {
-	wire.TaskReport
+	wire.TaskStatus
 	began Micros
 	from  Micros // progress that it started from
 	on    bool   // it has its image and has not left
 }
 
-// NewWorld returns a world with one machine type and two zones, a and b.
-func NewWorld() *World {
-	return &World{
+// NewEnvironment returns a world with one machine type and two zones, a and b.
+func NewEnvironment() *Environment {
+	return &Environment{
 		Types: []wire.MachineType{{Name: "t4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 100, FetchGBs: 1,
 			Price: 4, SpotPrice: 2, BootS: 2, Zones: []string{"a", "b"}}},
 		Lease: 4 * Second, GangWait: 10 * Second, CancelIn: 20 * Second, Boot: 2 * Second,
-		Capacity: map[string]int{"a": 8, "b": 8}, Jobs: map[string]*JobIn{}, Machines: map[string]*Machine{},
+		Capacity: map[string]int{"a": 8, "b": 8}, Jobs: map[string]*SubmittedJob{}, Machines: map[string]*Machine{},
 		Fails: map[string]Micros{}, asked: map[string][]string{}, done: map[string]map[int]bool{},
 	}
 }
 
-func (w *World) broken(now Micros, format string, args ...any) {
+func (w *Environment) broken(now Micros, format string, args ...any) {
 	w.Broken = append(w.Broken, fmt.Sprintf("%.1fs ", float64(now)/1e6)+fmt.Sprintf(format, args...))
 }
 
 // Rent rents machines; it returns nil if there is no capacity.
-func (w *World) Rent(now Micros, r wire.Rent) []string {
+func (w *Environment) Rent(now Micros, r wire.RentalRequest) []string {
 	if names, ok := w.asked[r.Name]; ok {
 		return names
 	}
@@ -120,9 +120,9 @@
 		w.seq++
 		w.Rented++
 		w.Machines[name] = &Machine{Machine: wire.Machine{Name: name, Addr: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: wire.MachineBooting},
-			Up: now + w.Boot, Session: 1, alive: now + w.Boot, born: now, Speed: 1, images: map[string]Micros{}}
+			Up: now + w.Boot, Incarnation: 1, alive: now + w.Boot, born: now, Speed: 1, images: map[string]Micros{}}
 		w.Model.rented(now, w, w.Machines[name])
-		w.tell(judge.Event{At: now, Kind: judge.Machine, Machine: name, Host: &judge.Host{Type: r.Type, Zone: r.Zone, Spot: r.Spot}})
+		w.tell(invariants.Event{At: now, Kind: invariants.MachineAdded, Machine: name, Host: &invariants.Host{Type: r.Type, Zone: r.Zone, Spot: r.Spot}})
 		names = append(names, name)
 	}
 	if len(names) > 0 {
@@ -132,11 +132,11 @@
 }
 
 // Release deletes machines.
-func (w *World) Release(now Micros, names []string) {
+func (w *Environment) Release(now Micros, names []string) {
 	for _, n := range names {
 		if m := w.Machines[n]; m != nil {
 			w.lose(now, m)
-			w.tell(judge.Event{At: now, Kind: judge.Gone, Machine: n})
+			w.tell(invariants.Event{At: now, Kind: invariants.MachineGone, Machine: n})
 			if !m.Spot {
 				w.Capacity[m.Zone]++
 			}
@@ -146,14 +146,14 @@
 }
 
 // List lists the machines.
-func (w *World) List(now Micros) []wire.Machine {
+func (w *Environment) List(now Micros) []wire.Machine {
 	if w.Model != nil {
 		return w.Model.list(now, w)
 	}
 	return w.listNow(now)
 }
 
-func (w *World) listNow(now Micros) []wire.Machine {
+func (w *Environment) listNow(now Micros) []wire.Machine {
 	var out []wire.Machine
 	for _, n := range w.Names() {
 		m := w.Machines[n]
@@ -167,12 +167,12 @@
 }
 
 // Names lists the machines' names in order.
-func (w *World) Names() []string {
+func (w *Environment) Names() []string {
 	return slices.Sorted(maps.Keys(w.Machines))
 }
 
 // Tick lets time pass on the machines.
-func (w *World) Tick(now Micros) {
+func (w *Environment) Tick(now Micros) {
 	for _, n := range w.Names() {
 		m := w.Machines[n]
 		if now >= m.Up {
@@ -188,7 +188,7 @@
 		if now-m.alive > w.Lease && !(w.HangKeeps && m.Hang) { // whether it hangs or not: it may go on within its lease alone
 			w.lose(now, m)
 			m.tasks, m.changed = nil, true
-			m.Session++
+			m.Incarnation++
 			m.alive = now
 		}
 		if m.Hang {
@@ -208,7 +208,7 @@
 	}
 }
 
-func (w *World) advance(now Micros, m *Machine, t *task) {
+func (w *Environment) advance(now Micros, m *Machine, t *task) {
 	id, n, _ := wire.ParseTaskName(t.Task)
 	j := w.Jobs[id]
 	if j == nil {
@@ -224,7 +224,7 @@
 			return
 		}
 		t.on = true
-		w.tell(judge.Event{At: now, Kind: judge.On, Job: id, Task: n, Attempt: t.Attempt, Machine: m.Name})
+		w.tell(invariants.Event{At: now, Kind: invariants.TaskStarted, Job: id, Task: n, Attempt: t.Attempt, Machine: m.Name})
 		t.State, t.began, t.from, m.changed = wire.Running, now, w.progressOf(j, n), true
 		if j.Shape == wire.Gang {
 			t.State = wire.Waiting
@@ -248,24 +248,24 @@
 	}
 }
 
-func (w *World) complete(now Micros, m *Machine, t *task) {
+func (w *Environment) complete(now Micros, m *Machine, t *task) {
 	id, n, _ := wire.ParseTaskName(t.Task)
 	if w.done[id] == nil {
 		w.done[id] = map[int]bool{}
 	}
 	w.done[id][n] = true
-	w.tell(judge.Event{At: now, Kind: judge.Done, Job: id, Task: n})
+	w.tell(invariants.Event{At: now, Kind: invariants.TaskDone, Job: id, Task: n})
 	w.exit(now, m, t, wire.Done)
 }
 
-func (w *World) exit(now Micros, m *Machine, t *task, cause string) {
+func (w *Environment) exit(now Micros, m *Machine, t *task, cause string) {
 	w.leave(now, m, t)
 	t.State, t.Cause, m.changed = wire.Exited, cause, true
 }
 
 // gangs starts gangs that are complete, and ends those that are through or have
 // lost a task, be it only to a machine that hangs.
-func (w *World) gangs(now Micros) {
+func (w *Environment) gangs(now Micros) {
 	type member struct {
 		m *Machine
 		t *task
@@ -303,35 +303,35 @@
 			case running == size && ran >= w.Jobs[id].Run:
 				w.complete(now, x.m, x.t)
 			case running > 0 && running < size && x.t.State == wire.Running:
-				w.exit(now, x.m, x.t, wire.CausePeers)
+				w.exit(now, x.m, x.t, wire.CausePeersGone)
 			}
 		}
 	}
 }
 
 // Status is a machine's report.
-func (m *Machine) Status() wire.Report {
-	m.Seq++
-	r := wire.Report{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Session: m.Session, Seq: m.Seq, Token: m.Token}
+func (m *Machine) Status() wire.Heartbeat {
+	m.Sequence++
+	r := wire.Heartbeat{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+		Incarnation: m.Incarnation, Sequence: m.Sequence, FencingToken: m.FencingToken}
 	if m.recall != 0 && !m.silent {
 		left := 0.5
 		r.NoticeS = &left
 	}
 	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, t.TaskReport)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
 }
 
 // Restart has a machine stop with all that is on it and come back after so long. Its worker
 // goes on with the next session; or it begins anew, remembering nothing, not even its session.
-func (w *World) Restart(now, after Micros, m *Machine, anew bool) {
+func (w *Environment) Restart(now, after Micros, m *Machine, anew bool) {
 	w.lose(now, m)
 	m.tasks, m.changed, m.busy = nil, true, false
-	m.Session++
+	m.Incarnation++
 	if anew {
-		m.Session, m.Seq, m.Token = 1, 0, 0
+		m.Incarnation, m.Sequence, m.FencingToken = 1, 0, 0
 	}
 	m.Up, m.alive = now+after, now+after
 }
@@ -356,32 +356,32 @@
 }
 
 // Answered takes the 200 to a report.
-func (w *World) Answered(now, sent Micros, session uint64, m *Machine, a wire.ReportAnswer) {
-	if a.Token < m.Token || session != m.Session || now-sent > 4*Second {
+func (w *Environment) Answered(now, sent Micros, session uint64, m *Machine, a wire.HeartbeatResponse) {
+	if a.FencingToken < m.FencingToken || session != m.Incarnation || now-sent > 4*Second {
 		return
 	}
-	if a.Token > m.Token {
-		m.Token, m.changed = a.Token, true
+	if a.FencingToken > m.FencingToken {
+		m.FencingToken, m.changed = a.FencingToken, true
 	}
 	m.alive = sent
-	w.execute(now, m, a.Orders)
+	w.execute(now, m, a.Commands)
 }
 
 // Commands takes a direct call and returns the HTTP status.
-func (w *World) Commands(now Micros, m *Machine, c wire.Commands) (int, wire.Report) {
+func (w *Environment) Commands(now Micros, m *Machine, c wire.CommandRequest) (int, wire.Heartbeat) {
 	status := 200
-	if c.Token > m.Token {
-		m.Token, m.changed = c.Token, true
+	if c.FencingToken > m.FencingToken {
+		m.FencingToken, m.changed = c.FencingToken, true
 	}
-	if c.Token < m.Token || c.Session != m.Session {
+	if c.FencingToken < m.FencingToken || c.Incarnation != m.Incarnation {
 		status = 409
 	} else {
-		w.execute(now, m, c.Orders)
+		w.execute(now, m, c.Commands)
 	}
 	return status, m.Status()
 }
 
-func (w *World) execute(now Micros, m *Machine, orders []wire.Order) {
+func (w *Environment) execute(now Micros, m *Machine, orders []wire.Command) {
 	for _, o := range orders {
 		var found *task
 		for _, t := range m.tasks {
@@ -390,9 +390,9 @@
 			}
 		}
 		switch {
-		case o.Verb == wire.Start && found == nil:
+		case o.Verb == wire.CommandStart && found == nil:
 			w.start(now, m, o)
-		case o.Verb == wire.Stop && found != nil && found.State != wire.Exited:
+		case o.Verb == wire.CommandStop && found != nil && found.State != wire.Exited:
 			id, _, _ := wire.ParseTaskName(o.Task)
 			j := w.Jobs[id]
 			if found.State == wire.Running && j.CheckpointS > 0 && o.GraceS != nil && *o.GraceS >= j.SaveS {
@@ -401,7 +401,7 @@
 			} else if found.State != wire.Saving || o.GraceS == nil || *o.GraceS == 0 {
 				w.exit(now, m, found, wire.CauseStopped)
 			}
-		case o.Verb == wire.Forget && found != nil && found.State == wire.Exited:
+		case o.Verb == wire.CommandForget && found != nil && found.State == wire.Exited:
 			for i, t := range m.tasks {
 				if t == found {
 					m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
@@ -412,9 +412,9 @@
 	}
 }
 
-func (w *World) start(now Micros, m *Machine, o wire.Order) {
+func (w *Environment) start(now Micros, m *Machine, o wire.Command) {
 	m.changed = true
-	t := &task{TaskReport: wire.TaskReport{Task: o.Task, Attempt: o.Attempt, State: wire.Fetching}, began: now}
+	t := &task{TaskStatus: wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.Fetching}, began: now}
 	m.tasks = append(m.tasks, t)
 	id, n, ok := wire.ParseTaskName(o.Task)
 	j := w.Jobs[id]
@@ -430,7 +430,7 @@
 		}
 	}
 	if used > w.gpusOf(m) {
-		w.exit(now, m, t, wire.CauseNoRoom)
+		w.exit(now, m, t, wire.CauseNoCapacity)
 		return
 	}
 	j.Starts++
@@ -463,9 +463,9 @@
 
 // CancelledAt tells when a user was told that a job, or one that it needs,
 // directly or not, is cancelled; 0: nobody was.
-func (w *World) CancelledAt(id string) Micros {
+func (w *Environment) CancelledAt(id string) Micros {
 	first := Micros(0)
-	w.eachBefore(id, func(j *JobIn) {
+	w.eachBefore(id, func(j *SubmittedJob) {
 		if j.Cancelled != 0 && (first == 0 || j.Cancelled < first) {
 			first = j.Cancelled
 		}
@@ -474,14 +474,14 @@
 }
 
 // MayBeCancelled tells whether a user has asked to cancel a job or one before it.
-func (w *World) MayBeCancelled(id string) bool {
+func (w *Environment) MayBeCancelled(id string) bool {
 	asked := false
-	w.eachBefore(id, func(j *JobIn) { asked = asked || j.Asked })
+	w.eachBefore(id, func(j *SubmittedJob) { asked = asked || j.Asked })
 	return asked
 }
 
 // eachBefore calls f for a job and all that it needs, directly or not.
-func (w *World) eachBefore(id string, f func(*JobIn)) {
+func (w *Environment) eachBefore(id string, f func(*SubmittedJob)) {
 	seen := map[string]bool{}
 	for todo := []string{id}; len(todo) > 0; {
 		x := todo[len(todo)-1]
@@ -495,7 +495,7 @@
 }
 
 // On lists where a job's tasks are; all includes those on hanging machines.
-func (w *World) On(id string, all bool) []string {
+func (w *Environment) On(id string, all bool) []string {
 	var out []string
 	for _, name := range w.Names() {
 		m := w.Machines[name]
@@ -512,7 +512,7 @@
 }
 
 // Used adds up the GPUs of a team's tasks.
-func (w *World) Used(team string) float64 {
+func (w *Environment) Used(team string) float64 {
 	used := 0.0
 	for id, j := range w.Jobs {
 		if j.Team == team {
@@ -523,10 +523,10 @@
 }
 
 // DoneTasks counts the tasks of a job that have completed.
-func (w *World) DoneTasks(id string) int { return len(w.done[id]) }
+func (w *Environment) DoneTasks(id string) int { return len(w.done[id]) }
 
 // Done tells whether every task of a job has completed.
-func (w *World) Done(id string) bool {
+func (w *Environment) Done(id string) bool {
 	j := w.Jobs[id]
 	return j != nil && (len(w.done[id]) == j.Tasks)
 }
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -24,14 +24,14 @@
 	Refuse Mode = "refuse"
 )
 
-// Way is the direction that a fault is for.
-type Way string
+// Direction is the direction that a fault is for.
+type Direction string
 
 // The ways: both, from who connects, and back to it.
 const (
-	Both    Way = ""
-	Forward Way = "forward"
-	Back    Way = "back"
+	Both     Direction = ""
+	Forward  Direction = "forward"
+	Backward Direction = "back"
 )
 
 // dialTimeout is how long the target may take to accept.
@@ -44,16 +44,16 @@
 type Proxy struct {
 	name, target, addr string
 
-	mu       sync.Mutex
-	listener net.Listener
-	mode     Mode
-	way      Way
-	delay    time.Duration
-	change   chan struct{} // closed when something above changes
-	conns    map[*pair]bool
-	closed   bool
-	failed   func(error) // hears why connections were not made; nil: nobody does
-	wg       sync.WaitGroup
+	mu        sync.Mutex
+	listener  net.Listener
+	mode      Mode
+	direction Direction
+	delay     time.Duration
+	change    chan struct{} // closed when something above changes
+	conns     map[*pair]bool
+	closed    bool
+	failed    func(error) // hears why connections were not made; nil: nobody does
+	wg        sync.WaitGroup
 }
 
 // pair is a connection and the one that it is passed on by.
@@ -83,13 +83,13 @@
 
 // Set changes what is done from now on. Back to Pass, held data is delivered and
 // connections of which something was dropped are reset.
-func (p *Proxy) Set(mode Mode, way Way) error {
+func (p *Proxy) Set(mode Mode, way Direction) error {
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
 		return net.ErrClosed
 	}
-	p.mode, p.way = mode, way
+	p.mode, p.direction = mode, way
 	close(p.change)
 	p.change = make(chan struct{})
 	var end []*pair
@@ -219,7 +219,7 @@
 	p.mu.Unlock()
 	var both sync.WaitGroup
 	both.Go(func() { p.pump(c, in, out, Forward) })
-	both.Go(func() { p.pump(c, out, in, Back) })
+	both.Go(func() { p.pump(c, out, in, Backward) })
 	both.Wait()
 	p.mu.Lock()
 	delete(p.conns, c)
@@ -230,7 +230,7 @@
 
 // pump passes one way on, until it ends. Data that was read before its sender gave up
 // is still delivered once the proxy lets it.
-func (p *Proxy) pump(c *pair, from, to net.Conn, way Way) {
+func (p *Proxy) pump(c *pair, from, to net.Conn, way Direction) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -257,11 +257,11 @@
 }
 
 // gate waits until data of a connection may pass; false: it never may.
-func (p *Proxy) gate(c *pair, way Way) bool {
+func (p *Proxy) gate(c *pair, way Direction) bool {
 	for {
 		p.mu.Lock()
 		mode, change, delay, closed := p.mode, p.change, p.delay, p.closed
-		mine := p.way == Both || p.way == way
+		mine := p.direction == Both || p.direction == way
 		if mine && mode == Drop {
 			c.lost = true
 		}
--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -72,7 +72,7 @@
 	return p
 }
 
-func (p *Proxy) must(t *testing.T, mode Mode, way Way) {
+func (p *Proxy) must(t *testing.T, mode Mode, way Direction) {
 	t.Helper()
 	if err := p.Set(mode, way); err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 	p := start(t)
 	c := dial(t, p)
 	c.says("zero", patience) // it is passed on by now
-	p.must(t, Hold, Back)
+	p.must(t, Hold, Backward)
 	if c.says("one", moment) {
 		t.Fatal("an answer came back")
 	}
--- a/internal/rehearse/experiment.go
+++ b/internal/faulttest/experiment.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"context"
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"bytes"
@@ -210,8 +210,8 @@
 		x.left.Store(20)
 		return x
 	})
-	if res.Passed || !strings.Contains(res.Why, "run out of files") || len(res.Broken) > 0 {
-		t.Errorf("why %q, broken %v", res.Why, res.Broken)
+	if res.Passed || !strings.Contains(res.Why, "run out of files") || len(res.Violations) > 0 {
+		t.Errorf("why %q, broken %v", res.Why, res.Violations)
 	}
 	if res.TookS > 4 {
 		t.Errorf("it went on for %.1f s", res.TookS)
@@ -340,7 +340,7 @@
 				t.Fatal("passed")
 			}
 			found := false
-			for _, b := range res.Broken {
+			for _, b := range res.Violations {
 				found = found || b.Rule == rule
 			}
 			if !found {
--- a/internal/rehearse/faults.go
+++ b/internal/faulttest/inject.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"context"
@@ -10,13 +10,13 @@
 
 	"coralhub/internal/cluster"
 	"coralhub/internal/config"
+	"coralhub/internal/emulator"
 	"coralhub/internal/faults"
-	"coralhub/internal/standin"
 	"coralhub/internal/wait"
 )
 
-// strike brings a fault about and returns what ends it; nil if nothing does.
-func (r *run) strike(f *Fault) func() {
+// injectFault brings a fault about and returns what ends it; nil if nothing does.
+func (r *run) injectFault(f *Fault) func() {
 	c := r.cluster
 	mode := faults.Mode(f.Mode)
 	if f.Mode == "" {
@@ -24,7 +24,7 @@
 	}
 	cut := func(links ...*faults.Proxy) func() {
 		for _, l := range links {
-			r.failed(l.Set(mode, faults.Way(f.Way)))
+			r.failed(l.Set(mode, faults.Direction(f.Way)))
 		}
 		return func() {
 			for _, l := range links {
@@ -32,8 +32,8 @@
 			}
 		}
 	}
-	world := func(set func(w *standin.World, now standin.Micros)) {
-		c.Servers.With(func() { set(c.Servers.World, c.Servers.Now()) })
+	world := func(set func(w *emulator.Environment, now emulator.Micros)) {
+		c.Servers.With(func() { set(c.Servers.Environment, c.Servers.Now()) })
 	}
 	nodes := r.nodes(f.Target)
 	var links []*faults.Proxy
@@ -98,64 +98,64 @@
 		c.Servers.SetQuotas(cl.State.RPS*f.Factor, cl.State.WriteRPS*f.Factor, cl.Cloud.RPS)
 		return func() { c.Servers.SetQuotas(cl.State.RPS, cl.State.WriteRPS, cl.Cloud.RPS) }
 	case "cloud_out":
-		world(func(w *standin.World, _ standin.Micros) { w.CloudOff = true })
-		return func() { world(func(w *standin.World, _ standin.Micros) { w.CloudOff = false }) }
+		world(func(w *emulator.Environment, _ emulator.Micros) { w.CloudOff = true })
+		return func() { world(func(w *emulator.Environment, _ emulator.Micros) { w.CloudOff = false }) }
 	case "cloud_full":
 		had := map[string]int{}
-		world(func(w *standin.World, _ standin.Micros) {
+		world(func(w *emulator.Environment, _ emulator.Micros) {
 			for z, n := range w.Capacity {
 				had[z], w.Capacity[z] = n, 0
 			}
 		})
 		return func() {
-			world(func(w *standin.World, _ standin.Micros) {
+			world(func(w *emulator.Environment, _ emulator.Micros) {
 				for z, n := range had {
 					w.Capacity[z] += n
 				}
 			})
 		}
 	case "boots_late":
-		world(func(w *standin.World, _ standin.Micros) { w.Model.BootTimes = f.Factor })
-		return func() { world(func(w *standin.World, _ standin.Micros) { w.Model.BootTimes = 1 }) }
+		world(func(w *emulator.Environment, _ emulator.Micros) { w.Model.BootTimes = f.Factor })
+		return func() { world(func(w *emulator.Environment, _ emulator.Micros) { w.Model.BootTimes = 1 }) }
 	case "machine_hang":
-		return r.onMachines(f, func(m *standin.Machine, _ standin.Micros) { m.Hang = true }, func(m *standin.Machine) { m.Hang = false })
+		return r.affectMachines(f, func(m *emulator.Machine, _ emulator.Micros) { m.Hang = true }, func(m *emulator.Machine) { m.Hang = false })
 	case "machine_deaf": // its reports arrive, and nothing reaches it
 		deaf := string(mode)
-		return r.onMachines(f, func(m *standin.Machine, _ standin.Micros) { m.Deaf = deaf }, func(m *standin.Machine) { m.Deaf = "" })
+		return r.affectMachines(f, func(m *emulator.Machine, _ emulator.Micros) { m.InboundLost = deaf }, func(m *emulator.Machine) { m.InboundLost = "" })
 	case "machine_restart":
-		return r.onMachines(f, func(m *standin.Machine, now standin.Micros) {
-			c.Servers.World.Restart(now, standin.Micros(100_000+rand.Int64N(800_000)), m, false)
+		return r.affectMachines(f, func(m *emulator.Machine, now emulator.Micros) {
+			c.Servers.Environment.Restart(now, emulator.Micros(100_000+rand.Int64N(800_000)), m, false)
 		}, nil)
 	case "reports_again": // copies of reports, up to so many leases late, at any node
 		c.Servers.Repeat(f.Factor * r.scenario.Deploy.LeaseS)
 		return func() { c.Servers.Repeat(0) }
 	case "machine_sick":
-		return r.onMachines(f, func(m *standin.Machine, now standin.Micros) { c.Servers.World.Fails[m.Name] = now },
-			func(m *standin.Machine) { delete(c.Servers.World.Fails, m.Name) })
+		return r.affectMachines(f, func(m *emulator.Machine, now emulator.Micros) { c.Servers.Environment.Fails[m.Name] = now },
+			func(m *emulator.Machine) { delete(c.Servers.Environment.Fails, m.Name) })
 	case "machine_slow":
-		return r.onMachines(f, func(m *standin.Machine, _ standin.Micros) { m.Speed /= f.Factor }, func(m *standin.Machine) { m.Speed *= f.Factor })
+		return r.affectMachines(f, func(m *emulator.Machine, _ emulator.Micros) { m.Speed /= f.Factor }, func(m *emulator.Machine) { m.Speed *= f.Factor })
 	case "machine_die":
-		return r.onMachines(f, func(m *standin.Machine, now standin.Micros) { m.Recall(now, true) }, nil)
+		return r.affectMachines(f, func(m *emulator.Machine, now emulator.Micros) { m.Recall(now, true) }, nil)
 	case "spot_wave":
-		return r.onMachines(f, func(m *standin.Machine, now standin.Micros) {
+		return r.affectMachines(f, func(m *emulator.Machine, now emulator.Micros) {
 			if m.Spot {
 				m.Recall(now+config.Second*2, rand.IntN(3) == 0)
 			}
 		}, nil)
 	case "drain":
-		return r.onMachines(f, func(m *standin.Machine, now standin.Micros) { m.Recall(now+4*config.Second, false) }, nil)
+		return r.affectMachines(f, func(m *emulator.Machine, now emulator.Micros) { m.Recall(now+4*config.Second, false) }, nil)
 	}
 	return nil
 }
 
-// onMachines does something to as many busy machines as a fault says, all if it gives
+// affectMachines does something to as many busy machines as a fault says, all if it gives
 // no number, and undoes it.
-func (r *run) onMachines(f *Fault, do func(*standin.Machine, standin.Micros), undo func(*standin.Machine)) func() {
+func (r *run) affectMachines(f *Fault, do func(*emulator.Machine, emulator.Micros), undo func(*emulator.Machine)) func() {
 	var hit []string
 	s := r.cluster.Servers
 	s.With(func() {
-		for _, name := range s.World.Names() {
-			m := s.World.Machines[name]
+		for _, name := range s.Environment.Names() {
+			m := s.Environment.Machines[name]
 			if (f.Count == 0 || len(hit) < f.Count) && (f.Target == "" || f.Target == m.Zone) && s.Now() >= m.Up && (m.Tasks() > 0 || f.Count == 0) {
 				hit = append(hit, name)
 				do(m, s.Now())
@@ -169,7 +169,7 @@
 	return func() {
 		s.With(func() {
 			for _, name := range hit {
-				if m := s.World.Machines[name]; m != nil {
+				if m := s.Environment.Machines[name]; m != nil {
 					undo(m)
 				}
 			}
@@ -200,8 +200,8 @@
 	return out
 }
 
-// trouble brings the faults of the scenario about at their times.
-func (r *run) trouble(ctx context.Context, began time.Time) {
+// injectDegradation brings the faults of the scenario about at their times.
+func (r *run) injectDegradation(ctx context.Context, began time.Time) {
 	type moment struct {
 		at time.Duration
 		do func()
@@ -212,7 +212,7 @@
 		f := &r.scenario.Faults[i]
 		strike := func(at, last float64) {
 			var end func()
-			all = append(all, moment{seconds(at), func() { r.mark(f, "begins"); end = r.strike(f) }})
+			all = append(all, moment{seconds(at), func() { r.mark(f, "begins"); end = r.injectFault(f) }})
 			if last > 0 {
 				all = append(all, moment{seconds(at + last), func() {
 					if end != nil {
--- a/internal/rehearse/report.go
+++ b/internal/faulttest/report.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"html/template"
@@ -45,15 +45,15 @@
 <h1>{{.R.Scenario}}: {{if .R.Passed}}<span class="pass">PASS</span>{{else}}<span class="fail">FAIL</span>{{end}}</h1>
 <p>{{.R.About}}. Seed {{.R.Seed}}, {{printf "%.0f" .R.TookS}} s, {{.R.Machines}} machines rented.</p>
 {{with .R.Why}}<p class="fail">{{.}}</p>{{end}}
-<h2>Rules</h2>{{if .R.Broken}}<ul>{{range .R.Broken}}<li class="fail">{{.}}</li>{{end}}</ul>{{else}}<p>None was broken.</p>{{end}}
+<h2>Rules</h2>{{if .R.Violations}}<ul>{{range .R.Violations}}<li class="fail">{{.}}</li>{{end}}</ul>{{else}}<p>None was broken.</p>{{end}}
 {{if .R.Findings}}<h2>Expectations</h2><table><tr><th>expected<th>found<th>of<th></tr>
 {{range .R.Findings}}<tr><td>{{.Expect}}<td>{{printf "%.3f" .Found}}<td>{{.Of}}<td>{{if .Met}}<span class="pass">met</span>{{else}}<span class="fail">missed</span>{{end}}</tr>{{end}}</table>{{end}}
 <h2>Classes</h2><table><tr><th>class<th>submitted<th>accepted<th>started<th>done<th>cancelled<th>submit p50/p99 ms<th>start p50/p90/max s<th>done p50/p90/max s</tr>
 {{range .R.Classes}}<tr><td>{{.Class}}<td>{{.Submitted}}<td>{{.Accepted}}<td>{{.Started}}<td>{{.Done}}<td>{{.Cancelled}}<td>{{printf "%.0f/%.0f" .SubmitMS.P50 .SubmitMS.P99}}<td>{{printf "%.1f/%.1f/%.1f" .StartS.P50 .StartS.P90 .StartS.Max}}<td>{{printf "%.1f/%.1f/%.1f" .DoneS.P50 .DoneS.P90 .DoneS.Max}}</tr>{{end}}</table>
 <h2>Begun within four minutes</h2><table><tr><th>of<th>name<th>part</tr>
-{{range $k, $v := .R.Served.Class}}<tr><td>class<td>{{$k}}<td>{{printf "%.2f" $v}}</tr>{{end}}
-{{range $k, $v := .R.Served.Team}}<tr><td>team<td>{{$k}}<td>{{printf "%.2f" $v}}</tr>{{end}}
-{{range $k, $v := .R.Served.Largest}}<tr><td>largest tenth of a class<td>{{$k}}<td>{{printf "%.2f" $v}}</tr>{{end}}</table>
+{{range $k, $v := .R.StartedInTime.Class}}<tr><td>class<td>{{$k}}<td>{{printf "%.2f" $v}}</tr>{{end}}
+{{range $k, $v := .R.StartedInTime.Team}}<tr><td>team<td>{{$k}}<td>{{printf "%.2f" $v}}</tr>{{end}}
+{{range $k, $v := .R.StartedInTime.Largest}}<tr><td>largest tenth of a class<td>{{$k}}<td>{{printf "%.2f" $v}}</tr>{{end}}</table>
 {{range .Plots}}<h3>{{.Title}} (at most {{.Most}})</h3>
 <svg viewBox="0 -12 {{.Width}} {{.Height}}" width="{{.Width}}" height="{{.Height}}">{{range .Marks}}<line x1="{{.X}}" x2="{{.X}}" y1="0" y2="160" stroke="#d99"/><text x="{{.X}}" y="-2">{{.What}}</text>{{end}}<polyline points="{{.Points}}" fill="none" stroke="#247" stroke-width="1.5"/></svg>{{end}}
 <h2>Nodes</h2><table><tr><th>node<th>processor s<th>memory MB<th>restarts</tr>
--- a/internal/rehearse/run.go
+++ b/internal/faulttest/run.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"context"
@@ -18,11 +18,11 @@
 
 	"coralhub/internal/cluster"
 	"coralhub/internal/config"
-	"coralhub/internal/core/claim"
-	"coralhub/internal/judge"
+	"coralhub/internal/core/election"
+	"coralhub/internal/emulator"
+	"coralhub/internal/invariants"
 	"coralhub/internal/process"
 	"coralhub/internal/quantile"
-	"coralhub/internal/standin"
 	"coralhub/internal/wait"
 	"coralhub/wire"
 )
@@ -70,23 +70,23 @@
 
 // Result is what came of a run.
 type Result struct {
-	Scenario string         `json:"scenario"`
-	About    string         `json:"about"`
-	Seed     uint64         `json:"seed"`
-	Passed   bool           `json:"passed"`
-	Why      string         `json:"why,omitempty"`
-	TookS    float64        `json:"took_s"`
-	Machines int            `json:"machines_rented"`
-	Broken   []judge.Broken `json:"rules_broken"`
-	Findings []Finding      `json:"findings"`
-	Classes  []ClassResult  `json:"classes"`
-	Served   Served         `json:"served"`
-	Nodes    []cluster.Use  `json:"nodes"`
-	Requests int            `json:"state_requests"`
-	Refused  int            `json:"state_refused"`
-	Changes  uint64         `json:"state_changes"`
-	Marks    []Mark         `json:"faults"`
-	Load     []Second       `json:"load"`
+	Scenario      string                 `json:"scenario"`
+	About         string                 `json:"about"`
+	Seed          uint64                 `json:"seed"`
+	Passed        bool                   `json:"passed"`
+	Why           string                 `json:"why,omitempty"`
+	TookS         float64                `json:"took_s"`
+	Machines      int                    `json:"machines_rented"`
+	Violations    []invariants.Violation `json:"rules_broken"`
+	Findings      []Finding              `json:"findings"`
+	Classes       []ClassResult          `json:"classes"`
+	StartedInTime StartedInTime          `json:"served"`
+	Nodes         []cluster.NodeUsage    `json:"nodes"`
+	Requests      int                    `json:"state_requests"`
+	Refused       int                    `json:"state_refused"`
+	Changes       uint64                 `json:"state_changes"`
+	Marks         []Mark                 `json:"faults"`
+	Load          []Second               `json:"load"`
 }
 
 // Second is what happened in one second.
@@ -106,7 +106,7 @@
 	from     int64 // when it began
 
 	mu     sync.Mutex
-	events []judge.Event
+	events []invariants.Event
 	marks  []Mark
 	broke  error // the rehearsal itself, not the service
 
@@ -120,7 +120,7 @@
 	}
 }
 
-func (r *run) record(e judge.Event) {
+func (r *run) record(e invariants.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, e)
@@ -154,7 +154,7 @@
 
 // leader names the node that holds the claim; "" if none does.
 func (r *run) leader() string {
-	var holder claim.Value
+	var holder election.LeaseRecord
 	var raw []byte
 	r.cluster.Servers.With(func() { raw = r.cluster.Servers.State.Get("ch/leader").Value })
 	if len(raw) == 0 || msgpack.Unmarshal(raw, &holder) != nil {
@@ -208,7 +208,7 @@
 		RestartAfter: time.Duration(d.RestartAfterS * 1e9),
 		Types: []wire.MachineType{{Name: "m", CPUs: 16 * d.GPUs, GPUs: d.GPUs, MemoryGB: 64 * d.GPUs, CacheGB: 500, FetchGBs: 0.4, Price: 4, SpotPrice: 2,
 			BootS: d.BootS, Zones: d.Zones}},
-		Model: &standin.Model{Rand: rand.New(rand.NewPCG(opt.Seed, 1)), BootSpread: 0.3, BootNever: d.BootNeverShare,
+		Model: &emulator.Model{Rand: rand.New(rand.NewPCG(opt.Seed, 1)), BootSpread: 0.3, BootNever: d.BootNeverShare,
 			ListLag: config.FromSeconds(d.ListLagS), Speed: d.SpeedSpread, SpotCapacity: spot, BootTimes: 1}})
 	if err != nil {
 		return nil, err
@@ -223,7 +223,7 @@
 	c.Servers.With(func() { // users upload their jobs' descriptions before they submit
 		for i := range r.jobs {
 			p := &r.jobs[i]
-			c.Servers.World.Jobs[p.job.ID] = &standin.JobIn{Job: p.job, Run: p.run}
+			c.Servers.Environment.Jobs[p.job.ID] = &emulator.SubmittedJob{Job: p.job, Run: p.run}
 		}
 	})
 	began := time.Now()
@@ -263,13 +263,13 @@
 		stop()
 		open.Wait()
 		wg.Wait()
-		r.users.ask.Client.CloseIdleConnections()
+		r.users.ask.HTTP.CloseIdleConnections()
 	}()
 	r.users = newUsers(r.cluster, r.record, r.now, r.opt.wrap)
 	r.users.ask.Failed = r.connectionFailed
 	wg.Go(func() { r.users.balance(ctx) })
-	wg.Go(func() { r.users.strangers(ctx) })
-	wg.Go(func() { r.trouble(ctx, began) })
+	wg.Go(func() { r.users.submitUnknown(ctx) })
+	wg.Go(func() { r.injectDegradation(ctx, began) })
 	if r.opt.Watch != nil {
 		wg.Go(func() { r.watch(ctx, began) })
 	}
@@ -313,9 +313,9 @@
 	return quantile.Of(h, parts)
 }
 
-// fate is what came of a job, in seconds of the run.
-type fate struct {
-	p                            *planned
+// jobOutcome is what came of a job, in seconds of the run.
+type jobOutcome struct {
+	planned                      *planned
 	submitted, accepted, started float64
 	done                         float64
 	on, finished                 map[int]bool
@@ -323,10 +323,10 @@
 	cancelled                    bool
 }
 
-func (r *run) fates(from int64) map[string]*fate {
-	out := map[string]*fate{}
+func (r *run) jobOutcomes(from int64) map[string]*jobOutcome {
+	out := map[string]*jobOutcome{}
 	for i := range r.jobs {
-		out[r.jobs[i].job.ID] = &fate{p: &r.jobs[i], submitted: -1, accepted: -1, started: -1, done: -1, on: map[int]bool{}, finished: map[int]bool{}}
+		out[r.jobs[i].job.ID] = &jobOutcome{planned: &r.jobs[i], submitted: -1, accepted: -1, started: -1, done: -1, on: map[int]bool{}, finished: map[int]bool{}}
 	}
 	since := map[string]map[int]float64{}
 	for _, e := range r.events {
@@ -336,31 +336,31 @@
 		}
 		at := float64(e.At-from) / 1e6
 		switch e.Kind {
-		case judge.Submitted:
+		case invariants.JobSubmitted:
 			f.submitted = at
-		case judge.Told:
+		case invariants.Answered:
 			if e.Status == 200 || e.Status == 201 {
 				if f.accepted < 0 {
 					f.accepted = at
 				}
 				f.cancelled = f.cancelled || e.Said == wire.Cancelled
 			}
-		case judge.On:
+		case invariants.TaskStarted:
 			f.on[e.Task] = true
-			if f.started < 0 && len(f.on) >= r.atOnce(f.p) {
+			if f.started < 0 && len(f.on) >= r.atOnce(f.planned) {
 				f.started = at
 			}
 			if since[e.Job] == nil {
 				since[e.Job] = map[int]float64{}
 			}
 			since[e.Job][e.Task] = at
-		case judge.Off:
+		case invariants.TaskStopped:
 			if began, ok := since[e.Job][e.Task]; ok {
 				f.upFor += at - began
 				delete(since[e.Job], e.Task)
 			}
-		case judge.Done:
-			if f.finished[e.Task] = true; len(f.finished) == f.p.job.Tasks {
+		case invariants.TaskDone:
+			if f.finished[e.Task] = true; len(f.finished) == f.planned.job.Tasks {
 				f.done = at
 			}
 		}
@@ -385,22 +385,22 @@
 
 func (r *run) result(from int64) *Result {
 	d := &r.scenario.Deploy
-	res := &Result{Scenario: r.scenario.Name, About: r.scenario.About, Seed: r.opt.Seed, Nodes: r.cluster.Use(), Broken: []judge.Broken{}}
+	res := &Result{Scenario: r.scenario.Name, About: r.scenario.About, Seed: r.opt.Seed, Nodes: r.cluster.Use(), Violations: []invariants.Violation{}}
 	r.cluster.Servers.With(func() {
 		s := r.cluster.Servers
-		res.Machines, res.Requests, res.Refused, res.Changes = s.World.Rented, s.Requests, s.Refused, s.State.Revision()
+		res.Machines, res.Requests, res.Refused, res.Changes = s.Environment.Rented, s.Requests, s.Refused, s.State.Revision()
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	terms := judge.Terms{CancelIn: config.FromSeconds(d.CancelS), Silence: 90 * config.Second, Settled: from + config.FromSeconds(r.scenario.settled()),
-		Unanswered: 75 * config.Second, Teams: map[string]judge.Limit{}}
+	terms := invariants.Rules{CancelIn: config.FromSeconds(d.CancelS), Silence: 90 * config.Second, Settled: from + config.FromSeconds(r.scenario.settled()),
+		Unanswered: 75 * config.Second, Teams: map[string]invariants.Limit{}}
 	for _, name := range r.scenario.teams() {
-		terms.Teams[name] = judge.Limit{GPUs: d.TeamGPUs}
+		terms.Teams[name] = invariants.Limit{GPUs: d.TeamGPUs}
 	}
 	if !r.outOfFiles.Load() {
-		res.Broken = append(res.Broken, judge.Judge(terms, r.events)...)
+		res.Violations = append(res.Violations, invariants.Check(terms, r.events)...)
 	}
-	fates := r.fates(from)
+	fates := r.jobOutcomes(from)
 	end := float64(r.now()-from) / 1e6
 	for i := range r.scenario.Expect {
 		res.Findings = append(res.Findings, r.find(&r.scenario.Expect[i], fates, end))
@@ -408,7 +408,7 @@
 	for i := range r.scenario.Classes {
 		res.Classes = append(res.Classes, r.classResult(&r.scenario.Classes[i], fates))
 	}
-	res.Served, _ = r.served(fates, end, beginWithin)
+	res.StartedInTime, _ = r.served(fates, end, beginWithin)
 	res.Marks, res.Load = r.marks, r.load(from)
 	for i := range res.Marks {
 		res.Marks[i].At -= float64(from) / 1e6
@@ -416,8 +416,8 @@
 	switch {
 	case r.broke != nil:
 		res.Why = "the rehearsal itself: " + r.broke.Error()
-	case len(res.Broken) > 0:
-		res.Why = fmt.Sprintf("%d rules broken, first %s", len(res.Broken), res.Broken[0])
+	case len(res.Violations) > 0:
+		res.Why = fmt.Sprintf("%d rules broken, first %s", len(res.Violations), res.Violations[0])
 	}
 	for _, f := range res.Findings {
 		if !f.Met && res.Why == "" {
@@ -429,7 +429,7 @@
 }
 
 // find holds an expectation against what came of the jobs.
-func (r *run) find(e *Expect, fates map[string]*fate, end float64) Finding {
+func (r *run) find(e *Expect, fates map[string]*jobOutcome, end float64) Finding {
 	what := e.Kind
 	if e.Class != "" {
 		what = e.Class + " " + e.Kind
@@ -451,11 +451,11 @@
 	good, weight := 0.0, 0.0
 	inTime := func(at, since float64) bool { return at >= 0 && (e.WithinS == 0 || at-since <= e.WithinS) }
 	for _, x := range fates {
-		if e.Class != "" && x.p.class.Name != e.Class || x.submitted < 0 {
+		if e.Class != "" && x.planned.class.Name != e.Class || x.submitted < 0 {
 			continue
 		}
-		planned := x.p.at.Seconds()
-		service := x.p.class.Shape == "service"
+		planned := x.planned.at.Seconds()
+		service := x.planned.class.Shape == "service"
 		count, ok := 1.0, false
 		switch e.Kind {
 		case "accepted":
@@ -471,10 +471,10 @@
 			}
 			ok = inTime(x.done, planned)
 		case "deadline":
-			if x.cancelled || x.p.job.DeadlineS == nil {
+			if x.cancelled || x.planned.job.DeadlineS == nil {
 				continue
 			}
-			ok = x.done >= 0 && x.done-planned <= *x.p.job.DeadlineS
+			ok = x.done >= 0 && x.done-planned <= *x.planned.job.DeadlineS
 		case "ended":
 			if service {
 				continue
@@ -484,7 +484,7 @@
 			if !service || x.cancelled {
 				continue
 			}
-			count = float64(x.p.job.Tasks) * max(end-planned-e.WithinS, 0)
+			count = float64(x.planned.job.Tasks) * max(end-planned-e.WithinS, 0)
 			good += min(x.upFor, count)
 			weight += count
 			f.Of++
@@ -503,7 +503,7 @@
 	return f
 }
 
-func (r *run) classResult(c *Class, fates map[string]*fate) ClassResult {
+func (r *run) classResult(c *Class, fates map[string]*jobOutcome) ClassResult {
 	out := ClassResult{Class: c.Name}
 	var starts, ends, waits []float64
 	r.users.note(c.Name, func(s *userStats) {
@@ -513,16 +513,16 @@
 		}
 	})
 	for _, x := range fates {
-		if x.p.class != c {
+		if x.planned.class != c {
 			continue
 		}
 		if x.started >= 0 {
 			out.Started++
-			starts = append(starts, x.started-x.p.at.Seconds())
+			starts = append(starts, x.started-x.planned.at.Seconds())
 		}
 		if x.done >= 0 {
 			out.Done++
-			ends = append(ends, x.done-x.p.at.Seconds())
+			ends = append(ends, x.done-x.planned.at.Seconds())
 		}
 		if x.cancelled {
 			out.Cancelled++
@@ -545,14 +545,14 @@
 			out = append(out, Second{On: on})
 		}
 		switch e.Kind {
-		case judge.Submitted:
+		case invariants.JobSubmitted:
 			out[i].Submitted++
-		case judge.On:
+		case invariants.TaskStarted:
 			out[i].Started++
 			on++
-		case judge.Off:
+		case invariants.TaskStopped:
 			on--
-		case judge.Done:
+		case invariants.TaskDone:
 			out[i].Done++
 		}
 		out[i].On = on
--- a/internal/rehearse/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -1,6 +1,6 @@
-// Package rehearse plays scripted scenarios on a cluster of real processes and says
+// Package faulttest plays scripted scenarios on a cluster of real processes and says
 // whether they passed.
-package rehearse
+package faulttest
 
 import (
 	"embed"
--- a/internal/rehearse/served_test.go
+++ b/internal/faulttest/slo_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 
 // The largest tenth of a class counts by itself, whatever the class looks like as a whole.
 func TestShares(t *testing.T) {
-	var all []judged
+	var all []startedJob
 	for i := range 40 {
-		all = append(all, judged{id: fmt.Sprint("a", i), class: "narrow", team: "north", tasks: 1 + i, in: i < 36})
+		all = append(all, startedJob{id: fmt.Sprint("a", i), class: "narrow", team: "north", tasks: 1 + i, in: i < 36})
 	}
-	all = append(all, judged{id: "b", class: "one", team: "south", tasks: 3, in: true})
+	all = append(all, startedJob{id: "b", class: "one", team: "south", tasks: 3, in: true})
 	got := share3(all)
 	if got.Class["narrow"] != 0.9 || got.Largest["narrow"] != 0 || got.Team["north"] != 0.9 || got.Class["one"] != 1 || got.Largest["one"] != 1 {
 		t.Errorf("%+v", got)
--- a/internal/rehearse/status.go
+++ b/internal/faulttest/status.go
@@ -1,11 +1,11 @@
-package rehearse
+package faulttest
 
 import (
 	"context"
 	"time"
 
-	"coralhub/internal/judge"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
+	"coralhub/internal/invariants"
 	"coralhub/internal/wait"
 )
 
@@ -69,7 +69,7 @@
 	return w
 }
 
-func (w *watcher) take(e *judge.Event) {
+func (w *watcher) take(e *invariants.Event) {
 	p := w.jobs[e.Job]
 	if p == nil {
 		return
@@ -84,21 +84,21 @@
 		return had < tasks && len(m[e.Job]) == tasks
 	}
 	switch e.Kind {
-	case judge.Submitted:
+	case invariants.JobSubmitted:
 		c.Submitted++
-	case judge.On:
+	case invariants.TaskStarted:
 		w.on++
 		if add(w.started) {
 			c.Started++
 		}
-	case judge.Off:
+	case invariants.TaskStopped:
 		w.on--
-	case judge.Done:
+	case invariants.TaskDone:
 		if add(w.ended) {
 			c.Done++
 		}
-	case judge.Told:
-		if e.Via == judge.BySubmit && (e.Status == 200 || e.Status == 201) {
+	case invariants.Answered:
+		if e.Via == invariants.BySubmit && (e.Status == 200 || e.Status == 201) {
 			c.Accepted++
 		}
 		if e.Said == "cancelled" && !w.over[e.Job] {
@@ -127,14 +127,14 @@
 	}
 	srv := r.cluster.Servers
 	srv.With(func() {
-		for _, m := range srv.World.Machines {
+		for _, m := range srv.Environment.Machines {
 			s.Machines[stateOf(m, srv.Now())]++
 		}
 	})
 	return s
 }
 
-func stateOf(m *standin.Machine, now standin.Micros) string {
+func stateOf(m *emulator.Machine, now emulator.Micros) string {
 	switch {
 	case m.Hang:
 		return "hanging"
--- a/internal/rehearse/users.go
+++ b/internal/faulttest/users.go
@@ -1,4 +1,4 @@
-package rehearse
+package faulttest
 
 import (
 	"context"
@@ -13,22 +13,22 @@
 
 	"coralhub/internal/cluster"
 	"coralhub/internal/config"
-	"coralhub/internal/judge"
-	"coralhub/internal/standin"
-	"coralhub/internal/user"
+	"coralhub/internal/emulator"
+	"coralhub/internal/invariants"
+	"coralhub/internal/jobclient"
 	"coralhub/internal/wait"
 	"coralhub/wire"
 )
 
-// strangersEvery is how often somebody asks about a job that nobody has submitted.
-const strangersEvery = 3 * time.Second
+// unknownEvery is how often somebody asks about a job that nobody has submitted.
+const unknownEvery = 3 * time.Second
 
 // planned is a job that comes at a set time.
 type planned struct {
 	at       time.Duration
 	class    *Class
 	job      wire.Job
-	run      standin.Micros
+	run      emulator.Micros
 	cancelIn time.Duration // after its acceptance; 0: never
 }
 
@@ -115,9 +115,9 @@
 // healthy.
 type users struct {
 	c      *cluster.Cluster
-	record func(judge.Event)
+	record func(invariants.Event)
 	now    func() int64
-	ask    *user.Asker
+	ask    *jobclient.Client
 
 	mu      sync.Mutex
 	healthy []bool
@@ -164,13 +164,13 @@
 	Errors              map[string]int
 }
 
-func newUsers(c *cluster.Cluster, record func(judge.Event), now func() int64, wrap func(http.RoundTripper) http.RoundTripper) *users {
+func newUsers(c *cluster.Cluster, record func(invariants.Event), now func() int64, wrap func(http.RoundTripper) http.RoundTripper) *users {
 	var transport http.RoundTripper = &http.Transport{MaxIdleConnsPerHost: 1024, IdleConnTimeout: time.Minute}
 	if wrap != nil {
 		transport = wrap(transport)
 	}
 	u := &users{c: c, record: record, now: now, healthy: make([]bool, len(c.Nodes)), stats: map[string]*userStats{}, decided: map[string]*decision{}}
-	u.ask = &user.Asker{Client: &http.Client{Transport: transport}, Pick: func() string { return u.node().Users.Addr() }}
+	u.ask = &jobclient.Client{HTTP: &http.Client{Transport: transport}, PickNode: func() string { return u.node().Users.Addr() }}
 	return u
 }
 
@@ -181,7 +181,7 @@
 		wg.Go(func() {
 			bad, good := 0, 1
 			probe := func() {
-				if n.Ready(ctx, u.ask.Client) {
+				if n.Ready(ctx, u.ask.HTTP) {
 					bad, good = 0, good+1
 				} else {
 					bad, good = bad+1, 0
@@ -223,12 +223,12 @@
 	return u.healthy[i]
 }
 
-// strangers asks about jobs that nobody has submitted, until ctx ends.
-func (u *users) strangers(ctx context.Context) {
-	wait.Every(ctx, strangersEvery, func() {
+// submitUnknown asks about jobs that nobody has submitted, until ctx ends.
+func (u *users) submitUnknown(ctx context.Context) {
+	wait.Every(ctx, unknownEvery, func() {
 		id := fmt.Sprintf("j-9%08d", rand.IntN(1e8))
 		if a := u.ask.Poll(ctx, id); ctx.Err() == nil {
-			u.told(id, judge.ByPoll, &a)
+			u.told(id, invariants.ByPoll, &a)
 		}
 	})
 }
@@ -244,8 +244,8 @@
 	f(s)
 }
 
-func (u *users) told(id, via string, a *user.Answer) {
-	u.record(judge.Event{At: u.now(), Kind: judge.Told, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
+func (u *users) told(id, via string, a *jobclient.Answer) {
+	u.record(invariants.Event{At: u.now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
 }
 
 // follow is a user with one job: it submits at its time, polls until the job is over,
@@ -262,9 +262,9 @@
 		}
 		due = later(due, time.Now())
 	}
-	u.record(judge.Event{At: u.now(), Kind: judge.Submitted, Job: p.job.ID, Spec: specOf(&p.job)})
+	u.record(invariants.Event{At: u.now(), Kind: invariants.JobSubmitted, Job: p.job.ID, Spec: specOf(&p.job)})
 	u.note(p.class.Name, func(s *userStats) { s.Submitted++ })
-	accepted := u.repeat(ctx, p, judge.BySubmit, http.MethodPost, wire.PathJobs, raw)
+	accepted := u.repeat(ctx, p, invariants.BySubmit, http.MethodPost, wire.PathJobs, raw)
 	if u.decide(p.job.ID, accepted); !accepted {
 		return
 	}
@@ -272,9 +272,9 @@
 		s.Accepted++
 		s.waits = append(s.waits, time.Since(due)) // from the plan: a slow answer delays nobody's arrival
 	})
-	u.ask.Follow(ctx, p.job.ID, p.cancelIn, func(a *user.Answer) { u.told(p.job.ID, judge.ByPoll, a) }, func() {
-		u.record(judge.Event{At: u.now(), Kind: judge.Asked, Job: p.job.ID})
-		u.repeat(ctx, p, judge.ByCancel, http.MethodPost, wire.PathJobs+"/"+p.job.ID+"/"+wire.CancelVerb, nil)
+	u.ask.Follow(ctx, p.job.ID, p.cancelIn, func(a *jobclient.Answer) { u.told(p.job.ID, invariants.ByPoll, a) }, func() {
+		u.record(invariants.Event{At: u.now(), Kind: invariants.CancelRequested, Job: p.job.ID})
+		u.repeat(ctx, p, invariants.ByCancel, http.MethodPost, wire.PathJobs+"/"+p.job.ID+"/"+wire.CancelVerb, nil)
 	})
 }
 
@@ -293,15 +293,15 @@
 
 // repeat makes a request until it is taken, and records what it is told.
 func (u *users) repeat(ctx context.Context, p *planned, via, method, path string, body []byte) bool {
-	return u.ask.Repeat(ctx, method, path, body, func(a *user.Answer) {
+	return u.ask.Repeat(ctx, method, path, body, func(a *jobclient.Answer) {
 		u.told(p.job.ID, via, a)
-		if !a.Taken() {
+		if !a.Accepted() {
 			u.note(p.class.Name, func(s *userStats) { s.Errors[strconv.Itoa(a.Status)]++ })
 		}
 	})
 }
 
-func specOf(j *wire.Job) *judge.Spec {
-	return &judge.Spec{Team: j.Team, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs, Types: j.Types, Zone: j.Zone, OneZone: j.OneZone,
+func specOf(j *wire.Job) *invariants.Spec {
+	return &invariants.Spec{Team: j.Team, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs, Types: j.Types, Zone: j.Zone, OneZone: j.OneZone,
 		Spread: j.Spread, Spot: j.Spot, Needs: j.Needs}
 }
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -22,14 +22,14 @@
 	up     Up
 
 	mu      sync.Mutex
-	reports []wire.Report
-	answer  func(node int, r *wire.Report) (int, any)
+	reports []wire.Heartbeat
+	answer  func(node int, r *wire.Heartbeat) (int, any)
 }
 
 func newRig(t *testing.T, config Config, nodes int) *rig {
 	t.Helper()
 	r := &rig{t: t, events: make(chan Event, 1000)}
-	r.answer = func(int, *wire.Report) (int, any) { return http.StatusOK, wire.ReportAnswer{Token: 5} }
+	r.answer = func(int, *wire.Heartbeat) (int, any) { return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5} }
 	for i := range nodes {
 		server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, q *http.Request) { r.report(i, out, q) }))
 		t.Cleanup(server.Close)
@@ -72,7 +72,7 @@
 }
 
 func (r *rig) report(node int, out http.ResponseWriter, q *http.Request) {
-	var report wire.Report
+	var report wire.Heartbeat
 	if !decode(q, &report) {
 		r.t.Error("a report that can't be read")
 	}
@@ -84,7 +84,7 @@
 }
 
 // answering has controllers answer otherwise from now on.
-func (r *rig) answering(f func(node int, r *wire.Report) (int, any)) {
+func (r *rig) answering(f func(node int, r *wire.Heartbeat) (int, any)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answer = f
@@ -112,7 +112,7 @@
 }
 
 // commands makes a direct call.
-func (r *rig) commands(c wire.Commands) (int, wire.Report) {
+func (r *rig) commands(c wire.CommandRequest) (int, wire.Heartbeat) {
 	r.t.Helper()
 	raw, err := wire.Marshal(c)
 	if err != nil {
@@ -124,15 +124,15 @@
 	}
 	defer res.Body.Close()
 	body, _ := io.ReadAll(res.Body)
-	var report wire.Report
+	var report wire.Heartbeat
 	if res.StatusCode != http.StatusBadRequest && wire.Unmarshal(body, &report) != nil {
 		r.t.Fatalf("answer %q", body)
 	}
 	return res.StatusCode, report
 }
 
-func start(task string, attempt uint64) wire.Order {
-	return wire.Order{Verb: wire.Start, Task: task, Attempt: attempt}
+func start(task string, attempt uint64) wire.Command {
+	return wire.Command{Verb: wire.CommandStart, Task: task, Attempt: attempt}
 }
 
 // quick are times under which a lease doesn't end by itself.
@@ -143,14 +143,14 @@
 	r.write(Command{Job: &Job{ID: "j-1", Tasks: 2, GPUs: 3, RunS: 0.1}})
 	r.write(Command{Usage: true}) // what was told before has been taken by then
 	r.next(func(e *Event) bool { return e.Usage != nil && e.Usage.Workers == 1 })
-	status, report := r.commands(wire.Commands{Token: 7, Session: 1, Orders: []wire.Order{start("j-1/0", 1), start("j-1/0", 1), start("j-1/0", 2), start("j-1/1", 1), start("j-2/0", 1)}})
-	if status != http.StatusOK || report.Token != 7 || len(report.Tasks) != 4 {
+	status, report := r.commands(wire.CommandRequest{FencingToken: 7, Incarnation: 1, Commands: []wire.Command{start("j-1/0", 1), start("j-1/0", 1), start("j-1/0", 2), start("j-1/1", 1), start("j-2/0", 1)}})
+	if status != http.StatusOK || report.FencingToken != 7 || len(report.Tasks) != 4 {
 		t.Fatalf("%d %+v", status, report)
 	}
-	for i, want := range []wire.TaskReport{
+	for i, want := range []wire.TaskStatus{
 		{Task: "j-1/0", Attempt: 1, State: wire.Running},
 		{Task: "j-1/0", Attempt: 2, State: wire.Exited, Cause: wire.CauseBusy},
-		{Task: "j-1/1", Attempt: 1, State: wire.Exited, Cause: wire.CauseNoRoom},
+		{Task: "j-1/1", Attempt: 1, State: wire.Exited, Cause: wire.CauseNoCapacity},
 		{Task: "j-2/0", Attempt: 1, State: wire.Exited, Cause: wire.CauseUnknown},
 	} {
 		if report.Tasks[i] != want {
@@ -162,8 +162,8 @@
 	}
 	r.task(TaskDone)
 	r.task(TaskOff)
-	forget := []wire.Order{{Verb: wire.Forget, Task: "j-1/0", Attempt: 1}, start("j-1/0", 1)}
-	if _, report = r.commands(wire.Commands{Token: 7, Session: 1, Orders: forget}); len(report.Tasks) != 4 || report.Tasks[3].State != wire.Running {
+	forget := []wire.Command{{Verb: wire.CommandForget, Task: "j-1/0", Attempt: 1}, start("j-1/0", 1)}
+	if _, report = r.commands(wire.CommandRequest{FencingToken: 7, Incarnation: 1, Commands: forget}); len(report.Tasks) != 4 || report.Tasks[3].State != wire.Running {
 		t.Errorf("a start after a reap takes effect again: %+v", report.Tasks)
 	}
 }
@@ -171,15 +171,15 @@
 // Commands by a lower token or for another session are not carried out.
 func TestCommandsRefused(t *testing.T) {
 	r := newRig(t, quick, 1)
-	if status, _ := r.commands(wire.Commands{Token: 9, Session: 1}); status != http.StatusOK {
+	if status, _ := r.commands(wire.CommandRequest{FencingToken: 9, Incarnation: 1}); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	for _, c := range []wire.Commands{{Token: 8, Session: 1, Orders: []wire.Order{start("j-1/0", 1)}}, {Token: 9, Session: 2, Orders: []wire.Order{start("j-1/0", 1)}}} {
+	for _, c := range []wire.CommandRequest{{FencingToken: 8, Incarnation: 1, Commands: []wire.Command{start("j-1/0", 1)}}, {FencingToken: 9, Incarnation: 2, Commands: []wire.Command{start("j-1/0", 1)}}} {
 		if status, report := r.commands(c); status != http.StatusConflict || len(report.Tasks) != 0 {
 			t.Errorf("%+v: %d %+v", c, status, report)
 		}
 	}
-	if status, _ := r.commands(wire.Commands{Token: 9}); status != http.StatusBadRequest {
+	if status, _ := r.commands(wire.CommandRequest{FencingToken: 9}); status != http.StatusBadRequest {
 		t.Errorf("without a session: %d", status)
 	}
 }
@@ -190,15 +190,15 @@
 	config.LeaseS = 1.5
 	r := newRig(t, config, 1)
 	r.write(Command{Job: &Job{ID: "j-1", Tasks: 1, GPUs: 1, RunS: 60}})
-	r.answering(func(int, *wire.Report) (int, any) {
-		return http.StatusOK, wire.ReportAnswer{Token: 5, Orders: []wire.Order{start("j-1/0", 1)}}
+	r.answering(func(int, *wire.Heartbeat) (int, any) {
+		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5, Commands: []wire.Command{start("j-1/0", 1)}}
 	})
 	r.task(TaskOn)
-	r.answering(func(int, *wire.Report) (int, any) {
-		return http.StatusOK, wire.ReportAnswer{Token: 4, Orders: []wire.Order{start("j-1/0", 2)}}
+	r.answering(func(int, *wire.Heartbeat) (int, any) {
+		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 4, Commands: []wire.Command{start("j-1/0", 2)}}
 	})
 	r.task(TaskOff)
-	if _, report := r.commands(wire.Commands{Token: 5, Session: 1}); report.Session < 2 || len(report.Tasks) != 0 {
+	if _, report := r.commands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); report.Incarnation < 2 || len(report.Tasks) != 0 {
 		t.Errorf("after its lease: %+v", report)
 	}
 }
@@ -206,11 +206,11 @@
 func TestFollowsRedirections(t *testing.T) {
 	r := newRig(t, quick, 3)
 	served := make(chan int, 100)
-	r.answering(func(node int, _ *wire.Report) (int, any) {
+	r.answering(func(node int, _ *wire.Heartbeat) (int, any) {
 		switch node {
 		case 2:
 			served <- node
-			return http.StatusOK, wire.ReportAnswer{Token: 5}
+			return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5}
 		case 1:
 			return http.StatusServiceUnavailable, wire.Error{}
 		}
@@ -226,8 +226,8 @@
 func TestGang(t *testing.T) {
 	r := newRig(t, quick, 1)
 	r.write(Command{Job: &Job{ID: "j-1", Tasks: 2, GPUs: 1, Gang: true, RunS: 60}})
-	r.answering(func(int, *wire.Report) (int, any) {
-		return http.StatusOK, wire.ReportAnswer{Token: 5, Orders: []wire.Order{start("j-1/0", 1), start("j-1/1", 1)}}
+	r.answering(func(int, *wire.Heartbeat) (int, any) {
+		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5, Commands: []wire.Command{start("j-1/0", 1), start("j-1/1", 1)}}
 	})
 	r.task(TaskOn)
 	r.task(TaskOn)
@@ -236,7 +236,7 @@
 	r.write(Command{Break: attempt})
 	r.task(TaskOff)
 	r.task(TaskOff)
-	if _, report := r.commands(wire.Commands{Token: 5, Session: 1}); len(report.Tasks) != 2 || report.Tasks[0].Cause != wire.CausePeers || report.Tasks[1].Cause != wire.CausePeers {
+	if _, report := r.commands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); len(report.Tasks) != 2 || report.Tasks[0].Cause != wire.CausePeersGone || report.Tasks[1].Cause != wire.CausePeersGone {
 		t.Errorf("%+v", report.Tasks)
 	}
 }
@@ -245,13 +245,13 @@
 func TestRestart(t *testing.T) {
 	r := newRig(t, quick, 1)
 	r.write(Command{Job: &Job{ID: "j-1", Tasks: 1, GPUs: 1, RunS: 60}})
-	r.answering(func(int, *wire.Report) (int, any) {
-		return http.StatusOK, wire.ReportAnswer{Token: 5, Orders: []wire.Order{start("j-1/0", 1)}}
+	r.answering(func(int, *wire.Heartbeat) (int, any) {
+		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5, Commands: []wire.Command{start("j-1/0", 1)}}
 	})
 	r.task(TaskOn)
 	r.write(Command{Restart: &Restart{Machine: "m-1", AwayS: 0.3}})
 	r.task(TaskOff)
-	if status, report := r.commands(wire.Commands{Token: 5, Session: 1}); status != http.StatusConflict || report.Session != 2 {
+	if status, report := r.commands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); status != http.StatusConflict || report.Incarnation != 2 {
 		t.Errorf("%d %+v", status, report)
 	}
 	r.write(Command{Remove: "m-1"})
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -180,12 +180,12 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // post sends a report to a node; a status of 0: there was no answer.
-func (w *worker) post(ctx context.Context, node int, report *wire.Report) (int, []byte) {
+func (w *worker) post(ctx context.Context, node int, report *wire.Heartbeat) (int, []byte) {
 	raw, err := wire.Marshal(report)
 	if err != nil {
 		return 0, nil
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.host.config.Nodes[node].Address+wire.PathReport, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.host.config.Nodes[node].Address+wire.PathHeartbeat, bytes.NewReader(raw))
 	if err != nil {
 		return 0, nil
 	}
--- a/internal/hollow/message.go
+++ b/internal/hollow/message.go
@@ -114,4 +114,4 @@
 }
 
 // terminal tells whether a task has ended.
-func terminal(t *wire.TaskReport) bool { return t.State == wire.Exited }
+func terminal(t *wire.TaskStatus) bool { return t.State == wire.Exited }
--- a/internal/hollow/orders.go
+++ b/internal/hollow/orders.go
@@ -14,7 +14,7 @@
 // ServeHTTP answers direct calls. A machine that restarts doesn't.
 func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	w.host.meter.commands.Add(1)
-	var commands wire.Commands
+	var commands wire.CommandRequest
 	asksStatus := r.URL.Path == wire.PathStatus
 	sound := asksStatus || decode(r, &commands)
 	for w.isAway() {
@@ -25,16 +25,16 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case !sound || !asksStatus && commands.Session == 0:
+	case !sound || !asksStatus && commands.Incarnation == 0:
 		respond(out, http.StatusBadRequest, wire.Error{Error: "malformed"})
 	case asksStatus:
 		respond(out, http.StatusOK, w.status())
-	case commands.Token < w.token || commands.Session != w.session:
-		w.raise(commands.Token)
+	case commands.FencingToken < w.token || commands.Incarnation != w.session:
+		w.raise(commands.FencingToken)
 		respond(out, http.StatusConflict, w.status())
 	default:
-		w.raise(commands.Token)
-		w.carryOut(commands.Orders)
+		w.raise(commands.FencingToken)
+		w.carryOut(commands.Commands)
 		respond(out, http.StatusOK, w.status())
 	}
 }
@@ -46,7 +46,7 @@
 }
 
 // carryOut executes commands in order. The lock is held.
-func (w *worker) carryOut(orders []wire.Order) {
+func (w *worker) carryOut(orders []wire.Command) {
 	if w.removed {
 		return
 	}
@@ -54,20 +54,20 @@
 		order := &orders[i]
 		at := slices.IndexFunc(w.tasks, func(t *task) bool { return t.Task == order.Task && t.Attempt == order.Attempt })
 		switch {
-		case order.Verb == wire.Start && at < 0:
+		case order.Verb == wire.CommandStart && at < 0:
 			w.begin(order)
-		case order.Verb == wire.Stop && at >= 0 && !terminal(&w.tasks[at].TaskReport):
+		case order.Verb == wire.CommandStop && at >= 0 && !terminal(&w.tasks[at].TaskStatus):
 			w.exit(w.tasks[at], wire.CauseStopped)
-		case order.Verb == wire.Forget && at >= 0 && terminal(&w.tasks[at].TaskReport):
+		case order.Verb == wire.CommandForget && at >= 0 && terminal(&w.tasks[at].TaskStatus):
 			w.tasks = slices.Delete(w.tasks, at, at+1)
 		}
 	}
 }
 
 // begin takes a task. The lock is held.
-func (w *worker) begin(order *wire.Order) {
+func (w *worker) begin(order *wire.Command) {
 	id, number, ok := wire.ParseTaskName(order.Task)
-	t := &task{TaskReport: wire.TaskReport{Task: order.Task, Attempt: order.Attempt, State: wire.Running}, job: w.host.job(id), number: number}
+	t := &task{TaskStatus: wire.TaskStatus{Task: order.Task, Attempt: order.Attempt, State: wire.Running}, job: w.host.job(id), number: number}
 	w.tasks = append(w.tasks, t)
 	w.changed()
 	switch {
@@ -78,7 +78,7 @@
 		t.State, t.Cause = wire.Exited, wire.CauseBusy
 		return
 	case w.gpusUsed() > w.machine.GPUs:
-		t.State, t.Cause = wire.Exited, wire.CauseNoRoom
+		t.State, t.Cause = wire.Exited, wire.CauseNoCapacity
 		return
 	}
 	w.tell(TaskOn, t)
@@ -92,14 +92,14 @@
 
 // hasOther tells whether another attempt of a task is on the machine. The lock is held.
 func (w *worker) hasOther(t *task) bool {
-	return slices.ContainsFunc(w.tasks, func(o *task) bool { return o != t && o.Task == t.Task && !terminal(&o.TaskReport) })
+	return slices.ContainsFunc(w.tasks, func(o *task) bool { return o != t && o.Task == t.Task && !terminal(&o.TaskStatus) })
 }
 
 // gpusUsed adds up what the tasks on the machine take. The lock is held.
 func (w *worker) gpusUsed() float64 {
 	used := 0.0
 	for _, t := range w.tasks {
-		if t.job != nil && !terminal(&t.TaskReport) {
+		if t.job != nil && !terminal(&t.TaskStatus) {
 			used += t.job.GPUs
 		}
 	}
@@ -111,7 +111,7 @@
 	return time.AfterFunc(d, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if !w.removed && !terminal(&t.TaskReport) {
+		if !w.removed && !terminal(&t.TaskStatus) {
 			f()
 		}
 	})
@@ -138,7 +138,7 @@
 		}
 		t.timer.Stop()
 		delay := time.Duration(w.host.random() * float64(w.host.gangPeer))
-		t.timer = w.after(delay, t, func() { w.exit(t, wire.CausePeers) })
+		t.timer = w.after(delay, t, func() { w.exit(t, wire.CausePeersGone) })
 	})
 }
 
@@ -169,7 +169,7 @@
 // leave tells that a task is not here any more, unless it never was or has left before. The
 // lock is held.
 func (w *worker) leave(t *task) {
-	if terminal(&t.TaskReport) {
+	if terminal(&t.TaskStatus) {
 		return
 	}
 	if t.timer != nil {
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -45,7 +45,7 @@
 
 // task is a task on a machine.
 type task struct {
-	wire.TaskReport
+	wire.TaskStatus
 	job    *Job // nil: not known
 	number int
 	timer  *time.Timer // of what comes next; nil: nothing does by time
@@ -117,12 +117,12 @@
 	status, body := w.post(ctx, node, &report)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var answer wire.ReportAnswer
+	var answer wire.HeartbeatResponse
 	var redirect wire.Redirect
 	switch {
 	case status == http.StatusOK && wire.Unmarshal(body, &answer) == nil:
 		w.host.meter.answered.Add(1)
-		w.answered(&answer, report.Session, sentAt)
+		w.answered(&answer, report.Incarnation, sentAt)
 		return 0
 	case status == http.StatusMisdirectedRequest && wire.Unmarshal(body, &redirect) == nil:
 		if to := w.host.nodeNamed(redirect.Node); to >= 0 && to != node {
@@ -137,13 +137,13 @@
 }
 
 // answered takes a 200 to a report. The lock is held.
-func (w *worker) answered(a *wire.ReportAnswer, session uint64, sentAt time.Time) {
-	if a.Token < w.token || session != w.session || w.away || time.Since(sentAt) > reportTimeout {
+func (w *worker) answered(a *wire.HeartbeatResponse, session uint64, sentAt time.Time) {
+	if a.FencingToken < w.token || session != w.session || w.away || time.Since(sentAt) > reportTimeout {
 		return // dropped: neither carried out nor a renewal
 	}
-	w.raise(a.Token)
+	w.raise(a.FencingToken)
 	w.renewedAt = sentAt
-	w.carryOut(a.Orders)
+	w.carryOut(a.Commands)
 }
 
 // raise notes a token. One that is higher is news, not too often. The lock is held.
@@ -167,12 +167,12 @@
 }
 
 // status is the worker's next report. The lock is held.
-func (w *worker) status() wire.Report {
+func (w *worker) status() wire.Heartbeat {
 	w.seq++
-	r := wire.Report{Machine: w.machine.Name, Addr: w.address, Type: w.machine.Type, Zone: w.machine.Zone, Spot: w.machine.Spot,
-		Session: w.session, Seq: w.seq, Token: w.token, Tasks: make([]wire.TaskReport, 0, len(w.tasks))}
+	r := wire.Heartbeat{Machine: w.machine.Name, Addr: w.address, Type: w.machine.Type, Zone: w.machine.Zone, Spot: w.machine.Spot,
+		Incarnation: w.session, Sequence: w.seq, FencingToken: w.token, Tasks: make([]wire.TaskStatus, 0, len(w.tasks))}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, t.TaskReport)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
 }
--- a/internal/judge/judge.go
+++ b/internal/invariants/checker.go
@@ -1,7 +1,7 @@
-// Package judge holds a history of what users, workers and the cloud saw against the
+// Package invariants holds a history of what users, workers and the cloud saw against the
 // rules of the protocol. It knows nothing of how the service works: whatever it says
 // follows from the history alone.
-package judge
+package invariants
 
 import (
 	"cmp"
@@ -18,14 +18,14 @@
 // The kinds of events. A task is on its machine from when it has its image until it
 // exits, is killed, or the machine is gone.
 const (
-	Submitted Kind = "submitted" // a user sends a job for the first time
-	Asked     Kind = "asked"     // a user asks to cancel a job
-	Told      Kind = "told"      // a user is answered
-	Machine   Kind = "machine"   // a machine is rented
-	Gone      Kind = "gone"      // a machine and all on it are gone
-	On        Kind = "on"        // a task starts on a machine
-	Off       Kind = "off"       // it is not there any more
-	Done      Kind = "done"      // a task has completed
+	JobSubmitted    Kind = "submitted" // a user sends a job for the first time
+	CancelRequested Kind = "asked"     // a user asks to cancel a job
+	Answered        Kind = "told"      // a user is answered
+	MachineAdded    Kind = "machine"   // a machine is rented
+	MachineGone     Kind = "gone"      // a machine and all on it are gone
+	TaskStarted     Kind = "on"        // a task starts on a machine
+	TaskStopped     Kind = "off"       // it is not there any more
+	TaskDone        Kind = "done"      // a task has completed
 )
 
 // Event is one thing that somebody saw.
@@ -67,8 +67,8 @@
 // Limit is the most that a team may use at a time; 0: any amount.
 type Limit struct{ CPUs, GPUs float64 }
 
-// Terms are what the rules say beside the history.
-type Terms struct {
+// Rules are what the rules say beside the history.
+type Rules struct {
 	CancelIn Micros // how long tasks may stay after a user was told that they are cancelled
 	Silence  Micros // how long every poll for a job may fail while others are answered
 	// Settled is when the last trouble ended, and Unanswered how long every poll for a job may
@@ -77,15 +77,15 @@
 	Teams               map[string]Limit
 }
 
-// Broken is a rule that was broken.
-type Broken struct {
-	Rule string `json:"rule"`
-	At   Micros `json:"at"`
-	What string `json:"what"`
+// Violation is a rule that was broken.
+type Violation struct {
+	Rule   string `json:"rule"`
+	At     Micros `json:"at"`
+	Detail string `json:"what"`
 }
 
-func (b Broken) String() string {
-	return fmt.Sprintf("%s at %.3f s: %s", b.Rule, float64(b.At)/1e6, b.What)
+func (b Violation) String() string {
+	return fmt.Sprintf("%s at %.3f s: %s", b.Rule, float64(b.At)/1e6, b.Detail)
 }
 
 // Ways of asking, in Told.
@@ -121,8 +121,8 @@
 	orphan    bool
 }
 
-type judge struct {
-	terms    Terms
+type checker struct {
+	terms    Rules
 	jobs     map[string]*job
 	machines map[string]*Host
 	used     map[string]Limit
@@ -130,34 +130,34 @@
 	lastPoll Micros                      // the last poll that was answered
 	staying  map[string]map[place]string // by machine: the tasks there, and their jobs
 	leaving  map[string]*job             // cancelled jobs with tasks somewhere
-	out      []Broken
+	out      []Violation
 }
 
-// Judge returns which rules a history breaks, in the order of time. The end of the
+// Check returns which rules a history breaks, in the order of time. The end of the
 // history counts as a moment of its own.
-func Judge(t Terms, events []Event) []Broken {
-	j := &judge{terms: t, jobs: map[string]*job{}, machines: map[string]*Host{}, used: map[string]Limit{},
+func Check(t Rules, events []Event) []Violation {
+	j := &checker{terms: t, jobs: map[string]*job{}, machines: map[string]*Host{}, used: map[string]Limit{},
 		staying: map[string]map[place]string{}, leaving: map[string]*job{}}
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	for i := range sorted {
-		j.lateness(sorted[i].At)
-		j.take(&sorted[i])
+		j.checkDeadlines(sorted[i].At)
+		j.apply(&sorted[i])
 	}
 	if !j.started && len(sorted) > 0 {
-		j.broken("nothing_ran", sorted[len(sorted)-1].At, "no task was started")
+		j.report("nothing_ran", sorted[len(sorted)-1].At, "no task was started")
 	}
-	slices.SortStableFunc(j.out, func(a, b Broken) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.What, b.What))
+	slices.SortStableFunc(j.out, func(a, b Violation) int {
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Detail, b.Detail))
 	})
 	return j.out
 }
 
-func (j *judge) broken(rule string, at Micros, format string, args ...any) {
-	j.out = append(j.out, Broken{rule, at, fmt.Sprintf(format, args...)})
+func (j *checker) report(rule string, at Micros, format string, args ...any) {
+	j.out = append(j.out, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-func (j *judge) job(id string) *job {
+func (j *checker) job(id string) *job {
 	x := j.jobs[id]
 	if x == nil {
 		x = &job{done: map[int]bool{}}
@@ -166,67 +166,67 @@
 	return x
 }
 
-func (j *judge) take(e *Event) {
+func (j *checker) apply(e *Event) {
 	switch e.Kind {
-	case Submitted:
+	case JobSubmitted:
 		if x := j.job(e.Job); x.spec == nil {
 			x.spec = e.Spec
 		}
-	case Asked:
+	case CancelRequested:
 		j.job(e.Job).asked = true
-	case Machine:
+	case MachineAdded:
 		j.machines[e.Machine] = e.Host
-	case Told:
-		j.told(e)
-	case On:
-		j.on(e)
-	case Off:
-		j.off(e.Job, place{e.Task, e.Attempt, e.Machine})
-	case Done:
+	case Answered:
+		j.checkAnswer(e)
+	case TaskStarted:
+		j.taskStarted(e)
+	case TaskStopped:
+		j.taskStopped(e.Job, place{e.Task, e.Attempt, e.Machine})
+	case TaskDone:
 		j.job(e.Job).done[e.Task] = true
-	case Gone:
+	case MachineGone:
 		for p, id := range j.staying[e.Machine] {
-			j.off(id, p)
+			j.taskStopped(id, p)
 		}
 		delete(j.machines, e.Machine)
 	}
 }
 
-// told holds an answer against what was said before and what is true.
-func (j *judge) told(e *Event) {
+// checkAnswer holds an answer against what was said before and what is true.
+func (j *checker) checkAnswer(e *Event) {
 	x := j.jobs[e.Job]
 	if x == nil || x.spec == nil {
 		if e.Status == 200 && e.Via != BySubmit {
-			j.broken("invented", e.At, "%s is called %s and was never submitted", e.Job, e.Said)
+			j.report("invented", e.At, "%s is called %s and was never submitted", e.Job, e.Said)
 		}
 		return
 	}
 	ok := e.Status == 200 || e.Status == 201
 	if e.Via == ByPoll {
-		j.polled(e, x, ok)
+		j.checkPoll(e, x, ok)
 	}
 	switch {
 	case x.accepted && e.Status == 404 && e.Via != BySubmit:
-		j.broken("forgotten", e.At, "%s was accepted and gets 404", e.Job)
+		j.report("forgotten", e.At, "%s was accepted and gets 404", e.Job)
 	case x.accepted && e.Via == BySubmit && (e.Status == 400 || e.Status == 422):
-		j.broken("forgotten", e.At, "%s was accepted and its repetition gets %d", e.Job, e.Status)
+		j.report("forgotten", e.At, "%s was accepted and its repetition gets %d", e.Job, e.Status)
 	}
 	if !ok {
 		return
 	}
 	x.accepted = true
 	if x.final != "" && e.Said != x.final {
-		j.broken("went_back", e.At, "%s was called %s and is now %s", e.Job, x.final, e.Said)
+		j.report("went_back", e.At, "%s was called %s and is now %s", e.Job, x.final, e.Said)
 	}
 	switch e.Said {
 	case saidDone:
 		if len(x.done) < x.spec.Tasks {
-			j.broken("not_done", e.At, "%s is called done with %d of %d tasks", e.Job, len(x.done), x.spec.Tasks)
+			j.report("not_done", e.At, "%s is called done with %d of %d tasks", e.Job, len(x.done), x.spec.Tasks)
 		}
 		x.final = saidDone
 	case saidCancelled:
 		if !j.mayBeCancelled(e.Job, map[string]bool{}) {
-			j.broken("went_back", e.At, "%s is called cancelled and nobody has asked for it", e.Job)
+			j.report("went_back", e.At, "%s is called cancelled and nobody has asked for it", e.Job)
 		}
 		if x.final = saidCancelled; x.cancelled == 0 {
 			x.cancelled = e.At
@@ -237,13 +237,13 @@
 	case saidQueued, saidRunning:
 		if at := j.cancelledBefore(e.Job, map[string]bool{}); at != 0 && e.At-at > j.terms.CancelIn && !x.orphan {
 			x.orphan = true
-			j.broken("orphaned", e.At, "%s is called %s, and a job before it was cancelled at %.3f s", e.Job, e.Said, float64(at)/1e6)
+			j.report("orphaned", e.At, "%s is called %s, and a job before it was cancelled at %.3f s", e.Job, e.Said, float64(at)/1e6)
 		}
 	}
 }
 
-// polled watches for jobs of which nobody can learn anything while others are told of.
-func (j *judge) polled(e *Event, x *job, ok bool) {
+// checkPoll watches for jobs of which nobody can learn anything while others are told of.
+func (j *checker) checkPoll(e *Event, x *job, ok bool) {
 	if ok || e.Status == 404 {
 		x.failing = 0
 		j.lastPoll = e.At
@@ -253,18 +253,18 @@
 		x.failing = e.At
 	}
 	if since := max(x.failing, j.terms.Settled); x.accepted && j.terms.Unanswered != 0 && e.At-since >= j.terms.Unanswered {
-		j.broken("forgotten", e.At, "no question about %s has been answered since %.3f s, with all troubles over", e.Job, float64(since)/1e6)
+		j.report("forgotten", e.At, "no question about %s has been answered since %.3f s, with all troubles over", e.Job, float64(since)/1e6)
 		x.failing = e.At
 		return
 	}
 	if !x.accepted || j.terms.Silence == 0 || e.At-x.failing < j.terms.Silence || j.lastPoll < x.failing {
 		return
 	}
-	j.broken("forgotten", e.At, "every poll for %s has failed since %.3f s while others were answered", e.Job, float64(x.failing)/1e6)
+	j.report("forgotten", e.At, "every poll for %s has failed since %.3f s while others were answered", e.Job, float64(x.failing)/1e6)
 	x.failing = e.At
 }
 
-func (j *judge) mayBeCancelled(id string, seen map[string]bool) bool {
+func (j *checker) mayBeCancelled(id string, seen map[string]bool) bool {
 	x := j.jobs[id]
 	if x == nil || seen[id] {
 		return false
@@ -278,7 +278,7 @@
 
 // cancelledBefore is when a user was first told that a job before this one is
 // cancelled; 0: nobody was.
-func (j *judge) cancelledBefore(id string, seen map[string]bool) Micros {
+func (j *checker) cancelledBefore(id string, seen map[string]bool) Micros {
 	x := j.jobs[id]
 	if x == nil || x.spec == nil || seen[id] {
 		return 0
@@ -295,28 +295,28 @@
 	return first
 }
 
-func (j *judge) on(e *Event) {
+func (j *checker) taskStarted(e *Event) {
 	j.started = true
 	x := j.job(e.Job)
 	if x.spec == nil {
-		j.broken("invented", e.At, "task %s/%d of a job that was never submitted is on %s", e.Job, e.Task, e.Machine)
+		j.report("invented", e.At, "task %s/%d of a job that was never submitted is on %s", e.Job, e.Task, e.Machine)
 		return
 	}
 	for _, p := range x.on {
 		if p.task == e.Task && p.machine != e.Machine {
-			j.broken("ran_twice", e.At, "%s/%d starts on %s and is on %s", e.Job, e.Task, e.Machine, p.machine)
+			j.report("ran_twice", e.At, "%s/%d starts on %s and is on %s", e.Job, e.Task, e.Machine, p.machine)
 		}
 	}
 	if x.cancelled != 0 && e.At-x.cancelled > j.terms.CancelIn {
-		j.broken("ran_cancelled", e.At, "%s/%d starts on %s, %.3f s after its user was told that it is cancelled", e.Job, e.Task, e.Machine,
+		j.report("ran_cancelled", e.At, "%s/%d starts on %s, %.3f s after its user was told that it is cancelled", e.Job, e.Task, e.Machine,
 			float64(e.At-x.cancelled)/1e6)
 	}
 	for _, n := range x.spec.Needs {
 		if before := j.job(n); before.spec == nil || len(before.done) < before.spec.Tasks {
-			j.broken("too_early", e.At, "%s/%d starts and %s is not done", e.Job, e.Task, n)
+			j.report("too_early", e.At, "%s/%d starts and %s is not done", e.Job, e.Task, n)
 		}
 	}
-	j.placed(e, x)
+	j.checkPlacement(e, x)
 	p := place{e.Task, e.Attempt, e.Machine}
 	if !slices.Contains(x.on, p) {
 		x.on = append(x.on, p)
@@ -329,16 +329,16 @@
 		j.used[x.spec.Team] = u
 		const slack = 1e-6
 		if l := j.terms.Teams[x.spec.Team]; l.CPUs > 0 && u.CPUs > l.CPUs+slack || l.GPUs > 0 && u.GPUs > l.GPUs+slack {
-			j.broken("quota", e.At, "team %s uses %v CPUs and %v GPUs of %v and %v", x.spec.Team, u.CPUs, u.GPUs, l.CPUs, l.GPUs)
+			j.report("quota", e.At, "team %s uses %v CPUs and %v GPUs of %v and %v", x.spec.Team, u.CPUs, u.GPUs, l.CPUs, l.GPUs)
 		}
 	}
 }
 
-// placed holds a start against where the job may be, given its other tasks.
-func (j *judge) placed(e *Event, x *job) {
+// checkPlacement holds a start against where the job may be, given its other tasks.
+func (j *checker) checkPlacement(e *Event, x *job) {
 	m := j.machines[e.Machine]
 	if m == nil {
-		j.broken("wrong_place", e.At, "%s/%d starts on %s, which is not rented", e.Job, e.Task, e.Machine)
+		j.report("wrong_place", e.At, "%s/%d starts on %s, which is not rented", e.Job, e.Task, e.Machine)
 		return
 	}
 	here, elsewhere := 1, 0
@@ -365,11 +365,11 @@
 		why = "too many tasks are in its zone"
 	}
 	if why != "" {
-		j.broken("wrong_place", e.At, "%s/%d starts on %s: %s", e.Job, e.Task, e.Machine, why)
+		j.report("wrong_place", e.At, "%s/%d starts on %s: %s", e.Job, e.Task, e.Machine, why)
 	}
 }
 
-func (j *judge) off(id string, p place) {
+func (j *checker) taskStopped(id string, p place) {
 	x := j.job(id)
 	i := slices.Index(x.on, p)
 	if i < 0 {
@@ -385,12 +385,12 @@
 	j.used[x.spec.Team] = u
 }
 
-// lateness finds tasks that stay after their job was called cancelled.
-func (j *judge) lateness(now Micros) {
+// checkDeadlines finds tasks that stay after their job was called cancelled.
+func (j *checker) checkDeadlines(now Micros) {
 	for id, x := range j.leaving {
 		if now-x.cancelled > j.terms.CancelIn {
 			delete(j.leaving, id)
-			j.broken("ran_cancelled", now, "%s/%d is on %s, %.3f s after its user was told that it is cancelled", id, x.on[0].task, x.on[0].machine,
+			j.report("ran_cancelled", now, "%s/%d is on %s, %.3f s after its user was told that it is cancelled", id, x.on[0].task, x.on[0].machine,
 				float64(now-x.cancelled)/1e6)
 		}
 	}
--- /dev/null
+++ b/internal/invariants/checker_test.go
@@ -0,0 +1,155 @@
+package invariants
+
+import (
+	"slices"
+	"testing"
+)
+
+const second = 1_000_000
+
+var terms = Rules{CancelIn: 10 * second, Silence: 90 * second, Teams: map[string]Limit{"red": {GPUs: 4}}}
+
+// sound is a history that breaks nothing: two jobs, one after the other, and a third
+// that is cancelled with the one that needs it.
+func sound() []Event {
+	spec := func(tasks int, needs ...string) *Spec {
+		return &Spec{Team: "red", Tasks: tasks, GPUs: 1, Types: []string{"t4"}, Zone: "", OneZone: true, Needs: needs}
+	}
+	at := func(s float64) Micros { return Micros(s * second) }
+	return []Event{
+		{At: at(0), Kind: MachineAdded, Machine: "m1", Host: &Host{"t4", "a", false}},
+		{At: at(0), Kind: MachineAdded, Machine: "m2", Host: &Host{"t4", "b", false}},
+		{At: at(0), Kind: MachineAdded, Machine: "m3", Host: &Host{"t4", "a", true}},
+		{At: at(1), Kind: JobSubmitted, Job: "j-1", Spec: spec(2)},
+		{At: at(1.1), Kind: Answered, Job: "j-1", Via: BySubmit, Status: 201, Said: "queued"},
+		{At: at(2), Kind: JobSubmitted, Job: "j-2", Spec: spec(1, "j-1")},
+		{At: at(2.1), Kind: Answered, Job: "j-2", Via: BySubmit, Status: 201, Said: "queued"},
+		{At: at(3), Kind: TaskStarted, Job: "j-1", Task: 0, Attempt: 1, Machine: "m1"},
+		{At: at(3), Kind: TaskStarted, Job: "j-1", Task: 1, Attempt: 1, Machine: "m1"},
+		{At: at(4), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "running"},
+		{At: at(5), Kind: TaskDone, Job: "j-1", Task: 0},
+		{At: at(5), Kind: TaskStopped, Job: "j-1", Task: 0, Attempt: 1, Machine: "m1"},
+		{At: at(6), Kind: TaskDone, Job: "j-1", Task: 1},
+		{At: at(6), Kind: TaskStopped, Job: "j-1", Task: 1, Attempt: 1, Machine: "m1"},
+		{At: at(7), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "done"},
+		{At: at(8), Kind: TaskStarted, Job: "j-2", Task: 0, Attempt: 1, Machine: "m2"},
+		{At: at(9), Kind: TaskDone, Job: "j-2", Task: 0},
+		{At: at(9), Kind: TaskStopped, Job: "j-2", Task: 0, Attempt: 1, Machine: "m2"},
+		{At: at(10), Kind: JobSubmitted, Job: "j-3", Spec: spec(2)},
+		{At: at(10.1), Kind: Answered, Job: "j-3", Via: BySubmit, Status: 201, Said: "queued"},
+		{At: at(11), Kind: JobSubmitted, Job: "j-4", Spec: spec(1, "j-3")},
+		{At: at(11.1), Kind: Answered, Job: "j-4", Via: BySubmit, Status: 201, Said: "queued"},
+		{At: at(12), Kind: TaskStarted, Job: "j-3", Task: 0, Attempt: 1, Machine: "m1"},
+		{At: at(13), Kind: CancelRequested, Job: "j-3"},
+		{At: at(14), Kind: Answered, Job: "j-3", Via: ByCancel, Status: 200, Said: "cancelled"},
+		{At: at(16), Kind: TaskStopped, Job: "j-3", Task: 0, Attempt: 1, Machine: "m1"},
+		{At: at(17), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, Said: "cancelled"},
+		{At: at(18), Kind: Answered, Job: "j-99", Via: ByPoll, Status: 404},
+		{At: at(200), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "done"},
+	}
+}
+
+func TestSoundHistory(t *testing.T) {
+	if b := Check(terms, sound()); len(b) > 0 {
+		t.Errorf("%v", b)
+	}
+}
+
+// Once all troubles are over a job is forgotten about which no question is answered for 75 s, though
+// no other is answered either.
+func TestUnanswered(t *testing.T) {
+	t.Parallel()
+	settled := terms
+	settled.Settled, settled.Unanswered = 300*second, 75*second
+	for _, tt := range []struct {
+		upTo float64 // polls fail until then
+		want int
+	}{{374, 0}, {376, 1}} {
+		events := sound()
+		for s := 210.0; s <= tt.upTo; s += 5 {
+			events = append(events, Event{At: Micros(s * second), Kind: Answered, Job: "j-2", Via: ByPoll, Status: 503})
+		}
+		if got := Check(settled, events); len(got) != tt.want || tt.want > 0 && got[0].Rule != "forgotten" {
+			t.Errorf("polls fail until %v s: %v", tt.upTo, got)
+		}
+	}
+}
+
+// Every rule has histories that break it, and it alone: the judge can fail.
+func TestMutatedHistories(t *testing.T) {
+	type mutation func([]Event) []Event
+	insert := func(e Event) mutation { return func(h []Event) []Event { return append(h, e) } }
+	change := func(kind Kind, job string, f func(*Event)) mutation {
+		return func(h []Event) []Event {
+			i := slices.IndexFunc(h, func(e Event) bool { return e.Kind == kind && e.Job == job })
+			f(&h[i])
+			return h
+		}
+	}
+	drop := func(kind Kind, job string) mutation {
+		return func(h []Event) []Event {
+			return slices.DeleteFunc(h, func(e Event) bool { return e.Kind == kind && e.Job == job })
+		}
+	}
+	all := func(by ...mutation) mutation {
+		return func(h []Event) []Event {
+			for _, m := range by {
+				h = m(h)
+			}
+			return h
+		}
+	}
+	at := func(s float64) Micros { return Micros(s * second) }
+	respec := func(job string, f func(*Spec)) mutation {
+		return change(JobSubmitted, job, func(e *Event) { f(e.Spec) })
+	}
+	for name, c := range map[string]struct {
+		rule string
+		by   mutation
+	}{
+		"a task starts on a second machine": {"ran_twice", insert(Event{At: at(4), Kind: TaskStarted, Job: "j-1", Task: 1, Attempt: 2, Machine: "m3x"})},
+		"more GPUs than the limit":          {"quota", respec("j-1", func(s *Spec) { s.GPUs = 3 })},
+		"another type":                      {"wrong_place", respec("j-1", func(s *Spec) { s.Types = []string{"a100"} })},
+		"another zone":                      {"wrong_place", respec("j-2", func(s *Spec) { s.Zone = "a" })},
+		"a spot machine":                    {"wrong_place", change(TaskStarted, "j-2", func(e *Event) { e.Machine = "m3" })},
+		"two zones": {"wrong_place", all(insert(Event{At: at(12.5), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m2"}),
+			insert(Event{At: at(12.6), Kind: TaskStopped, Job: "j-3", Task: 1, Attempt: 1, Machine: "m2"}))},
+		"no spread":                                {"wrong_place", respec("j-1", func(s *Spec) { s.Spread, s.OneZone = true, false })},
+		"a machine that was never rented":          {"wrong_place", change(TaskStarted, "j-2", func(e *Event) { e.Machine = "m9" })},
+		"stays after the cancellation":             {"ran_cancelled", drop(TaskStopped, "j-3")},
+		"starts after the cancellation":            {"ran_cancelled", insert(Event{At: at(30), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m1"})},
+		"404 for an accepted job":                  {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 404})},
+		"422 for a repetition":                     {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: BySubmit, Status: 422})},
+		"a job of nobody":                          {"invented", insert(Event{At: at(8), Kind: Answered, Job: "j-99", Via: ByPoll, Status: 200, Said: "queued"})},
+		"a task of nobody's job":                   {"invented", insert(Event{At: at(8), Kind: TaskStarted, Job: "j-99", Machine: "m1"})},
+		"done with a task missing":                 {"not_done", all(drop(TaskStarted, "j-2"), change(TaskDone, "j-1", func(e *Event) { e.Task = 1 }))},
+		"done and then running":                    {"went_back", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "running"})},
+		"cancelled without being asked":            {"went_back", drop(CancelRequested, "j-3")},
+		"started before what it needs":             {"too_early", change(TaskStarted, "j-2", func(e *Event) { e.At = at(5.5) })},
+		"queued though what it needs is cancelled": {"orphaned", all(drop(Answered, "j-4"), insert(Event{At: at(30), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, Said: "queued"}))},
+		"nothing ran": {"nothing_ran", func(h []Event) []Event {
+			return slices.DeleteFunc(h, func(e Event) bool { return e.Kind != JobSubmitted && (e.Kind != Answered || e.Said == "done") })
+		}},
+		"every poll fails": {"forgotten", func(h []Event) []Event {
+			for s := 20.0; s < 130; s += 5 {
+				h = append(h, Event{At: at(s), Kind: Answered, Job: "j-2", Via: ByPoll, Status: 503},
+					Event{At: at(s), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "done"})
+			}
+			return h
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := sound()
+			h = append(h, Event{At: 0, Kind: MachineAdded, Machine: "m3x", Host: &Host{"t4", "a", false}})
+			found := Check(terms, c.by(h))
+			if len(found) == 0 {
+				t.Fatalf("not found: %s", c.rule)
+			}
+			for _, b := range found {
+				if b.Rule != c.rule && !(c.rule == "nothing_ran" && b.Rule == "went_back") {
+					t.Errorf("%v", b)
+				}
+			}
+		})
+	}
+}
--- a/internal/user/user.go
+++ b/internal/jobclient/client.go
@@ -1,5 +1,5 @@
-// Package user asks a service as the protocol lets users.
-package user
+// Package jobclient asks a service as the protocol lets users.
+package jobclient
 
 import (
 	"bytes"
@@ -31,30 +31,30 @@
 	RetryAfter time.Duration
 }
 
-// Taken tells whether the request was done.
-func (a *Answer) Taken() bool { return a.Status == http.StatusOK || a.Status == http.StatusCreated }
+// Accepted tells whether the request was done.
+func (a *Answer) Accepted() bool { return a.Status == http.StatusOK || a.Status == http.StatusCreated }
 
 // Refused tells whether it never will be.
 func (a *Answer) Refused() bool {
 	return a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity || a.Status == http.StatusNotFound
 }
 
-// Asker makes requests to addresses that pick chooses for each.
-type Asker struct {
-	Client *http.Client
-	Pick   func() string
-	Failed func(error) // hears why a request got no answer; nil: nobody does
+// Client makes requests to addresses that pick chooses for each.
+type Client struct {
+	HTTP     *http.Client
+	PickNode func() string
+	Failed   func(error) // hears why a request got no answer; nil: nobody does
 }
 
-// Ask makes one request.
-func (u *Asker) Ask(ctx context.Context, longest time.Duration, method, path string, body []byte) (a Answer) {
+// Request makes one request.
+func (u *Client) Request(ctx context.Context, longest time.Duration, method, path string, body []byte) (a Answer) {
 	ctx, cancel := context.WithTimeout(ctx, longest)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+u.Pick()+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+u.PickNode()+path, bytes.NewReader(body))
 	if err != nil {
 		return a
 	}
-	res, err := u.Client.Do(req)
+	res, err := u.HTTP.Do(req)
 	if err != nil {
 		if u.Failed != nil {
 			u.Failed(err)
@@ -74,16 +74,16 @@
 
 // Repeat makes a request until it is taken or refused for good, or the time to try is
 // over. Each answer is told; it returns whether the request was taken.
-func (u *Asker) Repeat(ctx context.Context, method, path string, body []byte, told func(*Answer)) bool {
+func (u *Client) Repeat(ctx context.Context, method, path string, body []byte, told func(*Answer)) bool {
 	for began := time.Now(); ctx.Err() == nil; {
-		a := u.Ask(ctx, SubmitWait, method, path, body)
+		a := u.Request(ctx, SubmitWait, method, path, body)
 		if ctx.Err() != nil {
 			return false
 		}
 		told(&a)
 		pause := min(max(a.RetryAfter, leastPause), longestWait)
 		switch {
-		case a.Taken():
+		case a.Accepted():
 			return true
 		case a.Refused(), time.Since(began)+pause > TryFor, !wait.For(ctx, pause):
 			return false
@@ -93,13 +93,13 @@
 }
 
 // Poll asks for a job's state.
-func (u *Asker) Poll(ctx context.Context, id string) Answer {
-	return u.Ask(ctx, PollWait, http.MethodGet, wire.PathJobs+"/"+id, nil)
+func (u *Client) Poll(ctx context.Context, id string) Answer {
+	return u.Request(ctx, PollWait, http.MethodGet, wire.PathJobs+"/"+id, nil)
 }
 
 // Follow polls a job until it is over or ctx ends, and has it cancelled once, some time after the call,
 // if cancelIn is above 0. Each answer to a poll is told.
-func (u *Asker) Follow(ctx context.Context, id string, cancelIn time.Duration, told func(*Answer), cancel func()) {
+func (u *Client) Follow(ctx context.Context, id string, cancelIn time.Duration, told func(*Answer), cancel func()) {
 	var cancelAt <-chan time.Time
 	if cancelIn > 0 {
 		t := time.NewTimer(cancelIn)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -14,8 +14,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"coralhub/internal/jobclient"
 	"coralhub/internal/quantile"
-	"coralhub/internal/user"
 	"coralhub/internal/wait"
 	"coralhub/wire"
 )
@@ -51,7 +51,7 @@
 
 type generator struct {
 	opt    Options
-	ask    *user.Asker
+	ask    *jobclient.Client
 	mu     sync.Mutex
 	res    Result
 	submit *hdrhistogram.Histogram
@@ -65,10 +65,10 @@
 		return nil, fmt.Errorf("load: %d jobs at %v a second, %d at a time, to %d addresses", opt.Jobs, opt.Rate, opt.Limit, len(opt.To))
 	}
 	g := &generator{opt: opt, res: Result{Jobs: opt.Jobs, Statuses: map[string]int{}},
-		ask: &user.Asker{Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: opt.Limit}},
-			Pick: func() string { return opt.To[rand.IntN(len(opt.To))] }},
+		ask: &jobclient.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: opt.Limit}},
+			PickNode: func() string { return opt.To[rand.IntN(len(opt.To))] }},
 		submit: hdrhistogram.New(1, longest, 3), end: hdrhistogram.New(1, longest, 3)}
-	defer g.ask.Client.CloseIdleConnections()
+	defer g.ask.HTTP.CloseIdleConnections()
 	rnd := rand.New(rand.NewPCG(opt.Seed, 1))
 	sem := make(chan struct{}, opt.Limit)
 	var wg sync.WaitGroup
@@ -116,7 +116,7 @@
 	if err != nil {
 		return
 	}
-	if !g.ask.Repeat(ctx, http.MethodPost, wire.PathJobs, raw, func(a *user.Answer) {
+	if !g.ask.Repeat(ctx, http.MethodPost, wire.PathJobs, raw, func(a *jobclient.Answer) {
 		g.count(func(r *Result) { r.Statuses[strconv.Itoa(a.Status)]++ })
 	}) {
 		return
--- a/internal/node/cloud/cloud.go
+++ b/internal/node/cloud/cloud.go
@@ -14,7 +14,7 @@
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/node/call"
+	"coralhub/internal/node/httpclient"
 	"coralhub/wire"
 )
 
@@ -36,7 +36,7 @@
 	r := cfg.Cluster.Cloud.RPS
 	return &Cloud{
 		base: "http://" + cfg.External.Cloud, post: post,
-		http:  call.Client(2*time.Second, 4, 8),
+		http:  httpclient.Client(2*time.Second, 4, 8),
 		calls: rate.NewLimiter(rate.Limit(r*0.7), max(1, int(r*0.7))),
 	}
 }
@@ -48,9 +48,9 @@
 		go c.catalog()
 	case msg.ListMachines:
 		go c.list()
-	case msg.Rent:
+	case msg.ScaleOut:
 		go c.rent(x.Request)
-	case msg.Release:
+	case msg.ScaleIn:
 		go c.release(x.Machines)
 	default:
 		return false
@@ -87,11 +87,11 @@
 func (r *refusal) Error() string { return r.why }
 
 func (c *Cloud) send(ctx context.Context, method, path string, in, out any) (int, error) {
-	req, err := call.Request(ctx, method, c.base+path, in)
+	req, err := httpclient.Request(ctx, method, c.base+path, in)
 	if err != nil {
 		return 0, &refusal{err.Error()}
 	}
-	status, raw, err := call.Do(c.http, req, maxAnswer)
+	status, raw, err := httpclient.Do(c.http, req, maxAnswer)
 	if err != nil {
 		return 0, fmt.Errorf("cloud: %w", err)
 	}
@@ -133,16 +133,16 @@
 	c.post(done)
 }
 
-func (c *Cloud) rent(r wire.Rent) {
+func (c *Cloud) rent(r wire.RentalRequest) {
 	var names wire.MachineNames
-	done := msg.RentDone{Name: r.Name}
+	done := msg.ScaleOutDone{Name: r.Name}
 	done.Outcome = c.call(http.MethodPost, wire.PathHosts, r, &names)
 	done.Machines = names.Machines
 	c.post(done)
 }
 
 func (c *Cloud) release(machines []string) {
-	done := msg.ReleaseDone{Machines: machines}
+	done := msg.ScaleInDone{Machines: machines}
 	done.Outcome = c.call(http.MethodPost, wire.PathRelease, wire.MachineNames{Machines: machines}, nil)
 	c.post(done)
 }
--- a/internal/node/share/share_test.go
+++ b/internal/node/fairshare/fairshare_test.go
@@ -1,4 +1,4 @@
-package share
+package fairshare
 
 import (
 	"flag"
@@ -23,7 +23,7 @@
 		}
 		part := func(i int, own float64) float64 {
 			others := append(append([]float64{}, wants[:i]...), wants[i+1:]...)
-			return Part(whole, own, others)
+			return Allocate(whole, own, others)
 		}
 		sum := 0.0
 		for i, w := range wants {
