--- a/internal/node/httpapi/httpapi.go
+++ b/internal/node/httpapi/httpapi.go
@@ -16,8 +16,8 @@
 	"coralhub/wire"
 )
 
-// giveUp is when a request that the core has not answered gets a 503.
-const giveUp = 3500 * time.Millisecond
+// requestTimeout is when a request that the core has not answered gets a 503.
+const requestTimeout = 3500 * time.Millisecond
 
 // API hands requests to the core and waits for its answers.
 type API struct {
@@ -25,29 +25,29 @@
 	post  func(msg.Input) bool
 	ready func() bool
 
-	mu   sync.Mutex
-	next uint64
-	wait map[uint64]chan msg.Answer
+	mu      sync.Mutex
+	next    uint64
+	pending map[uint64]chan msg.Respond
 }
 
 // New returns the interface; post returns false when the node has no time for
 // another request. Operators' questions are answered only if admin is set.
 func New(post func(msg.Input) bool, ready func() bool, admin bool) *API {
-	a := &API{echo: echo.New(), post: post, ready: ready, wait: map[uint64]chan msg.Answer{}}
+	a := &API{echo: echo.New(), post: post, ready: ready, pending: map[uint64]chan msg.Respond{}}
 	e := a.echo
 	e.HideBanner, e.HidePort = true, true
 	e.POST(wire.PathJobs, a.submit)
 	e.GET(wire.PathJobs+"/:id", a.poll)
 	e.POST(wire.PathJobs+"/:id/"+wire.CancelVerb, a.cancel)
-	e.POST(wire.PathReport, a.report)
+	e.POST(wire.PathHeartbeat, a.report)
 	e.GET(wire.PathReady, a.health)
 	if admin {
-		e.GET(PathEstimates, a.admin(msg.AskEstimates))
-		e.GET(PathJob+"/:id", a.admin(msg.AskJob))
-		e.GET(PathRuns, a.admin(msg.AskRuns))
-		e.GET(PathAccounts, a.admin(msg.AskAccounts))
-		e.GET(PathStanding, a.admin(msg.AskStanding))
-		e.GET(PathWaits+"/:id", a.admin(msg.AskWaits))
+		e.GET(PathEstimates, a.admin(msg.QueryEstimates))
+		e.GET(PathJob+"/:id", a.admin(msg.QueryJob))
+		e.GET(PathRuns, a.admin(msg.QueryRuns))
+		e.GET(PathAccounts, a.admin(msg.QueryAccounts))
+		e.GET(PathPreemptions, a.admin(msg.QueryPreemptions))
+		e.GET(PathWaits+"/:id", a.admin(msg.QueryWaitReason))
 	}
 	e.HTTPErrorHandler = func(err error, c echo.Context) {
 		status := http.StatusInternalServerError
@@ -56,7 +56,7 @@
 			status = he.Code
 		}
 		if !c.Response().Committed {
-			_ = reply(c, msg.Answer{Status: status, Body: wire.Error{Error: http.StatusText(status)}})
+			_ = reply(c, msg.Respond{Status: status, Body: wire.Error{Error: http.StatusText(status)}})
 		}
 	}
 	return a
@@ -64,18 +64,18 @@
 
 // Paths of operators' questions, which are answered in JSON.
 const (
-	PathEstimates = "/admin/v1/estimates"
-	PathJob       = "/admin/v1/jobs"
-	PathRuns      = "/admin/v1/runs"
-	PathAccounts  = "/admin/v1/accounts"
-	PathStanding  = "/admin/v1/standing"
-	PathWaits     = "/admin/v1/waits"
+	PathEstimates   = "/admin/v1/estimates"
+	PathJob         = "/admin/v1/jobs"
+	PathRuns        = "/admin/v1/runs"
+	PathAccounts    = "/admin/v1/accounts"
+	PathPreemptions = "/admin/v1/standing"
+	PathWaits       = "/admin/v1/waits"
 )
 
 // admin answers an operator's question. The query may have from and most.
 func (a *API) admin(what msg.AdminQuery) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		q := msg.AdminIn{What: what, ID: c.Param("id")}
+		q := msg.AdminIn{Query: what, JobID: c.Param("id")}
 		var err error
 		if s := c.QueryParam("from"); s != "" {
 			if q.From, err = strconv.ParseUint(s, 10, 64); err != nil {
@@ -83,12 +83,12 @@
 			}
 		}
 		if s := c.QueryParam("most"); s != "" {
-			if q.Most, err = strconv.Atoi(s); err != nil || q.Most < 1 {
+			if q.Limit, err = strconv.Atoi(s); err != nil || q.Limit < 1 {
 				return c.JSON(http.StatusBadRequest, leader.AdminError{Error: "most: no number above 0"})
 			}
 		}
 		x := a.ask(c.Request().Context().Done(), func(req uint64) msg.Input {
-			q.Req = req
+			q.RequestID = req
 			return q
 		})
 		if x.RetryAfter > 0 {
@@ -106,7 +106,7 @@
 
 // Gauges asks the core to count; false if it has no time.
 func (a *API) Gauges() (leader.Gauges, bool) {
-	g, ok := a.ask(nil, func(req uint64) msg.Input { return msg.AdminIn{Req: req, What: msg.AskGauges} }).Body.(leader.Gauges)
+	g, ok := a.ask(nil, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryGauges} }).Body.(leader.Gauges)
 	return g, ok
 }
 
@@ -115,13 +115,13 @@
 
 // Do carries out an effect; it returns false for effects of other adapters.
 func (a *API) Do(e msg.Effect) bool {
-	x, ok := e.(msg.Answer)
+	x, ok := e.(msg.Respond)
 	if !ok {
 		return false
 	}
 	a.mu.Lock()
-	ch := a.wait[x.Req]
-	delete(a.wait, x.Req)
+	ch := a.pending[x.RequestID]
+	delete(a.pending, x.RequestID)
 	a.mu.Unlock()
 	if ch != nil {
 		ch <- x
@@ -129,21 +129,21 @@
 	return true
 }
 
-var overloaded = msg.Answer{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "overloaded"}, RetryAfter: 1, Busy: true}
+var overloaded = msg.Respond{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "overloaded"}, RetryAfter: 1, Busy: true}
 
 // ask posts an input made for a request number and waits for the answer.
-func (a *API) ask(gone <-chan struct{}, input func(req uint64) msg.Input) msg.Answer {
-	ch := make(chan msg.Answer, 1)
+func (a *API) ask(gone <-chan struct{}, input func(req uint64) msg.Input) msg.Respond {
+	ch := make(chan msg.Respond, 1)
 	a.mu.Lock()
 	a.next++
 	req := a.next
-	a.wait[req] = ch
+	a.pending[req] = ch
 	a.mu.Unlock()
 	if !a.post(input(req)) {
-		a.forget(req)
+		a.removePending(req)
 		return overloaded
 	}
-	t := time.NewTimer(giveUp)
+	t := time.NewTimer(requestTimeout)
 	defer t.Stop()
 	select {
 	case x := <-ch:
@@ -151,26 +151,26 @@
 	case <-t.C:
 	case <-gone:
 	}
-	a.forget(req)
+	a.removePending(req)
 	return overloaded
 }
 
-// Refuse answers a request that the core has not been asked.
-func (a *API) Refuse(in msg.Input) {
+// Shed answers a request that the core has not been asked.
+func (a *API) Shed(in msg.Input) {
 	x := overloaded
 	switch in := in.(type) {
 	case msg.PollIn:
-		x.Req = in.Req
+		x.RequestID = in.RequestID
 	case msg.CancelIn:
-		x.Req = in.Req
+		x.RequestID = in.RequestID
 	case msg.SubmitIn:
-		x.Req = in.Req
+		x.RequestID = in.RequestID
 	case msg.AdminIn:
-		x.Req = in.Req
-	case msg.ReportIn:
-		x.Req = in.Req
-	case msg.BeatIn:
-		x.Req = in.Req
+		x.RequestID = in.RequestID
+	case msg.HeartbeatIn:
+		x.RequestID = in.RequestID
+	case msg.HeartbeatBatchIn:
+		x.RequestID = in.RequestID
 	default:
 		return
 	}
@@ -182,25 +182,25 @@
 }
 
 // Report answers a worker's report that its home has handed on.
-func (a *API) Report(r wire.Report) msg.Answer {
-	return a.ask(nil, func(req uint64) msg.Input { return msg.ReportIn{Req: req, Report: r, Forwarded: true} })
+func (a *API) Report(r wire.Heartbeat) msg.Respond {
+	return a.ask(nil, func(req uint64) msg.Input { return msg.HeartbeatIn{RequestID: req, Heartbeat: r, Forwarded: true} })
 }
 
 // Beat answers a home that has answered workers for this node.
-func (a *API) Beat(x msg.BeatIn) msg.Answer {
+func (a *API) Beat(x msg.HeartbeatBatchIn) msg.Respond {
 	return a.ask(nil, func(req uint64) msg.Input {
-		x.Req = req
+		x.RequestID = req
 		return x
 	})
 }
 
-func (a *API) forget(req uint64) {
+func (a *API) removePending(req uint64) {
 	a.mu.Lock()
-	delete(a.wait, req)
+	delete(a.pending, req)
 	a.mu.Unlock()
 }
 
-func reply(c echo.Context, x msg.Answer) error {
+func reply(c echo.Context, x msg.Respond) error {
 	if x.RetryAfter > 0 {
 		c.Response().Header().Set("Retry-After", strconv.Itoa(x.RetryAfter))
 	}
@@ -222,7 +222,7 @@
 }
 
 func bad(c echo.Context, err error) error {
-	return reply(c, msg.Answer{Status: http.StatusBadRequest, Body: wire.Error{Error: err.Error()}})
+	return reply(c, msg.Respond{Status: http.StatusBadRequest, Body: wire.Error{Error: err.Error()}})
 }
 
 func (a *API) submit(c echo.Context) error {
@@ -231,17 +231,17 @@
 		return bad(c, err)
 	}
 	wall := time.Now().UnixMicro()
-	return a.serve(c, func(req uint64) msg.Input { return msg.SubmitIn{Req: req, Wall: wall, Body: raw} })
+	return a.serve(c, func(req uint64) msg.Input { return msg.SubmitIn{RequestID: req, WallClock: wall, Body: raw} })
 }
 
 func (a *API) poll(c echo.Context) error {
 	id := c.Param("id")
-	return a.serve(c, func(req uint64) msg.Input { return msg.PollIn{Req: req, ID: id} })
+	return a.serve(c, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} })
 }
 
 func (a *API) cancel(c echo.Context) error {
 	id := c.Param("id")
-	return a.serve(c, func(req uint64) msg.Input { return msg.CancelIn{Req: req, ID: id} })
+	return a.serve(c, func(req uint64) msg.Input { return msg.CancelIn{RequestID: req, JobID: id} })
 }
 
 func (a *API) report(c echo.Context) error {
@@ -249,16 +249,16 @@
 	if err != nil {
 		return bad(c, err)
 	}
-	var r wire.Report
+	var r wire.Heartbeat
 	if err := wire.Unmarshal(raw, &r); err != nil {
 		return bad(c, errors.New("unreadable report"))
 	}
-	return a.serve(c, func(req uint64) msg.Input { return msg.ReportIn{Req: req, Report: r} })
+	return a.serve(c, func(req uint64) msg.Input { return msg.HeartbeatIn{RequestID: req, Heartbeat: r} })
 }
 
 func (a *API) health(c echo.Context) error {
 	if !a.ready() {
-		return reply(c, msg.Answer{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "not ready"}, RetryAfter: 1})
+		return reply(c, msg.Respond{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "not ready"}, RetryAfter: 1})
 	}
 	return c.NoContent(http.StatusOK)
 }
--- a/internal/node/call/call.go
+++ b/internal/node/httpclient/httpclient.go
@@ -1,5 +1,5 @@
-// Package call makes the HTTP requests of the adapters.
-package call
+// Package httpclient makes the HTTP requests of the adapters.
+package httpclient
 
 import (
 	"bytes"
--- a/internal/node/lanes/lanes.go
+++ b/internal/node/inbox/inbox.go
@@ -1,22 +1,22 @@
-// Package lanes is the line of inputs in front of a node's loop, in lanes by who may fill
+// Package inbox is the line of inputs in front of a node's loop, in lanes by who may fill
 // them, so that what keeps a node alive never waits behind what users send. A lane has a
 // length and a patience of its own: what doesn't fit, or would wait for longer than its
 // sender does, is refused at once, and a refusal costs a hundredth of an answer.
-package lanes
+package inbox
 
 import (
 	"sync"
 	"time"
 )
 
-// Lane is one of the lanes, the most important first.
-type Lane int
+// Class is one of the lanes, the most important first.
+type Class int
 
 // The lanes, and who may fill each.
 const (
-	// Alive is for answers to what this node has asked of the state service and the cloud,
+	// Liveness is for answers to what this node has asked of the state service and the cloud,
 	// and for beats: bounded by what it asks and by the nodes.
-	Alive Lane = iota
+	Liveness Class = iota
 	// Workers is for reports, and for what leaders and workers answer: bounded by the
 	// machines and by their reports' pace.
 	Workers
@@ -24,46 +24,46 @@
 	Users
 	// Submissions is for new jobs and word of them.
 	Submissions
-	count
+	classes
 )
 
 // weights are how many inputs of each lane go in a round while all of them wait. None of
 // the lanes starves another: even a node that is behind with everything gives a user
 // every fifteenth turn at least.
-var weights = [count]int{8, 4, 2, 1}
+var weights = [classes]int{8, 4, 2, 1}
 
-// limits are how long a lane may be, and how long what is offered to it may wait.
-var limits = [count]struct {
+// maxWaiting are how long a lane may be, and how long what is offered to it may wait.
+var maxWaiting = [classes]struct {
 	length   int
 	patience time.Duration
 }{
-	Alive:       {2048, 2 * time.Second},
+	Liveness:    {2048, 2 * time.Second},
 	Workers:     {2048, 2 * time.Second},
 	Users:       {1024, time.Second},
 	Submissions: {512, 2 * time.Second},
 }
 
 type item[T any] struct {
-	it      T
-	at      time.Time
-	offered bool // and may be refused
+	input    T
+	postedAt time.Time
+	offered  bool // and may be refused
 }
 
-// Line is the line in front of one loop.
-type Line[T any] struct {
-	now   func() time.Time
-	mu    sync.Mutex
-	room  [count]*sync.Cond
-	lanes [count][]item[T]
-	turn  [count]int // left in this round
-	wake  chan struct{}
+// Inbox is the line in front of one loop.
+type Inbox[T any] struct {
+	now       func() time.Time
+	mu        sync.Mutex
+	room      [classes]*sync.Cond
+	queues    [classes][]item[T]
+	nextClass [classes]int // left in this round
+	wake      chan struct{}
 
-	refused [count]int // at once, or as too late
+	shed [classes]int // at once, or as too late
 }
 
 // New returns an empty line that goes by a clock.
-func New[T any](now func() time.Time) *Line[T] {
-	l := &Line[T]{now: now, wake: make(chan struct{}, 1), turn: weights}
+func New[T any](now func() time.Time) *Inbox[T] {
+	l := &Inbox[T]{now: now, wake: make(chan struct{}, 1), nextClass: weights}
 	for i := range l.room {
 		l.room[i] = sync.NewCond(&l.mu)
 	}
@@ -72,30 +72,30 @@
 
 // Post puts an answer of the outside into a lane. It is never refused, for the core waits
 // for it; if there is no room, whoever has asked for more than the loop can take waits.
-func (l *Line[T]) Post(lane Lane, x T) {
+func (l *Inbox[T]) Post(lane Class, x T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.lanes[lane]) >= limits[lane].length {
+	for len(l.queues[lane]) >= maxWaiting[lane].length {
 		l.room[lane].Wait()
 	}
 	l.put(lane, item[T]{x, l.now(), false})
 }
 
 // Offer puts an input into a lane, or returns false if it would wait for too long.
-func (l *Line[T]) Offer(lane Lane, x T) bool {
+func (l *Inbox[T]) Offer(lane Class, x T) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	q := l.lanes[lane]
-	if len(q) >= limits[lane].length || len(q) > 0 && l.late(lane, &q[0]) {
-		l.refused[lane]++
+	q := l.queues[lane]
+	if len(q) >= maxWaiting[lane].length || len(q) > 0 && l.late(lane, &q[0]) {
+		l.shed[lane]++
 		return false
 	}
 	l.put(lane, item[T]{x, l.now(), true})
 	return true
 }
 
-func (l *Line[T]) put(lane Lane, x item[T]) {
-	l.lanes[lane] = append(l.lanes[lane], x)
+func (l *Inbox[T]) put(lane Class, x item[T]) {
+	l.queues[lane] = append(l.queues[lane], x)
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -103,59 +103,59 @@
 }
 
 // late tells whether an input has waited for longer than its sender does.
-func (l *Line[T]) late(lane Lane, x *item[T]) bool {
-	return l.now().Sub(x.at) > limits[lane].patience
+func (l *Inbox[T]) late(lane Class, x *item[T]) bool {
+	return l.now().Sub(x.postedAt) > maxWaiting[lane].patience
 }
 
 // Ready is told when something may have come.
-func (l *Line[T]) Ready() <-chan struct{} { return l.wake }
+func (l *Inbox[T]) Ready() <-chan struct{} { return l.wake }
 
-// Taken is what Next has found.
-type Taken[T any] struct {
+// Delivery is what Next has found.
+type Delivery[T any] struct {
 	Input  T
 	Waited time.Duration
 	Late   bool // whoever sent it has given up, or is about to: it is to be refused
 }
 
 // Next takes the next input; false: there is none.
-func (l *Line[T]) Next() (Taken[T], bool) {
+func (l *Inbox[T]) Next() (Delivery[T], bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for range 2 {
-		for lane := range l.lanes {
-			if len(l.lanes[lane]) == 0 || l.turn[lane] == 0 {
+		for lane := range l.queues {
+			if len(l.queues[lane]) == 0 || l.nextClass[lane] == 0 {
 				continue
 			}
-			l.turn[lane]--
-			return l.take(Lane(lane)), true
+			l.nextClass[lane]--
+			return l.take(Class(lane)), true
 		}
-		l.turn = weights
+		l.nextClass = weights
 	}
-	return Taken[T]{}, false
+	return Delivery[T]{}, false
 }
 
-func (l *Line[T]) take(lane Lane) Taken[T] {
-	q := l.lanes[lane]
+func (l *Inbox[T]) take(lane Class) Delivery[T] {
+	q := l.queues[lane]
 	x := q[0]
 	q[0] = item[T]{} // the rest of the slice keeps nothing alive
-	if l.lanes[lane] = q[1:]; len(q) == 1 {
-		l.lanes[lane] = nil
+	if l.queues[lane] = q[1:]; len(q) == 1 {
+		l.queues[lane] = nil
 	}
 	l.room[lane].Signal()
 	late := x.offered && l.late(lane, &x)
 	if late {
-		l.refused[lane]++
+		l.shed[lane]++
 	}
-	return Taken[T]{x.it, l.now().Sub(x.at), late}
+	return Delivery[T]{x.input, l.now().Sub(x.postedAt), late}
 }
 
 // Counters tells how many inputs wait, and how many were refused or came too late since it
 // was last asked. It is for the debug log.
-func (l *Line[T]) Counters() []any {
+func (l *Inbox[T]) Counters() []any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := []any{"alive", len(l.lanes[Alive]), "workers", len(l.lanes[Workers]), "users", len(l.lanes[Users]), "submissions", len(l.lanes[Submissions]),
-		"workers_refused", l.refused[Workers], "users_refused", l.refused[Users], "submissions_refused", l.refused[Submissions]}
-	l.refused = [count]int{}
+	out := []any{"alive", len(l.queues[Liveness]), "workers", len(l.queues[Workers]), "users", len(l.queues[Users]), "submissions", len(l.queues[Submissions]),
+		"workers_refused", l.shed[Workers], "users_refused", l.shed[Users], "submissions_refused", l.shed[Submissions]}
+	l.shed = [classes]int{}
 	return out
 }
--- a/internal/node/lanes/lanes_test.go
+++ b/internal/node/inbox/inbox_test.go
@@ -1,4 +1,4 @@
-package lanes
+package inbox
 
 import (
 	"flag"
@@ -17,16 +17,16 @@
 
 func TestAFloodOfUsersHoldsNobodyElseUp(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
-	l := New[Lane](c.now)
+	l := New[Class](c.now)
 	for l.Offer(Users, Users) {
 	}
 	for l.Offer(Submissions, Submissions) {
 	}
-	l.Post(Alive, Alive)
+	l.Post(Liveness, Liveness)
 	if !l.Offer(Workers, Workers) {
 		t.Fatal("a worker was refused for users' sake")
 	}
-	if x, ok := l.Next(); !ok || x.Input != Alive {
+	if x, ok := l.Next(); !ok || x.Input != Liveness {
 		t.Errorf("first came %v", x.Input)
 	}
 	if x, ok := l.Next(); !ok || x.Input != Workers {
@@ -39,7 +39,7 @@
 	l := New[int](c.now)
 	l.Offer(Users, 1)
 	l.Offer(Users, 2)
-	c.at = c.at.Add(limits[Users].patience + 1)
+	c.at = c.at.Add(maxWaiting[Users].patience + 1)
 	if l.Offer(Users, 3) {
 		t.Error("taken though the one before it waits for too long already")
 	}
@@ -53,7 +53,7 @@
 	if x, _ := l.Next(); x.Late || x.Input != 4 {
 		t.Errorf("%+v", x)
 	}
-	l.Post(Alive, 5)
+	l.Post(Liveness, 5)
 	c.at = c.at.Add(time.Hour)
 	if x, _ := l.Next(); x.Late {
 		t.Error("an answer of the outside was dropped")
@@ -66,12 +66,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := &clock{time.Unix(1, 0)}
 		l := New[[2]int](c.now)
-		var put, got [count]int
-		waits := [count]int{} // turns that others had while it waited
+		var put, got [classes]int
+		waits := [classes]int{} // turns that others had while it waited
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			if lane := Lane(rapid.IntRange(0, int(count)).Draw(t, "lane")); lane < count {
-				if lane == Alive {
-					l.Post(Alive, [2]int{int(lane), put[lane]})
+			if lane := Class(rapid.IntRange(0, int(classes)).Draw(t, "lane")); lane < classes {
+				if lane == Liveness {
+					l.Post(Liveness, [2]int{int(lane), put[lane]})
 				} else if !l.Offer(lane, [2]int{int(lane), put[lane]}) {
 					t.Fatal("refused with room")
 				}
--- a/internal/node/store/tally.go
+++ b/internal/node/kvstore/counters.go
@@ -1,4 +1,4 @@
-package store
+package kvstore
 
 import (
 	"maps"
@@ -6,35 +6,35 @@
 	"slices"
 
 	"coralhub/internal/core/msg"
-	"coralhub/internal/node/count"
+	"coralhub/internal/node/counter"
 )
 
-// tally counts what was asked of the state service since the process began: what became of
+// counters counts what was asked of the state service since the process began: what became of
 // transactions that change something, by turn, and transactions, changes and other requests
 // by purpose.
-type tally struct {
-	taken, refused [msg.Turns]count.Counter // by the service
-	unsent         [msg.Turns]count.Counter // their turn would have come too late
+type counters struct {
+	accepted, refused [msg.WritePriorities]counter.Counter // by the service
+	unsent            [msg.WritePriorities]counter.Counter // their turn would have come too late
 
-	transactions [msg.Purposes]count.Counter // sent, refused ones too
-	changes      [msg.Purposes]count.Counter // puts and deletes of those that were not refused for the quota
+	transactions [msg.Purposes]counter.Counter // sent, refused ones too
+	changes      [msg.Purposes]counter.Counter // puts and deletes of those that were not refused for the quota
 
-	reads, lists, watches, leases count.Counter // requests that are no transactions
+	reads, lists, watches, leases counter.Counter // requests that are no transactions
 }
 
 // requests names the requests that are no transactions.
-func (t *tally) requests() map[string]*count.Counter {
-	return map[string]*count.Counter{"read": &t.reads, "list": &t.lists, "watch": &t.watches, "lease": &t.leases}
+func (t *counters) requests() map[string]*counter.Counter {
+	return map[string]*counter.Counter{"read": &t.reads, "list": &t.lists, "watch": &t.watches, "lease": &t.leases}
 }
 
-var turns = [msg.Turns]string{msg.First: "first", msg.Accept: "accept", msg.Later: "later"}
+var priorityNames = [msg.WritePriorities]string{msg.Critical: "first", msg.Admission: "accept", msg.Deferrable: "later"}
 
 // Totals tells what became of changes since the process began, by name.
 func (s *Store) Totals() map[string]float64 {
-	t := &s.tally
-	out := map[string]float64{"later_pace": float64(s.later.limiter.Limit())}
-	for i, kind := range turns {
-		out[kind+"_taken"] = t.taken[i].Total()
+	t := &s.counters
+	out := map[string]float64{"later_pace": float64(s.deferrableLimiter.limiter.Limit())}
+	for i, kind := range priorityNames {
+		out[kind+"_taken"] = t.accepted[i].Total()
 		out[kind+"_refused"] = t.refused[i].Total()
 	}
 	return out
@@ -43,24 +43,24 @@
 // Counters tells what became of changes since it was last asked, and how many a
 // second those may take that give way. It is for the debug log, which alone asks.
 func (s *Store) Counters() []any {
-	t := &s.tally
+	t := &s.counters
 	var out []any
-	for i, kind := range turns {
-		out = append(out, kind, t.taken[i].Since(), kind+"_refused", t.refused[i].Since(), kind+"_unsent", t.unsent[i].Since())
+	for i, kind := range priorityNames {
+		out = append(out, kind, t.accepted[i].Since(), kind+"_refused", t.refused[i].Since(), kind+"_unsent", t.unsent[i].Since())
 	}
-	pace := func(p *paced) float64 { return math.Round(float64(p.limiter.Limit())*10) / 10 }
-	return append(out, "later_pace", pace(s.later), "accept_pace", pace(s.accept), "calls_pace", pace(s.calls))
+	pace := func(p *rateLimiter) float64 { return math.Round(float64(p.limiter.Limit())*10) / 10 }
+	return append(out, "later_pace", pace(s.deferrableLimiter), "accept_pace", pace(s.admissionLimiter), "calls_pace", pace(s.requestLimiter))
 }
 
 // Requests tells how many requests were sent since the process began, refused ones too, by
 // purpose: those of msg.Purpose are transactions, and read, list, watch and lease are not.
 func (s *Store) Requests() map[string]float64 {
 	out := map[string]float64{}
-	for name, c := range s.tally.requests() {
+	for name, c := range s.counters.requests() {
 		out[name] = c.Total()
 	}
 	for p := range msg.Purposes {
-		out[p.String()] = s.tally.transactions[p].Total()
+		out[p.String()] = s.counters.transactions[p].Total()
 	}
 	return out
 }
@@ -70,7 +70,7 @@
 func (s *Store) Changes() map[string]float64 {
 	out := map[string]float64{}
 	for p := range msg.Purposes {
-		out[p.String()] = s.tally.changes[p].Total()
+		out[p.String()] = s.counters.changes[p].Total()
 	}
 	return out
 }
--- a/internal/node/store/store.go
+++ b/internal/node/kvstore/store.go
@@ -1,5 +1,5 @@
-// Package store carries out the core's dealings with the state service.
-package store
+// Package kvstore carries out the core's dealings with the state service.
+package kvstore
 
 import (
 	"context"
@@ -17,44 +17,44 @@
 	"coralhub/internal/config"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/node/call"
-	"coralhub/internal/node/keep"
-	"coralhub/internal/node/share"
+	"coralhub/internal/node/fairshare"
+	"coralhub/internal/node/httpclient"
+	"coralhub/internal/node/leaserenewal"
 	"coralhub/internal/wait"
 	"coralhub/wire"
 )
 
 const (
-	callTimeout  = 2 * time.Second
-	renewTimeout = time.Second
-	quotaTries   = 3 // again, when the quota is used up for the moment
-	quotaPause   = 80 * time.Millisecond
-	watchWait    = 3 * time.Second // homes answer workers by how recent the last one is
-	closelyFor   = 3 * time.Second // so long the watch answers at its pace, changes or not
-	maxAnswer    = 64 << 20
+	callTimeout      = 2 * time.Second
+	renewTimeout     = time.Second
+	quotaTries       = 3 // again, when the quota is used up for the moment
+	quotaPause       = 80 * time.Millisecond
+	watchWait        = 3 * time.Second // homes answer workers by how recent the last one is
+	fastPollDuration = 3 * time.Second // so long the watch answers at its pace, changes or not
+	maxAnswer        = 64 << 20
 )
 
 // Store is a client of the state service.
 type Store struct {
-	base    string
-	post    func(msg.Input)
-	http    *http.Client
-	alive   *http.Client // for leases and the watch alone: nothing that users fill goes before them
-	keeper  keep.Keeper
-	calls   *paced        // all requests but those that keep the node alive
-	writes  *rate.Limiter // changes that go first
-	accept  *paced        // jobs that are accepted
-	wants   wants         // how many it is asked to accept
-	whole   float64       // of all nodes' accepts, a second
-	nodes   int
-	later   *paced // what a leader writes that can wait
-	relist  chan struct{}
-	pace    time.Duration
-	closely atomic.Int64 // until when the watch follows closely, since the start
-	badAt   atomic.Int64 // since when every call has failed; 0 if the last went well
-	start   time.Time
-	clock   func() msg.Micros // the core's
-	tally   tally
+	base              string
+	post              func(msg.Input)
+	http              *http.Client
+	alive             *http.Client // for leases and the watch alone: nothing that users fill goes before them
+	renewer           leaserenewal.Renewer
+	requestLimiter    *rateLimiter  // all requests but those that keep the node alive
+	writes            *rate.Limiter // changes that go first
+	admissionLimiter  *rateLimiter  // jobs that are accepted
+	admissionDemand   demand        // how many it is asked to accept
+	whole             float64       // of all nodes' accepts, a second
+	nodes             int
+	deferrableLimiter *rateLimiter // what a leader writes that can wait
+	relist            chan struct{}
+	pace              time.Duration
+	fastPollUntil     atomic.Int64 // until when the watch follows closely, since the start
+	failingSince      atomic.Int64 // since when every call has failed; 0 if the last went well
+	start             time.Time
+	clock             func() msg.Micros // the core's
+	counters          counters
 }
 
 // New returns a client that posts its results, in times of the core's clock.
@@ -63,25 +63,25 @@
 	nodes := len(cfg.Peers) + 1
 	return &Store{
 		base: "http://" + cfg.External.State, post: post,
-		http:   call.Client(callTimeout, 16, 64),
-		alive:  call.Client(callTimeout, 2, 4),
-		calls:  newCallPace(s, nodes),
-		writes: rate.NewLimiter(rate.Limit(s.WriteRPS*0.7), max(1, int(s.LeastWriteRPS()*0.7), s.Ops())),
-		accept: newAcceptPace(s, nodes),
-		whole:  s.LeastWriteRPS() * acceptsPart,
-		nodes:  nodes,
-		later:  newLeaderPace(s),
-		relist: make(chan struct{}, 1),
-		pace:   100 * time.Millisecond,
-		start:  time.Now(),
-		clock:  clock,
+		http:              httpclient.Client(callTimeout, 16, 64),
+		alive:             httpclient.Client(callTimeout, 2, 4),
+		requestLimiter:    newRequestLimiter(s, nodes),
+		writes:            rate.NewLimiter(rate.Limit(s.WriteRPS*0.7), max(1, int(s.LeastWriteRPS()*0.7), s.Ops())),
+		admissionLimiter:  newAdmissionLimiter(s, nodes),
+		whole:             s.LeastWriteRPS() * admissionShare,
+		nodes:             nodes,
+		deferrableLimiter: newLeaderLimiter(s),
+		relist:            make(chan struct{}, 1),
+		pace:              100 * time.Millisecond,
+		start:             time.Now(),
+		clock:             clock,
 	}
 }
 
-// KeepAlive renews the lease that the core wants kept, however busy it is, until ctx ends.
-func (s *Store) KeepAlive(ctx context.Context) {
+// RenewLeases renews the lease that the core wants kept, however busy it is, until ctx ends.
+func (s *Store) RenewLeases(ctx context.Context) {
 	for ctx.Err() == nil {
-		lease, in := s.keeper.Due(time.Now())
+		lease, in := s.renewer.Due(time.Now())
 		if lease != 0 {
 			go s.renew(lease, false)
 		}
@@ -89,21 +89,21 @@
 	}
 }
 
-// Accepts tells how many jobs a second this node has lately been asked to accept.
-func (s *Store) Accepts() float64 { return s.wants.rate(time.Now()) }
+// AdmissionDemand tells how many jobs a second this node has lately been asked to accept.
+func (s *Store) AdmissionDemand() float64 { return s.admissionDemand.rate(time.Now()) }
 
-// Share gives this node its part of all accepts, by what the others want. Of one that says
+// SetAdmissionShare gives this node its part of all accepts, by what the others want. Of one that says
 // nothing, being out of reach or of an earlier version, an equal part is supposed.
-func (s *Store) Share(others []float64) {
+func (s *Store) SetAdmissionShare(others []float64) {
 	for len(others) < s.nodes-1 {
 		others = append(others, s.whole/float64(s.nodes))
 	}
-	s.accept.setLeast(time.Now(), share.Part(s.whole, s.Accepts(), others))
+	s.admissionLimiter.setMinRate(time.Now(), fairshare.Allocate(s.whole, s.AdmissionDemand(), others))
 }
 
 // FailingFor tells for how long no call has gone well.
 func (s *Store) FailingFor() time.Duration {
-	bad := s.badAt.Load()
+	bad := s.failingSince.Load()
 	if bad == 0 {
 		return 0
 	}
@@ -120,12 +120,12 @@
 	case msg.GrantLease:
 		go s.grant(x)
 	case msg.RenewLease:
-		s.keeper.Want(x.Lease, time.Duration(x.TTL)*time.Microsecond, time.Now())
+		s.renewer.Adopt(x.Lease, time.Duration(x.TTL)*time.Microsecond, time.Now())
 		go s.renew(x.Lease, true)
-	case msg.DropLease:
-		s.keeper.Drop(x.Lease)
-	case msg.FollowClosely:
-		s.closely.Store(int64(time.Since(s.start) + closelyFor))
+	case msg.ReleaseLease:
+		s.renewer.Release(x.Lease)
+	case msg.PollWatchFast:
+		s.fastPollUntil.Store(int64(time.Since(s.start) + fastPollDuration))
 	case msg.Relist:
 		select {
 		case s.relist <- struct{}{}:
@@ -149,14 +149,14 @@
 }
 
 func (s *Store) callOn(ctx context.Context, by *http.Client, method, path string, in, out any) (int, error) {
-	req, err := call.Request(ctx, method, s.base+path, in)
+	req, err := httpclient.Request(ctx, method, s.base+path, in)
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", errRefused, err)
 	}
-	status, raw, err := call.Do(by, req, maxAnswer)
+	status, raw, err := httpclient.Do(by, req, maxAnswer)
 	if err != nil {
 		s.failed()
-		if call.NotSent(err) {
+		if httpclient.NotSent(err) {
 			err = fmt.Errorf("%w: %w", errRefused, err)
 		}
 		return 0, err
@@ -164,7 +164,7 @@
 	if status == http.StatusServiceUnavailable {
 		s.failed()
 	} else {
-		s.badAt.Store(0)
+		s.failingSince.Store(0)
 	}
 	if out != nil && slices.Contains(answered, status) && len(raw) > 0 {
 		if err := wire.Unmarshal(raw, out); err != nil && status != http.StatusNotFound && status != http.StatusBadRequest {
@@ -174,7 +174,7 @@
 	return status, nil
 }
 
-func (s *Store) failed() { s.badAt.CompareAndSwap(0, max(1, int64(time.Since(s.start)))) }
+func (s *Store) failed() { s.failingSince.CompareAndSwap(0, max(1, int64(time.Since(s.start)))) }
 
 // outcome maps a status; statuses that mean something else are up to the caller.
 func outcome(status int, err error) msg.Outcome {
@@ -195,29 +195,29 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	done := msg.CommitDone{ID: x.ID, Outcome: msg.Refused}
-	if s.ask(ctx) != nil || s.turn(ctx, &x) != nil {
-		s.tally.unsent[x.Turn].Add()
+	if s.ask(ctx) != nil || s.limiterFor(ctx, &x) != nil {
+		s.counters.unsent[x.Priority].Add()
 	} else {
-		var a wire.CommitAnswer
-		s.tally.transactions[x.For].Add()
-		status, err := s.call(ctx, http.MethodPost, wire.PathCommit, x.Txn, &a)
+		var a wire.TransactionResult
+		s.counters.transactions[x.Purpose].Add()
+		status, err := s.call(ctx, http.MethodPost, wire.PathCommit, x.Transaction, &a)
 		// The quota allows bursts: a moment later there is mostly room again for
 		// what somebody waits for.
-		for try := 0; x.Turn != msg.Later && status == http.StatusTooManyRequests && try < quotaTries; try++ {
-			s.took(&x, true)
+		for try := 0; x.Priority != msg.Deferrable && status == http.StatusTooManyRequests && try < quotaTries; try++ {
+			s.noteOutcome(&x, true)
 			wait.For(ctx, quotaPause)
-			s.tally.transactions[x.For].Add()
-			status, err = s.call(ctx, http.MethodPost, wire.PathCommit, x.Txn, &a)
+			s.counters.transactions[x.Purpose].Add()
+			status, err = s.call(ctx, http.MethodPost, wire.PathCommit, x.Transaction, &a)
 		}
 		done.Outcome, done.Revision, done.Failed = outcome(status, err), a.Revision, a.Failed
 		refused := status == http.StatusTooManyRequests
-		s.took(&x, refused)
+		s.noteOutcome(&x, refused)
 		switch {
 		case refused:
-			s.tally.refused[x.Turn].Add()
-		case len(x.Txn.Changes) > 0:
-			s.tally.taken[x.Turn].Add()
-			s.tally.changes[x.For].AddN(len(x.Txn.Changes))
+			s.counters.refused[x.Priority].Add()
+		case len(x.Transaction.Changes) > 0:
+			s.counters.accepted[x.Priority].Add()
+			s.counters.changes[x.Purpose].AddN(len(x.Transaction.Changes))
 		}
 		switch {
 		case err != nil:
@@ -234,41 +234,41 @@
 
 // ask waits until a request may be sent.
 func (s *Store) ask(ctx context.Context) error {
-	s.calls.recover(time.Now())
-	return s.calls.limiter.Wait(ctx)
+	s.requestLimiter.recover(time.Now())
+	return s.requestLimiter.limiter.Wait(ctx)
 }
 
-// took hears whether a transaction was refused for a quota: of changes if it has any, or else
+// noteOutcome hears whether a transaction was refused for a quota: of changes if it has any, or else
 // of requests. What a leader writes that can wait slows down with the others.
-func (s *Store) took(x *msg.Commit, refused bool) {
+func (s *Store) noteOutcome(x *msg.Commit, refused bool) {
 	now := time.Now()
-	if len(x.Txn.Changes) == 0 {
-		s.calls.took(now, refused)
+	if len(x.Transaction.Changes) == 0 {
+		s.requestLimiter.observe(now, refused)
 		return
 	}
-	if x.Turn == msg.Accept {
-		s.accept.took(now, refused)
+	if x.Priority == msg.Admission {
+		s.admissionLimiter.observe(now, refused)
 	}
-	if x.Turn == msg.Later || refused {
-		s.later.took(now, refused)
+	if x.Priority == msg.Deferrable || refused {
+		s.deferrableLimiter.observe(now, refused)
 	}
 }
 
-// turn waits until the changes of a transaction may be sent.
-func (s *Store) turn(ctx context.Context, x *msg.Commit) error {
-	n := len(x.Txn.Changes)
+// limiterFor waits until the changes of a transaction may be sent.
+func (s *Store) limiterFor(ctx context.Context, x *msg.Commit) error {
+	n := len(x.Transaction.Changes)
 	if n == 0 {
 		return nil
 	}
 	limiter := s.writes
-	switch x.Turn {
-	case msg.Accept:
-		s.wants.one(time.Now())
-		s.accept.recover(time.Now())
-		limiter = s.accept.limiter
-	case msg.Later:
-		s.later.recover(time.Now())
-		limiter = s.later.limiter
+	switch x.Priority {
+	case msg.Admission:
+		s.admissionDemand.add(time.Now())
+		s.admissionLimiter.recover(time.Now())
+		limiter = s.admissionLimiter.limiter
+	case msg.Deferrable:
+		s.deferrableLimiter.recover(time.Now())
+		limiter = s.deferrableLimiter.limiter
 	}
 	return limiter.WaitN(ctx, n)
 }
@@ -278,12 +278,12 @@
 	defer cancel()
 	done := msg.ReadDone{ID: x.ID, Outcome: msg.Refused, Key: x.Key}
 	if s.ask(ctx) == nil {
-		s.tally.reads.Add()
+		s.counters.reads.Add()
 		status, err := s.call(ctx, http.MethodGet, wire.PathStore+"/"+x.Key, nil, &done.Item)
-		s.calls.took(time.Now(), status == http.StatusTooManyRequests)
+		s.requestLimiter.observe(time.Now(), status == http.StatusTooManyRequests)
 		done.Outcome = outcome(status, err)
 		if err == nil && status == http.StatusNotFound {
-			done.Outcome, done.Item = msg.OK, wire.Item{}
+			done.Outcome, done.Item = msg.OK, wire.KeyValue{}
 		}
 	}
 	s.post(done)
@@ -293,12 +293,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), renewTimeout)
 	defer cancel()
 	began := time.Now()
-	s.tally.leases.Add()
-	var a wire.LeaseAnswer
+	s.counters.leases.Add()
+	var a wire.LeaseGrant
 	status, err := s.callOn(ctx, s.alive, http.MethodPost, wire.PathLeases, wire.LeaseRequest{TTLms: x.TTL / 1000}, &a)
 	done := msg.LeaseDone{Outcome: outcome(status, err), Lease: a.Lease, Age: time.Since(began).Microseconds()}
 	if done.Outcome == msg.OK {
-		s.keeper.Want(a.Lease, time.Duration(x.TTL)*time.Microsecond, began)
+		s.renewer.Adopt(a.Lease, time.Duration(x.TTL)*time.Microsecond, began)
 	}
 	s.post(done)
 }
@@ -309,16 +309,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), renewTimeout)
 	defer cancel()
 	began := time.Now()
-	s.tally.leases.Add()
+	s.counters.leases.Add()
 	path := wire.PathLeases + "/" + strconv.FormatUint(lease, 10) + "/" + wire.ExtendVerb
 	status, err := s.callOn(ctx, s.alive, http.MethodPost, path, struct{}{}, nil)
-	done := msg.LeaseDone{Outcome: outcome(status, err), Lease: lease, Renewal: true}
+	done := msg.LeaseDone{Outcome: outcome(status, err), Lease: lease, IsRenewal: true}
 	switch {
 	case err == nil && status == http.StatusNotFound:
 		done.Outcome = msg.Gone
-		s.keeper.Drop(lease)
+		s.renewer.Release(lease)
 	case done.Outcome == msg.Refused:
-		s.keeper.Refused(lease, time.Now())
+		s.renewer.NoteRefused(lease, time.Now())
 	}
 	if done.Age = time.Since(began).Microseconds(); asked || done.Outcome == msg.OK || done.Outcome == msg.Gone {
 		s.post(done)
@@ -344,13 +344,13 @@
 		if err := s.ask(ctx); err != nil {
 			return 0, err
 		}
-		q := url.Values{"under": {job.Root}, "most": {strconv.Itoa(wire.MaxRows)}}
+		q := url.Values{"under": {job.KeyRoot}, "most": {strconv.Itoa(wire.MaxRows)}}
 		if from != "" {
 			q.Set("from", from)
 		}
 		bounded, cancel := context.WithTimeout(ctx, 2*callTimeout)
-		s.tally.lists.Add()
-		var a wire.Items
+		s.counters.lists.Add()
+		var a wire.KeyValuePage
 		status, err := s.call(bounded, http.MethodGet, wire.PathStore+"?"+q.Encode(), nil, &a)
 		cancel()
 		if err != nil {
@@ -388,21 +388,21 @@
 	for ctx.Err() == nil {
 		began, asOf := time.Now(), s.clock()
 		most := watchWait
-		if int64(time.Since(s.start)) < s.closely.Load() {
+		if int64(time.Since(s.start)) < s.fastPollUntil.Load() {
 			most = s.pace
 		}
-		q := url.Values{"under": {job.Root}, "from": {strconv.FormatUint(from, 10)},
+		q := url.Values{"under": {job.KeyRoot}, "from": {strconv.FormatUint(from, 10)},
 			"wait_ms": {strconv.FormatInt(most.Milliseconds(), 10)}}
 		bounded, done := context.WithTimeout(ctx, watchWait+5*time.Second)
-		s.tally.watches.Add()
-		var a wire.Changes
+		s.counters.watches.Add()
+		var a wire.WatchResponse
 		status, err := s.callOn(bounded, s.alive, http.MethodGet, wire.PathChanges+"?"+q.Encode(), nil, &a)
 		done()
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err == nil && status == http.StatusOK:
-			s.post(msg.Changed{Events: a.Events, AsOf: asOf})
+			s.post(msg.Changed{Events: a.Events, CurrentAt: asOf})
 			from = max(from, a.Revision)
 			wait.For(ctx, s.pace-time.Since(began))
 		case err == nil && status == http.StatusGone:
--- a/internal/node/store/store_test.go
+++ b/internal/node/kvstore/store_test.go
@@ -1,4 +1,4 @@
-package store
+package kvstore
 
 import (
 	"flag"
@@ -17,21 +17,21 @@
 // A pace that was refused down to its floor is whole again in the stated time though
 // nothing is sent, and never leaves its bounds whatever happens.
 func TestPaceRecoversWithTime(t *testing.T) {
-	p := newLeaderPace(&config.State{RPS: 120, WriteRPS: 25, TxnOps: 8})
+	p := newLeaderLimiter(&config.State{RPS: 120, WriteRPS: 25, TxnOps: 8})
 	now := time.Unix(100, 0)
 	for range 50 {
-		p.took(now, true)
+		p.observe(now, true)
 	}
-	if got := p.limiter.Limit(); got != p.least {
-		t.Fatalf("refused fifty times: %v, not the floor %v", got, p.least)
+	if got := p.limiter.Limit(); got != p.minRate {
+		t.Fatalf("refused fifty times: %v, not the floor %v", got, p.minRate)
 	}
-	p.recover(now.Add(paceRecovery / 2))
-	if got := p.limiter.Limit(); got < p.top/2 || got >= p.top {
-		t.Errorf("after half the time: %v of %v", got, p.top)
+	p.recover(now.Add(recoveryTime / 2))
+	if got := p.limiter.Limit(); got < p.maxRate/2 || got >= p.maxRate {
+		t.Errorf("after half the time: %v of %v", got, p.maxRate)
 	}
-	p.recover(now.Add(paceRecovery))
-	if got := p.limiter.Limit(); got < p.top*0.99 {
-		t.Errorf("after the whole time: %v of %v", got, p.top)
+	p.recover(now.Add(recoveryTime))
+	if got := p.limiter.Limit(); got < p.maxRate*0.99 {
+		t.Errorf("after the whole time: %v of %v", got, p.maxRate)
 	}
 }
 
@@ -39,13 +39,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := &config.State{RPS: 120, WriteRPS: 40, TxnOps: 8}
 		s.Next.WriteRPS = rapid.SampledFrom([]float64{0, 18}).Draw(t, "coming")
-		p := newLeaderPace(s)
+		p := newLeaderLimiter(s)
 		now := time.Unix(100, 0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(-5, 3000).Draw(t, "ms")) * time.Millisecond)
-			p.took(now, rapid.Bool().Draw(t, "refused"))
-			if got := p.limiter.Limit(); got < min(p.least, p.low)-1e-9 || got > p.top+rate.Limit(1e-9) {
-				t.Fatalf("%v outside of %v to %v", got, p.least, p.top)
+			p.observe(now, rapid.Bool().Draw(t, "refused"))
+			if got := p.limiter.Limit(); got < min(p.minRate, p.lowRate)-1e-9 || got > p.maxRate+rate.Limit(1e-9) {
+				t.Fatalf("%v outside of %v to %v", got, p.minRate, p.maxRate)
 			}
 		}
 	})
@@ -57,23 +57,23 @@
 func TestPartsAddUpInAFlood(t *testing.T) {
 	for _, nodes := range []int{3, 9} {
 		s := &config.State{RPS: 250, WriteRPS: 60, TxnOps: 8}
-		var accepts []*paced
+		var accepts []*rateLimiter
 		for range nodes {
-			accepts = append(accepts, newAcceptPace(s, nodes))
+			accepts = append(accepts, newAdmissionLimiter(s, nodes))
 		}
-		later := newLeaderPace(s)
+		later := newLeaderLimiter(s)
 		quota := rate.NewLimiter(rate.Limit(s.WriteRPS), int(s.WriteRPS))
 		now := time.Unix(100, 0)
 		taken, refused, placed := 0, 0, 0
-		try := func(p *paced) bool {
+		try := func(p *rateLimiter) bool {
 			p.recover(now)
 			if !p.limiter.AllowN(now, 1) {
 				return false
 			}
 			ok := quota.AllowN(now, 1)
-			p.took(now, !ok)
+			p.observe(now, !ok)
 			if !ok && p != later {
-				later.took(now, true) // each node's own, but the leader hears of its refusals
+				later.observe(now, true) // each node's own, but the leader hears of its refusals
 			}
 			if now.Unix() < 120 {
 				return ok // the burst that the quota allows
@@ -101,7 +101,7 @@
 		if share := float64(refused) / float64(taken); share > 0.25 {
 			t.Errorf("%d nodes: %.2f refused for one taken", nodes, share)
 		}
-		if share := float64(placed) / all; share < leaderPart*0.9 {
+		if share := float64(placed) / all; share < leaderShare*0.9 {
 			t.Errorf("%d nodes: the leader has %.2f of the quota", nodes, share)
 		}
 		t.Logf("%d nodes: used %.2f, refused %.2f, leader %.2f", nodes, float64(taken)/all, float64(refused)/float64(taken), float64(placed)/all)
--- a/internal/node/keep/keep_test.go
+++ b/internal/node/leaserenewal/renewer_test.go
@@ -1,4 +1,4 @@
-package keep
+package leaserenewal
 
 import (
 	"testing"
@@ -10,9 +10,9 @@
 // A loop that is stuck for some seconds keeps its lease, one that is stuck for good doesn't.
 func TestKeepsForABusyLoop(t *testing.T) {
 	now := time.Unix(100, 0)
-	var k Keeper
-	k.Want(7, ttl, now)
-	last, end := now, now.Add(words*ttl)
+	var k Renewer
+	k.Adopt(7, ttl, now)
+	last, end := now, now.Add(commandLifetimeTTLs*ttl)
 	for now.Before(end.Add(ttl)) {
 		lease, in := k.Due(now)
 		if lease == 0 {
@@ -30,12 +30,12 @@
 	if end.Sub(last) > ttl/2 {
 		t.Errorf("given up %v early", end.Sub(last))
 	}
-	k.Want(7, ttl, now)
-	k.Drop(6)
+	k.Adopt(7, ttl, now)
+	k.Release(6)
 	if lease, _ := k.Due(now.Add(ttl / 2)); lease != 7 {
 		t.Error("another lease's end ended this one")
 	}
-	k.Drop(7)
+	k.Release(7)
 	if lease, _ := k.Due(now.Add(ttl)); lease != 0 {
 		t.Error("renewed after it was dropped")
 	}
@@ -44,9 +44,9 @@
 // A loop that keeps up renews by itself alone: no request is added.
 func TestAddsNothingToALoopThatKeepsUp(t *testing.T) {
 	now := time.Unix(100, 0)
-	var k Keeper
+	var k Renewer
 	for range 20 {
-		k.Want(7, ttl, now)
+		k.Adopt(7, ttl, now)
 		for range 8 { // the core's next word is a tick after a quarter
 			now = now.Add(100 * time.Millisecond)
 			if lease, _ := k.Due(now); lease != 0 {
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -14,7 +14,7 @@
 
 	"coralhub/internal/core/leader"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/core/served"
+	"coralhub/internal/core/slo"
 )
 
 // Path is where the metrics are.
@@ -50,10 +50,32 @@
 // Stepped takes how long the core took for an input.
 func (m *Metrics) Stepped(in msg.Input, took time.Duration) {
 	if m != nil {
-		m.steps.WithLabelValues(strings.ToLower(reflect.TypeOf(in).Name())).Observe(took.Seconds())
+		m.steps.WithLabelValues(inputLabel(in)).Observe(took.Seconds())
 	}
 }
 
+// inputLabel is the label of a kind of input. Dashboards go by these: they stay as they were first
+// released.
+func inputLabel(in msg.Input) string {
+	switch in.(type) {
+	case msg.HeartbeatIn:
+		return "reportin"
+	case msg.HeartbeatBatchIn:
+		return "beatin"
+	case msg.HeartbeatBatchDone:
+		return "beatdone"
+	case msg.PeerAlive:
+		return "peerheard"
+	case msg.PeerUpdate:
+		return "hint"
+	case msg.ScaleOutDone:
+		return "rentdone"
+	case msg.ScaleInDone:
+		return "releasedone"
+	}
+	return strings.ToLower(reflect.TypeOf(in).Name())
+}
+
 // counted is what is counted when somebody asks.
 type counted struct {
 	gauges func() (leader.Gauges, bool)
@@ -129,31 +151,31 @@
 	gauge(records, float64(g.Records))
 	gauge(unfinished, float64(g.Unfinished))
 	gauge(placements, float64(g.Placements))
-	gauge(writing, float64(g.Writing))
+	gauge(writing, float64(g.InFlightChanges))
 	gauge(learnt, float64(g.EstimateRuns))
-	total(takeovers, float64(g.Takeovers))
-	total(passes, float64(g.Looked.Passes))
-	total(looked, float64(g.Looked.Machines), "machines")
-	total(looked, float64(g.Looked.Jobs), "jobs")
+	total(takeovers, float64(g.Failovers))
+	total(passes, float64(g.Statistics.Cycles))
+	total(looked, float64(g.Statistics.Machines), "machines")
+	total(looked, float64(g.Statistics.Jobs), "jobs")
 	for class, n := range g.Waiting {
 		gauge(waiting, float64(n), class)
 	}
-	tell := func(part, jobs *prometheus.Desc, s served.Shares) {
-		for by, shares := range map[string]map[string]served.Share{"class": s.Class, "team": s.Team, "largest": s.Largest} {
+	tell := func(part, jobs *prometheus.Desc, s slo.Attainment) {
+		for by, shares := range map[string]map[string]slo.Ratio{"class": s.Class, "team": s.Team, "largest": s.Largest} {
 			for name, s := range shares {
-				gauge(part, s.Part(), by, name)
+				gauge(part, s.Value(), by, name)
 				gauge(jobs, float64(s.Jobs), by, name)
 			}
 		}
 	}
-	for _, u := range g.Used {
-		gauge(usedGPU, u.GPUS, u.Team, u.Class, u.Kind)
-		for of, s := range map[string]float64{"all": u.TaskS, "spot": u.CheapS, "repeated": u.AgainS} {
+	for _, u := range g.Usage {
+		gauge(usedGPU, u.GPUSeconds, u.Team, u.Class, u.Kind)
+		for of, s := range map[string]float64{"all": u.TaskSeconds, "spot": u.SpotTaskSeconds, "repeated": u.RepeatedTaskSeconds} {
 			gauge(usedTask, s, u.Team, u.Class, u.Kind, of)
 		}
 	}
-	tell(inTime, judged, g.Served)
-	tell(begun, begunOf, g.Begun)
+	tell(inTime, judged, g.CompletedInTime)
+	tell(begun, begunOf, g.StartedInTime)
 	for state, n := range g.Machines {
 		gauge(machines, float64(n), state)
 	}
--- a/internal/node/metrics/names_test.go
+++ b/internal/node/metrics/names_test.go
@@ -9,13 +9,15 @@
 
 	"coralhub/internal/core/leader"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/core/served"
+	"coralhub/internal/core/slo"
 	"coralhub/internal/golden"
 )
 
 type fixedStore struct{}
 
-func (fixedStore) Totals() map[string]float64   { return map[string]float64{"later_pace": 1, "first_taken": 2} }
+func (fixedStore) Totals() map[string]float64 {
+	return map[string]float64{"later_pace": 1, "first_taken": 2}
+}
 func (fixedStore) Requests() map[string]float64 { return map[string]float64{"read": 1} }
 func (fixedStore) Changes() map[string]float64  { return map[string]float64{"accept": 1} }
 
@@ -23,13 +25,13 @@
 func TestNamesOfMetrics(t *testing.T) {
 	var gauges leader.Gauges
 	gauges.Waiting, gauges.Machines = map[string]int{"train": 1}, map[string]int{"usable": 2}
-	gauges.Used = []leader.AccountRow{{Team: "red", Class: "train", Kind: "batch"}}
-	shares := served.Shares{Class: map[string]served.Share{"train": {}}, Team: map[string]served.Share{"red": {}}, Largest: map[string]served.Share{"train": {}}}
-	gauges.Served, gauges.Begun = shares, shares
+	gauges.Usage = []leader.UsageRow{{Team: "red", Class: "train", Kind: "batch"}}
+	shares := slo.Attainment{Class: map[string]slo.Ratio{"train": {}}, Team: map[string]slo.Ratio{"red": {}}, Largest: map[string]slo.Ratio{"train": {}}}
+	gauges.CompletedInTime, gauges.StartedInTime = shares, shares
 	m := New(func() (leader.Gauges, bool) { return gauges, true }, fixedStore{}, func() map[string]float64 { return map[string]float64{"handed": 1} })
-	for _, in := range []msg.Input{msg.Tick{}, msg.Snapshot{}, msg.Changed{}, msg.CommitDone{}, msg.ReadDone{}, msg.LeaseDone{}, msg.ReportIn{}, msg.CommandDone{},
-		msg.CatalogDone{}, msg.ListDone{}, msg.RentDone{}, msg.ReleaseDone{}, msg.SubmitIn{}, msg.PollIn{}, msg.CancelIn{}, msg.ForwardDone{}, msg.BeatIn{},
-		msg.BeatDone{}, msg.PeerHeard{}, msg.Hint{}, msg.AdminIn{}} {
+	for _, in := range []msg.Input{msg.Tick{}, msg.Snapshot{}, msg.Changed{}, msg.CommitDone{}, msg.ReadDone{}, msg.LeaseDone{}, msg.HeartbeatIn{}, msg.CommandDone{},
+		msg.CatalogDone{}, msg.ListDone{}, msg.ScaleOutDone{}, msg.ScaleInDone{}, msg.SubmitIn{}, msg.PollIn{}, msg.CancelIn{}, msg.ForwardDone{}, msg.HeartbeatBatchIn{},
+		msg.HeartbeatBatchDone{}, msg.PeerAlive{}, msg.PeerUpdate{}, msg.AdminIn{}} {
 		m.Stepped(in, time.Millisecond)
 	}
 	w := httptest.NewRecorder()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,21 +21,21 @@
 	"coralhub/internal/core/msg"
 	"coralhub/internal/node/cloud"
 	"coralhub/internal/node/httpapi"
-	"coralhub/internal/node/lanes"
+	"coralhub/internal/node/inbox"
+	"coralhub/internal/node/kvstore"
 	"coralhub/internal/node/metrics"
 	"coralhub/internal/node/peer"
-	"coralhub/internal/node/store"
 	"coralhub/internal/node/worker"
 	"coralhub/internal/wait"
 )
 
 const (
-	tickEvery = 100 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
 	// reservedSockets are kept back for workers' direct calls, peers and the
 	// outside systems.
 	reservedSockets = 0.3
-	// countEvery is how often the debug log tells what the adapters were busy with.
-	countEvery = 5 * time.Second
+	// counterLogInterval is how often the debug log tells what the adapters were busy with.
+	counterLogInterval = 5 * time.Second
 )
 
 // adapter carries out the effects that are its own.
@@ -46,10 +46,10 @@
 // Node is a running controller.
 type Node struct {
 	cfg      *config.Config
-	inputs   *lanes.Line[msg.Input]
+	inputs   *inbox.Inbox[msg.Input]
 	core     *core.Core
 	adapters []adapter
-	store    *store.Store
+	store    *kvstore.Store
 	peers    *peer.Peers
 	api      *httpapi.API
 	loaded   atomic.Bool
@@ -61,10 +61,10 @@
 
 // New returns a node that is not running yet.
 func New(cfg *config.Config) *Node {
-	n := &Node{cfg: cfg, inputs: lanes.New[msg.Input](time.Now), core: core.New(cfg, rand.Uint64()), start: time.Now()}
-	post := func(in msg.Input) { n.inputs.Post(lanes.Alive, in) }
-	fromWorkers := func(in msg.Input) { n.inputs.Post(laneOf(in), in) }
-	n.store = store.New(cfg, n.clock, post)
+	n := &Node{cfg: cfg, inputs: inbox.New[msg.Input](time.Now), core: core.New(cfg, rand.Uint64()), start: time.Now()}
+	post := func(in msg.Input) { n.inputs.Post(inbox.Liveness, in) }
+	fromWorkers := func(in msg.Input) { n.inputs.Post(classOf(in), in) }
+	n.store = kvstore.New(cfg, n.clock, post)
 	n.peers = peer.New(cfg, fromWorkers)
 	n.api = httpapi.New(n.offer, func() bool { return n.loaded.Load() && !n.isolated.Load() && !n.retired.Load() }, cfg.Settings.Admin)
 	if cfg.Settings.Metrics {
@@ -77,20 +77,20 @@
 
 // offer posts an input unless its lane is so long that its answer would come
 // too late anyway.
-func (n *Node) offer(in msg.Input) bool { return n.inputs.Offer(laneOf(in), in) }
+func (n *Node) offer(in msg.Input) bool { return n.inputs.Offer(classOf(in), in) }
 
-// laneOf tells where an input waits that somebody else has sent. Beats tell who is alive: they
+// classOf tells where an input waits that somebody else has sent. Beats tell who is alive: they
 // are some a second, and don't wait behind reports.
-func laneOf(in msg.Input) lanes.Lane {
+func classOf(in msg.Input) inbox.Class {
 	switch in.(type) {
-	case msg.BeatIn, msg.BeatDone, msg.PeerHeard:
-		return lanes.Alive
+	case msg.HeartbeatBatchIn, msg.HeartbeatBatchDone, msg.PeerAlive:
+		return inbox.Liveness
 	case msg.PollIn, msg.CancelIn, msg.AdminIn:
-		return lanes.Users
-	case msg.SubmitIn, msg.Hint:
-		return lanes.Submissions
+		return inbox.Users
+	case msg.SubmitIn, msg.PeerUpdate:
+		return inbox.Submissions
 	}
-	return lanes.Workers
+	return inbox.Workers
 }
 
 // Run serves until ctx ends or a listener fails.
@@ -102,7 +102,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	users, err := net.Listen("tcp", n.cfg.Listen)
+	users, err := net.Listen("tcp", n.cfg.ClientListen)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
@@ -124,9 +124,9 @@
 		failed <- peer.Serve(peers, func(in msg.Input) { n.offer(in) }, n.api, n.status)
 	}()
 	go n.store.Follow(ctx)
-	go n.store.KeepAlive(ctx)
+	go n.store.RenewLeases(ctx)
 	go n.watchPeers(ctx)
-	slog.Info("serving", "node", n.cfg.Node, "location", n.cfg.Location, "users", n.cfg.Listen, "peers", n.cfg.PeerListen)
+	slog.Info("serving", "node", n.cfg.Node, "location", n.cfg.Location, "users", n.cfg.ClientListen, "peers", n.cfg.PeerListen)
 	if w := &n.cfg.Cluster.Workers; !w.LeaseEndsInTime() {
 		slog.Warn("a worker's lease may outlast a cancellation: users are told only once every task is proven gone",
 			"lease_s", w.LeaseS, "cancel_s", w.CancelS)
@@ -143,13 +143,13 @@
 }
 
 func (n *Node) loop(ctx context.Context, failed chan error) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	counted := n.start
 	for {
 		taken, ok := n.inputs.Next()
 		if ok {
-			n.take(taken)
+			n.process(taken)
 			select {
 			case <-tick.C:
 			case err := <-failed:
@@ -173,8 +173,8 @@
 			}
 		}
 		now := time.Now()
-		n.step(msg.Tick{Wall: now.UnixMicro()})
-		if now.Sub(counted) >= countEvery && slog.Default().Enabled(ctx, slog.LevelDebug) {
+		n.step(msg.Tick{WallClock: now.UnixMicro()})
+		if now.Sub(counted) >= counterLogInterval && slog.Default().Enabled(ctx, slog.LevelDebug) {
 			counted = now
 			slog.Debug("changes", n.store.Counters()...)
 			slog.Debug("purposes", n.store.PurposeTotals()...)
@@ -184,11 +184,11 @@
 	}
 }
 
-// take hands an input to the core, unless whoever sent it has waited for too long: then it
+// process hands an input to the core, unless whoever sent it has waited for too long: then it
 // is refused, which costs next to nothing.
-func (n *Node) take(t lanes.Taken[msg.Input]) {
+func (n *Node) process(t inbox.Delivery[msg.Input]) {
 	if t.Late {
-		n.api.Refuse(t.Input)
+		n.api.Shed(t.Input)
 		return
 	}
 	in := t.Input
@@ -214,10 +214,10 @@
 			if l.Debug {
 				level = slog.LevelDebug
 			}
-			slog.Log(context.Background(), level, l.Text, l.Args...)
+			slog.Log(context.Background(), level, l.Message, l.Args...)
 			continue
 		}
-		if _, ok := e.(msg.Retire); ok {
+		if _, ok := e.(msg.StopServing); ok {
 			n.retired.Store(true)
 			continue
 		}
@@ -231,7 +231,7 @@
 
 // status is what this node tells its peers.
 func (n *Node) status() peer.Status {
-	return peer.Status{StateOK: n.store.FailingFor() == 0, Says: true, Accepts: n.store.Accepts()}
+	return peer.Status{StateOK: n.store.FailingFor() == 0, Says: true, Accepts: n.store.AdmissionDemand()}
 }
 
 // watchPeers keeps in touch with the other nodes. It also finds out whether this node alone has lost the state service: it
@@ -241,14 +241,14 @@
 	wait.Every(ctx, time.Second, func() {
 		anyOK := false
 		var accepts []float64
-		for node, st := range n.peers.Ask() {
+		for node, st := range n.peers.CollectStatus() {
 			anyOK = anyOK || st.StateOK
 			if st.Says {
 				accepts = append(accepts, st.Accepts)
 			}
-			n.inputs.Post(lanes.Alive, msg.PeerHeard{Node: node})
+			n.inputs.Post(inbox.Liveness, msg.PeerAlive{Node: node})
 		}
-		n.store.Share(accepts)
+		n.store.SetAdmissionShare(accepts)
 		alone := anyOK && n.store.FailingFor() > 1500*time.Millisecond
 		if alone != n.isolated.Swap(alone) {
 			slog.Info("state service", "lost_by_this_node_alone", alone)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -16,9 +16,9 @@
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/leader"
+	"coralhub/internal/emulator"
 	"coralhub/internal/node/httpapi"
 	"coralhub/internal/node/metrics"
-	"coralhub/internal/standin"
 	"coralhub/wire"
 )
 
@@ -37,7 +37,7 @@
 
 type rig struct {
 	t       *testing.T
-	servers *standin.Servers
+	servers *emulator.Servers
 	client  *http.Client
 	configs []*config.Config
 	stops   []context.CancelFunc
@@ -46,12 +46,12 @@
 
 // newRig starts three nodes against stand-ins behind HTTP.
 func newRig(t *testing.T) *rig {
-	r := &rig{t: t, servers: standin.NewServers(), client: &http.Client{Timeout: 5 * time.Second}}
+	r := &rig{t: t, servers: emulator.NewServers(), client: &http.Client{Timeout: 5 * time.Second}}
 	state := httptest.NewServer(r.servers.StateHandler())
 	cloud := httptest.NewServer(r.servers.CloudHandler())
 	workers := httptest.NewServer(r.servers.WorkerHandler())
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	r.servers.World.Boot = 0
+	r.servers.Environment.Boot = 0
 	var base config.Cluster
 	base.Zones = []string{"a", "b"}
 	base.Teams = []config.Team{{Name: "red", GPUs: 8, GPUsMax: 16}}
@@ -63,10 +63,10 @@
 		c := &config.Config{Settings: config.Defaults()}
 		c.Settings.Admin, c.Settings.Metrics = true, true
 		c.Node, c.Location, c.Cluster = name, "a", base
-		c.Listen, c.PeerListen = freeAddr(t), freeAddr(t)
-		c.External = config.Outside{Cloud: addr(cloud), State: addr(state)}
+		c.ClientListen, c.PeerListen = freeAddr(t), freeAddr(t)
+		c.External = config.External{Cloud: addr(cloud), State: addr(state)}
 		r.configs = append(r.configs, c)
-		r.servers.Nodes, r.servers.Names = append(r.servers.Nodes, c.Listen), append(r.servers.Names, c.Node)
+		r.servers.Nodes, r.servers.Names = append(r.servers.Nodes, c.ClientListen), append(r.servers.Names, c.Node)
 	}
 	for _, c := range r.configs {
 		for _, p := range r.configs {
@@ -120,7 +120,7 @@
 	default:
 		raw, _ = wire.Marshal(b)
 	}
-	req, err := http.NewRequest(method, "http://"+r.configs[node].Listen+path, bytes.NewReader(raw))
+	req, err := http.NewRequest(method, "http://"+r.configs[node].ClientListen+path, bytes.NewReader(raw))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 	j := &wire.Job{ID: id, Class: "c", Team: "red", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 1, GPUs: 1,
 		MemoryGB: 1, Image: "i", ImageGB: 1, Needs: needs}
 	r.servers.With(func() {
-		r.servers.World.Jobs[id] = &standin.JobIn{Job: *j, Run: 1_000_000}
+		r.servers.Environment.Jobs[id] = &emulator.SubmittedJob{Job: *j, Run: 1_000_000}
 	})
 	return j
 }
@@ -192,7 +192,7 @@
 func (r *rig) kept() {
 	r.t.Helper()
 	r.servers.With(func() {
-		for _, b := range r.servers.World.Broken {
+		for _, b := range r.servers.Environment.Broken {
 			r.t.Error(b)
 		}
 	})
@@ -242,7 +242,7 @@
 		for _, c := range r.configs {
 			var runs leader.Runs
 			var job leader.JobOutlook
-			if ask(r, c.Listen, httpapi.PathRuns, &runs) && ask(r, c.Listen, httpapi.PathJob+"/j-1", &job) {
+			if ask(r, c.ClientListen, httpapi.PathRuns, &runs) && ask(r, c.ClientListen, httpapi.PathJob+"/j-1", &job) {
 				return len(runs.Runs) >= 6 && job.Job.Status == wire.Done // five tasks and a gang
 			}
 		}
@@ -250,7 +250,7 @@
 	})
 	leaders, accepted := 0, 0.0
 	for _, c := range r.configs {
-		res, err := r.client.Get("http://" + c.Listen + metrics.Path)
+		res, err := r.client.Get("http://" + c.ClientListen + metrics.Path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -271,7 +271,7 @@
 	if accepted != 3 { // j-1, j-2 and j-3, each by one change
 		t.Errorf("%g changes for accepted jobs", accepted)
 	}
-	if ask(r, r.configs[0].Listen, httpapi.PathEstimates+"?most=0", &leader.Estimates{}) {
+	if ask(r, r.configs[0].ClientListen, httpapi.PathEstimates+"?most=0", &leader.Estimates{}) {
 		t.Error("most=0 was taken")
 	}
 
@@ -284,7 +284,7 @@
 	})
 	r.eventually("gone", func() bool {
 		gone := false
-		r.servers.With(func() { gone = len(r.servers.World.On("j-3", true)) == 0 })
+		r.servers.With(func() { gone = len(r.servers.Environment.On("j-3", true)) == 0 })
 		return gone
 	})
 
@@ -306,7 +306,7 @@
 	r.submit(2, r.job("j-3", wire.Array, 1, "j-2", "j-1"))
 	r.reaches(0, "j-3", wire.Done)
 	r.submit(0, r.job("j-4", wire.Service, 1))
-	r.servers.With(func() { r.servers.World.Boot = 3600 * standin.Second }) // what follows finds no room
+	r.servers.With(func() { r.servers.Environment.Boot = 3600 * emulator.Second }) // what follows finds no room
 	r.submit(0, r.job("j-5", wire.Array, 15))
 	r.submit(1, r.job("j-6", wire.Array, 1, "j-5"))
 	r.submit(2, r.job("j-7", wire.Array, 1, "j-6"))
--- a/internal/node/peer/compat_test.go
+++ b/internal/node/peer/compat_test.go
@@ -65,7 +65,7 @@
 		{&oldReport{[]byte("b")}, &Report{Body: []byte("b")}},
 		{&oldReportAnswer{[]byte("b"), true}, &ReportAnswer{Body: []byte("b"), Busy: true}},
 		{&oldBeat{"n1", 7, []oldHeard{{"m-1", 2, 3}, {"m-2", 4, 5}}},
-			&Beat{Node: "n1", Revision: 7, Heard: []msg.Heard{{Machine: "m-1", Session: 2, Seq: 3}, {Machine: "m-2", Session: 4, Seq: 5}}}},
+			&Beat{Node: "n1", Revision: 7, Heard: []Heard{{Machine: "m-1", Session: 2, Seq: 3}, {Machine: "m-2", Session: 4, Seq: 5}}}},
 		{&oldBeatAnswer{[]string{"m-1"}, 9}, &BeatAnswer{Wanted: []string{"m-1"}, StandIn: 9}},
 		{&oldStatus{true, true, 1.5}, &Status{StateOK: true, Says: true, Accepts: 1.5}},
 	} {
@@ -84,12 +84,12 @@
 
 type fixedAnswers struct{}
 
-func (fixedAnswers) Report(r wire.Report) msg.Answer {
-	return msg.Answer{Status: 200, Body: wire.ReportAnswer{Token: r.Token}}
+func (fixedAnswers) Report(r wire.Heartbeat) msg.Respond {
+	return msg.Respond{Status: 200, Body: wire.HeartbeatResponse{FencingToken: r.FencingToken}}
 }
 
-func (fixedAnswers) Beat(b msg.BeatIn) msg.Answer {
-	return msg.Answer{Body: msg.BeatAnswer{Wanted: []string{b.Node, b.Heard[0].Machine}, StandIn: int64(b.Revision)}}
+func (fixedAnswers) Beat(b msg.HeartbeatBatchIn) msg.Respond {
+	return msg.Respond{Body: msg.HeartbeatBatchResponse{ResendMachines: []string{b.Node, b.Acks[0].Machine}, Delegation: int64(b.Revision)}}
 }
 
 // An older node finds the methods by their names.
@@ -117,13 +117,13 @@
 	if err := client.Call("Peer.Beat", &oldBeat{"n1", 7, []oldHeard{{"m-1", 2, 3}}}, &beat); err != nil || !reflect.DeepEqual(beat, oldBeatAnswer{[]string{"n1", "m-1"}, 7}) {
 		t.Errorf("%+v %v", beat, err)
 	}
-	body, err := wire.Marshal(&wire.Report{Machine: "m-1", Token: 41})
+	body, err := wire.Marshal(&wire.Heartbeat{Machine: "m-1", FencingToken: 41})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var report oldReportAnswer
-	var answer wire.ReportAnswer
-	if err := client.Call("Peer.Report", &oldReport{body}, &report); err != nil || wire.Unmarshal(report.Body, &answer) != nil || answer.Token != 41 {
+	var answer wire.HeartbeatResponse
+	if err := client.Call("Peer.Report", &oldReport{body}, &report); err != nil || wire.Unmarshal(report.Body, &answer) != nil || answer.FencingToken != 41 {
 		t.Errorf("%+v %+v %v", report, answer, err)
 	}
 	if err := client.Call("Peer.Tell", &oldEvent{"k", []byte("v"), 3}, &struct{}{}); err != nil {
@@ -131,7 +131,7 @@
 	}
 	select {
 	case in := <-posted:
-		if want := (msg.Hint{Event: wire.Change{Put: "k", Value: []byte("v"), Version: 3}}); !reflect.DeepEqual(in, want) {
+		if want := (msg.PeerUpdate{Change: wire.Change{Put: "k", Value: []byte("v"), Version: 3}}); !reflect.DeepEqual(in, want) {
 			t.Errorf("%+v", in)
 		}
 	case <-time.After(10 * time.Second):
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -13,7 +13,7 @@
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/node/count"
+	"coralhub/internal/node/counter"
 	"coralhub/wire"
 )
 
@@ -39,20 +39,42 @@
 	Busy bool
 }
 
-// Beat tells of workers that the caller has answered for the leader.
+// Heard is a heartbeat acknowledgement as nodes exchange it, see msg.HeartbeatAck.
+type Heard struct {
+	Machine      string
+	Session, Seq uint64
+}
+
+// Beat is a batch of heartbeat acknowledgements as nodes exchange it, see msg.HeartbeatBatch.
 type Beat struct {
 	Node     string
 	Revision uint64
-	Heard    []msg.Heard
+	Heard    []Heard
 }
 
-// BeatAnswer is what the leader says to a Beat: the workers whose next report it wants, and
-// for how long the caller may stand in for it.
+// BeatAnswer is the leader's response to a Beat, see msg.HeartbeatBatchResponse. StandIn is in
+// microseconds.
 type BeatAnswer struct {
 	Wanted  []string
 	StandIn int64
 }
 
+func encodeAcks(acks []msg.HeartbeatAck) []Heard {
+	out := make([]Heard, len(acks))
+	for i, a := range acks {
+		out[i] = Heard{Machine: a.Machine, Session: a.Incarnation, Seq: a.Sequence}
+	}
+	return out
+}
+
+func decodeAcks(heard []Heard) []msg.HeartbeatAck {
+	out := make([]msg.HeartbeatAck, len(heard))
+	for i, h := range heard {
+		out[i] = msg.HeartbeatAck{Machine: h.Machine, Incarnation: h.Session, Sequence: h.Seq}
+	}
+	return out
+}
+
 // Status is how a peer is doing, and how many jobs a second it is asked to accept. One that
 // doesn't know of that says nothing of it.
 type Status struct {
@@ -70,13 +92,13 @@
 
 // Answerer has the core answer what peers ask.
 type Answerer interface {
-	Report(wire.Report) msg.Answer
-	Beat(msg.BeatIn) msg.Answer
+	Report(wire.Heartbeat) msg.Respond
+	Beat(msg.HeartbeatBatchIn) msg.Respond
 }
 
 // Report has the node answer a worker's report as the leader.
 func (s *Service) Report(q *Report, a *ReportAnswer) error {
-	var r wire.Report
+	var r wire.Heartbeat
 	if err := wire.Unmarshal(q.Body, &r); err != nil {
 		return err
 	}
@@ -92,15 +114,15 @@
 
 // Beat takes word of workers that the caller has answered for this node.
 func (s *Service) Beat(q *Beat, a *BeatAnswer) error {
-	if said, ok := s.answer.Beat(msg.BeatIn{Node: q.Node, Revision: q.Revision, Heard: q.Heard}).Body.(msg.BeatAnswer); ok {
-		a.Wanted, a.StandIn = said.Wanted, said.StandIn
+	if said, ok := s.answer.Beat(msg.HeartbeatBatchIn{Node: q.Node, Revision: q.Revision, Acks: decodeAcks(q.Heard)}).Body.(msg.HeartbeatBatchResponse); ok {
+		a.Wanted, a.StandIn = said.ResendMachines, said.Delegation
 	}
 	return nil
 }
 
 // Tell takes a copy of a key that the caller has written.
 func (s *Service) Tell(e *Event, _ *struct{}) error {
-	s.post(msg.Hint{Event: wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}})
+	s.post(msg.PeerUpdate{Change: wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}})
 	return nil
 }
 
@@ -110,20 +132,20 @@
 	return nil
 }
 
-// line is one of two to each node. What tells that nodes are alive, and for how long homes
+// connectionKey is one of two to each node. What tells that nodes are alive, and for how long homes
 // may stand in, has one of its own: reports by the hundred don't hold it up.
-type line struct {
-	node  string
-	alive bool
+type connectionKey struct {
+	node     string
+	liveness bool
 }
 
-// conn is a connection and when an answer last came by it.
-type conn struct {
+// connection is a connection and when an answer last came by it.
+type connection struct {
 	*rpc.Client
-	answered atomic.Int64 // nanoseconds since the peers began
+	lastAnswer atomic.Int64 // nanoseconds since the peers began
 }
 
-var errSlow = errors.New("no answer in time, though others came")
+var errSlowPeer = errors.New("no answer in time, though others came")
 
 // Peers holds the connections to the other nodes.
 type Peers struct {
@@ -131,12 +153,12 @@
 	post  func(msg.Input)
 	mu    sync.Mutex
 	addrs map[string]string
-	conns map[line]*conn
-	sem   chan struct{}
+	conns map[connectionKey]*connection
+	slots chan struct{}
 
 	began time.Time
 
-	handed, lost, busy, full, closed count.Counter
+	handed, lost, busy, full, closed counter.Counter
 }
 
 // Totals tells how many reports were handed on and lost since the process began.
@@ -153,7 +175,7 @@
 
 // New returns the peers of a node.
 func New(cfg *config.Config, post func(msg.Input)) *Peers {
-	p := &Peers{self: cfg.Node, post: post, addrs: map[string]string{}, conns: map[line]*conn{}, sem: make(chan struct{}, maxCalls), began: time.Now()}
+	p := &Peers{self: cfg.Node, post: post, addrs: map[string]string{}, conns: map[connectionKey]*connection{}, slots: make(chan struct{}, maxCalls), began: time.Now()}
 	for _, n := range cfg.Peers {
 		p.addrs[n.Node] = n.Address
 	}
@@ -178,16 +200,16 @@
 // Do carries out an effect; it returns false for effects of other adapters.
 func (p *Peers) Do(e msg.Effect) bool {
 	switch x := e.(type) {
-	case msg.Tell:
-		p.limited(func() {
-			ev := Event{x.Event.Put, x.Event.Value, x.Event.Version}
+	case msg.SendPeerUpdate:
+		p.runLimited(func() {
+			ev := Event{x.Change.Put, x.Change.Value, x.Change.Version}
 			_ = p.call(x.Node, "Peer.Tell", &ev, &struct{}{}) // the leader's watch tells it too
 		}, func() {})
 	case msg.Forward:
-		done := msg.ForwardDone{Req: x.Req, Report: x.Report}
-		p.limited(func() {
-			switch done.Answer, done.Busy = p.forward(x); {
-			case done.Answer != nil:
+		done := msg.ForwardDone{RequestID: x.RequestID, Heartbeat: x.Heartbeat}
+		p.runLimited(func() {
+			switch done.Response, done.Busy = p.forward(x); {
+			case done.Response != nil:
 				p.handed.Add()
 			case done.Busy:
 				p.busy.Add()
@@ -199,11 +221,11 @@
 			done.Busy = true // as far as is known: whoever is out of reach is told apart by beats
 			go p.post(done)
 		})
-	case msg.Beat:
+	case msg.HeartbeatBatch:
 		go func() { // some are on their way at most: they are sent at a pace, and given up after a second
 			var out BeatAnswer
-			if p.callOn(line{x.Node, true}, "Peer.Beat", &Beat{p.self, x.Revision, x.Heard}, &out) == nil {
-				p.post(msg.BeatDone{Beat: x, BeatAnswer: msg.BeatAnswer{Wanted: out.Wanted, StandIn: out.StandIn}})
+			if p.callOn(connectionKey{x.Node, true}, "Peer.Beat", &Beat{p.self, x.Revision, encodeAcks(x.Acks)}, &out) == nil {
+				p.post(msg.HeartbeatBatchDone{Batch: x, HeartbeatBatchResponse: msg.HeartbeatBatchResponse{ResendMachines: out.Wanted, Delegation: out.StandIn}})
 			}
 		}()
 	default:
@@ -212,12 +234,12 @@
 	return true
 }
 
-// limited runs f in the background, or instead if too much is going on.
-func (p *Peers) limited(f, instead func()) {
+// runLimited runs f in the background, or instead if too much is going on.
+func (p *Peers) runLimited(f, instead func()) {
 	select {
-	case p.sem <- struct{}{}:
+	case p.slots <- struct{}{}:
 		go func() {
-			defer func() { <-p.sem }()
+			defer func() { <-p.slots }()
 			f()
 		}()
 	default:
@@ -226,32 +248,32 @@
 	}
 }
 
-func (p *Peers) forward(x msg.Forward) (answer *wire.ReportAnswer, busy bool) {
-	body, err := wire.Marshal(&x.Report)
+func (p *Peers) forward(x msg.Forward) (answer *wire.HeartbeatResponse, busy bool) {
+	body, err := wire.Marshal(&x.Heartbeat)
 	if err != nil {
 		return nil, false
 	}
 	var out ReportAnswer
 	if err := p.call(x.Node, "Peer.Report", &Report{body}, &out); err != nil {
-		return nil, errors.Is(err, errSlow) // what comes later may still be written to out
+		return nil, errors.Is(err, errSlowPeer) // what comes later may still be written to out
 	}
-	var a wire.ReportAnswer
+	var a wire.HeartbeatResponse
 	if len(out.Body) == 0 || wire.Unmarshal(out.Body, &a) != nil {
 		return nil, out.Busy
 	}
 	return &a, false
 }
 
-// Ask asks every peer for its status, all at once; a peer that doesn't answer
+// CollectStatus asks every peer for its status, all at once; a peer that doesn't answer
 // is left out.
-func (p *Peers) Ask() map[string]Status {
+func (p *Peers) CollectStatus() map[string]Status {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	out := make(map[string]Status, len(p.addrs))
 	for node := range p.addrs {
 		wg.Go(func() {
 			var st Status
-			if p.callOn(line{node, true}, "Peer.Status", &struct{}{}, &st) == nil {
+			if p.callOn(connectionKey{node, true}, "Peer.Status", &struct{}{}, &st) == nil {
 				mu.Lock()
 				out[node] = st
 				mu.Unlock()
@@ -262,7 +284,7 @@
 	return out
 }
 
-func (p *Peers) client(l line) (*conn, error) {
+func (p *Peers) client(l connectionKey) (*connection, error) {
 	p.mu.Lock()
 	c := p.conns[l]
 	p.mu.Unlock()
@@ -273,7 +295,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c = &conn{Client: rpc.NewClient(to)}
+	c = &connection{Client: rpc.NewClient(to)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if other := p.conns[l]; other != nil {
@@ -285,13 +307,13 @@
 }
 
 func (p *Peers) call(node, method string, in, out any) error {
-	return p.callOn(line{node, false}, method, in, out)
+	return p.callOn(connectionKey{node, false}, method, in, out)
 }
 
 // callOn makes a call. One without an answer in time doesn't end the connection if other
 // answers have come by it meanwhile: with it, all other calls that were on it were lost, which
 // made a slow leader look like one out of reach.
-func (p *Peers) callOn(l line, method string, in, out any) error {
+func (p *Peers) callOn(l connectionKey, method string, in, out any) error {
 	c, err := p.client(l)
 	if err != nil {
 		return err
@@ -304,8 +326,8 @@
 	case <-call.Done:
 		err = call.Error
 	case <-timer.C:
-		if c.answered.Load() > sent {
-			return errSlow
+		if c.lastAnswer.Load() > sent {
+			return errSlowPeer
 		}
 		err = rpc.ErrShutdown
 	}
@@ -319,6 +341,6 @@
 		_ = c.Close()
 		return err
 	}
-	c.answered.Store(int64(time.Since(p.began)))
+	c.lastAnswer.Store(int64(time.Since(p.began)))
 	return nil
 }
--- a/internal/node/worker/worker.go
+++ b/internal/node/worker/worker.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"coralhub/internal/core/msg"
-	"coralhub/internal/node/call"
+	"coralhub/internal/node/httpclient"
 	"coralhub/wire"
 )
 
@@ -21,7 +21,7 @@
 
 // New returns a client that posts its results.
 func New(post func(msg.Input)) *Workers {
-	return &Workers{post: post, http: call.Client(2*time.Second, 1, 0)}
+	return &Workers{post: post, http: httpclient.Client(2*time.Second, 1, 0)}
 }
 
 // Do carries out an effect; it returns false for effects of other adapters.
@@ -37,28 +37,28 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	done := msg.CommandDone{ID: x.ID, Machine: x.Machine}
-	done.Outcome, done.Report = w.send(ctx, x)
+	done.Outcome, done.Heartbeat = w.send(ctx, x)
 	w.post(done)
 }
 
 // send tells apart calls that were certainly not executed (no connection, or a
 // refusal) from those that may still be.
-func (w *Workers) send(ctx context.Context, x msg.Command) (msg.Outcome, *wire.Report) {
-	req, err := call.Request(ctx, http.MethodPost, "http://"+x.Addr+wire.PathCommands, x.Commands)
+func (w *Workers) send(ctx context.Context, x msg.Command) (msg.Outcome, *wire.Heartbeat) {
+	req, err := httpclient.Request(ctx, http.MethodPost, "http://"+x.Addr+wire.PathCommands, x.Commands)
 	if err != nil {
 		return msg.Refused, nil
 	}
 	// A kept connection that turns out to be dead makes the client repeat the
 	// request by itself; commands must go out once per call.
 	req.GetBody = nil
-	status, raw, err := call.Do(w.http, req, wire.MaxBody)
-	if call.NotSent(err) {
+	status, raw, err := httpclient.Do(w.http, req, wire.MaxBody)
+	if httpclient.NotSent(err) {
 		return msg.Refused, nil
 	}
 	if err != nil {
 		return msg.Unknown, nil
 	}
-	var r wire.Report
+	var r wire.Heartbeat
 	if wire.Unmarshal(raw, &r) != nil {
 		return msg.Unknown, nil
 	}
--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"coralhub/internal/config"
+	"coralhub/internal/jobclient"
 	"coralhub/internal/process"
-	"coralhub/internal/user"
 	"coralhub/internal/wait"
 )
 
@@ -59,8 +59,8 @@
 }
 
 func (r *region) startController(c *controller, settings string) error {
-	p := config.Platform{Node: c.name, Location: c.zone, Listen: c.listen, PeerListen: c.peerListen, Cluster: r.settings.cluster(),
-		External: config.Outside{State: r.state, Cloud: r.cloud}}
+	p := config.Platform{Node: c.name, Location: c.zone, ClientListen: c.listen, PeerListen: c.peerListen, Cluster: r.settings.cluster(),
+		External: config.External{State: r.state, Cloud: r.cloud}}
 	for _, o := range r.controllers {
 		if o != c {
 			p.Peers = append(p.Peers, config.Peer{Node: o.name, Location: o.zone, Address: o.peerListen})
@@ -85,7 +85,7 @@
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
 	for _, c := range r.controllers {
-		for !user.Ready(ctx, client, c.listen) {
+		for !jobclient.Ready(ctx, client, c.listen) {
 			if !wait.For(ctx, 20*time.Millisecond) {
 				return fmt.Errorf("%s is not ready, see %s: %w", c.name, filepath.Join(r.dir, c.name+".log"), ctx.Err())
 			}
--- a/internal/scale/machines.go
+++ b/internal/scale/machines.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"coralhub/internal/hollow"
-	"coralhub/internal/judge"
+	"coralhub/internal/invariants"
 	"coralhub/internal/wait"
 	"coralhub/wire"
 )
@@ -16,23 +16,23 @@
 // rentAll rents as many machines as there are, up at once: what is measured is a fleet that runs.
 func (r *region) rentAll() {
 	r.servers.With(func() {
-		w := r.servers.World
+		w := r.servers.Environment
 		boot := w.Boot
 		w.Boot = 0
 		for _, zone := range r.settings.zoneNames() {
-			w.Rent(r.servers.Now(), wire.Rent{Name: "at-start-" + zone, Type: "m", Zone: zone, Count: w.Capacity[zone]})
+			w.Rent(r.servers.Now(), wire.RentalRequest{Name: "at-start-" + zone, Type: "m", Zone: zone, Count: w.Capacity[zone]})
 		}
 		w.Boot = boot
 	})
 }
 
 // machineChanged hears from the cloud that a machine was rented or is gone. The cloud's lock is held.
-func (r *region) machineChanged(e judge.Event) {
+func (r *region) machineChanged(e invariants.Event) {
 	e.At = now()
 	r.record(e)
 	switch e.Kind {
-	case judge.Machine:
-		up := time.Duration(r.servers.World.Machines[e.Machine].Up-r.servers.Now()) * time.Microsecond
+	case invariants.MachineAdded:
+		up := time.Duration(r.servers.Environment.Machines[e.Machine].Up-r.servers.Now()) * time.Microsecond
 		h := r.assign(e.Machine)
 		m := hollow.Machine{Name: e.Machine, Type: e.Host.Type, Zone: e.Host.Zone, Spot: e.Host.Spot, GPUs: r.settings.Machine.GPUs}
 		start := func() { h.tell(hollow.Command{Start: &m}) }
@@ -41,7 +41,7 @@
 			return
 		}
 		time.AfterFunc(up, start)
-	case judge.Gone:
+	case invariants.MachineGone:
 		r.mu.Lock()
 		h := r.hostOf[e.Machine]
 		delete(r.hostOf, e.Machine)
@@ -80,7 +80,7 @@
 	r.up++
 	r.mu.Unlock()
 	r.servers.With(func() {
-		if m := r.servers.World.Machines[u.Machine]; m != nil {
+		if m := r.servers.Environment.Machines[u.Machine]; m != nil {
 			m.Addr, m.State = u.Address, wire.Running
 		}
 	})
@@ -142,7 +142,7 @@
 
 func (r *region) anyMachine(rnd *rand.Rand) (name string, err error) {
 	r.servers.With(func() {
-		names := r.servers.World.Names()
+		names := r.servers.Environment.Names()
 		if len(names) == 0 {
 			err = errNoMachine
 			return
@@ -155,7 +155,7 @@
 // fail ends a machine by itself: it stays listed, as failed, until it is deleted.
 func (r *region) fail(name string) {
 	r.servers.With(func() {
-		if m := r.servers.World.Machines[name]; m != nil {
+		if m := r.servers.Environment.Machines[name]; m != nil {
 			m.State = wire.MachineFailed
 		}
 	})
--- a/internal/scale/names_test.go
+++ b/internal/scale/names_test.go
@@ -5,7 +5,7 @@
 
 	"coralhub/internal/golden"
 	"coralhub/internal/hollow"
-	"coralhub/internal/judge"
+	"coralhub/internal/invariants"
 )
 
 // Settings files, results and what processes of a run tell each other keep their names.
@@ -13,5 +13,5 @@
 	golden.Check(t, "settings-names.txt", golden.Names("toml", Settings{}))
 	golden.Check(t, "settings-json-names.txt", golden.Names("json", Settings{}))
 	golden.Check(t, "result-names.txt", golden.Names("json", Result{}))
-	golden.Check(t, "process-names.txt", golden.Names("json", hollow.Config{}, hollow.Command{}, hollow.Event{}, judge.Event{}, judge.Broken{}))
+	golden.Check(t, "process-names.txt", golden.Names("json", hollow.Config{}, hollow.Command{}, hollow.Event{}, invariants.Event{}, invariants.Violation{}))
 }
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"coralhub/internal/config"
+	"coralhub/internal/emulator"
 	"coralhub/internal/hollow"
-	"coralhub/internal/judge"
+	"coralhub/internal/invariants"
 	"coralhub/internal/process"
-	"coralhub/internal/standin"
 	"coralhub/internal/wait"
 	"coralhub/wire"
 )
@@ -29,7 +29,7 @@
 	number   int
 	dir      string
 
-	servers     *standin.Servers
+	servers     *emulator.Servers
 	listeners   []*http.Server
 	state       string // addresses
 	cloud       string
@@ -38,7 +38,7 @@
 	gangs       gangs
 
 	mu       sync.Mutex
-	events   []judge.Event
+	events   []invariants.Event
 	hostOf   map[string]*host // by machine
 	up       int              // machines whose workers listen
 	troubles troubles
@@ -52,7 +52,7 @@
 
 func newRegion(s *Settings, opt *run, number int) *region {
 	name := "region-" + strconv.Itoa(number)
-	return &region{settings: s, options: opt, name: name, number: number, dir: filepath.Join(opt.Dir, name), servers: standin.NewServers(),
+	return &region{settings: s, options: opt, name: name, number: number, dir: filepath.Join(opt.Dir, name), servers: emulator.NewServers(),
 		gangs: newGangs(), hostOf: map[string]*host{}}
 }
 
@@ -78,7 +78,7 @@
 	r.servers.State.ValueBytes, r.servers.State.TxnOps = int(s.State.ValueKB*1024), s.State.TxnOps
 	r.servers.SetQuotas(s.State.RPS, s.State.WriteRPS, s.Cloud.RPS)
 	r.servers.Delay(time.Duration(s.State.DelayMS * float64(time.Millisecond)))
-	w := r.servers.World
+	w := r.servers.Environment
 	w.Types, w.Capacity, w.Boot = []wire.MachineType{s.machineType()}, map[string]int{}, config.FromSeconds(s.Cloud.BootS)
 	w.Watch = r.machineChanged
 	for i, zone := range s.zoneNames() {
@@ -169,8 +169,8 @@
 
 // taskChanged records what has happened to a task, and has gangs begin and break up.
 func (r *region) taskChanged(at int64, t *hollow.Task) {
-	kind := map[string]judge.Kind{hollow.TaskOn: judge.On, hollow.TaskOff: judge.Off, hollow.TaskDone: judge.Done}[t.Kind]
-	r.record(judge.Event{At: at, Kind: kind, Job: t.Job, Task: t.Task, Attempt: t.Attempt, Machine: t.Machine})
+	kind := map[string]invariants.Kind{hollow.TaskOn: invariants.TaskStarted, hollow.TaskOff: invariants.TaskStopped, hollow.TaskDone: invariants.TaskDone}[t.Kind]
+	r.record(invariants.Event{At: at, Kind: kind, Job: t.Job, Task: t.Task, Attempt: t.Attempt, Machine: t.Machine})
 	attempt := hollow.Attempt{Job: t.Job, Attempt: t.Attempt}
 	switch r.gangs.taskChanged(t) {
 	case gangComplete:
@@ -180,7 +180,7 @@
 	}
 }
 
-func (r *region) record(e judge.Event) {
+func (r *region) record(e invariants.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, e)
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"coralhub/internal/config"
-	"coralhub/internal/judge"
+	"coralhub/internal/invariants"
 	"coralhub/internal/process"
 	"coralhub/internal/quantile"
 )
@@ -33,24 +33,24 @@
 
 // RegionResult is a region's. What is a second is of the measured time, and so are starts.
 type RegionResult struct {
-	Region          string             `json:"region"`
-	AskedPerS       float64            `json:"asked_per_s"`  // task starts
-	StartsPerS      float64            `json:"starts_per_s"` // that came
-	EndsPerS        float64            `json:"ends_per_s"`
-	Jobs            Jobs               `json:"jobs"`
-	UrgentS         quantile.Times     `json:"urgent_start_s"` // from a job's submission to a task's start
-	UrgentInTime    float64            `json:"urgent_in_time"` // part of the urgent tasks that came that began in time
-	OtherS          quantile.Times     `json:"other_start_s"`
-	SubmitS         quantile.Times     `json:"submit_s"`
-	RequestsPerS    map[string]float64 `json:"requests_per_s"` // of the state service, as controllers count them, by purpose
-	ChangesPerS     map[string]float64 `json:"changes_per_s"`
-	RefusedPerS     float64            `json:"refused_per_s"`
-	ChangesPerStart float64            `json:"changes_per_start"`
-	Controllers     []ControllerResult `json:"controllers"`
-	Workers         WorkerResult       `json:"workers"`
-	Troubles        troubles           `json:"troubles"`
-	Errors          map[string]int     `json:"errors,omitempty"` // what users met, by request and status
-	Broken          []judge.Broken     `json:"rules_broken"`
+	Region          string                 `json:"region"`
+	AskedPerS       float64                `json:"asked_per_s"`  // task starts
+	StartsPerS      float64                `json:"starts_per_s"` // that came
+	EndsPerS        float64                `json:"ends_per_s"`
+	Jobs            Jobs                   `json:"jobs"`
+	UrgentS         quantile.Times         `json:"urgent_start_s"` // from a job's submission to a task's start
+	UrgentInTime    float64                `json:"urgent_in_time"` // part of the urgent tasks that came that began in time
+	OtherS          quantile.Times         `json:"other_start_s"`
+	SubmitS         quantile.Times         `json:"submit_s"`
+	RequestsPerS    map[string]float64     `json:"requests_per_s"` // of the state service, as controllers count them, by purpose
+	ChangesPerS     map[string]float64     `json:"changes_per_s"`
+	RefusedPerS     float64                `json:"refused_per_s"`
+	ChangesPerStart float64                `json:"changes_per_start"`
+	Controllers     []ControllerResult     `json:"controllers"`
+	Workers         WorkerResult           `json:"workers"`
+	Troubles        troubles               `json:"troubles"`
+	Errors          map[string]int         `json:"errors,omitempty"` // what users met, by request and status
+	Broken          []invariants.Violation `json:"rules_broken"`
 }
 
 // Jobs counts jobs of the whole run.
@@ -98,7 +98,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	res := &RegionResult{Region: r.name, AskedPerS: r.settings.StartsPerS, RefusedPerS: float64(last.refused-first.refused) / over,
-		RequestsPerS: map[string]float64{}, ChangesPerS: map[string]float64{}, Troubles: r.troubles, Broken: []judge.Broken{}}
+		RequestsPerS: map[string]float64{}, ChangesPerS: map[string]float64{}, Troubles: r.troubles, Broken: []invariants.Violation{}}
 	jobs := u.all()
 	for _, s := range jobs {
 		res.Jobs.Submitted++
@@ -123,17 +123,17 @@
 	u.mu.Lock()
 	res.Errors = maps.Clone(u.errors)
 	u.mu.Unlock()
-	res.Broken = append(res.Broken, judge.Judge(r.terms(), r.events)...)
+	res.Broken = append(res.Broken, invariants.Check(r.terms(), r.events)...)
 	return res
 }
 
 // terms are the rules that the history is held against.
-func (r *region) terms() judge.Terms {
+func (r *region) terms() invariants.Rules {
 	s := r.settings
-	terms := judge.Terms{CancelIn: config.FromSeconds(s.Protocol.CancelS), Silence: 90 * config.Second, Unanswered: 75 * config.Second,
-		Teams: map[string]judge.Limit{}}
+	terms := invariants.Rules{CancelIn: config.FromSeconds(s.Protocol.CancelS), Silence: 90 * config.Second, Unanswered: 75 * config.Second,
+		Teams: map[string]invariants.Limit{}}
 	for i := range s.Teams {
-		terms.Teams[teamName(i)] = judge.Limit{GPUs: s.teamLimit()}
+		terms.Teams[teamName(i)] = invariants.Limit{GPUs: s.teamLimit()}
 	}
 	return terms
 }
@@ -162,9 +162,9 @@
 		inside := e.At >= from && e.At < to
 		switch {
 		case !known:
-		case e.Kind == judge.Done && inside:
+		case e.Kind == invariants.TaskDone && inside:
 			ends++
-		case e.Kind == judge.On:
+		case e.Kind == invariants.TaskStarted:
 			if inside {
 				starts++
 			}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -198,7 +198,7 @@
 	load, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	u := newUsers(r)
-	defer u.ask.Client.CloseIdleConnections()
+	defer u.ask.HTTP.CloseIdleConnections()
 	var open, background sync.WaitGroup
 	background.Go(func() { u.probe(follow) })
 	background.Go(func() { r.makeTrouble(load, rand.New(rand.NewPCG(seed, math.MaxUint32))) })
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"coralhub/internal/hollow"
-	"coralhub/internal/judge"
-	"coralhub/internal/user"
+	"coralhub/internal/invariants"
+	"coralhub/internal/jobclient"
 	"coralhub/internal/wait"
 	"coralhub/wire"
 )
@@ -24,7 +24,7 @@
 // users submit a region's jobs, poll and cancel.
 type users struct {
 	region *region
-	ask    *user.Asker
+	ask    *jobclient.Client
 
 	mu        sync.Mutex
 	ready     []string // addresses of controllers that take requests
@@ -43,8 +43,8 @@
 
 func newUsers(r *region) *users {
 	u := &users{region: r, submitted: map[string]*submission{}, errors: map[string]int{}}
-	u.ask = &user.Asker{Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute}},
-		Pick: u.pick, Failed: r.options.requestFailed}
+	u.ask = &jobclient.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute}},
+		PickNode: u.pick, Failed: r.options.requestFailed}
 	return u
 }
 
@@ -53,7 +53,7 @@
 	look := func() {
 		var ready []string
 		for _, c := range u.region.controllers {
-			if user.Ready(ctx, u.ask.Client, c.listen) {
+			if jobclient.Ready(ctx, u.ask.HTTP, c.listen) {
 				ready = append(ready, c.listen)
 			}
 		}
@@ -127,8 +127,8 @@
 	u.mu.Lock()
 	u.submitted[j.ID] = sub
 	u.mu.Unlock()
-	r.record(judge.Event{At: sub.at, Kind: judge.Submitted, Job: j.ID, Spec: &judge.Spec{Team: j.Team, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs}})
-	if !u.repeat(ctx, j.ID, judge.BySubmit, wire.PathJobs, raw) {
+	r.record(invariants.Event{At: sub.at, Kind: invariants.JobSubmitted, Job: j.ID, Spec: &invariants.Spec{Team: j.Team, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs}})
+	if !u.repeat(ctx, j.ID, invariants.BySubmit, wire.PathJobs, raw) {
 		return
 	}
 	u.mu.Lock()
@@ -142,20 +142,20 @@
 
 // poll asks for a job's state until it is over, and cancels it if that is planned.
 func (u *users) poll(ctx context.Context, id string, cancelIn time.Duration) {
-	u.ask.Follow(ctx, id, cancelIn, func(a *user.Answer) { u.told(id, judge.ByPoll, a) }, func() {
-		u.region.record(judge.Event{At: now(), Kind: judge.Asked, Job: id})
-		u.repeat(ctx, id, judge.ByCancel, wire.PathJobs+"/"+id+"/"+wire.CancelVerb, nil)
+	u.ask.Follow(ctx, id, cancelIn, func(a *jobclient.Answer) { u.told(id, invariants.ByPoll, a) }, func() {
+		u.region.record(invariants.Event{At: now(), Kind: invariants.CancelRequested, Job: id})
+		u.repeat(ctx, id, invariants.ByCancel, wire.PathJobs+"/"+id+"/"+wire.CancelVerb, nil)
 	})
 }
 
 // repeat makes a request until it is taken.
 func (u *users) repeat(ctx context.Context, id, via, path string, body []byte) bool {
-	return u.ask.Repeat(ctx, http.MethodPost, path, body, func(a *user.Answer) { u.told(id, via, a) })
+	return u.ask.Repeat(ctx, http.MethodPost, path, body, func(a *jobclient.Answer) { u.told(id, via, a) })
 }
 
-func (u *users) told(id, via string, a *user.Answer) {
-	u.region.record(judge.Event{At: now(), Kind: judge.Told, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
-	if !a.Taken() {
+func (u *users) told(id, via string, a *jobclient.Answer) {
+	u.region.record(invariants.Event{At: now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
+	if !a.Accepted() {
 		u.mu.Lock()
 		u.errors[via+" "+strconv.Itoa(a.Status)]++
 		u.mu.Unlock()
--- a/internal/scenario/chaos_test.go
+++ b/internal/scenario/chaos_test.go
@@ -9,7 +9,7 @@
 	"slices"
 	"testing"
 
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -89,7 +89,7 @@
 }
 
 func chaos(t *testing.T, s *Sim, rnd *rand.Rand, early, events, tasks int) {
-	s.Run(2 * standin.Second)
+	s.Run(2 * emulator.Second)
 	var needable []string // accepted, and no service
 	accepted := map[string]bool{}
 	services := map[string]bool{}
@@ -156,7 +156,7 @@
 			s.trouble(n, rnd)
 		}
 		if i >= early {
-			s.Run(standin.Micros(rnd.IntN(30)) * tick)
+			s.Run(emulator.Micros(rnd.IntN(30)) * tick)
 		}
 	}
 	s.state.SetDown(s.now, false)
@@ -171,20 +171,20 @@
 		}
 	}
 	for _, name := range s.world.Names() {
-		s.world.Machines[name].Deaf = ""
+		s.world.Machines[name].InboundLost = ""
 	}
 	s.Release()
 	if s.copies != nil {
 		s.again(s.node(s.Leader()), rnd, 30)
 	}
 	s.allAnswered(t, accepted)
-	s.Run(60 * standin.Second)
+	s.Run(60 * emulator.Second)
 	for _, id := range slices.Sorted(maps.Keys(accepted)) {
 		for try := 0; services[id] && s.told[id] != wire.Cancelled && try < 20; try++ {
 			s.Cancel(s.nodes[0], id)
 		}
 	}
-	s.Run(120 * standin.Second)
+	s.Run(120 * emulator.Second)
 	for _, id := range slices.Sorted(maps.Keys(accepted)) {
 		told := accepted[id]
 		a := s.Poll(s.nodes[1], id)
@@ -209,9 +209,9 @@
 // that has just read the records. It returns what differs.
 func (s *Sim) sameAccounts() (wrong []string) {
 	s.start(s.nodes[0])
-	s.Run(5 * standin.Second)
+	s.Run(5 * emulator.Second)
 	for _, n := range s.nodes[1:] {
-		if !n.core.Accounts().Equal(s.nodes[0].core.Accounts()) {
+		if !n.core.UsageLedger().Equal(s.nodes[0].core.UsageLedger()) {
 			wrong = append(wrong, fmt.Sprintf("accounts of %s and of one that has just begun differ: %s and %s", n.name, accountsOf(n), accountsOf(s.nodes[0])))
 		}
 	}
@@ -221,7 +221,7 @@
 // allAnswered asks about every job, each time at the next node, until it has had an answer. No
 // job may be without one for longer than this once all troubles are over.
 func (s *Sim) allAnswered(t *testing.T, jobs map[string]bool) {
-	const forgottenAfter = 75 * standin.Second
+	const forgottenAfter = 75 * emulator.Second
 	over := s.now
 	var left []string
 	for id, told := range jobs {
@@ -239,7 +239,7 @@
 			t.Errorf("nobody answers for %v", left)
 			return
 		}
-		s.Run(standin.Second)
+		s.Run(emulator.Second)
 	}
 	t.Logf("all answered for after %d ms", (s.now-over)/1000)
 }
@@ -262,8 +262,8 @@
 	}
 }
 
-func randomJob(rnd *rand.Rand, id string, tasks int) *standin.JobIn {
-	j := &standin.JobIn{Run: standin.Micros(1+rnd.IntN(8)) * standin.Second}
+func randomJob(rnd *rand.Rand, id string, tasks int) *emulator.SubmittedJob {
+	j := &emulator.SubmittedJob{Run: emulator.Micros(1+rnd.IntN(8)) * emulator.Second}
 	j.Job = wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[rnd.IntN(2)],
 		Shape:    []string{wire.Array, wire.Array, wire.Gang, wire.Service}[rnd.IntN(4)],
 		Priority: []string{wire.Production, wire.High, wire.Normal, wire.Low}[rnd.IntN(4)],
--- a/internal/scenario/asking_test.go
+++ b/internal/scenario/client_requests_test.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"coralhub/internal/core/msg"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -13,9 +13,9 @@
 
 // Ask has a user make a request to a node and returns the answer, waiting for
 // it as users do.
-func (s *Sim) Ask(n *node, input func(req uint64) msg.Input) msg.Answer {
+func (s *Sim) Ask(n *node, input func(req uint64) msg.Input) msg.Respond {
 	if !n.alive {
-		return msg.Answer{}
+		return msg.Respond{}
 	}
 	s.req++
 	req := s.req
@@ -28,11 +28,11 @@
 		}
 		s.Run(tick)
 	}
-	return msg.Answer{}
+	return msg.Respond{}
 }
 
 // Submit submits a job.
-func (s *Sim) Submit(n *node, j *standin.JobIn) msg.Answer {
+func (s *Sim) Submit(n *node, j *emulator.SubmittedJob) msg.Respond {
 	if s.world.Jobs[j.ID] == nil {
 		s.world.Jobs[j.ID] = j
 	}
@@ -43,29 +43,29 @@
 }
 
 // submission is the request that submits a job.
-func (s *Sim) submission(j *standin.JobIn) func(req uint64) msg.Input {
+func (s *Sim) submission(j *emulator.SubmittedJob) func(req uint64) msg.Input {
 	raw, err := wire.Marshal(&j.Job)
 	if err != nil {
 		panic(err) // a description that the runner has made
 	}
-	return func(req uint64) msg.Input { return msg.SubmitIn{Req: req, Wall: s.now, Body: raw} }
+	return func(req uint64) msg.Input { return msg.SubmitIn{RequestID: req, WallClock: s.now, Body: raw} }
 }
 
 // Cancel has a user cancel a job.
-func (s *Sim) Cancel(n *node, id string) msg.Answer {
+func (s *Sim) Cancel(n *node, id string) msg.Respond {
 	if j := s.world.Jobs[id]; j != nil {
 		j.Asked = true
 	}
 	floor := s.told[id]
-	a := s.Ask(n, func(req uint64) msg.Input { return msg.CancelIn{Req: req, ID: id} })
+	a := s.Ask(n, func(req uint64) msg.Input { return msg.CancelIn{RequestID: req, JobID: id} })
 	s.judge(id, floor, a)
 	return a
 }
 
 // Poll has a user ask about a job.
-func (s *Sim) Poll(n *node, id string) msg.Answer {
+func (s *Sim) Poll(n *node, id string) msg.Respond {
 	floor := s.told[id]
-	a := s.Ask(n, func(req uint64) msg.Input { return msg.PollIn{Req: req, ID: id} })
+	a := s.Ask(n, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} })
 	s.judge(id, floor, a)
 	return a
 }
@@ -76,7 +76,7 @@
 // judge watches what users are told. What anybody had heard of the job before this question was
 // asked is its floor: no node may answer something older, whichever told it. An answer to a
 // question from before that may.
-func (s *Sim) judge(id, floor string, a msg.Answer) {
+func (s *Sim) judge(id, floor string, a msg.Respond) {
 	broken := func(rule string) {
 		s.world.Broken = append(s.world.Broken, fmt.Sprintf("%s %s: %s after %q", rule, id, strings.TrimSpace(describe(a)), floor))
 	}
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/concurrent_faults_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -32,7 +32,7 @@
 
 // moment is a line of a script and when it is played.
 type moment struct {
-	at   standin.Micros
+	at   emulator.Micros
 	line string
 }
 
@@ -56,7 +56,7 @@
 }
 
 func (d *drawing) say(at float64, format string, args ...any) {
-	d.day = append(d.day, moment{standin.Micros(at*10) * tick, fmt.Sprintf(format, args...)})
+	d.day = append(d.day, moment{emulator.Micros(at*10) * tick, fmt.Sprintf(format, args...)})
 }
 
 // within draws a time.
@@ -575,7 +575,7 @@
 	slices.SortStableFunc(d.day, func(a, b moment) int { return cmp.Compare(a.at, b.at) })
 	var b strings.Builder
 	fmt.Fprintln(&b, head)
-	now := standin.Micros(0)
+	now := emulator.Micros(0)
 	fmt.Fprintln(&b, weather)
 	for _, m := range d.day {
 		if at := max(m.at, 0); at > now {
@@ -661,7 +661,7 @@
 const mostTold = 8
 
 // forgottenAfter is how long a question may go unanswered once all troubles are over.
-const forgottenAfter = 75 * standin.Second
+const forgottenAfter = 75 * emulator.Second
 
 // calm ends all troubles and returns what is wrong then.
 func (s *Sim) calm() (wrong []string) {
@@ -678,13 +678,13 @@
 	}
 	for _, name := range s.world.Names() {
 		m := s.world.Machines[name]
-		m.Deaf, m.Hang, m.Mute = "", false, false
+		m.InboundLost, m.Hang, m.OutboundLost = "", false, false
 	}
 	s.Release()
 	over := s.now
-	s.Run(standin.Second)
+	s.Run(emulator.Second)
 	waits := idle{}
-	for ; s.now-over < 250*standin.Second; s.Run(standin.Second) {
+	for ; s.now-over < 250*emulator.Second; s.Run(emulator.Second) {
 		for _, u := range s.users {
 			if s.told[u.id] == "" && !u.cancel {
 				continue // it may never have been accepted
@@ -700,9 +700,9 @@
 		if !slices.ContainsFunc(s.users, func(u *user) bool { return s.told[u.id] != "" }) {
 			break // every job that was accepted is over, and its user knows
 		}
-		if s.now-over > 40*standin.Second && len(waits) == 0 { // what never ends by itself, or not in time
+		if s.now-over > 40*emulator.Second && len(waits) == 0 { // what never ends by itself, or not in time
 			for _, id := range slices.Sorted(maps.Keys(s.world.Jobs)) {
-				if j := s.world.Jobs[id]; s.told[id] != "" && (j.Shape == wire.Service || j.RunOf(j.Tasks) > 10*standin.Second) {
+				if j := s.world.Jobs[id]; s.told[id] != "" && (j.Shape == wire.Service || j.RunOf(j.Tasks) > 10*emulator.Second) {
 					s.Withdraw(id)
 				}
 			}
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -15,8 +15,8 @@
 var effectNumbers = map[reflect.Type]int{}
 
 func init() {
-	for i, e := range []msg.Effect{msg.Commit{}, msg.Read{}, msg.GrantLease{}, msg.RenewLease{}, msg.DropLease{}, msg.FollowClosely{}, msg.Relist{}, msg.Answer{},
-		msg.Command{}, msg.FetchCatalog{}, msg.ListMachines{}, msg.Rent{}, msg.Release{}, msg.Tell{}, msg.Forward{}, msg.Beat{}, msg.Retire{}} {
+	for i, e := range []msg.Effect{msg.Commit{}, msg.Read{}, msg.GrantLease{}, msg.RenewLease{}, msg.ReleaseLease{}, msg.PollWatchFast{}, msg.Relist{}, msg.Respond{},
+		msg.Command{}, msg.FetchCatalog{}, msg.ListMachines{}, msg.ScaleOut{}, msg.ScaleIn{}, msg.SendPeerUpdate{}, msg.Forward{}, msg.HeartbeatBatch{}, msg.StopServing{}} {
 		effectNumbers[reflect.TypeOf(e)] = i + 1
 	}
 }
--- a/internal/scenario/calls_test.go
+++ b/internal/scenario/direct_calls_test.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"coralhub/internal/core/msg"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -40,55 +40,55 @@
 		if n.cut["state"] == "" {
 			status, id := s.state.Grant(s.now, x.TTL)
 			d.Outcome, d.Lease = outcome(status, ""), id
-			n.keeper.Want(id, time.Duration(x.TTL)*time.Microsecond, time.UnixMicro(s.now))
+			n.keeper.Adopt(id, time.Duration(x.TTL)*time.Microsecond, time.UnixMicro(s.now))
 		}
 		s.post(n, d)
-	case msg.DropLease:
-		n.keeper.Drop(x.Lease)
+	case msg.ReleaseLease:
+		n.keeper.Release(x.Lease)
 	case msg.RenewLease:
-		n.keeper.Want(x.Lease, time.Duration(x.TTL)*time.Microsecond, time.UnixMicro(s.now))
+		n.keeper.Adopt(x.Lease, time.Duration(x.TTL)*time.Microsecond, time.UnixMicro(s.now))
 		s.renew(n, x.Lease)
 	case msg.Relist:
 		n.relist = true
-	case msg.Answer:
-		n.answers[x.Req] = x
+	case msg.Respond:
+		n.answers[x.RequestID] = x
 	case msg.Command:
 		s.command(n, x)
 	case msg.Forward:
-		d := msg.ForwardDone{Req: x.Req, Report: x.Report}
+		d := msg.ForwardDone{RequestID: x.RequestID, Heartbeat: x.Heartbeat}
 		if to := s.node(x.Node); to.alive && s.peers(n, to) == "" {
 			s.req++
 			req := s.req
-			for _, e := range s.step(to, msg.ReportIn{Req: req, Report: x.Report, Forwarded: true}) {
+			for _, e := range s.step(to, msg.HeartbeatIn{RequestID: req, Heartbeat: x.Heartbeat, Forwarded: true}) {
 				s.carry(to, e)
 			}
-			if a, ok := to.answers[req].Body.(wire.ReportAnswer); ok {
-				d.Answer = &a
+			if a, ok := to.answers[req].Body.(wire.HeartbeatResponse); ok {
+				d.Response = &a
 			}
 			d.Busy = s.now < to.busy
 			delete(to.answers, req)
 		}
 		s.post(n, d)
-	case msg.Beat:
+	case msg.HeartbeatBatch:
 		if to := s.node(x.Node); to.alive && s.peers(n, to) == "" {
 			s.req++
-			for _, e := range s.step(to, msg.BeatIn{Req: s.req, Node: n.name, Revision: x.Revision, Heard: x.Heard}) {
+			for _, e := range s.step(to, msg.HeartbeatBatchIn{RequestID: s.req, Node: n.name, Revision: x.Revision, Acks: x.Acks}) {
 				s.carry(to, e)
 			}
-			said, _ := to.answers[s.req].Body.(msg.BeatAnswer)
+			said, _ := to.answers[s.req].Body.(msg.HeartbeatBatchResponse)
 			delete(to.answers, s.req)
-			s.reply(n, s.weather.slowBeat(), msg.BeatDone{Beat: x, BeatAnswer: said})
+			s.reply(n, s.weather.slowBeat(), msg.HeartbeatBatchDone{Batch: x, HeartbeatBatchResponse: said})
 		} else if s.peers(n, to) == "hold" { // it comes late, and nobody hears the answer
 			s.held = append(s.held, func() {
 				if to.alive {
 					s.req++
-					s.post(to, msg.BeatIn{Req: s.req, Node: n.name, Revision: x.Revision, Heard: x.Heard})
+					s.post(to, msg.HeartbeatBatchIn{RequestID: s.req, Node: n.name, Revision: x.Revision, Acks: x.Acks})
 				}
 			})
 		}
-	case msg.Tell:
+	case msg.SendPeerUpdate:
 		if to := s.node(x.Node); to.alive && s.peers(n, to) == "" {
-			s.post(to, msg.Hint{Event: x.Event})
+			s.post(to, msg.PeerUpdate{Change: x.Change})
 		}
 	default:
 		s.cloud(n, e)
@@ -98,7 +98,7 @@
 // commit carries out a transaction; over a held link it is carried out late.
 func (s *Sim) commit(n *node, x msg.Commit) {
 	d := msg.CommitDone{ID: x.ID, Outcome: msg.Refused}
-	hit := s.strike.hits(&x.Txn)
+	hit := s.strike.hits(&x.Transaction)
 	if hit {
 		n.alive = false
 		if !s.strike.after {
@@ -107,8 +107,8 @@
 		}
 		s.strike = strike{}
 	}
-	places := s.guarded(&x.Txn)
-	if changes := float64(len(x.Txn.Changes)); s.quota > 0 && changes > 0 {
+	places := s.guarded(&x.Transaction)
+	if changes := float64(len(x.Transaction.Changes)); s.quota > 0 && changes > 0 {
 		if s.tokens < changes {
 			s.post(n, d)
 			return
@@ -117,9 +117,9 @@
 	}
 	switch n.cut["state"] {
 	case "":
-		fate, after := s.weather.commit(&x.Txn)
+		fate, after := s.weather.commit(&x.Transaction)
 		if fate == lateAct && !s.state.Down {
-			s.in(after, func() { s.commitLate(x.Txn) })
+			s.in(after, func() { s.commitLate(x.Transaction) })
 			s.reply(n, patience, msg.CommitDone{ID: x.ID, Outcome: msg.Unknown})
 			return
 		}
@@ -127,7 +127,7 @@
 			s.commitSlowly(n, x, after)
 			return
 		}
-		status, a := s.state.Commit(x.Txn)
+		status, a := s.state.Commit(x.Transaction)
 		d.Outcome, d.Revision, d.Failed = outcome(status, a.Error), a.Revision, a.Failed
 		if n.cut["answer"] != "" && places { // one answer is lost
 			d = msg.CommitDone{ID: x.ID, Outcome: msg.Unknown}
@@ -143,7 +143,7 @@
 		}
 	case "hold", "stall":
 		d.Outcome = msg.Unknown
-		s.held = append(s.held, func() { s.state.Commit(x.Txn) })
+		s.held = append(s.held, func() { s.state.Commit(x.Transaction) })
 		if n.cut["state"] == "stall" { // and the node waits as long as it does on real links
 			s.reply(n, patience, d)
 			return
@@ -177,7 +177,7 @@
 }
 
 // reaches tells whether a node and a machine have a link at all.
-func (s *Sim) reaches(n *node, m *standin.Machine) bool {
+func (s *Sim) reaches(n *node, m *emulator.Machine) bool {
 	if s.apart != "" && (location(n.name) == s.apart) != (m.Zone == s.apart) {
 		return false
 	}
@@ -188,18 +188,18 @@
 func (s *Sim) command(n *node, x msg.Command) {
 	m := s.world.Machines[x.Addr]
 	d := msg.CommandDone{ID: x.ID, Machine: x.Machine, Outcome: msg.Refused}
-	run := func() (int, wire.Report) {
+	run := func() (int, wire.Heartbeat) {
 		if m = s.world.Machines[x.Addr]; m == nil || s.now < m.Up {
-			return 0, wire.Report{}
+			return 0, wire.Heartbeat{}
 		}
 		return s.world.Commands(s.now, m, x.Commands)
 	}
 	switch {
 	case m != nil && !s.reaches(n, m):
-	case n.cut["workers"] == "hold" || m != nil && (m.Hang || m.Deaf == "hold"):
+	case n.cut["workers"] == "hold" || m != nil && (m.Hang || m.InboundLost == "hold"):
 		d.Outcome = msg.Unknown
 		s.held = append(s.held, func() { run() })
-	case n.cut["workers"] == "" && m != nil && s.now >= m.Up && m.Deaf == "":
+	case n.cut["workers"] == "" && m != nil && s.now >= m.Up && m.InboundLost == "":
 		switch fate, after := s.weather.command(); fate {
 		case lateAct:
 			s.in(after, func() { s.runLate(m.Name, run) })
@@ -211,7 +211,7 @@
 			return
 		case slowAnswer:
 			status, r := run()
-			d.Report = &r
+			d.Heartbeat = &r
 			if status == 200 {
 				d.Outcome = msg.OK
 			}
@@ -219,7 +219,7 @@
 			return
 		}
 		status, r := run()
-		d.Report = &r
+		d.Heartbeat = &r
 		if status == 200 {
 			d.Outcome = msg.OK
 		}
@@ -229,9 +229,9 @@
 
 func (s *Sim) cloud(n *node, e msg.Effect) {
 	off := s.world.CloudOff || n.cut["cloud"] != ""
-	if r, ok := e.(msg.Release); ok && n.cut["cloud"] == "hold" {
+	if r, ok := e.(msg.ScaleIn); ok && n.cut["cloud"] == "hold" {
 		s.held = append(s.held, func() { s.world.Release(s.now, r.Machines) })
-		s.post(n, msg.ReleaseDone{Machines: r.Machines, Outcome: msg.Unknown})
+		s.post(n, msg.ScaleInDone{Machines: r.Machines, Outcome: msg.Unknown})
 		return
 	}
 	result := msg.OK
@@ -251,19 +251,19 @@
 			d.Machines = s.world.List(s.now)
 		}
 		s.post(n, d)
-	case msg.Rent:
-		d := msg.RentDone{Name: x.Request.Name, Outcome: result}
+	case msg.ScaleOut:
+		d := msg.ScaleOutDone{Name: x.Request.Name, Outcome: result}
 		if !off {
 			if d.Machines = s.world.Rent(s.now, x.Request); len(d.Machines) == 0 {
 				d.Outcome = msg.Conflict
 			}
 		}
 		s.post(n, d)
-	case msg.Release:
+	case msg.ScaleIn:
 		if !off {
 			s.world.Release(s.now, x.Machines)
 		}
-		s.post(n, msg.ReleaseDone{Machines: x.Machines, Outcome: result})
+		s.post(n, msg.ScaleInDone{Machines: x.Machines, Outcome: result})
 	}
 }
 
@@ -290,11 +290,11 @@
 			s.slowReport(n, m, r, there, back)
 			continue
 		}
-		var a msg.Answer
-		if n.alive && n.cut["workers"] == "" && s.reaches(n, m) && !m.Mute {
+		var a msg.Respond
+		if n.alive && n.cut["workers"] == "" && s.reaches(n, m) && !m.OutboundLost {
 			s.req++
 			req := s.req
-			s.post(n, msg.ReportIn{Req: req, Report: r})
+			s.post(n, msg.HeartbeatIn{RequestID: req, Heartbeat: r})
 			s.settle()
 			a = n.answers[req]
 			delete(n.answers, req)
@@ -307,13 +307,13 @@
 }
 
 // answered has a worker take the answer to a report, or none.
-func (s *Sim) answered(n *node, m *standin.Machine, r *wire.Report, sent standin.Micros, a msg.Answer) {
-	if m.Deaf != "" {
-		a = msg.Answer{}
+func (s *Sim) answered(n *node, m *emulator.Machine, r *wire.Heartbeat, sent emulator.Micros, a msg.Respond) {
+	if m.InboundLost != "" {
+		a = msg.Respond{}
 	}
 	switch body := a.Body.(type) {
-	case wire.ReportAnswer:
-		s.world.Answered(s.now, sent, r.Session, m, body)
+	case wire.HeartbeatResponse:
+		s.world.Answered(s.now, sent, r.Incarnation, m, body)
 	case wire.Redirect:
 		to := s.node(body.Node)
 		for i := range s.nodes {
@@ -326,6 +326,6 @@
 		}
 	default:
 		m.Node++
-		m.NextAt = s.now + standin.Second
+		m.NextAt = s.now + emulator.Second
 	}
 }
--- a/internal/scenario/flood_test.go
+++ b/internal/scenario/flood_test.go
@@ -7,7 +7,7 @@
 
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -23,11 +23,11 @@
 		tasks = 16
 	)
 	s := newSim(3, scale, 150)
-	s.Run(3 * standin.Second)
+	s.Run(3 * emulator.Second)
 	leader := s.Leader()
 	began := s.state.Revision()
 	submit := func(i int) bool {
-		j := &standin.JobIn{Run: 3 * standin.Second}
+		j := &emulator.SubmittedJob{Run: 3 * emulator.Second}
 		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i+1), Class: "flood", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: tasks,
 			CPUs: 1, GPUs: 1, MemoryGB: 1, Image: fmt.Sprint("i", i%3), ImageGB: 1, EstimateS: 3}
 		a := s.Submit(s.nodes[i%3], j)
@@ -42,7 +42,7 @@
 			s.Run(tick)
 		}
 		if i == jobs/2 {
-			s.node(leader).busy = s.now + 5*standin.Second
+			s.node(leader).busy = s.now + 5*emulator.Second
 		}
 	}
 	left := func() (n int) {
@@ -55,11 +55,11 @@
 	}
 	seconds := 0
 	for ; left() > 0 && seconds < 60; seconds++ {
-		s.Run(standin.Second)
+		s.Run(emulator.Second)
 		again = slices.DeleteFunc(again, submit) // as users do who were refused
 		for i, n := range s.nodes {
 			id := fmt.Sprintf("j-%d", (seconds*3+i)%jobs+1)
-			if a := s.Ask(n, func(req uint64) msg.Input { return msg.PollIn{Req: req, ID: id} }); a.Status != 200 {
+			if a := s.Ask(n, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} }); a.Status != 200 {
 				t.Errorf("poll of %s: %d", id, a.Status)
 			}
 		}
@@ -67,8 +67,8 @@
 	if n := left(); n > 0 {
 		t.Errorf("%d jobs are not done after %d s", n, seconds)
 	}
-	if s.Leader() != leader || s.state.Get(job.Root+"leader").Version > began {
-		t.Errorf("%s leads by revision %d; %s did by one before %d", s.Leader(), s.state.Get(job.Root+"leader").Version, leader, began)
+	if s.Leader() != leader || s.state.Get(job.KeyRoot+"leader").Version > began {
+		t.Errorf("%s leads by revision %d; %s did by one before %d", s.Leader(), s.state.Get(job.KeyRoot+"leader").Version, leader, began)
 	}
 	if changes := float64(s.state.Revision()-began) / jobs; changes > 4 {
 		t.Errorf("%.1f changes a job", changes)
--- a/internal/scenario/weather_test.go
+++ b/internal/scenario/generated_faults_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/datadriven"
 
 	"coralhub/internal/core/msg"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -55,9 +55,9 @@
 }
 
 const (
-	patience       = 2 * standin.Second // how long a node waits for the state service
-	callPatience   = 3 * standin.Second // and for a worker
-	reportPatience = 4 * standin.Second // how long a worker waits for a node
+	patience       = 2 * emulator.Second // how long a node waits for the state service
+	callPatience   = 3 * emulator.Second // and for a worker
+	reportPatience = 4 * emulator.Second // how long a worker waits for a node
 )
 
 // fate is what becomes of a message.
@@ -72,7 +72,7 @@
 )
 
 // draw picks a fate by the shares of each, and how long it takes.
-func (w *weather) draw(late, lost, slow float64, least, most standin.Micros) (fate, standin.Micros) {
+func (w *weather) draw(late, lost, slow float64, least, most emulator.Micros) (fate, emulator.Micros) {
 	switch x := w.rnd.Float64(); {
 	case x < late:
 		return lateAct, w.between(least, most)
@@ -85,11 +85,11 @@
 }
 
 // between draws a time in whole ticks.
-func (w *weather) between(least, most standin.Micros) standin.Micros {
+func (w *weather) between(least, most emulator.Micros) emulator.Micros {
 	return least + w.rnd.Int64N((most-least)/tick+1)*tick
 }
 
-func (w *weather) commit(t *wire.Commit) (fate, standin.Micros) {
+func (w *weather) commit(t *wire.Transaction) (fate, emulator.Micros) {
 	if w == nil {
 		return prompt, 0
 	}
@@ -99,40 +99,40 @@
 	if len(t.Changes) == 0 { // one without an answer tells nothing, whenever it takes effect
 		return w.draw(0, w.lostWrites, w.slowWrites, 0, 0)
 	}
-	return w.draw(w.lateWrites, w.lostWrites, w.slowWrites, 2*standin.Second, 12*standin.Second)
+	return w.draw(w.lateWrites, w.lostWrites, w.slowWrites, 2*emulator.Second, 12*emulator.Second)
 }
 
-func (w *weather) command() (fate, standin.Micros) {
+func (w *weather) command() (fate, emulator.Micros) {
 	if w == nil {
 		return prompt, 0
 	}
-	return w.draw(w.heldCalls, w.lostCalls, w.heldCalls, standin.Second, 9*standin.Second)
+	return w.draw(w.heldCalls, w.lostCalls, w.heldCalls, emulator.Second, 9*emulator.Second)
 }
 
 // report draws how long a report and its answer take.
-func (w *weather) report() (there, back standin.Micros) {
+func (w *weather) report() (there, back emulator.Micros) {
 	if w == nil || w.rnd.Float64() >= w.slowReports {
 		return 0, 0
 	}
-	return w.between(0, 3*standin.Second), w.between(tick, 3*standin.Second)
+	return w.between(0, 3*emulator.Second), w.between(tick, 3*emulator.Second)
 }
 
 // copies draws whether a copy of a report comes again, and when.
-func (w *weather) copies(lease standin.Micros) (again bool, after standin.Micros) {
+func (w *weather) copies(lease emulator.Micros) (again bool, after emulator.Micros) {
 	if w == nil || w.lateCopies == 0 || w.rnd.Float64() >= w.lateCopies {
 		return false, 0
 	}
-	return true, w.between(2*standin.Second, 3*lease)
+	return true, w.between(2*emulator.Second, 3*lease)
 }
 
-func (w *weather) slowNews() standin.Micros {
+func (w *weather) slowNews() emulator.Micros {
 	if w == nil || w.rnd.Float64() >= w.slowWatch {
 		return 0
 	}
 	return w.between(tick, patience)
 }
 
-func (w *weather) slowBeat() standin.Micros {
+func (w *weather) slowBeat() emulator.Micros {
 	if w == nil || w.rnd.Float64() >= w.slowBeats {
 		return 0
 	}
@@ -141,20 +141,20 @@
 
 // due is something that happens later.
 type due struct {
-	at standin.Micros
+	at emulator.Micros
 	do func()
 }
 
 // news is what a node's watch hears, on its way to it.
 type news struct {
-	at standin.Micros
+	at emulator.Micros
 	in msg.Input
 }
 
 // in has something happen after a while.
-func (s *Sim) in(after standin.Micros, do func()) {
+func (s *Sim) in(after emulator.Micros, do func()) {
 	at := s.now + after
-	i, _ := slices.BinarySearchFunc(s.later, at, func(d due, at standin.Micros) int {
+	i, _ := slices.BinarySearchFunc(s.later, at, func(d due, at emulator.Micros) int {
 		if d.at <= at { // what was asked for earlier comes first
 			return -1
 		}
@@ -164,7 +164,7 @@
 }
 
 // reply hands an answer to a node after a while, unless its process has ended by then.
-func (s *Sim) reply(n *node, after standin.Micros, in msg.Input) {
+func (s *Sim) reply(n *node, after emulator.Micros, in msg.Input) {
 	if after <= 0 {
 		s.post(n, in)
 		return
@@ -188,9 +188,9 @@
 }
 
 // commitLate carries out a transaction whose sender has given up.
-func (s *Sim) commitLate(t wire.Commit) {
+func (s *Sim) commitLate(t wire.Transaction) {
 	if s.state.Down {
-		s.in(standin.Second, func() { s.commitLate(t) })
+		s.in(emulator.Second, func() { s.commitLate(t) })
 		return
 	}
 	s.guarded(&t)
@@ -198,11 +198,11 @@
 }
 
 // commitSlowly carries out a transaction after a while, and answers then.
-func (s *Sim) commitSlowly(n *node, x msg.Commit, after standin.Micros) {
+func (s *Sim) commitSlowly(n *node, x msg.Commit, after emulator.Micros) {
 	core := n.core
 	s.in(after, func() {
-		s.guarded(&x.Txn)
-		status, a := s.state.Commit(x.Txn)
+		s.guarded(&x.Transaction)
+		status, a := s.state.Commit(x.Transaction)
 		if n.alive && n.core == core {
 			s.post(n, msg.CommitDone{ID: x.ID, Outcome: outcome(status, a.Error), Revision: a.Revision, Failed: a.Failed})
 			s.settle()
@@ -212,23 +212,23 @@
 
 // runLate carries out a direct command whose sender has given up, once its machine is awake
 // and is reached.
-func (s *Sim) runLate(machine string, run func() (int, wire.Report)) {
+func (s *Sim) runLate(machine string, run func() (int, wire.Heartbeat)) {
 	m := s.world.Machines[machine]
 	if m == nil {
 		return
 	}
-	if m.Hang || m.Deaf == "hold" {
+	if m.Hang || m.InboundLost == "hold" {
 		s.in(tick, func() { s.runLate(machine, run) })
 		return
 	}
-	if m.Deaf == "" {
+	if m.InboundLost == "" {
 		run()
 	}
 }
 
 // slowReport has a report come after a while, and its answer after another. The worker gives
 // up after its patience, and the report comes all the same.
-func (s *Sim) slowReport(n *node, m *standin.Machine, r wire.Report, there, back standin.Micros) {
+func (s *Sim) slowReport(n *node, m *emulator.Machine, r wire.Heartbeat, there, back emulator.Micros) {
 	sent, core, open := s.now, n.core, true
 	m.Wait(true)
 	// over tells whether the worker still waits for the answer to this report.
@@ -250,17 +250,17 @@
 			return
 		}
 		if over() {
-			s.answered(n, m, &r, sent, msg.Answer{})
+			s.answered(n, m, &r, sent, msg.Respond{})
 		}
 	}
 	s.in(reportPatience, giveUp)
 	s.in(there, func() {
-		if !n.alive || n.core != core || n.cut["workers"] != "" || !s.reaches(n, m) || m.Mute {
+		if !n.alive || n.core != core || n.cut["workers"] != "" || !s.reaches(n, m) || m.OutboundLost {
 			return
 		}
 		s.req++
 		req := s.req
-		s.post(n, msg.ReportIn{Req: req, Report: r})
+		s.post(n, msg.HeartbeatIn{RequestID: req, Heartbeat: r})
 		s.settle()
 		a, ok := n.answers[req]
 		delete(n.answers, req)
@@ -284,25 +284,25 @@
 	req      uint64
 	at       *node // whom it has asked
 	core     any
-	sent     standin.Micros
-	next     standin.Micros
+	sent     emulator.Micros
+	next     emulator.Micros
 	tries    int
-	answered standin.Micros // when it last had an answer that tells something
+	answered emulator.Micros // when it last had an answer that tells something
 }
 
 const (
-	pollWait   = 2 * standin.Second
-	pollEvery  = 5 * standin.Second
-	cancelWait = 5 * standin.Second
+	pollWait   = 2 * emulator.Second
+	pollEvery  = 5 * emulator.Second
+	cancelWait = 5 * emulator.Second
 )
 
 // patience is how long a user waits for an answer, and then before it asks again.
-func (u *user) patience() (wait, every standin.Micros) {
+func (u *user) patience() (wait, every emulator.Micros) {
 	switch {
 	case u.left > 0:
 		return pollWait, 0
 	case u.cancel || u.again:
-		return cancelWait, standin.Second
+		return cancelWait, emulator.Second
 	}
 	return pollWait, pollEvery
 }
@@ -348,11 +348,11 @@
 		u.req, u.at, u.core, u.sent, u.floor = s.req, n, n.core, s.now, s.told[u.id]
 		switch {
 		case u.cancel:
-			s.post(n, msg.CancelIn{Req: u.req, ID: u.id})
+			s.post(n, msg.CancelIn{RequestID: u.req, JobID: u.id})
 		case u.again:
 			s.post(n, s.submission(s.world.Jobs[u.id])(u.req))
 		default:
-			s.post(n, msg.PollIn{Req: u.req, ID: u.id})
+			s.post(n, msg.PollIn{RequestID: u.req, JobID: u.id})
 		}
 		if s.looks == nil {
 			s.settle()
@@ -375,7 +375,7 @@
 		}
 		u.next = s.now + every
 	case s.now-u.sent >= wait || !u.at.alive || any(u.at.core) != u.core:
-		u.next = s.now + standin.Second
+		u.next = s.now + emulator.Second
 	default:
 		return false
 	}
--- a/internal/scenario/guards_test.go
+++ b/internal/scenario/guards_test.go
@@ -21,15 +21,15 @@
 }
 
 // allGuarded checks that a transaction has the guards that its keys ask for.
-func (s *Sim) allGuarded(t *wire.Commit) {
+func (s *Sim) allGuarded(t *wire.Transaction) {
 	by := map[string]bool{}
-	for _, g := range t.Guards {
+	for _, g := range t.Conditions {
 		by[g.Key] = true
 	}
 	for _, c := range t.Changes {
 		key := c.Put + c.Delete
 		for prefix, need := range guards {
-			if strings.HasPrefix(key, job.Root+prefix) && (need.own && !by[key] || need.claim && !by[job.Root+"leader"]) {
+			if strings.HasPrefix(key, job.KeyRoot+prefix) && (need.own && !by[key] || need.claim && !by[job.KeyRoot+"leader"]) {
 				s.world.Broken = append(s.world.Broken, "written without its guards: "+key)
 			}
 		}
@@ -39,14 +39,14 @@
 // guarded checks what a scenario can hardly bring about: that a transaction
 // which places tasks can't take effect once its sender's claim is gone, and that
 // no task is placed that has a place. It tells whether any is placed.
-func (s *Sim) guarded(t *wire.Commit) (places bool) {
+func (s *Sim) guarded(t *wire.Transaction) (places bool) {
 	s.allGuarded(t)
 	claimed := false
-	for _, g := range t.Guards {
+	for _, g := range t.Conditions {
 		if s.state.Get(g.Key).Version != g.Version {
 			return false // it fails anyway
 		}
-		claimed = claimed || g.Key == job.Root+"leader" && g.Version != 0
+		claimed = claimed || g.Key == job.KeyRoot+"leader" && g.Version != 0
 	}
 	for i := range t.Changes {
 		c := &t.Changes[i]
@@ -82,35 +82,35 @@
 }
 
 // sharedPrefix is where pages of shared parts are.
-const sharedPrefix = job.Root + "placed/"
+const sharedPrefix = job.KeyRoot + "placed/"
 
 // placesInPage checks a page of shared parts that is written, and tells whether it places tasks: each
 // job's record has to be guarded, and no task may have a place, by whichever value.
-func (s *Sim) placesInPage(c *wire.Change, t *wire.Commit) (placed bool) {
-	was, err := records.DecodeShared(s.state.Get(c.Put).Value)
-	is, wrong := records.DecodeShared(c.Value)
+func (s *Sim) placesInPage(c *wire.Change, t *wire.Transaction) (placed bool) {
+	was, err := records.DecodePlacementPage(s.state.Get(c.Put).Value)
+	is, wrong := records.DecodePlacementPage(c.Value)
 	if wrong != nil || err != nil && s.state.Get(c.Put).Version != 0 {
 		s.world.Broken = append(s.world.Broken, "unreadable value for "+c.Put)
 		return false
 	}
-	had := map[job.Key]bool{}
+	had := map[job.AttemptKey]bool{}
 	for i := range was {
 		for _, o := range was[i].Open {
-			had[o.Key(was[i].Job)] = true
+			had[o.AttemptKey(was[i].Job)] = true
 		}
 	}
 	var stored *places
 	for i := range is {
 		p := &is[i]
 		for _, o := range p.Open {
-			if had[o.Key(p.Job)] {
+			if had[o.AttemptKey(p.Job)] {
 				continue
 			}
 			if stored == nil {
 				stored = s.places()
 			}
 			placed = true
-			if !slices.ContainsFunc(t.Guards, func(g wire.Guard) bool { return g.Key == job.RecordKey(p.Job) }) {
+			if !slices.ContainsFunc(t.Conditions, func(g wire.Condition) bool { return g.Key == job.RecordKey(p.Job) }) {
 				s.world.Broken = append(s.world.Broken, "placed without a guard on its record: "+p.Job+" in "+c.Put)
 			}
 			if where := stored.of(s, p.Job, o.Task); where != "" {
@@ -123,24 +123,24 @@
 
 // places is what pages and the log of ended attempts say by all that is stored.
 type places struct {
-	ended map[records.Ended]bool
-	pages map[job.Key]string // by job and task: the page that has it open
+	ended map[records.CompletionEntry]bool
+	pages map[job.AttemptKey]string // by job and task: the page that has it open
 }
 
 func (s *Sim) places() *places {
-	p := &places{ended: map[records.Ended]bool{}, pages: map[job.Key]string{}}
-	for _, it := range s.state.List(job.Root + "ended/") {
-		lines, _ := records.DecodePage(it.Value) // what can't be read shows elsewhere
+	p := &places{ended: map[records.CompletionEntry]bool{}, pages: map[job.AttemptKey]string{}}
+	for _, it := range s.state.List(job.KeyRoot + "ended/") {
+		lines, _ := records.DecodeCompletionPage(it.Value) // what can't be read shows elsewhere
 		for _, l := range lines {
-			p.ended[records.Ended{Job: l.Job, Task: l.Task, Attempt: l.Attempt, Machine: l.Machine}] = true
+			p.ended[records.CompletionEntry{Job: l.Job, Task: l.Task, Attempt: l.Attempt, Machine: l.Machine}] = true
 		}
 	}
 	for _, it := range s.state.List(sharedPrefix) {
-		parts, _ := records.DecodeShared(it.Value)
+		parts, _ := records.DecodePlacementPage(it.Value)
 		for i := range parts {
 			for _, o := range parts[i].Open {
 				if p.isOpen(parts[i].Job, &o) {
-					p.pages[job.Key{Job: parts[i].Job, Task: o.Task}] = it.Key
+					p.pages[job.AttemptKey{Job: parts[i].Job, Task: o.Task}] = it.Key
 				}
 			}
 		}
@@ -149,16 +149,16 @@
 }
 
 func (p *places) isOpen(id string, o *job.Placement) bool {
-	return !p.ended[records.Ended{Job: id, Task: o.Task, Attempt: o.Attempt, Machine: o.Machine}]
+	return !p.ended[records.CompletionEntry{Job: id, Task: o.Task, Attempt: o.Attempt, Machine: o.Machine}]
 }
 
 // of finds the value that has a task open; "": none has.
 func (p *places) of(s *Sim, id string, task int) string {
-	if page := p.pages[job.Key{Job: id, Task: task}]; page != "" {
+	if page := p.pages[job.AttemptKey{Job: id, Task: task}]; page != "" {
 		return page
 	}
-	n := task / job.PartTasks
-	for _, key := range []string{job.RecordKey(id), job.PartKey(id, n), job.PartKey(id, n+1)} {
+	n := task / job.TasksPerShard
+	for _, key := range []string{job.RecordKey(id), job.ShardKey(id, n), job.ShardKey(id, n+1)} {
 		var rec job.Record
 		if job.DecodeRecord(s.state.Get(key).Value, &rec) != nil {
 			continue // absent
--- a/internal/scenario/idle_test.go
+++ b/internal/scenario/idle_capacity_test.go
@@ -4,16 +4,16 @@
 	"fmt"
 
 	"coralhub/internal/core/job"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
 // idle notes since when jobs wait though there is room for them. It is reckoned from the records
 // and the machines alone, with no question to any node: no node's own opinion of a machine counts.
-type idle map[string]standin.Micros
+type idle map[string]emulator.Micros
 
 // idleLimit is how long that may last once all troubles are over.
-const idleLimit = 90 * standin.Second
+const idleLimit = 90 * emulator.Second
 
 // look looks at all jobs, and returns those that have waited too long.
 func (w idle) look(s *Sim) (wrong []string) {
@@ -43,7 +43,7 @@
 // openByRecords reads all records as they are committed.
 func (s *Sim) openByRecords() map[string]*openJob {
 	out := map[string]*openJob{}
-	for _, it := range s.state.List(job.Root) {
+	for _, it := range s.state.List(job.KeyRoot) {
 		id, n, ok := job.ParseKey(it.Key)
 		if !ok {
 			continue
@@ -51,15 +51,15 @@
 		if out[id] == nil {
 			out[id] = &openJob{}
 		}
-		var part job.Part
+		var part job.Shard
 		if n == 0 {
 			var rec job.Record
 			if job.DecodeRecord(it.Value, &rec) != nil {
 				continue
 			}
-			out[id].known, out[id].over = true, rec.Final() || rec.Cancel
-			part = rec.Part
-		} else if job.DecodePart(it.Value, &part) != nil {
+			out[id].known, out[id].over = true, rec.Final() || rec.CancelRequested
+			part = rec.Shard
+		} else if job.DecodeShard(it.Value, &part) != nil {
 			continue
 		}
 		out[id].on = append(out[id].on, part.Open...)
--- a/internal/scenario/troubles_test.go
+++ b/internal/scenario/lossy_links_test.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"coralhub/internal/core/msg"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -13,18 +13,18 @@
 // leases later, to whichever node.
 type copies struct {
 	kept []copied
-	late standin.Micros // the oldest that still comes
+	late emulator.Micros // the oldest that still comes
 }
 
 type copied struct {
-	at     standin.Micros
-	report wire.Report
+	at     emulator.Micros
+	report wire.Heartbeat
 }
 
 // mostCopies bounds what is kept of a large fleet.
 const mostCopies = 20_000
 
-func (c *copies) keep(now standin.Micros, r *wire.Report) {
+func (c *copies) keep(now emulator.Micros, r *wire.Heartbeat) {
 	if c == nil {
 		return
 	}
@@ -62,10 +62,10 @@
 }
 
 // repeat delivers one report once more.
-func (s *Sim) repeat(n *node, r *wire.Report) msg.Answer {
+func (s *Sim) repeat(n *node, r *wire.Heartbeat) msg.Respond {
 	s.req++
 	req := s.req
-	s.post(n, msg.ReportIn{Req: req, Report: *r})
+	s.post(n, msg.HeartbeatIn{RequestID: req, Heartbeat: *r})
 	s.settle()
 	a := n.answers[req]
 	delete(n.answers, req)
@@ -75,22 +75,22 @@
 // trouble is one of the later kinds of troubles.
 func (s *Sim) trouble(n *node, rnd *rand.Rand) {
 	names := s.world.Names()
-	machine := func() *standin.Machine { return s.world.Machines[names[rnd.IntN(len(names))]] }
+	machine := func() *emulator.Machine { return s.world.Machines[names[rnd.IntN(len(names))]] }
 	switch rnd.IntN(6) {
 	case 0: // a machine is not reached any more, or again
 		if len(names) == 0 {
 			return
 		}
-		if m := machine(); m.Deaf == "" {
-			m.Deaf = []string{"drop", "hold"}[rnd.IntN(2)]
+		if m := machine(); m.InboundLost == "" {
+			m.InboundLost = []string{"drop", "hold"}[rnd.IntN(2)]
 		} else {
-			m.Deaf = ""
+			m.InboundLost = ""
 		}
 	case 1:
 		s.again(n, rnd, 1+rnd.IntN(30))
 	case 2: // a node is back in a moment
 		n.alive = false
-		s.Run(standin.Micros(1+rnd.IntN(9)) * tick)
+		s.Run(emulator.Micros(1+rnd.IntN(9)) * tick)
 		s.start(n)
 		if rnd.IntN(2) == 0 {
 			s.again(n, rnd, 1+rnd.IntN(30))
@@ -100,7 +100,7 @@
 			x.alive = false
 		}
 		for _, i := range rnd.Perm(len(s.nodes)) {
-			s.Run(standin.Micros(rnd.IntN(5)) * tick)
+			s.Run(emulator.Micros(rnd.IntN(5)) * tick)
 			s.start(s.nodes[i])
 			s.again(s.nodes[i], rnd, rnd.IntN(10))
 		}
@@ -109,7 +109,7 @@
 		n.cut["state"], n.cut["peers"] = mode, mode
 	case 5: // a machine is back in a moment
 		if len(names) > 0 {
-			s.world.Restart(s.now, standin.Micros(1+rnd.IntN(9))*tick, machine(), false)
+			s.world.Restart(s.now, emulator.Micros(1+rnd.IntN(9))*tick, machine(), false)
 		}
 	}
 }
--- a/internal/scenario/standing_test.go
+++ b/internal/scenario/preemption_test.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"testing"
 
-	"coralhub/internal/core/standing"
-	"coralhub/internal/standin"
+	"coralhub/internal/core/preemption"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -37,12 +37,12 @@
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	s := newSimFor(5, 1, 0, held)
 	s.announced = false
-	s.world.Lease = 12 * standin.Second // what is lost without a leader is no yielding
+	s.world.Lease = 12 * emulator.Second // what is lost without a leader is no yielding
 	for _, n := range s.nodes {
 		s.start(n)
 	}
-	s.Run(3 * standin.Second)
-	filler := &standin.JobIn{Run: 900 * standin.Second}
+	s.Run(3 * emulator.Second)
+	filler := &emulator.SubmittedJob{Run: 900 * emulator.Second}
 	filler.Job = wire.Job{ID: "j-1", Class: "idle", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 16, CPUs: 16, MemoryGB: 1,
 		Image: "i", ImageGB: 1, EstimateS: 900, CheckpointS: 3, SaveS: 3}
 	s.Submit(s.nodes[0], filler)
@@ -52,11 +52,11 @@
 		}
 		s.Run(tick)
 	}
-	s.Run(5 * standin.Second)
+	s.Run(5 * emulator.Second)
 	var gangs []string
 	places := 0
 	for i := range 1 + rnd.IntN(3) {
-		g := &standin.JobIn{Run: 900 * standin.Second}
+		g := &emulator.SubmittedJob{Run: 900 * emulator.Second}
 		g.Job = wire.Job{ID: fmt.Sprintf("j-2%d", i), Class: "urgent", Team: "red", Shape: wire.Gang, Priority: wire.Production, Tasks: 1 + rnd.IntN(4),
 			CPUs: 16, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 900}
 		gangs = append(gangs, g.ID)
@@ -66,14 +66,14 @@
 	// Two of the five die, so that there is always somebody to lead.
 	for range 2 {
 		if rnd.IntN(2) == 0 {
-			s.strike = strike{standing.Prefix, rnd.IntN(2) == 0}
+			s.strike = strike{preemption.KeyPrefix, rnd.IntN(2) == 0}
 		}
-		s.Run(standin.Micros(rnd.IntN(50)) * tick)
+		s.Run(emulator.Micros(rnd.IntN(50)) * tick)
 		s.strike = strike{}
 		if n := s.node(s.Leader()); n.alive {
 			n.alive = false
 		}
-		s.Run(standin.Micros(rnd.IntN(60)) * tick)
+		s.Run(emulator.Micros(rnd.IntN(60)) * tick)
 		for _, n := range s.nodes {
 			if !n.alive {
 				s.start(n)
@@ -94,7 +94,7 @@
 		}
 		s.Run(tick)
 	}
-	s.Run(15 * standin.Second)
+	s.Run(15 * emulator.Second)
 	for _, b := range s.world.Broken {
 		t.Errorf("seed %d: %s", seed, b)
 	}
--- a/internal/scenario/runner_test.go
+++ b/internal/scenario/runner_test.go
@@ -15,24 +15,24 @@
 	"coralhub/internal/core"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/node/keep"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
+	"coralhub/internal/node/leaserenewal"
 	"coralhub/wire"
 )
 
-const tick = standin.Second / 10
+const tick = emulator.Second / 10
 
 // Sim is the world of a script.
 type Sim struct {
-	now    standin.Micros
-	state  *standin.State
-	world  *standin.World
+	now    emulator.Micros
+	state  *emulator.State
+	world  *emulator.Environment
 	nodes  []*node
 	req    uint64
 	inbox  []delivery
 	held   []func()
-	told   map[string]string         // what users were told last
-	known  map[string]standin.Micros // when somebody was first told that a job is accepted
+	told   map[string]string          // what users were told last
+	known  map[string]emulator.Micros // when somebody was first told that a job is accepted
 	limits map[string]float64
 	scale  int     // how many times the machines and teams' limits of a script
 	quota  float64 // changes a second that the state service takes; 0: any number
@@ -40,9 +40,9 @@
 	// The settings tell of the state service's coming limits.
 	announced bool
 	seeds     uint64
-	late      wire.Report // held back by a script
-	effects   hash.Hash64 // of all that nodes have done, if anybody wants to know
-	copies    *copies     // of reports, to come again; nil: none are kept
+	late      wire.Heartbeat // held back by a script
+	effects   hash.Hash64    // of all that nodes have done, if anybody wants to know
+	copies    *copies        // of reports, to come again; nil: none are kept
 	strike    strike
 	weather   *weather         // nil: everything takes no time, and nothing is late
 	later     []due            // what comes late, in the order of its time
@@ -61,7 +61,7 @@
 }
 
 // hits tells whether a transaction is the one.
-func (k strike) hits(t *wire.Commit) bool {
+func (k strike) hits(t *wire.Transaction) bool {
 	return k.under != "" && slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put, k.under) })
 }
 
@@ -69,16 +69,16 @@
 	name     string
 	core     *core.Core
 	alive    bool
-	born     standin.Micros
+	born     emulator.Micros
 	held     bool              // to the first format, as during an upgrade
 	unshared bool              // it is set not to place tasks of many jobs by one change
 	cut      map[string]string // link -> "drop" or "hold"
 	rev      uint64
-	answers  map[uint64]msg.Answer
+	answers  map[uint64]msg.Respond
 	relist   bool
-	busy     standin.Micros // its loop is at one long step until then
-	backlog  []msg.Input    // what has come meanwhile
-	keeper   *keep.Keeper
+	busy     emulator.Micros // its loop is at one long step until then
+	backlog  []msg.Input     // what has come meanwhile
+	keeper   *leaserenewal.Renewer
 	news     *news // the answer to its watch, on its way
 }
 
@@ -115,8 +115,8 @@
 // newSimFor does the same for a change of the state service's limits, with some
 // nodes held to the first format; nil: no such change.
 func newSimFor(nodes, scale int, quota float64, held []string) *Sim {
-	s := &Sim{announced: held != nil, now: standin.Second, state: standin.NewState(), world: standin.NewWorld(), scale: scale, quota: quota,
-		told: map[string]string{}, known: map[string]standin.Micros{}, only: map[string]*node{}, limits: map[string]float64{"red": float64(24 * scale), "blue": float64(8 * scale)}}
+	s := &Sim{announced: held != nil, now: emulator.Second, state: emulator.NewState(), world: emulator.NewEnvironment(), scale: scale, quota: quota,
+		told: map[string]string{}, known: map[string]emulator.Micros{}, only: map[string]*node{}, limits: map[string]float64{"red": float64(24 * scale), "blue": float64(8 * scale)}}
 	for z := range s.world.Capacity {
 		s.world.Capacity[z] *= scale
 	}
@@ -135,7 +135,7 @@
 	c := &config.Config{Settings: config.Defaults()}
 	c.Node, c.Location = name, location(name)
 	c.Settings.HoldFormat = s.node(name).held
-	c.Settings.SharedParts = !s.node(name).unshared
+	c.Settings.PlacementPages = !s.node(name).unshared
 	for _, n := range s.nodes {
 		if n.name != name {
 			c.Peers = append(c.Peers, config.Peer{Node: n.name, Location: location(n.name)})
@@ -145,7 +145,7 @@
 		Zones: []string{"a", "b"},
 		Teams: []config.Team{{Name: "red", GPUs: s.limits["blue"], GPUsMax: s.limits["red"]},
 			{Name: "blue", GPUs: s.limits["blue"], GPUsMax: s.limits["blue"]}},
-		Workers: config.Workers{ReportS: float64(max(s.world.ReportEvery, standin.Second)) / 1e6, LeaseS: float64(s.world.Lease) / 1e6, GangWaitS: float64(s.world.GangWait) / 1e6,
+		Workers: config.Workers{ReportS: float64(max(s.world.ReportEvery, emulator.Second)) / 1e6, LeaseS: float64(s.world.Lease) / 1e6, GangWaitS: float64(s.world.GangWait) / 1e6,
 			GangPeerS: 2, CancelS: float64(s.world.CancelIn) / 1e6},
 		State: config.State{RPS: 100, WriteRPS: 50, ValueKB: 4, TxnOps: 8},
 		Cloud: config.Cloud{RPS: 10, ListLagS: 2},
@@ -167,8 +167,8 @@
 func (s *Sim) start(n *node) {
 	s.seeds++
 	n.core = core.New(s.config(n.name), s.seeds*7919)
-	n.alive, n.born, n.relist, n.answers = true, s.now, true, map[uint64]msg.Answer{}
-	n.busy, n.backlog, n.keeper, n.news = 0, nil, &keep.Keeper{}, nil
+	n.alive, n.born, n.relist, n.answers = true, s.now, true, map[uint64]msg.Respond{}
+	n.busy, n.backlog, n.keeper, n.news = 0, nil, &leaserenewal.Renewer{}, nil
 }
 
 func (s *Sim) node(name string) *node {
@@ -215,10 +215,10 @@
 }
 
 // Run lets time pass.
-func (s *Sim) Run(d standin.Micros) {
+func (s *Sim) Run(d emulator.Micros) {
 	for end := s.now + d; s.now < end; {
 		s.now += tick
-		s.tokens = min(s.quota, s.tokens+s.quota*float64(tick)/float64(standin.Second))
+		s.tokens = min(s.quota, s.tokens+s.quota*float64(tick)/float64(emulator.Second))
 		s.state.Expire(s.now)
 		s.world.Tick(s.now)
 		s.comeLate()
@@ -236,7 +236,7 @@
 				s.settle()
 				s.follow(n)
 				s.hear(n)
-				s.post(n, msg.Tick{Wall: s.now})
+				s.post(n, msg.Tick{WallClock: s.now})
 				s.settle()
 			}
 			if s.looks != nil { // between what one node does and the next
@@ -244,7 +244,7 @@
 			}
 		}
 		s.ask()
-		if s.now%standin.Second < tick { // a second's work has been added up piece by piece
+		if s.now%emulator.Second < tick { // a second's work has been added up piece by piece
 			for _, n := range s.nodes {
 				if err := n.core.Audit(); n.alive && err != nil {
 					s.world.Broken = append(s.world.Broken, "survey of "+n.name+": "+err.Error())
@@ -268,12 +268,12 @@
 
 // renew renews a lease for a node.
 func (s *Sim) renew(n *node, lease uint64) {
-	d := msg.LeaseDone{Outcome: msg.Refused, Lease: lease, Renewal: true}
+	d := msg.LeaseDone{Outcome: msg.Refused, Lease: lease, IsRenewal: true}
 	if n.cut["state"] == "" {
 		d.Outcome = outcome(s.state.Extend(s.now, lease), "")
 	}
 	if d.Outcome == msg.Gone {
-		n.keeper.Drop(lease)
+		n.keeper.Release(lease)
 	}
 	s.post(n, d)
 }
@@ -282,7 +282,7 @@
 func (s *Sim) hear(n *node) {
 	for _, p := range s.nodes {
 		if p != n && p.alive && s.peers(n, p) == "" {
-			s.post(n, msg.PeerHeard{Node: p.name})
+			s.post(n, msg.PeerAlive{Node: p.name})
 		}
 	}
 }
@@ -304,11 +304,11 @@
 	if n.relist {
 		n.relist = false
 		n.rev = s.state.Revision()
-		in = msg.Snapshot{Items: s.state.List(job.Root), Revision: n.rev}
+		in = msg.Snapshot{Items: s.state.List(job.KeyRoot), Revision: n.rev}
 	} else {
-		evs := s.state.Since(job.Root, n.rev)
+		evs := s.state.Since(job.KeyRoot, n.rev)
 		n.rev = s.state.Revision()
-		in = msg.Changed{Events: evs, AsOf: s.now - n.born + 1}
+		in = msg.Changed{Events: evs, CurrentAt: s.now - n.born + 1}
 	}
 	if d := s.weather.slowNews(); d > 0 {
 		n.news = &news{s.now + d, in}
@@ -323,7 +323,7 @@
 	var c struct {
 		Node string `msgpack:"node"`
 	}
-	it := s.state.Get(job.Root + "leader")
+	it := s.state.Get(job.KeyRoot + "leader")
 	if it.Version == 0 || job.Decode(it.Value, &c) != nil {
 		return "none"
 	}
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -7,7 +7,7 @@
 	"coralhub/internal/core"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -21,9 +21,9 @@
 // their team's limit, and its leader and another node.
 func busy(tb testing.TB, scale int) (s *Sim, leader, other *node) {
 	s = newSim(3, scale, 0)
-	s.Run(3 * standin.Second)
+	s.Run(3 * emulator.Second)
 	for i := range 3 * scale {
-		j := &standin.JobIn{Run: 1000 * standin.Second}
+		j := &emulator.SubmittedJob{Run: 1000 * emulator.Second}
 		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: 8,
 			CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 1000}
 		if i%10 == 9 {
@@ -33,7 +33,7 @@
 			tb.Fatalf("not accepted: %v", a)
 		}
 	}
-	s.Run(15 * standin.Second)
+	s.Run(15 * emulator.Second)
 	leader = s.node(s.Leader())
 	for _, n := range s.nodes {
 		if n != leader {
@@ -47,9 +47,9 @@
 }
 
 // stepper hands inputs to a node at ever later times.
-func (s *Sim) stepper(n *node) func(standin.Micros, msg.Input) []msg.Effect {
+func (s *Sim) stepper(n *node) func(emulator.Micros, msg.Input) []msg.Effect {
 	at := s.now - n.born + 1
-	return func(after standin.Micros, in msg.Input) []msg.Effect {
+	return func(after emulator.Micros, in msg.Input) []msg.Effect {
 		at += after
 		return n.core.Step(at, in)
 	}
@@ -58,7 +58,7 @@
 // reporter returns a report of a machine that repeats what it said before.
 func (s *Sim) reporter() func() msg.Input {
 	m := s.world.Machines[s.world.Names()[0]]
-	return func() msg.Input { return msg.ReportIn{Req: 1, Report: m.Status(), Forwarded: true} }
+	return func() msg.Input { return msg.HeartbeatIn{RequestID: 1, Heartbeat: m.Status(), Forwarded: true} }
 }
 
 // news returns a new version of the record of a job that waits.
@@ -98,7 +98,7 @@
 func BenchmarkPass(b *testing.B) {
 	atBothSizes(b, func(s *Sim, leader, _ *node) func() {
 		step, news := s.stepper(leader), s.news(b)
-		return func() { step(100*1000, msg.Hint{Event: news()}) }
+		return func() { step(100*1000, msg.PeerUpdate{Change: news()}) }
 	})
 }
 
@@ -112,9 +112,9 @@
 // BenchmarkTakeover reads all records, claims and reads them again.
 func BenchmarkTakeover(b *testing.B) {
 	atBothSizes(b, func(s *Sim, _, other *node) func() {
-		var kept []wire.Item
-		for _, it := range s.state.List(job.Root) {
-			if it.Key != job.Root+"leader" {
+		var kept []wire.KeyValue
+		for _, it := range s.state.List(job.KeyRoot) {
+			if it.Key != job.KeyRoot+"leader" {
 				kept = append(kept, it)
 			}
 		}
@@ -122,12 +122,12 @@
 		return func() {
 			c := core.New(s.config(other.name), 0)
 			c.Step(1, msg.Snapshot{Items: kept, Revision: rev})
-			c.Step(standin.Second, msg.Tick{Wall: s.now})
+			c.Step(emulator.Second, msg.Tick{WallClock: s.now})
 			ready := false
-			for _, e := range c.Step(standin.Second+1, msg.LeaseDone{Outcome: msg.OK, Lease: 99}) {
+			for _, e := range c.Step(emulator.Second+1, msg.LeaseDone{Outcome: msg.OK, Lease: 99}) {
 				if claim, ok := e.(msg.Commit); ok {
-					c.Step(standin.Second+2, msg.CommitDone{ID: claim.ID, Outcome: msg.OK, Revision: rev + 1})
-					c.Step(standin.Second+3, msg.Snapshot{Items: kept, Revision: rev + 1})
+					c.Step(emulator.Second+2, msg.CommitDone{ID: claim.ID, Outcome: msg.OK, Revision: rev + 1})
+					c.Step(emulator.Second+3, msg.Snapshot{Items: kept, Revision: rev + 1})
 					ready = true
 				}
 			}
@@ -146,7 +146,7 @@
 		s, leader, _ := busy(t, size.scale)
 		step, next := s.stepper(leader), s.reporter()
 		report[i] = testing.AllocsPerRun(200, func() { step(1, next()) })
-		quiet[i] = testing.AllocsPerRun(5, func() { step(1, msg.PeerHeard{Node: "n9"}) })
+		quiet[i] = testing.AllocsPerRun(5, func() { step(1, msg.PeerAlive{Node: "n9"}) })
 	}
 	if report[1] > report[0]*1.1+2 {
 		t.Errorf("a report takes %v allocations at the earlier size and %v at the grown one", report[0], report[1])
@@ -164,10 +164,10 @@
 	var records [2]int
 	for i, tasks := range []int{3, 30} {
 		s := newSim(3, 24, 0)
-		s.Run(3 * standin.Second)
+		s.Run(3 * emulator.Second)
 		began := s.now
 		for k := range jobs {
-			j := &standin.JobIn{Run: 2 * standin.Second, Steps: standin.Second / 2}
+			j := &emulator.SubmittedJob{Run: 2 * emulator.Second, Steps: emulator.Second / 2}
 			j.Job = wire.Job{ID: fmt.Sprintf("j-%d", k), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
 				CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 2}
 			s.Submit(s.nodes[0], j)
@@ -177,10 +177,10 @@
 				break
 			}
 		}
-		s.Run(5 * standin.Second)
-		seconds := int((s.now - began) / standin.Second)
-		records[i] = len(s.state.Since(job.Root+"job/", 0))
-		if pages := len(s.state.Since(job.Root+"ended/", 0)); pages > 10*(seconds+1)+4 {
+		s.Run(5 * emulator.Second)
+		seconds := int((s.now - began) / emulator.Second)
+		records[i] = len(s.state.Since(job.KeyRoot+"job/", 0))
+		if pages := len(s.state.Since(job.KeyRoot+"ended/", 0)); pages > 10*(seconds+1)+4 {
 			t.Errorf("%d changes of the log in %d s", pages, seconds)
 		}
 		for _, b := range s.world.Broken {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -12,12 +12,12 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"coralhub/internal/core/accounts"
+	"coralhub/internal/core/accounting"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/leader"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/core/served"
-	"coralhub/internal/standin"
+	"coralhub/internal/core/slo"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -121,7 +121,7 @@
 			s.start(n) // it is told of it
 		}
 	}
-	s.Run(3 * standin.Second)
+	s.Run(3 * emulator.Second)
 	return s
 }
 
@@ -159,7 +159,7 @@
 	return s.node(name)
 }
 
-func length(t *testing.T, d *datadriven.TestData, key, def string) standin.Micros {
+func length(t *testing.T, d *datadriven.TestData, key, def string) emulator.Micros {
 	d.MaybeScanArgs(t, key, &def)
 	x, err := time.ParseDuration(def)
 	if err != nil {
@@ -171,7 +171,7 @@
 	return x.Microseconds()
 }
 
-func describe(a msg.Answer) string {
+func describe(a msg.Respond) string {
 	out := strconv.Itoa(a.Status)
 	if a.Status == 0 {
 		return "no answer\n"
@@ -190,29 +190,29 @@
 	d.MaybeScanArgs(t, "id", &id)
 	switch d.Cmd {
 	case "served":
-		a := s.Ask(s.node(s.Leader()), func(req uint64) msg.Input { return msg.AdminIn{Req: req, What: msg.AskGauges} })
+		a := s.Ask(s.node(s.Leader()), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryGauges} })
 		g, ok := a.Body.(leader.Gauges)
 		if !ok {
 			return describe(a)
 		}
 		out := ""
-		shares := g.Served
+		shares := g.CompletedInTime
 		if d.HasArg("begun") {
-			shares = g.Begun
+			shares = g.StartedInTime
 		}
-		for _, of := range []map[string]served.Share{shares.Class, shares.Team, shares.Largest} {
+		for _, of := range []map[string]slo.Ratio{shares.Class, shares.Team, shares.Largest} {
 			for _, name := range slices.Sorted(maps.Keys(of)) {
-				out += fmt.Sprintf("%s %d of %d\n", name, of[name].Served, of[name].Jobs)
+				out += fmt.Sprintf("%s %d of %d\n", name, of[name].Met, of[name].Jobs)
 			}
 		}
 		return out
 	case "waits":
-		a := s.Ask(pick(t, s, d), func(req uint64) msg.Input { return msg.AdminIn{Req: req, What: msg.AskWaits, ID: id} })
-		w, ok := a.Body.(leader.Waits)
+		a := s.Ask(pick(t, s, d), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryWaitReason, JobID: id} })
+		w, ok := a.Body.(leader.WaitReason)
 		if !ok {
 			return describe(a)
 		}
-		return fmt.Sprintf("%s; rank %d of %d, before it %v, kept %v, yield %v\n", w.Why, w.Rank, w.Of, w.Before, w.Kept, w.Yield)
+		return fmt.Sprintf("%s; rank %d of %d, before it %v, kept %v, yield %v\n", w.Reason, w.Rank, w.QueueLength, w.Ahead, w.ReservedMachines, w.PreemptedJobs)
 	case "accounts":
 		return accountsOf(pick(t, s, d))
 	case "busy":
@@ -406,13 +406,13 @@
 // accountsOf lists what a node's records say was used.
 func accountsOf(n *node) string {
 	var b strings.Builder
-	n.core.Accounts().Each(func(k accounts.Key, u job.Use) {
+	n.core.UsageLedger().Each(func(k accounting.Key, u job.ResourceUsage) {
 		kind := "batch"
 		if k.Service {
 			kind = "service"
 		}
 		fmt.Fprintf(&b, "%s %s %s: %.1f GPU s in %.1f task s, %.1f on spot machines, %.1f repeated\n", k.Team, k.Class, kind,
-			float64(u.GPU)/1e6, float64(u.Time)/1e6, float64(u.Cheap)/1e6, float64(u.Lost)/1e6)
+			float64(u.GPU)/1e6, float64(u.Time)/1e6, float64(u.Spot)/1e6, float64(u.Lost)/1e6)
 	})
 	return b.String()
 }
@@ -424,12 +424,12 @@
 		s.late = m.Status()
 		return m.Name + "\n"
 	}
-	return describe(s.Ask(s.node(s.Leader()), func(req uint64) msg.Input { return msg.ReportIn{Req: req, Report: s.late, Forwarded: true} }))
+	return describe(s.Ask(s.node(s.Leader()), func(req uint64) msg.Input { return msg.HeartbeatIn{RequestID: req, Heartbeat: s.late, Forwarded: true} }))
 }
 
 // estimates lists what a node knows of run times.
 func estimates(s *Sim, n *node) string {
-	a := s.Ask(n, func(req uint64) msg.Input { return msg.AdminIn{Req: req, What: msg.AskEstimates} })
+	a := s.Ask(n, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryEstimates} })
 	if e, ok := a.Body.(leader.AdminError); ok {
 		return fmt.Sprintln(a.Status, e.Error, e.Leader)
 	}
@@ -444,7 +444,7 @@
 
 // outlook tells what a node knows of a job's deadline.
 func outlook(s *Sim, n *node, id string) string {
-	a := s.Ask(n, func(req uint64) msg.Input { return msg.AdminIn{Req: req, What: msg.AskJob, ID: id} })
+	a := s.Ask(n, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryJob, JobID: id} })
 	o, ok := a.Body.(leader.JobOutlook)
 	if !ok {
 		return fmt.Sprintln(a.Status)
@@ -484,16 +484,16 @@
 		m.Hang = false
 		s.Release()
 	case d.HasArg("deaf"):
-		m.Deaf = "drop"
-		d.MaybeScanArgs(t, "mode", &m.Deaf)
+		m.InboundLost = "drop"
+		d.MaybeScanArgs(t, "mode", &m.InboundLost)
 	case d.HasArg("hears"):
-		m.Deaf = ""
+		m.InboundLost = ""
 	case d.HasArg("mute"):
-		m.Mute = true
+		m.OutboundLost = true
 	case d.HasArg("speaks"):
-		m.Mute = false
+		m.OutboundLost = false
 	case d.HasArg("restart"):
-		s.world.Restart(s.now, standin.Second/2, m, d.HasArg("anew"))
+		s.world.Restart(s.now, emulator.Second/2, m, d.HasArg("anew"))
 	case d.HasArg("fail"):
 		s.world.Fails[name] = s.now
 	case d.HasArg("sound"):
@@ -507,7 +507,7 @@
 // ranks are the usual names of priorities; scripts may use those of the wire as well.
 var ranks = map[string]string{"production": wire.Production, "normal": wire.Normal, "low": wire.Low}
 
-func description(t *testing.T, d *datadriven.TestData, id string) *standin.JobIn {
+func description(t *testing.T, d *datadriven.TestData, id string) *emulator.SubmittedJob {
 	shape, team, rank := wire.Array, "red", wire.Normal
 	tasks, gpus, save := 1, 1, 0
 	d.MaybeScanArgs(t, "shape", &shape)
@@ -528,7 +528,7 @@
 	d.MaybeScanArgs(t, "zone", &zone)
 	d.MaybeScanArgs(t, "needs", &needs)
 	d.MaybeScanArgs(t, "cpus", &cpus)
-	j := &standin.JobIn{Run: length(t, d, "run", "3s"), Steps: length(t, d, "steps", "0s"), Mistaken: d.HasArg("mistaken")}
+	j := &emulator.SubmittedJob{Run: length(t, d, "run", "3s"), Steps: length(t, d, "steps", "0s"), Mistaken: d.HasArg("mistaken")}
 	j.Job = wire.Job{ID: id, Class: "c", Team: team, Shape: shape, Priority: rank, Tasks: tasks, CPUs: float64(cpus), GPUs: float64(gpus),
 		MemoryGB: 1, Image: "i", ImageGB: 1, Zone: zone, OneZone: d.HasArg("one_zone"), Spread: d.HasArg("spread"),
 		Spot: d.HasArg("spot"), EstimateS: float64(j.Run) / 1e6, SaveS: float64(save), CheckpointS: float64(save)}
--- a/internal/scenario/submissions_test.go
+++ b/internal/scenario/submissions_test.go
@@ -7,7 +7,7 @@
 
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/standin"
+	"coralhub/internal/emulator"
 	"coralhub/wire"
 )
 
@@ -91,17 +91,17 @@
 	s := NewSim(3)
 	s.world.Types = append(s.world.Types, wire.MachineType{Name: "only-b", CPUs: 32, GPUs: 16, MemoryGB: 64, CacheGB: 100, FetchGBs: 1,
 		Price: 9, SpotPrice: 5, BootS: 2, Zones: []string{"b"}})
-	s.Run(3 * standin.Second)
+	s.Run(3 * emulator.Second)
 	return s
 }
 
-func (s *Sim) submitRaw(t *testing.T, n *node, m map[string]any) msg.Answer {
+func (s *Sim) submitRaw(t *testing.T, n *node, m map[string]any) msg.Respond {
 	t.Helper()
 	raw, err := wire.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s.Ask(n, func(req uint64) msg.Input { return msg.SubmitIn{Req: req, Wall: s.now, Body: raw} })
+	return s.Ask(n, func(req uint64) msg.Input { return msg.SubmitIn{RequestID: req, WallClock: s.now, Body: raw} })
 }
 
 // A submission that can't run or lacks a field gets its status and one clear line, at every node, and leaves
@@ -111,8 +111,8 @@
 	if a := s.submitRaw(t, s.nodes[0], sound("j-1")); a.Status != 201 {
 		t.Fatalf("the sound one: %s", describe(a))
 	}
-	s.world.Jobs["j-1"] = &standin.JobIn{Job: wire.Job{ID: "j-1", Team: "red", Shape: wire.Array, Tasks: 2, GPUs: 1, Zone: "a", Spot: true}, Run: 200 * standin.Second}
-	before := len(s.state.List(job.Root + "job/"))
+	s.world.Jobs["j-1"] = &emulator.SubmittedJob{Job: wire.Job{ID: "j-1", Team: "red", Shape: wire.Array, Tasks: 2, GPUs: 1, Zone: "a", Spot: true}, Run: 200 * emulator.Second}
+	before := len(s.state.List(job.KeyRoot + "job/"))
 	number := 1
 	for name, bad := range badSubmissions() {
 		number++
@@ -130,7 +130,7 @@
 			}
 		}
 	}
-	if n := len(s.state.List(job.Root + "job/")); n != before {
+	if n := len(s.state.List(job.KeyRoot + "job/")); n != before {
 		t.Errorf("%d jobs are stored, %d before", n, before)
 	}
 }
@@ -153,7 +153,7 @@
 		"service with an estimate": {
 			"shape": wire.Service, "expect_s": 9.0},
 	} {
-		id := fmt.Sprint("j-", len(s.state.List(job.Root+"job/")))
+		id := fmt.Sprint("j-", len(s.state.List(job.KeyRoot+"job/")))
 		if a := s.submitRaw(t, s.nodes[1], with(id, change)); a.Status != 201 {
 			e, _ := a.Body.(wire.Error)
 			t.Errorf("%s: %s%s", name, describe(a), e.Error)
--- a/internal/planner/planner.go
+++ b/internal/startbound/bound.go
@@ -1,8 +1,8 @@
-// Package planner reckons which part of the jobs of a day anyone could have begun in time, with
+// Package startbound reckons which part of the jobs of a day anyone could have begun in time, with
 // all that comes known from the start: the bound that what was served is held against. It is an
 // upper bound: machines are one pool of GPUs, jobs may be parted, and an array or a service has begun
 // with its first task and needs no more.
-package planner
+package startbound
 
 import (
 	"cmp"
@@ -27,8 +27,8 @@
 	Ends  bool // a service doesn't
 }
 
-// Day is what came, and the GPUs there were, period by period.
-type Day struct {
+// Workload is what came, and the GPUs there were, period by period.
+type Workload struct {
 	PeriodS float64
 	WithinS float64 // a job is to begin within
 	GPUs    []float64
@@ -37,7 +37,7 @@
 
 // Bound is the largest share that every lane of a class could have had at the same time, the
 // largest tenth of its jobs and the others.
-type Bound struct{ Share map[string]float64 }
+type Bound struct{ StartShare map[string]float64 }
 
 // largestPart is the part of a class that counts as its largest jobs.
 const largestPart = 0.1
@@ -62,10 +62,10 @@
 // mostColumns bounds the linear program.
 const mostColumns = 6000
 
-// Reckon returns the bound of a day for each class of gangs; what isn't a gang begins first, with
+// Solve returns the bound of a day for each class of gangs; what isn't a gang begins first, with
 // one task.
-func Reckon(d *Day) (Bound, error) {
-	out := Bound{Share: map[string]float64{}}
+func Solve(d *Workload) (Bound, error) {
+	out := Bound{StartShare: map[string]float64{}}
 	if d.PeriodS <= 0 || d.WithinS <= 0 || len(d.GPUs) == 0 {
 		return out, fmt.Errorf("planner: a day needs periods, a time to begin and machines")
 	}
@@ -88,7 +88,7 @@
 		if err != nil {
 			return out, fmt.Errorf("planner: class %s: %w", name, err)
 		}
-		out.Share[name] = share
+		out.StartShare[name] = share
 		for t := range free {
 			free[t] = max(0, free[t]-used[t])
 		}
@@ -105,7 +105,7 @@
 }
 
 // take has a job that is no gang begin when it comes.
-func (d *Day) take(free []float64, j *Job) {
+func (d *Workload) take(free []float64, j *Job) {
 	first := int(j.At / d.PeriodS)
 	last := len(free)
 	amount := j.GPUs
@@ -120,7 +120,7 @@
 }
 
 // groups puts jobs that are alike together.
-func (d *Day) groups(jobs []Job) []*group {
+func (d *Workload) groups(jobs []Job) []*group {
 	sorted := slices.Clone(jobs)
 	slices.SortStableFunc(sorted, func(a, b Job) int { return cmp.Compare(b.Tasks, a.Tasks) })
 	top := max(1, int(float64(len(sorted))*largestPart))
@@ -161,7 +161,7 @@
 // class solves for one class: as large a share z as possible, such that z of its largest jobs and z
 // of all of them begin in time and no more runs in any period than there are GPUs. It returns the
 // share and what it takes of each period.
-func (d *Day) class(jobs []Job, free []float64) (float64, []float64, error) {
+func (d *Workload) class(jobs []Job, free []float64) (float64, []float64, error) {
 	groups := d.groups(jobs)
 	within := int(d.WithinS / d.PeriodS)
 	var cols []column
--- a/internal/planner/planner_test.go
+++ b/internal/startbound/bound_test.go
@@ -1,4 +1,4 @@
-package planner
+package startbound
 
 import (
 	"math"
@@ -30,28 +30,28 @@
 	}
 	for _, tt := range []struct {
 		name string
-		day  Day
+		day  Workload
 		want float64
 	}{
-		{"room for all", Day{20, 200, gpus(100, 20), gang(10, 4, 0)}, 1},
+		{"room for all", Workload{20, 200, gpus(100, 20), gang(10, 4, 0)}, 1},
 		// Ten GPUs, 100 s a run, 200 s to begin: two rounds of ten.
-		{"half of them", Day{20, 200, gpus(10, 20), gang(40, 1, 0)}, 0.5},
-		{"one size", Day{20, 200, gpus(10, 20), gang(8, 5, 0)}, 0.5},
+		{"half of them", Workload{20, 200, gpus(10, 20), gang(40, 1, 0)}, 0.5},
+		{"one size", Workload{20, 200, gpus(10, 20), gang(8, 5, 0)}, 0.5},
 		// Twenty GPU rounds: z of 2 wide ones take 20 z, the others of z of the 18 narrow ones 20 z - 2 z.
-		{"two sizes", Day{20, 200, gpus(10, 20), join(gang(2, 10, 0), gang(18, 1, 0))}, 20.0 / 38},
-		{"beside a service", Day{20, 200, gpus(10, 20), join(gang(40, 1, 0), []Job{{Class: "s", Tasks: 5, GPUs: 1}})}, 0.25},
-		{"late capacity", Day{20, 200, append(gpus(0, 10), gpus(10, 10)...), gang(10, 1, 0)}, 0},
+		{"two sizes", Workload{20, 200, gpus(10, 20), join(gang(2, 10, 0), gang(18, 1, 0))}, 20.0 / 38},
+		{"beside a service", Workload{20, 200, gpus(10, 20), join(gang(40, 1, 0), []Job{{Class: "s", Tasks: 5, GPUs: 1}})}, 0.25},
+		{"late capacity", Workload{20, 200, append(gpus(0, 10), gpus(10, 10)...), gang(10, 1, 0)}, 0},
 	} {
-		got, err := Reckon(&tt.day)
+		got, err := Solve(&tt.day)
 		if err != nil {
 			t.Errorf("%s: %v", tt.name, err)
 			continue
 		}
-		if math.Abs(got.Share["g"]-tt.want) > 0.03 {
-			t.Errorf("%s: %.3f, should be %.3f", tt.name, got.Share["g"], tt.want)
+		if math.Abs(got.StartShare["g"]-tt.want) > 0.03 {
+			t.Errorf("%s: %.3f, should be %.3f", tt.name, got.StartShare["g"], tt.want)
 		}
 	}
-	if _, err := Reckon(&Day{}); err == nil {
+	if _, err := Solve(&Workload{}); err == nil {
 		t.Error("a day of nothing has a bound")
 	}
 }
--- a/internal/planner/log.go
+++ b/internal/startbound/log.go
@@ -1,4 +1,4 @@
-package planner
+package startbound
 
 import (
 	"bufio"
@@ -18,19 +18,19 @@
 
 // Row is a class as a log tells of it: what anyone could have begun in time, and what had.
 type Row struct {
-	Class          string
-	Jobs           int
-	Gang           bool
-	Bound          float64 // of gangs; 1 for what begins with one task
-	Begun, Largest float64
+	Class            string
+	Jobs             int
+	Gang             bool
+	Bound            float64 // of gangs; 1 for what begins with one task
+	Started, Largest float64
 }
 
 // Log is what the debug logs of the nodes tell of a day.
 type Log struct {
-	jobs     map[string]*Job
-	first    map[string]float64 // when a job was placed first, from its acceptance
-	machines []machines
-	began    time.Time
+	jobs             map[string]*Job
+	firstPlacedAfter map[string]float64 // when a job was placed first, from its acceptance
+	machines         []machines
+	start            time.Time
 }
 
 type machines struct {
@@ -45,7 +45,7 @@
 // line, are passed over.
 func (l *Log) Read(r io.Reader) error {
 	if l.jobs == nil {
-		l.jobs, l.first = map[string]*Job{}, map[string]float64{}
+		l.jobs, l.firstPlacedAfter = map[string]*Job{}, map[string]float64{}
 	}
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, longest)
@@ -73,10 +73,10 @@
 	if err != nil || d.Err() != nil {
 		return
 	}
-	if l.began.IsZero() {
-		l.began = at
+	if l.start.IsZero() {
+		l.start = at
 	}
-	now := at.Sub(l.began).Seconds()
+	now := at.Sub(l.start).Seconds()
 	number := func(key string) float64 {
 		x, _ := strconv.ParseFloat(of[key], 64) // absent: 0
 		return x
@@ -86,8 +86,8 @@
 		l.jobs[of["job"]] = &Job{Class: of["class"], At: max(now, 0), Tasks: max(1, int(number("tasks"))), GPUs: number("gpus"),
 			RunS: number("estimate_s"), Gang: of["shape"] == wire.Gang, Ends: of["shape"] != wire.Service}
 	case "placing":
-		if _, had := l.first[of["job"]]; !had {
-			l.first[of["job"]] = number("age_ms") / 1000
+		if _, had := l.firstPlacedAfter[of["job"]]; !had {
+			l.firstPlacedAfter[of["job"]] = number("age_ms") / 1000
 		}
 	case "leader":
 		l.machines = append(l.machines, machines{now, int(number("usable"))})
@@ -107,7 +107,7 @@
 		return nil, fmt.Errorf("the log has no lines of a leader, or of accepted jobs: was LOG_LEVEL debug?")
 	}
 	end := l.machines[len(l.machines)-1].at
-	d := Day{PeriodS: period, WithinS: within, GPUs: make([]float64, int(end/period)+settle)}
+	d := Workload{PeriodS: period, WithinS: within, GPUs: make([]float64, int(end/period)+settle)}
 	k := 0
 	for t := range d.GPUs {
 		for k+1 < len(l.machines) && l.machines[k+1].at <= float64(t+1)*period {
@@ -125,7 +125,7 @@
 			rows[j.Class] = &Row{Class: j.Class, Gang: j.Gang, Bound: 1}
 		}
 	}
-	bound, err := Reckon(&d)
+	bound, err := Solve(&d)
 	if err != nil {
 		return nil, err
 	}
@@ -134,20 +134,20 @@
 		row, ids := rows[class], of[class]
 		slices.SortStableFunc(ids, func(a, b string) int { return cmp.Compare(l.jobs[b].Tasks, l.jobs[a].Tasks) })
 		row.Jobs = len(ids)
-		row.Begun = l.begun(ids, within)
-		row.Largest = l.begun(ids[:max(1, int(float64(len(ids))*largestPart))], within)
+		row.Started = l.startedShare(ids, within)
+		row.Largest = l.startedShare(ids[:max(1, int(float64(len(ids))*largestPart))], within)
 		if row.Gang {
-			row.Bound = bound.Share[class]
+			row.Bound = bound.StartShare[class]
 		}
 		out = append(out, *row)
 	}
 	return out, nil
 }
 
-func (l *Log) begun(ids []string, within float64) float64 {
+func (l *Log) startedShare(ids []string, within float64) float64 {
 	n := 0
 	for _, id := range ids {
-		if age, ok := l.first[id]; ok && age <= within {
+		if age, ok := l.firstPlacedAfter[id]; ok && age <= within {
 			n++
 		}
 	}
--- a/internal/planner/log_test.go
+++ b/internal/startbound/log_test.go
@@ -1,4 +1,4 @@
-package planner
+package startbound
 
 import (
 	"strings"
@@ -28,10 +28,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(rows) != 2 || rows[1].Class != "train" || rows[1].Jobs != 8 || rows[1].Bound < 0.45 || rows[1].Bound > 0.55 || rows[1].Begun != 0.125 || rows[1].Largest != 1 {
+	if len(rows) != 2 || rows[1].Class != "train" || rows[1].Jobs != 8 || rows[1].Bound < 0.45 || rows[1].Bound > 0.55 || rows[1].Started != 0.125 || rows[1].Largest != 1 {
 		t.Errorf("%+v", rows)
 	}
-	if rows[0].Bound != 1 || rows[0].Begun != 0 {
+	if rows[0].Bound != 1 || rows[0].Started != 0 {
 		t.Errorf("%+v", rows[0])
 	}
 	if _, err := new(Log).Rows(1, 240); err == nil {
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -11,7 +11,7 @@
 
 	tea "charm.land/bubbletea/v2"
 
-	"coralhub/internal/rehearse"
+	"coralhub/internal/faulttest"
 )
 
 // Screen is a terminal that a rehearsal is shown in.
@@ -31,7 +31,7 @@
 }
 
 // Show shows how a run stands.
-func (s *Screen) Show(st rehearse.Status) { s.program.Send(st) }
+func (s *Screen) Show(st faulttest.Status) { s.program.Send(st) }
 
 // Close gives the terminal back. A nil Screen has none.
 func (s *Screen) Close() {
@@ -44,14 +44,14 @@
 type model struct {
 	title string
 	stop  func()
-	last  rehearse.Status
+	last  faulttest.Status
 }
 
 func (m model) Init() tea.Cmd { return nil }
 
 func (m model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch x := msg.(type) {
-	case rehearse.Status:
+	case faulttest.Status:
 		m.last = x
 	case tea.KeyPressMsg:
 		if k := x.String(); k == "q" || k == "ctrl+c" {
@@ -70,7 +70,7 @@
 )
 
 // render draws how a run stands.
-func render(title string, s *rehearse.Status) string {
+func render(title string, s *faulttest.Status) string {
 	var b strings.Builder
 	part := 0.0
 	if s.DurationS > 0 {
--- a/wire/names_test.go
+++ b/wire/names_test.go
@@ -10,13 +10,13 @@
 
 // The names of the protocol don't change with those of the code.
 func TestNamesOnTheWire(t *testing.T) {
-	golden.Check(t, "messages.txt", golden.Names("msgpack", Job{}, JobStatus{}, Error{}, TaskReport{}, Report{}, Order{}, ReportAnswer{}, Redirect{}, Commands{},
-		MachineType{}, Catalog{}, Rent{}, MachineNames{}, Machine{}, MachineList{}, Item{}, Items{}, Guard{}, Change{}, Commit{}, CommitAnswer{},
-		LeaseRequest{}, LeaseAnswer{}, Changes{}))
-	words := []any{PathJobs, PathReport, PathReady, PathCommands, PathStatus, PathCatalog, PathHosts, PathRelease, PathStore, PathCommit, PathLeases, PathChanges,
-		CancelVerb, ExtendVerb, ContentType, MaxBody, MaxRent, MaxRelease, MaxList, MaxRows, MaxTasks, GuardFactor,
+	golden.Check(t, "messages.txt", golden.Names("msgpack", Job{}, JobStatus{}, Error{}, TaskStatus{}, Heartbeat{}, Command{}, HeartbeatResponse{}, Redirect{}, CommandRequest{},
+		MachineType{}, Catalog{}, RentalRequest{}, MachineNames{}, Machine{}, MachineList{}, KeyValue{}, KeyValuePage{}, Condition{}, Change{}, Transaction{}, TransactionResult{},
+		LeaseRequest{}, LeaseGrant{}, WatchResponse{}))
+	words := []any{PathJobs, PathHeartbeat, PathReady, PathCommands, PathStatus, PathCatalog, PathHosts, PathRelease, PathStore, PathCommit, PathLeases, PathChanges,
+		CancelVerb, ExtendVerb, ContentType, MaxBody, MaxRental, MaxRelease, MaxList, MaxRows, MaxTasks, ConditionsPerChange,
 		Array, Gang, Service, Production, High, Normal, Low, Queued, Running, Done, Cancelled, Fetching, Waiting, Saving, Exited,
-		CauseStopped, CausePeers, CauseIncomplete, CauseError, CauseNoRoom, CauseBusy, CauseUnknown, Start, Stop, Forget,
+		CauseStopped, CausePeersGone, CauseIncomplete, CauseError, CauseNoCapacity, CauseBusy, CauseUnknown, CommandStart, CommandStop, CommandForget,
 		MachineBooting, MachineFailed, NoSuchLease}
 	golden.Check(t, "words.txt", strings.ReplaceAll(strings.Trim(fmt.Sprintln(words...), "\n"), " ", "\n")+"\n")
 }
@@ -29,18 +29,18 @@
 		Job{ID: "j-1", Class: "c", Team: "t", Shape: Gang, Priority: High, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img", ImageGB: 6.2, Types: []string{"g8"},
 			Zone: "a", OneZone: true, Spread: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: &due, Needs: []string{"j-2"}},
 		JobStatus{ID: "j-1", Status: Running, Done: &done, Running: &running},
-		Report{Machine: "m-1", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 2, Seq: 88, Token: 41, NoticeS: &notice,
-			Tasks: []TaskReport{{Task: "j-1/3", Attempt: 5, State: Exited, Cause: CauseStopped, Saved: true}}},
-		ReportAnswer{Token: 41, Orders: []Order{{Verb: Stop, Task: "j-1/1", Attempt: 6, GraceS: &grace}}},
+		Heartbeat{Machine: "m-1", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Incarnation: 2, Sequence: 88, FencingToken: 41, NoticeS: &notice,
+			Tasks: []TaskStatus{{Task: "j-1/3", Attempt: 5, State: Exited, Cause: CauseStopped, Saved: true}}},
+		HeartbeatResponse{FencingToken: 41, Commands: []Command{{Verb: CommandStop, Task: "j-1/1", Attempt: 6, GraceS: &grace}}},
 		Redirect{Node: "n1"},
-		Commands{Token: 41, Session: 2, Orders: []Order{{Verb: Start, Task: "j-1/1", Attempt: 6}}},
-		Rent{Name: "r-1", Type: "g8", Zone: "a", Spot: true, Count: 12},
+		CommandRequest{FencingToken: 41, Incarnation: 2, Commands: []Command{{Verb: CommandStart, Task: "j-1/1", Attempt: 6}}},
+		RentalRequest{Name: "r-1", Type: "g8", Zone: "a", Spot: true, Count: 12},
 		MachineNames{Machines: []string{"m-1"}},
 		Machine{Name: "m-1", Addr: "x", Type: "g8", Zone: "a", Spot: true, State: Running, AgeS: 61.5},
-		Item{Key: "a/b", Value: raw, Version: 412, Lease: 7},
-		Commit{Guards: []Guard{{Key: "a/b", Version: 5}}, Changes: []Change{{Put: "a/b", Value: raw, Lease: 7}, {Delete: "c/d", Version: 8}}},
-		CommitAnswer{Revision: 431, Failed: []string{"a/b"}, Error: NoSuchLease},
-		LeaseRequest{TTLms: 5000}, LeaseAnswer{Lease: 7},
+		KeyValue{Key: "a/b", Value: raw, Version: 412, Lease: 7},
+		Transaction{Conditions: []Condition{{Key: "a/b", Version: 5}}, Changes: []Change{{Put: "a/b", Value: raw, Lease: 7}, {Delete: "c/d", Version: 8}}},
+		TransactionResult{Revision: 431, Failed: []string{"a/b"}, Error: NoSuchLease},
+		LeaseRequest{TTLms: 5000}, LeaseGrant{Lease: 7},
 	} {
 		b, err := Marshal(v)
 		if err != nil {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -14,30 +14,30 @@
 
 // Paths and limits of the protocol.
 const (
-	PathJobs     = "/v1/jobs"
-	PathReport   = "/v1/report"
-	PathReady    = "/ready"
-	PathCommands = "/commands"
-	PathStatus   = "/status"
-	PathCatalog  = "/catalog"
-	PathHosts    = "/hosts"
-	PathRelease  = "/hosts/release"
-	PathStore    = "/store"
-	PathCommit   = "/commit"
-	PathLeases   = "/leases"
-	PathChanges  = "/changes"
+	PathJobs      = "/v1/jobs"
+	PathHeartbeat = "/v1/report"
+	PathReady     = "/ready"
+	PathCommands  = "/commands"
+	PathStatus    = "/status"
+	PathCatalog   = "/catalog"
+	PathHosts     = "/hosts"
+	PathRelease   = "/hosts/release"
+	PathStore     = "/store"
+	PathCommit    = "/commit"
+	PathLeases    = "/leases"
+	PathChanges   = "/changes"
 
 	CancelVerb = "withdraw"
 	ExtendVerb = "extend"
 
-	ContentType = "application/msgpack"
-	MaxBody     = 64 << 10
-	MaxRent     = 50
-	MaxRelease  = 100
-	MaxList     = 500
-	MaxRows     = 1000
-	MaxTasks    = 100000
-	GuardFactor = 4
+	ContentType         = "application/msgpack"
+	MaxBody             = 64 << 10
+	MaxRental           = 50
+	MaxRelease          = 100
+	MaxList             = 500
+	MaxRows             = 1000
+	MaxTasks            = 100000
+	ConditionsPerChange = 4
 )
 
 // Shapes of jobs.
@@ -74,19 +74,19 @@
 // Causes of an exit; Done is shared with users.
 const (
 	CauseStopped    = "stopped"
-	CausePeers      = "mates_gone"
+	CausePeersGone  = "mates_gone"
 	CauseIncomplete = "incomplete"
 	CauseError      = "error"
-	CauseNoRoom     = "full"
+	CauseNoCapacity = "full"
 	CauseBusy       = "busy"
 	CauseUnknown    = "unknown"
 )
 
 // Commands to workers.
 const (
-	Start  = "launch"
-	Stop   = "kill"
-	Forget = "reap"
+	CommandStart  = "launch"
+	CommandStop   = "kill"
+	CommandForget = "reap"
 )
 
 // States of a rented machine; Running is shared with users.
@@ -166,8 +166,8 @@
 	Error string `msgpack:"error"`
 }
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
 	Task    string `msgpack:"lot"`
 	Attempt uint64 `msgpack:"try"`
 	State   string `msgpack:"status"`
@@ -175,32 +175,32 @@
 	Saved   bool   `msgpack:"kept"`
 }
 
-// Report is what a worker says about itself.
-type Report struct {
-	Machine string       `msgpack:"berth"`
-	Addr    string       `msgpack:"addr"`
-	Type    string       `msgpack:"rig"`
-	Zone    string       `msgpack:"yard"`
-	Spot    bool         `msgpack:"loaners"`
-	Session uint64       `msgpack:"shift"`
-	Seq     uint64       `msgpack:"tally"`
-	Token   uint64       `msgpack:"baton"`
-	NoticeS *float64     `msgpack:"recall_s"`
-	Tasks   []TaskReport `msgpack:"lots"`
+// Heartbeat is what a worker says about itself.
+type Heartbeat struct {
+	Machine      string       `msgpack:"berth"`
+	Addr         string       `msgpack:"addr"`
+	Type         string       `msgpack:"rig"`
+	Zone         string       `msgpack:"yard"`
+	Spot         bool         `msgpack:"loaners"`
+	Incarnation  uint64       `msgpack:"shift"`
+	Sequence     uint64       `msgpack:"tally"`
+	FencingToken uint64       `msgpack:"baton"`
+	NoticeS      *float64     `msgpack:"recall_s"`
+	Tasks        []TaskStatus `msgpack:"lots"`
 }
 
-// Order is one command to a worker.
-type Order struct {
+// Command is one command to a worker.
+type Command struct {
 	Verb    string   `msgpack:"verb"`
 	Task    string   `msgpack:"lot"`
 	Attempt uint64   `msgpack:"try"`
 	GraceS  *float64 `msgpack:"wind_down_s,omitempty"`
 }
 
-// ReportAnswer is the 200 to a report.
-type ReportAnswer struct {
-	Token  uint64  `msgpack:"baton"`
-	Orders []Order `msgpack:"orders"`
+// HeartbeatResponse is the 200 to a report.
+type HeartbeatResponse struct {
+	FencingToken uint64    `msgpack:"baton"`
+	Commands     []Command `msgpack:"orders"`
 }
 
 // Redirect is the 421 to a report.
@@ -208,11 +208,11 @@
 	Node string `msgpack:"answer_to,omitempty"`
 }
 
-// Commands is a direct call to a worker.
-type Commands struct {
-	Token   uint64  `msgpack:"baton"`
-	Session uint64  `msgpack:"shift"`
-	Orders  []Order `msgpack:"orders"`
+// CommandRequest is a direct call to a worker.
+type CommandRequest struct {
+	FencingToken uint64    `msgpack:"baton"`
+	Incarnation  uint64    `msgpack:"shift"`
+	Commands     []Command `msgpack:"orders"`
 }
 
 // MachineType is an entry of the catalog.
@@ -234,8 +234,8 @@
 	Types []MachineType `msgpack:"rigs"`
 }
 
-// Rent asks the cloud for machines.
-type Rent struct {
+// RentalRequest asks the cloud for machines.
+type RentalRequest struct {
 	Name  string `msgpack:"hire"`
 	Type  string `msgpack:"rig"`
 	Zone  string `msgpack:"yard"`
@@ -265,23 +265,23 @@
 	More     bool      `msgpack:"has_next"`
 }
 
-// Item is a key of the state service.
-type Item struct {
+// KeyValue is a key of the state service.
+type KeyValue struct {
 	Key     string             `msgpack:"k"`
 	Value   msgpack.RawMessage `msgpack:"data"`
 	Version uint64             `msgpack:"stamp"`
 	Lease   uint64             `msgpack:"tenancy"`
 }
 
-// Items is a page of keys; with no key found it tells the revision alone.
-type Items struct {
-	Items    []Item `msgpack:"rows"`
-	More     bool   `msgpack:"has_next"`
-	Revision uint64 `msgpack:"ledger_rev"`
+// KeyValuePage is a page of keys; with no key found it tells the revision alone.
+type KeyValuePage struct {
+	Items    []KeyValue `msgpack:"rows"`
+	More     bool       `msgpack:"has_next"`
+	Revision uint64     `msgpack:"ledger_rev"`
 }
 
-// Guard is a condition of a transaction; version 0 means the key is absent.
-type Guard struct {
+// Condition is a condition of a transaction; version 0 means the key is absent.
+type Condition struct {
 	Key     string `msgpack:"k"`
 	Version uint64 `msgpack:"stamp"`
 }
@@ -295,14 +295,14 @@
 	Version uint64             `msgpack:"stamp,omitempty"`
 }
 
-// Commit is a transaction.
-type Commit struct {
-	Guards  []Guard  `msgpack:"guards"`
-	Changes []Change `msgpack:"apply,omitempty"`
+// Transaction is a transaction.
+type Transaction struct {
+	Conditions []Condition `msgpack:"guards"`
+	Changes    []Change    `msgpack:"apply,omitempty"`
 }
 
-// CommitAnswer tells how a transaction went.
-type CommitAnswer struct {
+// TransactionResult tells how a transaction went.
+type TransactionResult struct {
 	Revision uint64   `msgpack:"ledger_rev"`
 	Failed   []string `msgpack:"failed"`
 	Error    string   `msgpack:"error,omitempty"`
@@ -313,13 +313,13 @@
 	TTLms int64 `msgpack:"ttl_ms"`
 }
 
-// LeaseAnswer names a lease.
-type LeaseAnswer struct {
+// LeaseGrant names a lease.
+type LeaseGrant struct {
 	Lease uint64 `msgpack:"tenancy"`
 }
 
-// Changes is the answer to a watch.
-type Changes struct {
+// WatchResponse is the answer to a watch.
+type WatchResponse struct {
 	Revision uint64   `msgpack:"ledger_rev"`
 	Events   []Change `msgpack:"news"`
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -123,7 +123,7 @@
 // make the decoder reserve memory for them: the node would be killed.
 func TestClaimedLength(t *testing.T) {
 	raw := []byte{0x81, 0xa4, 'l', 'o', 't', 's', 0xdd, 0xff, 0xff, 0xff, 0xff}
-	var r Report
+	var r Heartbeat
 	if Unmarshal(raw, &r) == nil {
 		t.Fatal("taken")
 	}
@@ -158,7 +158,7 @@
 				t.Fatalf("taken: %+v", j)
 			}
 		}
-		var r Report
+		var r Heartbeat
 		if Unmarshal(raw, &r) == nil {
 			for _, task := range r.Tasks {
 				ParseTaskName(task.Task)
