--- a/internal/core/leader/admin.go
+++ b/internal/core/leader/admin.go
@@ -13,6 +13,20 @@
 	"coralhub/wire"
 )
 
+// operatorQueries TODO
+type operatorQueries struct {
+	*environment
+	commits       *jobCommitter
+	diagnostics   *diagnostics
+	estimates     *runTimeEstimates
+	preemptions   *preemptionDecisions
+	scheduler     *scheduler
+	slo           *sloTracker
+	snapshot      *clusterSnapshot
+	startOrder    *startOrder
+	usageAccounts *usageAccounts
+}
+
 const (
 	maxListed  = 500 // rows of an answer
 	maxClasses = 100 // counted apart
@@ -98,35 +112,35 @@
 }
 
 // gauges counts.
-func (l *Leader) gauges() Gauges {
-	g := Gauges{Leading: l.ready, Records: len(l.jobs), Unfinished: len(l.unfinished), InFlightChanges: l.inFlightChanges, Failovers: l.failovers, Statistics: l.snapshot.statistics,
+func (oq *operatorQueries) gauges() Gauges {
+	g := Gauges{Leading: oq.ready, Records: len(oq.jobs), Unfinished: len(oq.unfinished), InFlightChanges: oq.commits.inFlightChanges, Failovers: oq.failovers, Statistics: oq.snapshot.statistics,
 		Waiting: map[string]int{}, Machines: map[string]int{}}
-	for _, j := range l.unfinished {
+	for _, j := range oq.unfinished {
 		g.Placements += j.OpenTasks
 	}
-	if !l.ready {
+	if !oq.ready {
 		return g
 	}
-	for j := range l.snapshot.wanting {
+	for j := range oq.snapshot.wanting {
 		class := j.Record.Spec.Class
 		if _, had := g.Waiting[class]; !had && len(g.Waiting) >= maxClasses {
 			class = "" // users choose the names: whoever reads this must not drown in them
 		}
 		g.Waiting[class]++
 	}
-	g.Machines = l.states()
-	g.Usage = l.listUsage(maxClasses)
-	g.CompletedInTime, g.StartedInTime = l.slo.tracker.CompletedInTime(l.wallClock()), l.slo.tracker.StartedInTime(l.wallClock())
-	if l.estimates.model != nil {
-		g.EstimateRuns = l.estimates.model.Observed()
+	g.Machines = oq.diagnostics.states()
+	g.Usage = oq.listUsage(maxClasses)
+	g.CompletedInTime, g.StartedInTime = oq.slo.tracker.CompletedInTime(oq.wallClock()), oq.slo.tracker.StartedInTime(oq.wallClock())
+	if oq.estimates.model != nil {
+		g.EstimateRuns = oq.estimates.model.Observed()
 	}
 	return g
 }
 
 // answerQuery answers an operator.
-func (l *Leader) answerQuery(x msg.AdminIn) {
+func (oq *operatorQueries) answerQuery(x msg.AdminIn) {
 	if x.Query == msg.QueryGauges {
-		l.outbox.Respond(x.RequestID, http.StatusOK, l.gauges())
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.gauges())
 		return
 	}
 	most := maxListed
@@ -134,37 +148,37 @@
 		most = min(most, x.Limit)
 	}
 	if x.Query == msg.QueryAccounts {
-		l.outbox.Respond(x.RequestID, http.StatusOK, l.listUsage(most))
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listUsage(most))
 		return
 	}
-	if !l.ready {
-		l.outbox.RetryLaterWith(x.RequestID, AdminError{"not the leader", l.elector.Holder().Node})
+	if !oq.ready {
+		oq.outbox.RetryLaterWith(x.RequestID, AdminError{"not the leader", oq.elector.Holder().Node})
 		return
 	}
-	if l.answerWithoutEstimates(x, most) {
+	if oq.answerWithoutEstimates(x, most) {
 		return
 	}
-	if l.estimates.model == nil {
-		l.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "run times are not learnt: see the setting estimates"})
+	if oq.estimates.model == nil {
+		oq.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "run times are not learnt: see the setting estimates"})
 		return
 	}
 	switch x.Query {
 	case msg.QueryEstimates:
-		l.outbox.Respond(x.RequestID, http.StatusOK, l.listEstimates(most))
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listEstimates(most))
 	case msg.QueryRuns:
-		l.outbox.Respond(x.RequestID, http.StatusOK, l.listRuns(x.From, most))
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listRuns(x.From, most))
 	case msg.QueryJob:
-		j := l.jobs[x.JobID]
+		j := oq.jobs[x.JobID]
 		if j == nil || j.Version == 0 {
-			l.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "no such job"})
+			oq.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "no such job"})
 			return
 		}
-		l.outbox.Respond(x.RequestID, http.StatusOK, l.jobOutlook(j))
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.jobOutlook(j))
 	}
 }
 
-func (l *Leader) listEstimates(most int) Estimates {
-	m := l.estimates.model
+func (oq *operatorQueries) listEstimates(most int) Estimates {
+	m := oq.estimates.model
 	out := Estimates{Runs: m.Observed(), Changes: m.Changes(), Kinds: []EstimateRow{}, Machines: []SlowMachine{}}
 	m.Kinds(func(f estimate.Features) bool {
 		if out.More = len(out.Kinds) == most; out.More {
@@ -176,7 +190,7 @@
 		out.Kinds = append(out.Kinds, row)
 		return true
 	})
-	m.Slow(l.cfg.Settings.SlowFactor, func(machine string) {
+	m.Slow(oq.cfg.Settings.SlowFactor, func(machine string) {
 		if len(out.Machines) < most {
 			out.Machines = append(out.Machines, SlowMachine{machine, round(m.Slowness(machine))})
 		}
@@ -200,8 +214,8 @@
 	return row
 }
 
-func (l *Leader) listRuns(from uint64, most int) Runs {
-	learnt := &l.estimates
+func (oq *operatorQueries) listRuns(from uint64, most int) Runs {
+	learnt := oq.estimates
 	first := learnt.runsEnd - uint64(len(learnt.recentRuns))
 	out := Runs{Runs: []history.Line{}}
 	if from > learnt.runsEnd { // another leader's count
@@ -217,13 +231,13 @@
 	return out
 }
 
-func (l *Leader) stateOfJob(j *Job) JobState {
+func (oq *operatorQueries) stateOfJob(j *Job) JobState {
 	st := frontend.Status(j.Job)
 	return JobState{ID: st.ID, Status: st.Status, Done: *st.Done, Running: *st.Running}
 }
 
-func (l *Leader) jobOutlook(j *Job) JobOutlook {
-	out := JobOutlook{Job: l.stateOfJob(j)}
+func (oq *operatorQueries) jobOutlook(j *Job) JobOutlook {
+	out := JobOutlook{Job: oq.stateOfJob(j)}
 	spec := j.Record.Spec
 	if spec == nil {
 		return out
@@ -232,21 +246,21 @@
 	if spec.Shape == wire.Service {
 		return out
 	}
-	f := l.features(j, "")
-	a := l.estimates.model.Estimate(&f)
+	f := oq.estimates.features(j, "")
+	a := oq.estimates.model.Estimate(&f)
 	if a.Level != estimate.Unknown {
 		row := rowOf(&a)
 		out.Estimate = &row
 	}
-	if s, ok := l.completionEstimate(j, 0); ok && !j.Record.Final() {
+	if s, ok := oq.estimates.completionEstimate(j, 0); ok && !j.Record.Final() {
 		left := round(s.mean)
 		out.LeftS = &left
 	}
 	if spec.DeadlineS != nil {
-		due := round(float64(j.Record.CreatedAt-l.wallClockOffset-l.outbox.Now())/1e6 + *spec.DeadlineS)
+		due := round(float64(j.Record.CreatedAt-oq.wallClockOffset-oq.outbox.Now())/1e6 + *spec.DeadlineS)
 		out.DueInS = &due
 	}
-	if v, chance := l.deadlineVerdict(j); v != "" {
+	if v, chance := oq.estimates.deadlineVerdict(j); v != "" {
 		out.Verdict = v
 		if chance >= 0 {
 			chance = round(chance)
@@ -254,7 +268,7 @@
 		}
 	}
 	j.EachPlacement(func(p job.Placement) {
-		if _, runs := j.startedAt[p.Task]; runs && len(out.Overdue) < maxListed && a.Overdue(l.workedTime(j, &p)) {
+		if _, runs := j.startedAt[p.Task]; runs && len(out.Overdue) < maxListed && a.Overdue(oq.estimates.workedTime(j, &p)) {
 			out.Overdue = append(out.Overdue, wire.TaskName(j.ID, p.Task))
 		}
 	})
--- a/internal/core/leader/anti_affinity.go
+++ b/internal/core/leader/anti_affinity.go
@@ -17,7 +17,7 @@
 }
 
 // newReplicaSpread tells where a service's replicas are; nil: a job whose tasks may be anywhere.
-func (l *Leader) newReplicaSpread(j *Job) *replicaSpread {
+func (sc *scheduler) newReplicaSpread(j *Job) *replicaSpread {
 	spec := j.Record.Spec
 	if spec.Shape != wire.Service || spec.Tasks < 2 {
 		return nil
--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -11,6 +11,25 @@
 	"coralhub/wire"
 )
 
+// jobCommitter TODO
+type jobCommitter struct {
+	*environment
+	completionLog *completionLog
+	delegations   *delegations
+	estimates     *runTimeEstimates
+	placements    *placementCommits
+	scheduler     *scheduler
+	snapshot      *clusterSnapshot
+
+	pendingCommits  map[string]bool
+	deferredCommits map[string]bool
+	inFlightChanges int
+}
+
+func (jc *jobCommitter) reset() {
+	jc.pendingCommits, jc.deferredCommits, jc.inFlightChanges = map[string]bool{}, map[string]bool{}, 0
+}
+
 // jobTransaction is a transaction on a job's record that has no answer yet.
 type jobTransaction struct {
 	transaction     wire.Transaction
@@ -34,69 +53,71 @@
 )
 
 // commitPendingJobs commits what has been learnt or decided about jobs.
-func (l *Leader) commitPendingJobs() {
-	if len(l.pendingCommits) == 0 {
+func (jc *jobCommitter) commitPendingJobs() {
+	if len(jc.pendingCommits) == 0 {
 		return
 	}
-	ids := slices.Sorted(maps.Keys(l.pendingCommits))
-	clear(l.pendingCommits)
+	ids := slices.Sorted(maps.Keys(jc.pendingCommits))
+	clear(jc.pendingCommits)
 	for _, id := range ids {
-		if !l.commitJob(l.jobs[id]) {
-			l.deferredCommits[id] = true
+		if !jc.commitJob(jc.jobs[id]) {
+			jc.deferredCommits[id] = true
 		}
 	}
 }
 
 // retryDeferredCommits has another look at the jobs that could not be committed before.
-func (l *Leader) retryDeferredCommits() {
-	for id := range l.deferredCommits {
-		l.pendingCommits[id] = true
+func (jc *jobCommitter) retryDeferredCommits() {
+	for id := range jc.deferredCommits {
+		jc.pendingCommits[id] = true
 	}
-	clear(l.deferredCommits)
+	clear(jc.deferredCommits)
 }
 
 // commitJob commits a job's next state; it returns false if there is more to do
 // after the transaction in flight, or later.
-func (l *Leader) commitJob(j *Job) bool {
-	if t := j.transaction; t != nil && t.resendAt != 0 && l.outbox.Now() >= t.resendAt {
+func (jc *jobCommitter) commitJob(j *Job) bool {
+	if t := j.transaction; t != nil && t.resendAt != 0 && jc.outbox.Now() >= t.resendAt {
 		t.resendAt = 0
-		l.sendTransaction(j, t)
+		jc.sendTransaction(j, t)
 	}
 	if j.Version == 0 {
 		return true // its record has not come yet
 	}
-	if j.transaction != nil || l.outbox.Now() < j.retryAt || l.elector.TokenChangePending() {
+	if j.transaction != nil || jc.outbox.Now() < j.retryAt || jc.elector.TokenChangePending() {
 		return false
 	}
-	l.confirmCancellation(j)
-	t, more := l.fittingTransaction(j)
+	jc.confirmCancellation(j)
+	t, more := jc.fittingTransaction(j)
 	if t == nil || t.completionsOnly {
-		if len(j.plan) > 0 && l.placedInPages(j) {
-			l.queuePlacement(j)
+		if len(j.plan) > 0 && jc.placedInPages(j) {
+			jc.placements.queuePlacement(j)
 		}
 		if t == nil { // a cancellation waits for workers to be heard: look again
 			return !j.Record.CancelRequested || j.Record.Final()
 		}
-		l.logCompletions(j, t.completions)
+		jc.completionLog.logCompletions(j, t.completions)
 		return !more
 	}
-	if len(j.plan) == 0 && !j.Record.CancelRequested && !j.DependencyCancelled() && j.DependentCount() == 0 && l.inFlightChanges >= l.maxInFlightCompletions() {
+	if len(j.plan) == 0 && !j.Record.CancelRequested && !j.DependencyCancelled() && j.DependentCount() == 0 && jc.inFlightChanges >= jc.maxInFlightCompletions() {
 		return false
 	}
-	if !l.placedInPages(j) {
+	if !jc.placedInPages(j) {
 		t.placed = j.plan
 	}
 	j.transaction = t
-	l.sendTransaction(j, t)
+	jc.sendTransaction(j, t)
 	return !more
 }
 
 // placedInPages tells whether a job's places go into pages with those of others.
-func (l *Leader) placedInPages(j *Job) bool { return l.usesPlacementPages() && !j.ownRecordOnly }
+func (jc *jobCommitter) placedInPages(j *Job) bool {
+	return jc.usesPlacementPages() && !j.ownRecordOnly
+}
 
 // placementCost is what placing a job, or 32 more tasks of it, counts of a pass's changes.
-func (l *Leader) placementCost(j *Job) float64 {
-	if l.placedInPages(j) {
+func (jc *jobCommitter) placementCost(j *Job) float64 {
+	if jc.placedInPages(j) {
 		return pagePlacementCost
 	}
 	return 1
@@ -104,31 +125,31 @@
 
 // fittingTransaction returns a job's next transaction, made so small that every value of it
 // may be put: a plan is cut down, and ends go by the log.
-func (l *Leader) fittingTransaction(j *Job) (*jobTransaction, bool) {
+func (jc *jobCommitter) fittingTransaction(j *Job) (*jobTransaction, bool) {
 	for {
-		t, more := l.buildTransaction(j)
-		if t == nil || t.completionsOnly || l.valuesFit(&t.transaction) {
+		t, more := jc.buildTransaction(j)
+		if t == nil || t.completionsOnly || jc.valuesFit(&t.transaction) {
 			return t, more
 		}
 		if !j.tooLarge {
 			j.tooLarge = true
-			l.outbox.Log("record too large to be written whole", "job", j.ID, "limit", l.encoding.MaxValueBytes())
+			jc.outbox.Log("record too large to be written whole", "job", j.ID, "limit", jc.encoding.MaxValueBytes())
 		}
 		switch {
-		case j.Record.Spec != nil && l.replica.ShortenSpec(j.Job, l.catalog.Slim(j.Record.Spec)):
-		case l.canMoveToShards(j):
+		case j.Record.Spec != nil && jc.replica.ShortenSpec(j.Job, jc.catalog.Slim(j.Record.Spec)):
+		case jc.canMoveToShards(j):
 			j.movingToShards = true
 		case len(j.plan) > 1 && j.Record.Spec.Shape != wire.Gang:
-			l.setPlan(j, j.plan[:len(j.plan)/2])
+			jc.snapshot.setPlan(j, j.plan[:len(j.plan)/2])
 		case len(j.plan) > 0:
-			l.setPlan(j, nil)
-			j.holdUntil = l.outbox.Now() + 10*config.Second
+			jc.snapshot.setPlan(j, nil)
+			j.holdUntil = jc.outbox.Now() + 10*config.Second
 		case len(t.completions) > 0 && !j.Record.Final():
 			t.completionsOnly = true
 			return t, more
 		default:
 			j.mergeRequested = false
-			j.retryAt = l.outbox.Now() + 10*config.Second
+			j.retryAt = jc.outbox.Now() + 10*config.Second
 			return nil, false
 		}
 	}
@@ -136,17 +157,17 @@
 
 // canMoveToShards tells whether the tasks can be moved out of a job's record in one
 // transaction: if they are all in it.
-func (l *Leader) canMoveToShards(j *Job) bool {
-	if j.movingToShards || j.Record.ShardsOnly || l.encoding.Format < job.FormatGrouped {
+func (jc *jobCommitter) canMoveToShards(j *Job) bool {
+	if j.movingToShards || j.Record.ShardsOnly || jc.encoding.Format < job.FormatGrouped {
 		return false
 	}
 	return !slices.ContainsFunc(j.Shards, func(p records.Shard) bool { return p.Version != 0 })
 }
 
 // valuesFit tells whether every value of a transaction may be put.
-func (l *Leader) valuesFit(t *wire.Transaction) bool {
+func (jc *jobCommitter) valuesFit(t *wire.Transaction) bool {
 	for i := range t.Changes {
-		if t.Changes[i].Put != "" && !l.encoding.Fits(t.Changes[i].Value) {
+		if t.Changes[i].Put != "" && !jc.encoding.Fits(t.Changes[i].Value) {
 			return false
 		}
 	}
@@ -154,16 +175,16 @@
 }
 
 // buildTransaction builds the transaction that brings a job's record up to what is known.
-func (l *Leader) buildTransaction(j *Job) (*jobTransaction, bool) {
+func (jc *jobCommitter) buildTransaction(j *Job) (*jobTransaction, bool) {
 	if j.Record.Spec == nil {
-		return l.deleteLeftovers(j)
+		return jc.deleteLeftovers(j)
 	}
-	if t := l.finishJob(j); t != nil {
+	if t := jc.finishJob(j); t != nil {
 		return t, true
 	}
 	rec := j.Record.Clone()
-	t := &jobTransaction{fencingToken: l.elector.FencingToken(), shards: map[int]job.Shard{}}
-	room := l.encoding.MaxOps() - 1
+	t := &jobTransaction{fencingToken: jc.elector.FencingToken(), shards: map[int]job.Shard{}}
+	room := jc.encoding.MaxOps() - 1
 	more, changed := false, false
 	if j.movingToShards && !rec.ShardsOnly {
 		rec.ShardsOnly, t.writesRecord, changed = true, true, true
@@ -213,9 +234,9 @@
 			keep(cl.key.Task, p)
 		}
 	}
-	l.logCompletions(j, inPages)
+	jc.completionLog.logCompletions(j, inPages)
 	// A service wants its replicas back at once; the log takes its time.
-	t.completionsOnly = changed && !j.movingToShards && !j.mergeRequested && (len(j.plan) == 0 || l.placedInPages(j)) && (rec.Spec.Shape != wire.Service || rec.CancelRequested || rec.Final())
+	t.completionsOnly = changed && !j.movingToShards && !j.mergeRequested && (len(j.plan) == 0 || jc.placedInPages(j)) && (rec.Spec.Shape != wire.Service || rec.CancelRequested || rec.Final())
 	if j.mergeRequested {
 		changed = true
 		j.EachUnmerged(func(task int) {
@@ -224,7 +245,7 @@
 			}
 		})
 	}
-	if !rec.CancelRequested && !rec.Final() && !l.placedInPages(j) {
+	if !rec.CancelRequested && !rec.Final() && !jc.placedInPages(j) {
 		for _, pl := range j.plan {
 			p := part(pl.Task)
 			if p == nil {
@@ -249,9 +270,9 @@
 	}
 	if rec.Final() && open == 0 { // with the first format alone: finish does it otherwise
 		t.completionsOnly, t.writesRecord = false, true
-		if n := l.deleteShards(j, t, room); n > 0 {
+		if n := jc.deleteShards(j, t, room); n > 0 {
 			more, changed = true, true
-			j.retryAt = l.outbox.Now() + shardDeletionInterval
+			j.retryAt = jc.outbox.Now() + shardDeletionInterval
 		} else {
 			rec.Shrink()
 			changed = true
@@ -265,8 +286,8 @@
 		return t, more
 	}
 	rec.DoneTasks = max(rec.DoneTasks, done)
-	if err := l.encodeTransaction(j, t, &rec); err != nil {
-		l.outbox.Log("record not written", "job", j.ID, "error", err.Error())
+	if err := jc.encodeTransaction(j, t, &rec); err != nil {
+		jc.outbox.Log("record not written", "job", j.ID, "error", err.Error())
 		return nil, false
 	}
 	return t, more
@@ -276,8 +297,8 @@
 // and nothing of it stays open: its record shrinks at once, whichever tasks are
 // in how many parts. The parts are void from then on and deleted at leisure. With
 // the first format, whose readers take a part at its word, they go before.
-func (l *Leader) finishJob(j *Job) *jobTransaction {
-	if l.encoding.Format < job.FormatGrouped {
+func (jc *jobCommitter) finishJob(j *Job) *jobTransaction {
+	if jc.encoding.Format < job.FormatGrouped {
 		return nil
 	}
 	done, open := j.DoneTasks, j.OpenTasks
@@ -302,12 +323,12 @@
 	default:
 		return nil
 	}
-	if l.encoding.Format >= job.FormatPreemption {
-		rec.Account = job.NewUsageAccount(spec, j.usage(true), l.wallClock())
+	if jc.encoding.Format >= job.FormatPreemption {
+		rec.Account = job.NewUsageAccount(spec, j.usage(true), jc.wallClock())
 	}
-	t := &jobTransaction{fencingToken: l.elector.FencingToken(), completions: slices.Clone(j.completions), writesRecord: true}
-	if err := l.encodeTransaction(j, t, rec); err != nil {
-		l.outbox.Log("record not written", "job", j.ID, "error", err.Error())
+	t := &jobTransaction{fencingToken: jc.elector.FencingToken(), completions: slices.Clone(j.completions), writesRecord: true}
+	if err := jc.encodeTransaction(j, t, rec); err != nil {
+		jc.outbox.Log("record not written", "job", j.ID, "error", err.Error())
 		return nil
 	}
 	return t
@@ -334,19 +355,19 @@
 }
 
 // deleteLeftovers returns the deletion of what parts are left of a job that is over.
-func (l *Leader) deleteLeftovers(j *Job) (*jobTransaction, bool) {
-	t := &jobTransaction{fencingToken: l.elector.FencingToken()}
-	if !j.Archived() || l.deleteShards(j, t, l.encoding.MaxOps()) == 0 {
+func (jc *jobCommitter) deleteLeftovers(j *Job) (*jobTransaction, bool) {
+	t := &jobTransaction{fencingToken: jc.elector.FencingToken()}
+	if !j.Archived() || jc.deleteShards(j, t, jc.encoding.MaxOps()) == 0 {
 		return nil, false
 	}
-	t.transaction.Conditions = append(t.transaction.Conditions, l.elector.Condition())
-	j.retryAt = l.outbox.Now() + shardDeletionInterval
+	t.transaction.Conditions = append(t.transaction.Conditions, jc.elector.Condition())
+	j.retryAt = jc.outbox.Now() + shardDeletionInterval
 	return t, true
 }
 
 // deleteShards puts the deletion of parts into t, as many as there is room for.
 // It returns how many are left or dropped; 0 means that none existed.
-func (l *Leader) deleteShards(j *Job, t *jobTransaction, room int) int {
+func (jc *jobCommitter) deleteShards(j *Job, t *jobTransaction, room int) int {
 	n := 0
 	t.shards = map[int]job.Shard{}
 	for i := range j.Shards {
@@ -364,13 +385,13 @@
 }
 
 // encodeTransaction turns the new values into guards and changes.
-func (l *Leader) encodeTransaction(j *Job, t *jobTransaction, rec *job.Record) error {
+func (jc *jobCommitter) encodeTransaction(j *Job, t *jobTransaction, rec *job.Record) error {
 	key := job.RecordKey(j.ID)
-	t.transaction.Conditions = append(t.transaction.Conditions, l.elector.Condition(), wire.Condition{Key: key, Version: j.Version})
+	t.transaction.Conditions = append(t.transaction.Conditions, jc.elector.Condition(), wire.Condition{Key: key, Version: j.Version})
 	// A record that says nothing new is guarded and not written. In the first
 	// format it always is.
-	if t.writesRecord || l.encoding.Format < job.FormatGrouped {
-		value, err := job.EncodeRecord(rec, l.encoding.Format)
+	if t.writesRecord || jc.encoding.Format < job.FormatGrouped {
+		value, err := job.EncodeRecord(rec, jc.encoding.Format)
 		if err != nil {
 			return err
 		}
@@ -380,7 +401,7 @@
 	nums := slices.Sorted(maps.Keys(t.shards))
 	for _, n := range nums {
 		p := t.shards[n]
-		value, err := job.EncodeShard(&p, l.encoding.Format)
+		value, err := job.EncodeShard(&p, jc.encoding.Format)
 		if err != nil {
 			return err
 		}
@@ -394,60 +415,60 @@
 // maxInFlightChanges is how many changes to jobs may be on their way at a time: what
 // the state service takes in about half a second. More would wait in a line that
 // knows no ranks.
-func (l *Leader) maxInFlightChanges() int {
-	return max(l.encoding.MaxOps(), int(l.cfg.Cluster.State.LeastWriteRPS()/2))
+func (jc *jobCommitter) maxInFlightChanges() int {
+	return max(jc.encoding.MaxOps(), int(jc.cfg.Cluster.State.LeastWriteRPS()/2))
 }
 
 // maxInFlightCompletions is how many changes may be on their way for another one to be made for the end of a
 // job. Where a page of placements is one change for many jobs, half is left to pages: ends that wait for their
 // turn would hold up the starts of everybody else.
-func (l *Leader) maxInFlightCompletions() int {
-	if l.usesPlacementPages() {
-		return max(1, l.maxInFlightChanges()/2)
+func (jc *jobCommitter) maxInFlightCompletions() int {
+	if jc.usesPlacementPages() {
+		return max(1, jc.maxInFlightChanges()/2)
 	}
-	return l.maxInFlightChanges()
+	return jc.maxInFlightChanges()
 }
 
-func (l *Leader) sendTransaction(j *Job, t *jobTransaction) {
-	reign := l.term
-	l.inFlightChanges += len(t.transaction.Changes)
+func (jc *jobCommitter) sendTransaction(j *Job, t *jobTransaction) {
+	reign := jc.term
+	jc.inFlightChanges += len(t.transaction.Changes)
 	// An end that others wait for doesn't give way, nor does a cancellation that
 	// a job before this one has brought.
 	turn := msg.Deferrable
 	if t.record != nil && t.record.Final() && (j.DependentCount() > 0 || j.DependencyCancelled()) {
 		turn = msg.Critical
 	}
-	l.outbox.CommitWithPriority(t.transaction, turn, t.purpose(), func(d msg.CommitDone) {
-		if reign == l.term {
-			l.inFlightChanges -= len(t.transaction.Changes)
+	jc.outbox.CommitWithPriority(t.transaction, turn, t.purpose(), func(d msg.CommitDone) {
+		if reign == jc.term {
+			jc.inFlightChanges -= len(t.transaction.Changes)
 		}
-		if !l.elector.IsLeader() || j.transaction != t {
+		if !jc.elector.IsLeader() || j.transaction != t {
 			return
 		}
-		l.pendingCommits[j.ID] = true
+		jc.pendingCommits[j.ID] = true
 		settled := func() {
 			j.transaction = nil
-			l.setPlan(j, nil)
-			l.cycleDue = true
+			jc.snapshot.setPlan(j, nil)
+			jc.scheduler.cycleDue = true
 		}
 		switch d.Outcome {
 		case msg.OK:
 			settled()
-			l.applyCommitted(j, t, d.Revision)
+			jc.applyCommitted(j, t, d.Revision)
 		case msg.Unknown:
 			// It may be applied later. The same transaction again: either it
 			// or the late one fails by its guards, and until then what it
 			// places is counted.
-			t.outcomeUnknown, t.resendAt = true, l.outbox.Now()+commitRetryInterval
+			t.outcomeUnknown, t.resendAt = true, jc.outbox.Now()+commitRetryInterval
 		case msg.Conflict, msg.Invalid:
-			if d.Outcome == msg.Conflict && l.elector.DeposedBy(t.fencingToken, d.Failed) {
+			if d.Outcome == msg.Conflict && jc.elector.DeposedBy(t.fencingToken, d.Failed) {
 				return
 			}
 			if t.outcomeUnknown {
 				// It is an earlier sending, perhaps, that this one has met. Until the records have been
 				// read what it places stays counted, or the team's limit is given away twice. No
 				// sending of it takes effect from now on.
-				l.readAfterConflict(j, t, settled)
+				jc.readAfterConflict(j, t, settled)
 				return
 			}
 			settled()
@@ -455,14 +476,14 @@
 			if d.Outcome == msg.Invalid {
 				failed = t.jobKeys()
 			}
-			l.onConflict(j, failed)
+			jc.onConflict(j, failed)
 		default:
 			if t.outcomeUnknown { // this sending was refused; an earlier one may still be applied
-				t.resendAt = l.outbox.Now() + commitRetryInterval
+				t.resendAt = jc.outbox.Now() + commitRetryInterval
 				return
 			}
 			settled()
-			j.retryAt = l.outbox.Now() + commitRetryInterval
+			j.retryAt = jc.outbox.Now() + commitRetryInterval
 		}
 	})
 }
@@ -488,24 +509,24 @@
 }
 
 // applyCommitted takes over what a transaction has written.
-func (l *Leader) applyCommitted(j *Job, t *jobTransaction, revision uint64) {
+func (jc *jobCommitter) applyCommitted(j *Job, t *jobTransaction, revision uint64) {
 	j.dropCompletions(t.completions)
 	j.mergeRequested, j.movingToShards = false, false
 	if t.record != nil && j.Version < revision { // first: tasks may have moved out of it
-		l.replica.SetRecord(j.ID, *t.record, revision)
+		jc.replica.SetRecord(j.ID, *t.record, revision)
 	}
 	nums := slices.Sorted(maps.Keys(t.shards))
 	for _, n := range nums {
 		if _, v := j.Shard(n); v < revision {
-			l.replica.SetShard(j.Job, n, t.shards[n], revision)
+			jc.replica.SetShard(j.Job, n, t.shards[n], revision)
 		}
 	}
 	for _, ch := range t.transaction.Changes {
 		if _, n, ok := job.ParseKey(ch.Delete); ok && n > 0 && n <= len(j.Shards) {
-			l.replica.SetShard(j.Job, n, job.Shard{}, 0)
+			jc.replica.SetShard(j.Job, n, job.Shard{}, 0)
 		}
 	}
-	l.noteOwnPlacements(j, t.placed)
+	jc.estimates.noteOwnPlacements(j, t.placed)
 }
 
 // jobKeys are the keys of the job that a transaction goes by.
@@ -520,15 +541,15 @@
 }
 
 // onConflict reads what has changed under us.
-func (l *Leader) onConflict(j *Job, failed []string) {
+func (jc *jobCommitter) onConflict(j *Job, failed []string) {
 	for _, key := range failed {
 		if _, _, ok := job.ParseKey(key); !ok {
 			continue // the claim
 		}
-		j.retryAt = l.outbox.Now() + config.Second // unless the answer comes sooner
-		l.readKeys(j, key, func(ok bool) {
+		j.retryAt = jc.outbox.Now() + config.Second // unless the answer comes sooner
+		jc.readKeys(j, key, func(ok bool) {
 			if ok {
-				j.retryAt = l.outbox.Now()
+				j.retryAt = jc.outbox.Now()
 			}
 		})
 	}
@@ -536,17 +557,17 @@
 
 // readAfterConflict reads everything that a transaction goes by, and calls then once all of it has been
 // read. If any of it can't be, the transaction is sent again.
-func (l *Leader) readAfterConflict(j *Job, t *jobTransaction, then func()) {
+func (jc *jobCommitter) readAfterConflict(j *Job, t *jobTransaction, then func()) {
 	keys := t.jobKeys()
 	left, failed := len(keys), false
 	for _, key := range keys {
-		l.readKeys(j, key, func(ok bool) {
+		jc.readKeys(j, key, func(ok bool) {
 			left--
 			failed = failed || !ok
 			switch {
 			case left > 0 || j.transaction != t:
 			case failed:
-				t.resendAt = l.outbox.Now() + commitRetryInterval
+				t.resendAt = jc.outbox.Now() + commitRetryInterval
 			default:
 				then()
 			}
@@ -555,19 +576,19 @@
 }
 
 // readKeys brings a job up to what a key of it holds now, and tells whether it could be read.
-func (l *Leader) readKeys(j *Job, key string, then func(ok bool)) {
-	l.outbox.Read(key, func(d msg.ReadDone) {
-		if !l.elector.IsLeader() {
+func (jc *jobCommitter) readKeys(j *Job, key string, then func(ok bool)) {
+	jc.outbox.Read(key, func(d msg.ReadDone) {
+		if !jc.elector.IsLeader() {
 			return
 		}
 		if d.Outcome == msg.OK {
 			if d.Item.Version != 0 {
-				l.applyRecord(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
+				jc.applyRecord(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
 			} else if _, n, ok := job.ParseKey(key); ok && n > 0 {
-				l.replica.SetShard(j.Job, n, job.Shard{}, 0)
+				jc.replica.SetShard(j.Job, n, job.Shard{}, 0)
 			}
 		}
-		l.pendingCommits[j.ID] = true
+		jc.pendingCommits[j.ID] = true
 		then(d.Outcome == msg.OK)
 	})
 }
@@ -577,29 +598,29 @@
 // task or the worker's lease ends, and no start may still be on its way that
 // could take effect after that. Where a lease may outlast a cancellation's time, only
 // proof that all of it is over will do: a worker that hears nothing keeps its tasks until then.
-func (l *Leader) confirmCancellation(j *Job) {
+func (jc *jobCommitter) confirmCancellation(j *Job) {
 	if !j.Record.CancelRequested || j.Record.Final() {
 		j.cancelling = false
 		return
 	}
-	sure := j.OpenTasks == 0 || l.cfg.Cluster.Workers.LeaseEndsInTime() && l.cancelKnown(j.Version) // else one could keep a task of it alive
+	sure := j.OpenTasks == 0 || jc.cfg.Cluster.Workers.LeaseEndsInTime() && jc.delegations.cancelKnown(j.Version) // else one could keep a task of it alive
 	j.EachPlacement(func(p job.Placement) {
-		m := l.reconciler.Registry().Get(p.Machine)
-		if m == nil || m.FencingToken < l.elector.TermStart() {
+		m := jc.reconciler.Registry().Get(p.Machine)
+		if m == nil || m.FencingToken < jc.elector.TermStart() {
 			sure = false
 			return
 		}
-		if _, seen := m.Tasks[p.AttemptKey(j.ID)]; !seen && m.StartMayArrive(l.outbox.Now()) {
+		if _, seen := m.Tasks[p.AttemptKey(j.ID)]; !seen && m.StartMayArrive(jc.outbox.Now()) {
 			sure = false
 			if !m.StartInFlight && m.StartUncertain() {
-				l.elector.RequestNewToken()
+				jc.elector.RequestNewToken()
 			}
 		}
 	})
 	if sure {
 		j.cancelling = true
 		if j.OpenTasks > 0 {
-			l.acknowledgedCancel = max(l.acknowledgedCancel, j.Version)
+			jc.delegations.acknowledgedCancel = max(jc.delegations.acknowledgedCancel, j.Version)
 		}
 	}
 }
@@ -610,27 +631,27 @@
 }
 
 // closePlacement notes proof that a placement is over.
-func (l *Leader) closePlacement(key job.AttemptKey, machine string, done bool) {
-	l.closeWithProgress(key, machine, done, false)
+func (jc *jobCommitter) closePlacement(key job.AttemptKey, machine string, done bool) {
+	jc.closeWithProgress(key, machine, done, false)
 }
 
 // closeWithProgress does so for a task whose progress may have been saved.
-func (l *Leader) closeWithProgress(key job.AttemptKey, machine string, done, saved bool) {
-	j := l.jobs[key.Job]
+func (jc *jobCommitter) closeWithProgress(key job.AttemptKey, machine string, done, saved bool) {
+	j := jc.jobs[key.Job]
 	if j == nil {
 		return
 	}
 	if j.isClosing(key, machine) {
 		return
 	}
-	l.observeRun(j, key, machine, done)
-	j.completions = append(j.completions, completion{key: key, machine: machine, done: done, occupancy: l.occupancyOf(j, key, machine, done || saved)})
+	jc.estimates.observeRun(j, key, machine, done)
+	j.completions = append(j.completions, completion{key: key, machine: machine, done: done, occupancy: jc.occupancyOf(j, key, machine, done || saved)})
 	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang {
 		if j.leftMachines == nil {
 			j.leftMachines = map[string]uint64{}
 		}
 		j.leftMachines[machine] = key.Attempt
 	}
-	l.reconciler.TerminationDone(key)
-	l.pendingCommits[key.Job] = true
+	jc.reconciler.TerminationDone(key)
+	jc.pendingCommits[key.Job] = true
 }
--- a/internal/core/leader/completion_log.go
+++ b/internal/core/leader/completion_log.go
@@ -34,6 +34,12 @@
 
 // completionLog is what the leader is to write into the log.
 type completionLog struct {
+	*environment
+	commits    *jobCommitter
+	placements *placementCommits
+	scheduler  *scheduler
+	snapshot   *clusterSnapshot
+
 	pagesBegun    uint64 // how many pages this leader has begun
 	currentPage   uint64 // the page that the leader fills; 0: none
 	unwritten     []records.CompletionEntry
@@ -43,13 +49,20 @@
 	nextWriteAt   Micros
 }
 
+// reset begins new pages. When the next may be written stays: it spares the state service's quota.
+func (lg *completionLog) reset() {
+	lg.pagesBegun, lg.currentPage = 0, 0
+	lg.unwritten, lg.transaction, lg.inFlight = nil, nil, false
+	lg.deletingPages = map[uint64]bool{}
+}
+
 // logCompletions hands closings to the log.
-func (l *Leader) logCompletions(j *Job, closes []completion) {
+func (lg *completionLog) logCompletions(j *Job, closes []completion) {
 	for _, cl := range closes {
 		for i := range j.completions {
 			if o := &j.completions[i]; o.key == cl.key && o.machine == cl.machine && !o.logged {
 				o.logged = true
-				l.completionLog.unwritten = append(l.completionLog.unwritten, records.CompletionEntry{Job: cl.key.Job, Task: cl.key.Task, Attempt: cl.key.Attempt,
+				lg.unwritten = append(lg.unwritten, records.CompletionEntry{Job: cl.key.Job, Task: cl.key.Task, Attempt: cl.key.Attempt,
 					Machine: cl.machine, Done: cl.done, Occupancy: cl.occupancy})
 			}
 		}
@@ -57,13 +70,13 @@
 }
 
 // writeCompletionLog commits what has been noted, a page at a time.
-func (l *Leader) writeCompletionLog() {
-	e := &l.completionLog
-	if l.elector.TokenChangePending() || e.inFlight || l.outbox.Now() < e.nextWriteAt {
+func (lg *completionLog) writeCompletionLog() {
+	e := lg
+	if lg.elector.TokenChangePending() || e.inFlight || lg.outbox.Now() < e.nextWriteAt {
 		return
 	}
 	if e.transaction != nil { // without an answer: it may be applied later, so the same again
-		l.sendCompletionPage(e.transaction)
+		lg.sendCompletionPage(e.transaction)
 		return
 	}
 	if len(e.unwritten) == 0 {
@@ -71,75 +84,75 @@
 	}
 	var lines []records.CompletionEntry
 	version := uint64(0)
-	if p := l.replica.CompletionPage(e.currentPage); p != nil {
+	if p := lg.replica.CompletionPage(e.currentPage); p != nil {
 		version = p.Version
 		for _, f := range p.Completions {
 			lines = append(lines, f.CompletionEntry)
 		}
 	}
-	value := l.encodeCompletions(lines)
+	value := lg.encodeCompletions(lines)
 	if version == 0 || value == nil { // the first page, or the next
 		e.pagesBegun++
-		e.currentPage, version = l.elector.TermStart()<<pageNumberBits|e.pagesBegun, 0
-		if value = l.encodeCompletions(nil); value == nil {
+		e.currentPage, version = lg.elector.TermStart()<<pageNumberBits|e.pagesBegun, 0
+		if value = lg.encodeCompletions(nil); value == nil {
 			return
 		}
 	}
-	e.nextWriteAt = l.outbox.Now() + l.completionLogInterval()
+	e.nextWriteAt = lg.outbox.Now() + lg.completionLogInterval()
 	key := records.CompletionPageKey(e.currentPage)
 	e.transaction = &wire.Transaction{
-		Conditions: []wire.Condition{l.elector.Condition(), {Key: key, Version: version}},
+		Conditions: []wire.Condition{lg.elector.Condition(), {Key: key, Version: version}},
 		Changes:    []wire.Change{{Put: key, Value: value}},
 	}
-	l.sendCompletionPage(e.transaction)
+	lg.sendCompletionPage(e.transaction)
 }
 
 // completionLogInterval is the time between two pages. While nothing waits for what ends give back, they are
 // collected for a moment: each page costs a change, however few ends it holds.
-func (l *Leader) completionLogInterval() Micros {
-	short := l.encoding.IntervalForShare(completionShare)
-	if !l.usesPlacementPages() || l.snapshot.capacityShort {
+func (lg *completionLog) completionLogInterval() Micros {
+	short := lg.encoding.IntervalForShare(completionShare)
+	if !lg.usesPlacementPages() || lg.snapshot.capacityShort {
 		return short
 	}
-	return max(short, min(maxCompletionDelay, l.encoding.IntervalForShare(idleCompletionShare)))
+	return max(short, min(maxCompletionDelay, lg.encoding.IntervalForShare(idleCompletionShare)))
 }
 
 // encodeCompletions adds as many fresh lines to a page as it has room for; nil: none.
-func (l *Leader) encodeCompletions(lines []records.CompletionEntry) []byte {
-	for n := len(l.completionLog.unwritten); n > 0; n /= 2 {
-		value, err := records.EncodeCompletionPage(append(lines[:len(lines):len(lines)], l.completionLog.unwritten[:n]...), l.encoding.Format)
-		if err == nil && l.encoding.Fits(value) {
+func (lg *completionLog) encodeCompletions(lines []records.CompletionEntry) []byte {
+	for n := len(lg.unwritten); n > 0; n /= 2 {
+		value, err := records.EncodeCompletionPage(append(lines[:len(lines):len(lines)], lg.unwritten[:n]...), lg.encoding.Format)
+		if err == nil && lg.encoding.Fits(value) {
 			return value
 		}
 	}
 	return nil
 }
 
-func (l *Leader) sendCompletionPage(t *wire.Transaction) {
-	l.completionLog.inFlight = true
-	l.outbox.CommitDeferrable(*t, msg.PurposeCompletionLog, func(d msg.CommitDone) {
-		e := &l.completionLog
-		if !l.elector.IsLeader() || e.transaction != t {
+func (lg *completionLog) sendCompletionPage(t *wire.Transaction) {
+	lg.inFlight = true
+	lg.outbox.CommitDeferrable(*t, msg.PurposeCompletionLog, func(d msg.CommitDone) {
+		e := lg
+		if !lg.elector.IsLeader() || e.transaction != t {
 			return
 		}
 		e.inFlight = false
 		key := t.Changes[0].Put
 		switch d.Outcome {
 		case msg.Unknown:
-			e.nextWriteAt = l.outbox.Now() + commitRetryInterval
+			e.nextWriteAt = lg.outbox.Now() + commitRetryInterval
 			return
 		case msg.OK:
-			l.applyRecord(&wire.Change{Put: key, Value: t.Changes[0].Value, Version: d.Revision})
+			lg.applyRecord(&wire.Change{Put: key, Value: t.Changes[0].Value, Version: d.Revision})
 		case msg.Conflict:
-			if l.elector.DeposedBy(t.Conditions[0].Version, d.Failed) {
+			if lg.elector.DeposedBy(t.Conditions[0].Version, d.Failed) {
 				return
 			}
 			if slices.Contains(d.Failed, key) { // an earlier sending has been applied after all
-				e.nextWriteAt = l.outbox.Now() + commitRetryInterval
-				l.outbox.Read(key, func(d msg.ReadDone) {
+				e.nextWriteAt = lg.outbox.Now() + commitRetryInterval
+				lg.outbox.Read(key, func(d msg.ReadDone) {
 					if d.Outcome == msg.OK && d.Item.Version != 0 {
-						l.applyRecord(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
-						l.dropLogged()
+						lg.applyRecord(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
+						lg.dropLogged()
 					}
 				})
 			}
@@ -147,21 +160,21 @@
 			// An earlier sending may have been applied: the watch tells. What isn't in
 			// the log by then goes into a new page.
 			e.currentPage = 0
-			e.nextWriteAt = l.outbox.Now() + config.Second
+			e.nextWriteAt = lg.outbox.Now() + config.Second
 		default:
-			e.nextWriteAt = l.outbox.Now() + commitRetryInterval
+			e.nextWriteAt = lg.outbox.Now() + commitRetryInterval
 		}
 		e.transaction = nil
-		l.dropLogged()
+		lg.dropLogged()
 	})
 }
 
 // dropLogged drops what pages or records say by now from what is to be written.
-func (l *Leader) dropLogged() {
-	e := &l.completionLog
+func (lg *completionLog) dropLogged() {
+	e := lg
 	left := e.unwritten[:0]
 	for _, line := range e.unwritten {
-		j := l.jobs[line.Job]
+		j := lg.jobs[line.Job]
 		if j != nil && j.Record.Spec != nil {
 			if j.IsOpen(line.Task, line.Attempt, line.Machine) {
 				left = append(left, line)
@@ -172,8 +185,8 @@
 			j.completions = slices.DeleteFunc(j.completions, func(cl completion) bool {
 				return cl.logged && cl.key.Task == line.Task && cl.key.Attempt == line.Attempt && cl.machine == line.Machine
 			})
-			l.pendingCommits[j.ID] = true
-			l.cycleDue = true
+			lg.commits.pendingCommits[j.ID] = true
+			lg.scheduler.cycleDue = true
 		}
 	}
 	e.unwritten = left
@@ -181,45 +194,45 @@
 
 // deleteMergedPages deletes pages that no record needs any more, and has jobs written
 // for the sake of the oldest page when there are many.
-func (l *Leader) deleteMergedPages() {
-	pages := l.replica.CompletionPages()
+func (lg *completionLog) deleteMergedPages() {
+	pages := lg.replica.CompletionPages()
 	for i, n := range pages {
-		p := l.replica.CompletionPage(n)
-		if n == l.completionLog.currentPage || l.completionLog.deletingPages[n] {
+		p := lg.replica.CompletionPage(n)
+		if n == lg.currentPage || lg.deletingPages[n] {
 			continue
 		}
 		needed := false
 		for _, f := range p.Completions {
-			j := l.jobs[f.Job]
+			j := lg.jobs[f.Job]
 			if f.Merged || j == nil || j.Record.Spec == nil {
 				continue
 			}
 			needed = true
-			if i > 0 || len(pages)*l.encoding.MaxValueBytes() <= maxCompletionLogBytes {
+			if i > 0 || len(pages)*lg.encoding.MaxValueBytes() <= maxCompletionLogBytes {
 				continue
 			}
 			if shared, ok := f.PlacementPage(); ok {
-				l.placements.pagesToCompact[shared] = true
+				lg.placements.pagesToCompact[shared] = true
 				continue
 			}
 			if !j.mergeRequested {
 				j.mergeRequested = true
-				l.pendingCommits[j.ID] = true
+				lg.commits.pendingCommits[j.ID] = true
 			}
 		}
 		if needed {
 			continue
 		}
-		leaving := l.completionLog.deletingPages
+		leaving := lg.deletingPages
 		leaving[n] = true
 		key := records.CompletionPageKey(n)
-		l.outbox.CommitDeferrable(wire.Transaction{
-			Conditions: []wire.Condition{l.elector.Condition(), {Key: key, Version: p.Version}},
+		lg.outbox.CommitDeferrable(wire.Transaction{
+			Conditions: []wire.Condition{lg.elector.Condition(), {Key: key, Version: p.Version}},
 			Changes:    []wire.Change{{Delete: key}},
 		}, msg.PurposeCleanup, func(d msg.CommitDone) {
 			delete(leaving, n)
-			if d.Outcome == msg.OK && l.replica.CompletionPage(n) == p {
-				l.replica.DropCompletionPage(n)
+			if d.Outcome == msg.OK && lg.replica.CompletionPage(n) == p {
+				lg.replica.DropCompletionPage(n)
 			}
 		})
 		return // one at a time
--- a/internal/core/leader/counters.go
+++ b/internal/core/leader/counters.go
@@ -5,6 +5,15 @@
 	"coralhub/internal/core/zone"
 )
 
+// diagnostics TODO
+type diagnostics struct {
+	*environment
+	commits       *jobCommitter
+	completionLog *completionLog
+
+	counters counters
+}
+
 // countEvery is how often the debug log tells what the leader is busy with.
 const countEvery = 5 * config.Second
 
@@ -32,7 +41,7 @@
 	leaving = "leaving"
 )
 
-func (l *Leader) stateOf(m *zone.Machine) string {
+func (dx *diagnostics) stateOf(m *zone.Machine) string {
 	switch {
 	case m.Releasing || m.Failed || m.ReclaimedAt != 0:
 		return leaving
@@ -46,34 +55,34 @@
 		return mute
 	case m.Relayed:
 		return mailed
-	case l.outbox.Now()-m.LastContactAt > l.heartbeatTimeout():
+	case dx.outbox.Now()-m.LastContactAt > dx.heartbeatTimeout():
 		return quiet
 	}
 	return usable
 }
 
 // states counts the machines.
-func (l *Leader) states() map[string]int {
+func (dx *diagnostics) states() map[string]int {
 	out := map[string]int{}
-	for _, m := range l.reconciler.Registry().All() {
-		out[l.stateOf(m)]++
+	for _, m := range dx.reconciler.Registry().All() {
+		out[dx.stateOf(m)]++
 	}
 	return out
 }
 
 // count writes the line when it is due.
-func (l *Leader) count() {
-	if l.outbox.Now()-l.counters.at < countEvery {
+func (dx *diagnostics) count() {
+	if dx.outbox.Now()-dx.counters.at < countEvery {
 		return
 	}
-	states := l.states()
+	states := dx.states()
 	closing := 0
-	for _, j := range l.unfinished {
+	for _, j := range dx.unfinished {
 		closing += len(j.completions)
 	}
-	n := &l.counters
-	l.outbox.Debug("leader", "passes", n.cycles, "placed", n.placed, "pending", n.pending, "without", n.without, "held", n.held, "moved", n.moved,
-		"writing", l.inFlightChanges, "waiting", len(l.pendingCommits)+len(l.deferredCommits), "closing", closing, "log", len(l.completionLog.unwritten),
+	n := &dx.counters
+	dx.outbox.Debug("leader", "passes", n.cycles, "placed", n.placed, "pending", n.pending, "without", n.without, "held", n.held, "moved", n.moved,
+		"writing", dx.commits.inFlightChanges, "waiting", len(dx.commits.pendingCommits)+len(dx.commits.deferredCommits), "closing", closing, "log", len(dx.completionLog.unwritten),
 		usable, states[usable], quiet, states[quiet], mailed, states[mailed], sick, states[sick], deaf, states[deaf], mute, states[mute], booting, states[booting], leaving, states[leaving])
-	l.counters = counters{at: l.outbox.Now()}
+	dx.counters = counters{at: dx.outbox.Now()}
 }
--- a/internal/core/leader/cycle.go
+++ b/internal/core/leader/cycle.go
@@ -16,6 +16,29 @@
 	"coralhub/wire"
 )
 
+// scheduler TODO
+type scheduler struct {
+	*environment
+	commits     *jobCommitter
+	diagnostics *diagnostics
+	estimates   *runTimeEstimates
+	preemptions *preemptionDecisions
+	snapshot    *clusterSnapshot
+	startOrder  *startOrder
+
+	usage           *queue.Usage
+	weights         map[string]float64
+	cycleDue        bool
+	nextCycleAt     Micros
+	lastCycleAt     Micros
+	defragmentation defragState
+}
+
+func (sc *scheduler) reset() {
+	sc.defragmentation = defragState{}
+	sc.usage = queue.NewUsage(config.FromSeconds(sc.cfg.Settings.UsageWindowS))
+}
+
 // cycle is one pass over the queue.
 type cycle struct {
 	zones          []*zone.Zone
@@ -54,54 +77,54 @@
 
 // runCycle ranks the pending jobs and places what it can. A job that finds no
 // place waits; the next is tried.
-func (l *Leader) runCycle() {
-	l.cycleDue, l.lastCycleAt, l.nextCycleAt = false, l.outbox.Now(), 0
-	if !l.catalog.Known() || l.elector.TokenChangePending() {
+func (sc *scheduler) runCycle() {
+	sc.cycleDue, sc.lastCycleAt, sc.nextCycleAt = false, sc.outbox.Now(), 0
+	if !sc.catalog.Known() || sc.elector.TokenChangePending() {
 		return
 	}
-	s := l.startCycle()
-	l.resumeDecisions()
-	l.usage.Observe(l.outbox.Now(), s.used)
-	l.updateShortages()
-	entries := l.pendingJobs(s)
+	s := sc.startCycle()
+	sc.preemptions.resumeDecisions()
+	sc.usage.Observe(sc.outbox.Now(), s.used)
+	sc.startOrder.updateShortages()
+	entries := sc.pendingJobs(s)
 	queue.Rank(entries)
-	l.counters.cycles++
-	l.counters.pending, l.counters.without, l.counters.held = len(entries), 0, 0
+	sc.diagnostics.counters.cycles++
+	sc.diagnostics.counters.pending, sc.diagnostics.counters.without, sc.diagnostics.counters.held = len(entries), 0, 0
 	queue.Visit(entries, func(e *queue.Entry) bool {
-		j := l.jobs[e.ID]
-		return !j.queuedBehind || l.mayClaimGuarantee(j, s.used)
+		j := sc.jobs[e.ID]
+		return !j.queuedBehind || sc.startOrder.mayClaimGuarantee(j, s.used)
 	}, func(e *queue.Entry) {
-		l.reserveForPreemptors(s, e.Level)
-		l.placeJob(s, e)
+		sc.reserveForPreemptors(s, e.Level)
+		sc.placeJob(s, e)
 	})
-	l.snapshot.demandUnmet = l.counters.without > 0
-	l.snapshot.capacityShort = l.snapshot.demandUnmet || s.quotaLimited
-	l.scaleOut(s)
-	if l.snapshot.deadlinesDue {
-		l.snapshot.deadlinesDue = false
-		l.updateDeadlineVerdicts()
+	sc.snapshot.demandUnmet = sc.diagnostics.counters.without > 0
+	sc.snapshot.capacityShort = sc.snapshot.demandUnmet || s.quotaLimited
+	sc.scaleOut(s)
+	if sc.snapshot.deadlinesDue {
+		sc.snapshot.deadlinesDue = false
+		sc.estimates.updateDeadlineVerdicts()
 	}
 }
 
 // startCycle brings what passes go by up to date. Everything open counts, whatever the
 // workers last said of it, and so does what is being committed.
-func (l *Leader) startCycle() *cycle {
-	l.refreshSnapshot()
-	s := &cycle{zones: l.snapshot.zones, used: maps.Clone(l.snapshot.used), reservedZones: map[string]bool{}, drainedZones: map[string]bool{}, changeBudget: float64(l.maxInFlightChanges() - l.inFlightChanges)}
+func (sc *scheduler) startCycle() *cycle {
+	sc.snapshot.refreshSnapshot()
+	s := &cycle{zones: sc.snapshot.zones, used: maps.Clone(sc.snapshot.used), reservedZones: map[string]bool{}, drainedZones: map[string]bool{}, changeBudget: float64(sc.commits.maxInFlightChanges() - sc.commits.inFlightChanges)}
 	for _, z := range s.zones {
-		z.Victims = func() []*zone.Victim { return l.victims(s, z.Name) }
+		z.Victims = func() []*zone.Victim { return sc.victims(s, z.Name) }
 	}
 	return s
 }
 
 // victims lists the work of a zone that could be stopped. Most passes find room
 // without, so it is put together only when a job asks.
-func (l *Leader) victims(s *cycle, name string) []*zone.Victim {
+func (sc *scheduler) victims(s *cycle, name string) []*zone.Victim {
 	if s.victims == nil {
 		s.victims = map[string][]*zone.Victim{}
-		for _, j := range l.unfinished {
+		for _, j := range sc.unfinished {
 			if !j.Record.Final() && !j.Record.CancelRequested {
-				l.addVictims(s, j)
+				sc.addVictims(s, j)
 			}
 		}
 		for _, vs := range s.victims {
@@ -119,15 +142,15 @@
 	borrowingTeams map[string]bool // teams that have places beyond their guarantee
 }
 
-func (l *Leader) summarizeRunning(s *cycle) *runningSummary {
+func (sc *scheduler) summarizeRunning(s *cycle) *runningSummary {
 	if s.running == nil {
 		s.running = &runningSummary{lowestLevel: math.MaxInt, borrowingTeams: map[string]bool{}}
-		for _, j := range l.unfinished {
+		for _, j := range sc.unfinished {
 			if j.OpenTasks == 0 || j.Record.Final() || j.Record.CancelRequested {
 				continue
 			}
 			s.running.lowestLevel = min(s.running.lowestLevel, queue.Level(j.Priority(), true))
-			if !l.withinGuarantee(j) {
+			if !sc.snapshot.withinGuarantee(j) {
 				s.running.borrowingTeams[j.Record.Spec.Team] = true
 			}
 		}
@@ -136,13 +159,13 @@
 }
 
 // anyRunsBelow tells whether anything of a priority below a level has places.
-func (l *Leader) anyRunsBelow(s *cycle, level int) bool {
-	return level > queue.Level(wire.Low, true) && l.summarizeRunning(s).lowestLevel < level
+func (sc *scheduler) anyRunsBelow(s *cycle, level int) bool {
+	return level > queue.Level(wire.Low, true) && sc.summarizeRunning(s).lowestLevel < level
 }
 
 // anyTeamBorrows tells whether any other team has places beyond its guarantee.
-func (l *Leader) anyTeamBorrows(s *cycle, team string) bool {
-	for other := range l.summarizeRunning(s).borrowingTeams {
+func (sc *scheduler) anyTeamBorrows(s *cycle, team string) bool {
+	for other := range sc.summarizeRunning(s).borrowingTeams {
 		if other != team {
 			return true
 		}
@@ -151,30 +174,30 @@
 }
 
 // addVictims lists what could be stopped of a job.
-func (l *Leader) addVictims(s *cycle, j *Job) {
+func (sc *scheduler) addVictims(s *cycle, j *Job) {
 	spec := j.Record.Spec
 	needs := taskResources(spec)
-	level := queue.Level(j.Priority(), l.withinGuarantee(j))
+	level := queue.Level(j.Priority(), sc.snapshot.withinGuarantee(j))
 	var gang *zone.Victim // the same one in every zone that it is in
 	listed := map[string]bool{}
 	j.EachPlacement(func(p job.Placement) {
-		m := l.reconciler.Registry().Get(p.Machine)
-		if l.reconciler.IsTerminating(p.AttemptKey(j.ID)) || l.preemptions.isPreempted(j.ID, p.Task) || m == nil || m.Offer == nil {
+		m := sc.reconciler.Registry().Get(p.Machine)
+		if sc.reconciler.IsTerminating(p.AttemptKey(j.ID)) || sc.preemptions.isPreempted(j.ID, p.Task) || m == nil || m.Offer == nil {
 			return
 		}
 		since, ran := j.startedAt[p.Task]
 		if !ran {
-			since = l.outbox.Now()
+			since = sc.outbox.Now()
 		}
 		left := Micros(0)
-		if l.cfg.Settings.VictimsByRemaining && spec.Shape != wire.Service {
-			if a, ok := l.remainingTime(j, &p); ok {
+		if sc.cfg.Settings.VictimsByRemaining && spec.Shape != wire.Service {
+			if a, ok := sc.estimates.remainingTime(j, &p); ok {
 				left = a.Median
 			}
 		}
 		loss := Micros(0)
 		if spec.Shape != wire.Service && spec.CheckpointS == 0 {
-			loss = l.outbox.Now() - since
+			loss = sc.outbox.Now() - since
 		}
 		take := zone.Reclaim{Offer: m.Offer, Resources: needs}
 		if spec.Shape != wire.Gang {
@@ -194,31 +217,31 @@
 }
 
 // pendingJobs lists the jobs that want places.
-func (l *Leader) pendingJobs(s *cycle) []queue.Entry {
-	out := make([]queue.Entry, 0, len(l.snapshot.wanting))
-	shares := l.usage.Shares(l.weights)
-	for j := range l.snapshot.wanting { // in any order: ranking knows no ties
+func (sc *scheduler) pendingJobs(s *cycle) []queue.Entry {
+	out := make([]queue.Entry, 0, len(sc.snapshot.wanting))
+	shares := sc.usage.Shares(sc.weights)
+	for j := range sc.snapshot.wanting { // in any order: ranking knows no ties
 		spec := j.Record.Spec
 		if j.transaction != nil || len(j.plan) > 0 || len(j.completions) > 0 {
 			continue
 		}
-		if at := max(j.holdUntil, j.retryAt); l.outbox.Now() < at {
+		if at := max(j.holdUntil, j.retryAt); sc.outbox.Now() < at {
 			// When its time has come it should not wait for an event or a scan as well.
-			if l.nextCycleAt == 0 || at < l.nextCycleAt {
-				l.nextCycleAt = at
+			if sc.nextCycleAt == 0 || at < sc.nextCycleAt {
+				sc.nextCycleAt = at
 			}
 			continue
 		}
-		level := queue.Level(j.Priority(), l.withinGuarantee(j))
-		if l.outbox.Now() < j.preemptingUntil {
+		level := queue.Level(j.Priority(), sc.snapshot.withinGuarantee(j))
+		if sc.outbox.Now() < j.preemptingUntil {
 			s.waitingPreemptors = append(s.waitingPreemptors, waitingPreemptor{level, j})
 		}
-		turn, within := l.startTier(j)
+		turn, within := sc.startOrder.startTier(j)
 		if within == 0 {
-			within = l.rankCost(j)
+			within = sc.estimates.rankCost(j)
 		}
 		out = append(out, queue.Entry{ID: j.ID, Level: level, Tier: turn, Cost: within, Created: j.Record.CreatedAt,
-			Credit: queue.Credit(&l.cfg.Settings, l.outbox.Now()-j.arrivedAt, shares[spec.Team])})
+			Credit: queue.Credit(&sc.cfg.Settings, sc.outbox.Now()-j.arrivedAt, shares[spec.Team])})
 	}
 	slices.SortFunc(s.waitingPreemptors, func(a, b waitingPreemptor) int {
 		return cmp.Or(cmp.Compare(b.level, a.level), compareByID(a.job, b.job))
@@ -234,12 +257,12 @@
 
 // reserveForPreemptors keeps machines for the jobs that had others stopped, before anything has its turn that
 // ranks no higher: it would reckon with room that is somebody's.
-func (l *Leader) reserveForPreemptors(s *cycle, level int) {
+func (sc *scheduler) reserveForPreemptors(s *cycle, level int) {
 	for len(s.waitingPreemptors) > 0 && s.waitingPreemptors[0].level >= level {
 		for name := range s.waitingPreemptors[0].job.reservedMachines {
-			if m := l.reconciler.Registry().Get(name); m != nil && m.Offer != nil {
+			if m := sc.reconciler.Registry().Get(name); m != nil && m.Offer != nil {
 				m.Offer.Reserved = true
-				l.markMachineStale(m)
+				sc.snapshot.markMachineStale(m)
 			}
 		}
 		s.waitingPreemptors = s.waitingPreemptors[1:]
@@ -249,8 +272,8 @@
 // missingTasks lists the tasks that have no place, at most as many as one transaction
 // can hold. A gang needs room for all: what its transaction can't hold is placed
 // in the next pass, under the same attempt.
-func (l *Leader) missingTasks(j *Job) []int {
-	most := l.maxTasksAtOnce(j)
+func (sc *scheduler) missingTasks(j *Job) []int {
+	most := sc.maxTasksAtOnce(j)
 	tasks := j.Record.Spec.Tasks
 	var out []int
 	for n, end := j.Record.ShardRange(tasks); n < end; n++ {
@@ -266,27 +289,27 @@
 }
 
 // placeJob finds machines for a job's missing tasks.
-func (l *Leader) placeJob(s *cycle, e *queue.Entry) {
-	j := l.jobs[e.ID]
+func (sc *scheduler) placeJob(s *cycle, e *queue.Entry) {
+	j := sc.jobs[e.ID]
 	spec := j.Record.Spec
-	team := l.teams[spec.Team]
+	team := sc.teams[spec.Team]
 	gang := spec.Shape == wire.Gang
 	if !gang && !queue.UnderLimit(team, s.used[spec.Team].Plus(taskAmount(spec), 1)) {
 		s.quotaLimited = true
 		j.preemptingUntil, j.reservedMachines = 0, nil
 		return // as most of a long queue may
 	}
-	l.classify(j)
-	if l.knownUnschedulable(s, j, e.Level) {
+	sc.classify(j)
+	if sc.knownUnschedulable(s, j, e.Level) {
 		return
 	}
-	usual := l.isOrdinary(j)
-	tasks := l.initialTasks(j, l.missingTasks(j))
+	usual := sc.isOrdinary(j)
+	tasks := sc.startOrder.initialTasks(j, sc.missingTasks(j))
 	attempt := j.Record.LastAttempt + 1
 	if gang && j.OpenTasks > 0 {
 		// A gang that hasn't started takes a replacement under its number; one
 		// that has, or that is going, starts again once all of it has left.
-		if j.Record.LastAttempt <= j.failedGangAttempt || j.Record.LastAttempt <= j.ranGangAttempt || l.reconciler.IsTerminatingAny(j.ID) {
+		if j.Record.LastAttempt <= j.failedGangAttempt || j.Record.LastAttempt <= j.ranGangAttempt || sc.reconciler.IsTerminatingAny(j.ID) {
 			return
 		}
 		attempt = j.Record.LastAttempt
@@ -295,7 +318,7 @@
 		if !queue.UnderLimit(team, s.used[spec.Team].Plus(taskAmount(spec), float64(n+1))) {
 			s.quotaLimited = true
 			if gang { // waits for its team's limit
-				if l.reservesFreedMachines(j) {
+				if sc.startOrder.reservesFreedMachines(j) {
 					s.used[spec.Team] = s.used[spec.Team].Plus(taskAmount(spec), float64(len(tasks)))
 				}
 				return
@@ -304,9 +327,9 @@
 			break
 		}
 	}
-	q := l.zoneRequest(s, j, e)
-	if gang && l.cfg.Settings.GangsAvoidSlow {
-		q.Avoid = l.addSlowMachines(q.Avoid)
+	q := sc.zoneRequest(s, j, e)
+	if gang && sc.cfg.Settings.GangsAvoidSlow {
+		q.Avoid = sc.estimates.addSlowMachines(q.Avoid)
 	}
 	if gang && j.OpenTasks > 0 {
 		// An attempt must not come to a machine that it has left: what the worker
@@ -317,7 +340,7 @@
 		}
 		for name, left := range j.leftMachines {
 			if left == attempt {
-				q.Avoid[name] = l.outbox.Now() + config.Second
+				q.Avoid[name] = sc.outbox.Now() + config.Second
 			}
 		}
 	}
@@ -327,48 +350,48 @@
 	// highest have gone first. The rest hold their places in this pass, so that
 	// nothing ranking lower takes them and machines are rented for what is left.
 	commit := s.changeBudget > 0
-	apart := l.newReplicaSpread(j)
+	apart := sc.newReplicaSpread(j)
 	for len(tasks) > 0 {
-		bid := apart.bid(q, func() *zone.Bid { return l.auction(s, j, e, q, tasks, inZone) })
+		bid := apart.bid(q, func() *zone.Bid { return sc.auction(s, j, e, q, tasks, inZone) })
 		if bid == nil {
 			break
 		}
 		if len(bid.Victims) > 0 {
 			if commit {
-				l.preempt(j, bid, e.Level)
+				sc.preempt(j, bid, e.Level)
 			}
 			return
 		}
 		if commit && len(j.plan) == 0 {
-			s.changeBudget -= l.placementCost(j) // its record is written, or a part of a page
+			s.changeBudget -= sc.commits.placementCost(j) // its record is written, or a part of a page
 		}
 		for i, r := range bid.Offers {
 			image := ""
 			if q.ShareFetches {
 				image = q.Image
 			}
-			l.snapshot.byName[r.Zone].Allocate(r, q.Needs, image)
-			l.markMachineStale(r.Machine)
+			sc.snapshot.byName[r.Zone].Allocate(r, q.Needs, image)
+			sc.snapshot.markMachineStale(r.Machine)
 			inZone[bid.Zone]++
 			apart.place(r.Machine.Name)
 			if !commit {
 				continue
 			}
 			if tasks[i] >= job.TasksPerShard && tasks[i]%job.TasksPerShard == 0 {
-				s.changeBudget -= l.placementCost(j) // another value is written
+				s.changeBudget -= sc.commits.placementCost(j) // another value is written
 			}
-			l.addPlan(j, job.Placement{Task: tasks[i], Attempt: attempt, Machine: r.Machine.Name,
-				Session: r.Machine.Incarnation, Zone: r.Machine.Zone, PlacedAt: job.EncodeTime(j.Record.CreatedAt, l.wallClock()), Spot: r.Machine.Spot})
+			sc.snapshot.addPlan(j, job.Placement{Task: tasks[i], Attempt: attempt, Machine: r.Machine.Name,
+				Session: r.Machine.Incarnation, Zone: r.Machine.Zone, PlacedAt: job.EncodeTime(j.Record.CreatedAt, sc.wallClock()), Spot: r.Machine.Spot})
 		}
 		if commit {
-			l.outbox.Debug("placing", "job", j.ID, "class", spec.Class, "tasks", len(bid.Offers), "warm", bid.CachedImages, "zone", bid.Zone,
-				"age_ms", (l.outbox.Now()-j.arrivedAt)/1000, "level", e.Level)
-			l.pendingCommits[j.ID] = true
+			sc.outbox.Debug("placing", "job", j.ID, "class", spec.Class, "tasks", len(bid.Offers), "warm", bid.CachedImages, "zone", bid.Zone,
+				"age_ms", (sc.outbox.Now()-j.arrivedAt)/1000, "level", e.Level)
+			sc.commits.pendingCommits[j.ID] = true
 		}
 		if commit {
-			l.counters.placed += len(bid.Offers)
+			sc.diagnostics.counters.placed += len(bid.Offers)
 		} else {
-			l.counters.held++
+			sc.diagnostics.counters.held++
 		}
 		s.used[spec.Team] = s.used[spec.Team].Plus(taskAmount(spec), float64(len(bid.Offers)))
 		tasks = tasks[len(bid.Offers):]
@@ -380,13 +403,13 @@
 	if usual && (len(inZone) == 0 || !spec.OneZone && !spec.Spread) {
 		s.unschedulable.add(j.equivalenceClass, e.Level)
 	}
-	lacks := l.demandOf(j, len(tasks))
-	l.defragment(s, j, q, &lacks, e.Level)
-	l.reserveFreedMachines(s, j, q)
-	l.addDemand(s, j, lacks)
+	lacks := sc.demandOf(j, len(tasks))
+	sc.defragment(s, j, q, &lacks, e.Level)
+	sc.startOrder.reserveFreedMachines(s, j, q)
+	sc.addDemand(s, j, lacks)
 }
 
-func (l *Leader) zoneWithMostCapacity(s *cycle, spec *wire.Job) string {
+func (sc *scheduler) zoneWithMostCapacity(s *cycle, spec *wire.Job) string {
 	best, most := "", -1.0
 	for _, z := range s.zones {
 		if spec.Zone != "" && spec.Zone != z.Name {
@@ -400,10 +423,10 @@
 }
 
 // classify brings up to date what is known of the kind of a job.
-func (l *Leader) classify(j *Job) {
+func (sc *scheduler) classify(j *Job) {
 	if j.types.set == nil {
 		j.types.set = map[string]bool{}
-		for name, t := range l.catalog.Types {
+		for name, t := range sc.catalog.Types {
 			if zone.Allows(j.Record.Spec, t) {
 				j.types.set[name] = true
 			}
@@ -412,27 +435,27 @@
 		j.equivalenceClass = 0
 	}
 	if p := j.Priority(); j.equivalenceClass == 0 || j.classifiedAs != p {
-		j.equivalenceClass, j.classifiedAs = l.snapshot.classes.classOf(j, p), p
+		j.equivalenceClass, j.classifiedAs = sc.snapshot.classes.classOf(j, p), p
 	}
 }
 
-func (l *Leader) zoneRequest(s *cycle, j *Job, e *queue.Entry) *zone.Request {
+func (sc *scheduler) zoneRequest(s *cycle, j *Job, e *queue.Entry) *zone.Request {
 	spec := j.Record.Spec
 	q := &zone.Request{Job: j.ID, Needs: taskResources(spec), AllOrNothing: spec.Shape == wire.Gang, Spot: spec.Spot,
-		Types: j.types.set, TypeKey: j.types.text, Image: spec.Image, Avoid: j.failedOn, ShareFetches: l.cfg.Settings.ShareFetches}
-	if l.outbox.Now() < j.preemptingUntil {
+		Types: j.types.set, TypeKey: j.types.text, Image: spec.Image, Avoid: j.failedOn, ShareFetches: sc.cfg.Settings.ShareFetches}
+	if sc.outbox.Now() < j.preemptingUntil {
 		q.ReservedMachines = j.reservedMachines
 		return q
 	}
 	own := queue.Level(j.Priority(), true)
-	claims := l.withinGuarantee(j) && queue.HasGuarantee(l.teams[spec.Team]) && (!j.queuedBehind || l.mayClaimGuarantee(j, s.used))
-	if !l.anyRunsBelow(s, own) && !(claims && l.anyTeamBorrows(s, spec.Team)) {
+	claims := sc.snapshot.withinGuarantee(j) && queue.HasGuarantee(sc.teams[spec.Team]) && (!j.queuedBehind || sc.startOrder.mayClaimGuarantee(j, s.used))
+	if !sc.anyRunsBelow(s, own) && !(claims && sc.anyTeamBorrows(s, spec.Team)) {
 		return q // nothing that has places may be stopped for it: victims need not be listed
 	}
 	q.MayPreempt = func(v *zone.Victim) bool {
-		of := l.jobs[v.Job]
+		of := sc.jobs[v.Job]
 		victim := of.Record.Spec
-		if claims && victim.Team != spec.Team && !l.withinGuarantee(of) {
+		if claims && victim.Team != spec.Team && !sc.snapshot.withinGuarantee(of) {
 			return true // what another team has borrowed
 		}
 		return queue.Level(of.Priority(), true) < own && v.Level < e.Level
@@ -441,7 +464,7 @@
 }
 
 // auction asks every zone for a bid and returns the best.
-func (l *Leader) auction(s *cycle, j *Job, e *queue.Entry, q *zone.Request, tasks []int, inZone map[string]int) *zone.Bid {
+func (sc *scheduler) auction(s *cycle, j *Job, e *queue.Entry, q *zone.Request, tasks []int, inZone map[string]int) *zone.Bid {
 	spec := j.Record.Spec
 	var best *zone.Bid
 	fewest := -1
@@ -468,7 +491,7 @@
 		if s.knownToFail(z, &r, e.Level) {
 			continue
 		}
-		bid := of.Plan(l.outbox.Now(), &r)
+		bid := of.Plan(sc.outbox.Now(), &r)
 		if bid == nil && len(q.Avoid) == 0 { // else it says little of others
 			s.failedRequests = append(s.failedRequests, failedRequest{z, r.Needs, r.Spot, r.TypeKey, e.Level, minTasks(&r)})
 		}
@@ -480,14 +503,14 @@
 			best, fewest = bid, inZone[z]
 		}
 	}
-	if best == nil && q.AllOrNothing && !spec.OneZone && len(l.cfg.Cluster.Zones) > 1 {
-		return l.bidAcrossZones(s, spec, q, tasks, inZone)
+	if best == nil && q.AllOrNothing && !spec.OneZone && len(sc.cfg.Cluster.Zones) > 1 {
+		return sc.bidAcrossZones(s, spec, q, tasks, inZone)
 	}
 	return best
 }
 
 // bidAcrossZones places a gang that fits no zone alone but may be split.
-func (l *Leader) bidAcrossZones(s *cycle, spec *wire.Job, q *zone.Request, tasks []int, inZone map[string]int) *zone.Bid {
+func (sc *scheduler) bidAcrossZones(s *cycle, spec *wire.Job, q *zone.Request, tasks []int, inZone map[string]int) *zone.Bid {
 	whole := &zone.Bid{}
 	for _, of := range s.zones {
 		z := of.Name
@@ -503,7 +526,7 @@
 		if r.Count <= 0 {
 			continue
 		}
-		if bid := of.Plan(l.outbox.Now(), &r); bid != nil {
+		if bid := of.Plan(sc.outbox.Now(), &r); bid != nil {
 			whole.Offers = append(whole.Offers, bid.Offers...)
 		}
 	}
@@ -536,42 +559,42 @@
 }
 
 // preempt stops a bid's victims and keeps their machines for the job.
-func (l *Leader) preempt(j *Job, bid *zone.Bid, level int) {
-	if !l.canAddDecision() {
+func (sc *scheduler) preempt(j *Job, bid *zone.Bid, level int) {
+	if !sc.preemptions.canAddDecision() {
 		return
 	}
 	keep := map[string]bool{}
 	for _, r := range bid.Offers {
 		keep[r.Machine.Name] = true
 		r.Reserved = true
-		l.markMachineStale(r.Machine)
+		sc.snapshot.markMachineStale(r.Machine)
 	}
 	wait, why := 5*config.Second, preemption.ReasonGuarantee
 	var victims []preemption.Victim
 	for _, v := range bid.Victims {
 		v.Preempted = true
-		victim := l.jobs[v.Job]
-		victims = append(victims, l.victimOf(victim, v.Task))
+		victim := sc.jobs[v.Job]
+		victims = append(victims, sc.preemptions.victimOf(victim, v.Task))
 		wait = max(wait, config.FromSeconds(victim.Record.Spec.SaveS)+6*config.Second)
 		if queue.Level(victim.Priority(), true) < queue.Level(j.Priority(), true) {
 			why = preemption.ReasonPriority
 		}
 	}
-	l.addDecision(j, why, level, slices.Sorted(maps.Keys(keep)), victims, wait)
+	sc.preemptions.addDecision(j, why, level, slices.Sorted(maps.Keys(keep)), victims, wait)
 	if j.queuedBehind {
-		l.addClaim(j)
+		sc.startOrder.addClaim(j)
 	}
 }
 
 // scaleOut asks for the machines that the unplaced work calls for.
-func (l *Leader) scaleOut(s *cycle) {
-	if l.elector.LeaseInDoubt() || len(s.demands) == 0 {
+func (sc *scheduler) scaleOut(s *cycle) {
+	if sc.elector.LeaseInDoubt() || len(s.demands) == 0 {
 		return
 	}
-	l.subtractSoonFree(s)
+	sc.estimates.subtractSoonFree(s)
 	for i := range s.demands { // more of the same arrives while the machines boot
 		n := &s.demands[i]
-		n.Count += int(math.Ceil(float64(n.Count) * l.cfg.Settings.ScaleOutSurplus))
+		n.Count += int(math.Ceil(float64(n.Count) * sc.cfg.Settings.ScaleOutSurplus))
 	}
-	l.autoscaler.ScaleOut(s.demands)
+	sc.autoscaler.ScaleOut(s.demands)
 }
--- a/internal/core/leader/defragmentation.go
+++ b/internal/core/leader/defragmentation.go
@@ -40,23 +40,23 @@
 // defragment clears machines of replicas for a gang that has found no room, if it has waited for
 // long, the cloud has no more of what would do, and what it lacks is only that free room is in
 // pieces. The replicas go elsewhere in their zone; nothing else is stopped.
-func (l *Leader) defragment(s *cycle, j *Job, q *zone.Request, lacks *autoscaler.Demand, level int) {
-	perS, g := l.cfg.Settings.DefragMovesPerS, &l.defragmentation
-	if perS <= 0 || !q.AllOrNothing || l.outbox.Now() < g.nextAt || l.outbox.Now()-j.arrivedAt < defragAfter || l.outbox.Now() < j.preemptingUntil || !l.canAddDecision() ||
-		!l.autoscaler.CapacityExhausted(lacks) {
+func (sc *scheduler) defragment(s *cycle, j *Job, q *zone.Request, lacks *autoscaler.Demand, level int) {
+	perS, g := sc.cfg.Settings.DefragMovesPerS, &sc.defragmentation
+	if perS <= 0 || !q.AllOrNothing || sc.outbox.Now() < g.nextAt || sc.outbox.Now()-j.arrivedAt < defragAfter || sc.outbox.Now() < j.preemptingUntil || !sc.preemptions.canAddDecision() ||
+		!sc.autoscaler.CapacityExhausted(lacks) {
 		return
 	}
-	g.nextAt = l.outbox.Now() + defragInterval
+	g.nextAt = sc.outbox.Now() + defragInterval
 	if g.moves == nil {
 		g.moves = rate.NewLimiter(rate.Limit(perS), int(perS*defragBurstSeconds))
 	}
-	now := time.UnixMicro(l.outbox.Now())
+	now := time.UnixMicro(sc.outbox.Now())
 	var best *defrag.Plan
 	for _, z := range s.zones {
 		if zone := j.Record.Spec.Zone; zone != "" && zone != z.Name || s.reservedZones[z.Name] {
 			continue
 		}
-		p := defrag.NewPlan(lacks.Task, lacks.Count, int(g.moves.TokensAt(now)), l.defragMachines(z, q, queue.Level(j.Priority(), true)))
+		p := defrag.NewPlan(lacks.Task, lacks.Count, int(g.moves.TokensAt(now)), sc.defragMachines(z, q, queue.Level(j.Priority(), true)))
 		if p != nil && (best == nil || p.MovedReplicas < best.MovedReplicas) {
 			best = p
 		}
@@ -68,45 +68,45 @@
 	var keep []string
 	for _, m := range slices.Concat(best.Clear, best.Whole) {
 		keep = append(keep, m.Name)
-		of := l.reconciler.Registry().Get(m.Name)
+		of := sc.reconciler.Registry().Get(m.Name)
 		of.Offer.Reserved = true
-		l.markMachineStale(of)
+		sc.snapshot.markMachineStale(of)
 	}
 	var victims []preemption.Victim
 	for _, m := range best.Clear {
 		for _, r := range m.Replicas {
-			of := l.jobs[r.Job]
+			of := sc.jobs[r.Job]
 			if of.movedAt == nil {
 				of.movedAt = map[int]Micros{}
 			}
-			of.movedAt[r.Task] = l.outbox.Now()
-			victims = append(victims, l.victimOf(of, r.Task))
+			of.movedAt[r.Task] = sc.outbox.Now()
+			victims = append(victims, sc.preemptions.victimOf(of, r.Task))
 		}
 	}
-	l.addDecision(j, preemption.ReasonDefragmentation, level, keep, victims, defragReservation)
-	l.counters.moved += best.MovedReplicas
-	l.outbox.Debug("gathering", "job", j.ID, "class", j.Record.Spec.Class, "machines", len(best.Clear), "whole", len(best.Whole), "replicas", best.MovedReplicas)
+	sc.preemptions.addDecision(j, preemption.ReasonDefragmentation, level, keep, victims, defragReservation)
+	sc.diagnostics.counters.moved += best.MovedReplicas
+	sc.outbox.Debug("gathering", "job", j.ID, "class", j.Record.Spec.Class, "machines", len(best.Clear), "whole", len(best.Whole), "replicas", best.MovedReplicas)
 }
 
 // defragMachines describes the machines of a zone, for a request of a gang of a level. What ranks
 // lower could be preempted; moved, it might not come back before others take its place or its
 // team's limit.
-func (l *Leader) defragMachines(z *zone.Zone, q *zone.Request, level int) []*defrag.Machine {
+func (sc *scheduler) defragMachines(z *zone.Zone, q *zone.Request, level int) []*defrag.Machine {
 	var out []*defrag.Machine
-	for _, m := range l.reconciler.Registry().All() {
+	for _, m := range sc.reconciler.Registry().All() {
 		if m.Zone != z.Name || m.Offer == nil || m.Offer.Reserved {
 			continue
 		}
-		x := &defrag.Machine{Name: m.Name, Type: m.Type, Spot: m.Spot, Free: m.Offer.Free, Movable: len(l.snapshot.planned[m.Name]) == 0,
-			Suitable: q.Types[m.Type] && (q.Spot || !m.Spot) && q.Avoid[m.Name] <= l.outbox.Now()}
-		open := l.replica.PlacementsOn(m.Name)
+		x := &defrag.Machine{Name: m.Name, Type: m.Type, Spot: m.Spot, Free: m.Offer.Free, Movable: len(sc.snapshot.planned[m.Name]) == 0,
+			Suitable: q.Types[m.Type] && (q.Spot || !m.Spot) && q.Avoid[m.Name] <= sc.outbox.Now()}
+		open := sc.replica.PlacementsOn(m.Name)
 		for _, key := range job.SortedAttemptKeys(open) {
-			of := l.jobs[key.Job]
-			if of == nil || !l.mayMoveReplica(of, key.Task) || queue.Level(of.Priority(), true) < level {
+			of := sc.jobs[key.Job]
+			if of == nil || !sc.mayMoveReplica(of, key.Task) || queue.Level(of.Priority(), true) < level {
 				x.Movable = false
 				continue
 			}
-			l.classify(of)
+			sc.classify(of)
 			x.Replicas = append(x.Replicas, defrag.Replica{Job: key.Job, Task: key.Task, Needs: taskResources(of.Record.Spec), Types: of.types.set, Spot: of.Record.Spec.Spot})
 		}
 		out = append(out, x)
@@ -116,13 +116,13 @@
 
 // mayMoveReplica tells whether a task may be stopped to be started elsewhere: a replica of a service
 // that has all of them up, and none of it on the move or just moved.
-func (l *Leader) mayMoveReplica(j *Job, task int) bool {
+func (sc *scheduler) mayMoveReplica(j *Job, task int) bool {
 	spec := j.Record.Spec
 	if spec == nil || spec.Shape != wire.Service || j.Record.CancelRequested || j.Record.Final() || j.OpenTasks < spec.Tasks || j.transaction != nil || len(j.plan) > 0 || len(j.completions) > 0 ||
-		l.reconciler.IsTerminatingAny(j.ID) || len(l.preemptions.preempted[j.ID]) > 0 || len(j.startedAt) < spec.Tasks || !queue.UnderLimit(l.teams[spec.Team], l.snapshot.used[spec.Team]) {
+		sc.reconciler.IsTerminatingAny(j.ID) || len(sc.preemptions.preempted[j.ID]) > 0 || len(j.startedAt) < spec.Tasks || !queue.UnderLimit(sc.teams[spec.Team], sc.snapshot.used[spec.Team]) {
 		return false
 	}
-	maps.DeleteFunc(j.movedAt, func(_ int, at Micros) bool { return l.outbox.Now()-at > moveCooldown })
+	maps.DeleteFunc(j.movedAt, func(_ int, at Micros) bool { return sc.outbox.Now()-at > moveCooldown })
 	_, lately := j.movedAt[task]
 	return !lately
 }
--- a/internal/core/leader/delegates_test.go
+++ b/internal/core/leader/delegates_test.go
@@ -12,7 +12,7 @@
 // A cancellation may be told once every node that may be standing in knows of it, or may no
 // longer stand in; and a node that lags behind what was told gets no word to.
 func TestLeadersWord(t *testing.T) {
-	l := &Leader{cfg: &config.Config{Settings: config.Settings{DelegationS: 60}}, outbox: outbox.New(func(*wire.Transaction) {}), delegates: map[string]delegate{}}
+	l := &delegations{environment: &environment{cfg: &config.Config{Settings: config.Settings{DelegationS: 60}}, outbox: outbox.New(func(*wire.Transaction) {})}, delegates: map[string]delegate{}}
 	at := func(s float64) { l.outbox.Begin(config.FromSeconds(s)) }
 	beat := func(node string, revision uint64) Micros {
 		return l.grantDelegation(msg.HeartbeatBatchIn{Node: node, Revision: revision})
--- /dev/null
+++ b/internal/core/leader/environment.go
@@ -0,0 +1,52 @@
+package leader
+
+import (
+	"coralhub/internal/config"
+	"coralhub/internal/core/autoscaler"
+	"coralhub/internal/core/election"
+	"coralhub/internal/core/outbox"
+	"coralhub/internal/core/reconciler"
+	"coralhub/internal/core/records"
+	"coralhub/internal/core/zone"
+	"coralhub/wire"
+)
+
+// environment is what the components of a leader share: the node's other components, the jobs, and
+// which term it is. Only the Leader changes it, but for jobs' own fields.
+type environment struct {
+	cfg        *config.Config
+	outbox     *outbox.Outbox
+	replica    *records.Replica
+	encoding   *records.Encoding
+	catalog    *zone.Catalog
+	elector    *election.Elector
+	reconciler *reconciler.Reconciler
+	autoscaler *autoscaler.Autoscaler
+
+	// wallClockOffset is the time of day less the monotonic clock's, for the age of jobs that were
+	// submitted before this node started. Only the order of jobs depends on it.
+	wallClockOffset Micros
+
+	teams      map[string]*config.Team
+	jobs       map[string]*Job // those of the replica
+	unfinished []*Job          // the oldest first: a cycle must not cost more with every finished job
+
+	ready     bool   // this node leads, and has read the records since it was elected
+	term      uint64 // counts resets: answers that belong to an earlier term are told by it
+	failovers uint64 // how often this node was elected
+}
+
+// wallClock is the time of day; 0: not known yet.
+func (e *environment) wallClock() Micros {
+	if e.wallClockOffset == 0 {
+		return 0
+	}
+	return e.outbox.Now() + e.wallClockOffset
+}
+
+// applyRecord takes a change of a job's record or of the log.
+func (e *environment) applyRecord(ev *wire.Change) {
+	if _, err := e.replica.Apply(ev); err != nil {
+		e.outbox.Log("unreadable", "error", err.Error())
+	}
+}
--- a/internal/core/leader/equivalence.go
+++ b/internal/core/leader/equivalence.go
@@ -69,51 +69,51 @@
 // isOrdinary tells whether nothing about a job but its likeness and its level decides whether it
 // finds room now: it has failed nowhere, nothing is kept for it, and what it has already
 // doesn't bind the rest.
-func (l *Leader) isOrdinary(j *Job) bool {
+func (sc *scheduler) isOrdinary(j *Job) bool {
 	spec := j.Record.Spec
-	return len(j.failedOn) == 0 && l.outbox.Now() >= j.preemptingUntil && (j.OpenTasks == 0 || spec.Shape != wire.Gang && !spec.OneZone && !spec.Spread)
+	return len(j.failedOn) == 0 && sc.outbox.Now() >= j.preemptingUntil && (j.OpenTasks == 0 || spec.Shape != wire.Gang && !spec.OneZone && !spec.Spread)
 }
 
 // knownUnschedulable tells whether one like a job has found no room in this pass. Then it counts it
 // among those without, and what it lacks among what machines are rented for.
-func (l *Leader) knownUnschedulable(s *cycle, j *Job, level int) bool {
-	if !s.unschedulable.has(j.equivalenceClass, level) || !l.isOrdinary(j) {
+func (sc *scheduler) knownUnschedulable(s *cycle, j *Job, level int) bool {
+	if !s.unschedulable.has(j.equivalenceClass, level) || !sc.isOrdinary(j) {
 		return false
 	}
 	spec := j.Record.Spec
-	lacks := min(spec.Tasks-j.DoneTasks-j.OpenTasks, l.maxTasksAtOnce(j))
-	if !queue.UnderLimit(l.teams[spec.Team], s.used[spec.Team].Plus(taskAmount(spec), float64(lacks))) {
+	lacks := min(spec.Tasks-j.DoneTasks-j.OpenTasks, sc.maxTasksAtOnce(j))
+	if !queue.UnderLimit(sc.teams[spec.Team], s.used[spec.Team].Plus(taskAmount(spec), float64(lacks))) {
 		return false // its team's limit has a say as well
 	}
 	j.reservedMachines = nil
-	l.addDemand(s, j, l.demandOf(j, lacks))
+	sc.addDemand(s, j, sc.demandOf(j, lacks))
 	return true
 }
 
 // maxTasksAtOnce is how many tasks of a job are placed at a time: as many as one transaction
 // can hold. A gang needs room for all.
-func (l *Leader) maxTasksAtOnce(j *Job) int {
+func (sc *scheduler) maxTasksAtOnce(j *Job) int {
 	switch {
 	case j.Record.Spec.Shape == wire.Gang:
 		return j.Record.Spec.Tasks
-	case l.encoding.Format >= job.FormatGrouped:
-		return job.TasksPerShard * (l.encoding.MaxOps() - 1)
+	case sc.encoding.Format >= job.FormatGrouped:
+		return job.TasksPerShard * (sc.encoding.MaxOps() - 1)
 	}
 	return job.TasksPerShard
 }
 
 // demandOf is what so many tasks of a job, which has been described, call for.
-func (l *Leader) demandOf(j *Job, count int) autoscaler.Demand {
+func (sc *scheduler) demandOf(j *Job, count int) autoscaler.Demand {
 	spec := j.Record.Spec
 	return autoscaler.Demand{Task: taskResources(spec), Count: count, Types: j.types.set, Zone: spec.Zone, Spot: spec.Spot}
 }
 
 // addDemand notes that some of a job found no room.
-func (l *Leader) addDemand(s *cycle, j *Job, n autoscaler.Demand) {
-	l.counters.without++
+func (sc *scheduler) addDemand(s *cycle, j *Job, n autoscaler.Demand) {
+	sc.diagnostics.counters.without++
 	s.demands = append(s.demands, n)
-	if l.outbox.Now()-j.arrivedAt > config.FromSeconds(l.cfg.Settings.AgeCapS) && len(s.reservedZones) == 0 && l.mayReserveZone() {
-		if z := l.zoneWithMostCapacity(s, j.Record.Spec); z != "" {
+	if sc.outbox.Now()-j.arrivedAt > config.FromSeconds(sc.cfg.Settings.AgeCapS) && len(s.reservedZones) == 0 && sc.mayReserveZone() {
+		if z := sc.zoneWithMostCapacity(s, j.Record.Spec); z != "" {
 			s.reservedZones[z] = true
 		}
 	}
@@ -125,8 +125,8 @@
 const zoneReservationTime = 45 * config.Second
 
 // mayReserveZone tells whether it is the turn of those past the age cap.
-func (l *Leader) mayReserveZone() bool {
-	return alternate(&l.snapshot.reservedSince, l.outbox.Now(), zoneReservationTime)
+func (sc *scheduler) mayReserveZone() bool {
+	return alternate(&sc.snapshot.reservedSince, sc.outbox.Now(), zoneReservationTime)
 }
 
 // alternate tells whether it is the turn of what asks for it: for so long from when it first asks, and then not for as
@@ -149,11 +149,11 @@
 // cycleInterval is the least time between two passes. It grows with the line, so that a
 // flood leaves the leader time for its workers: a line of 100,000 jobs is gone over every
 // 2.5 s by a node with a fifth of a core.
-func (l *Leader) cycleInterval() Micros {
-	least := config.FromMillis(l.cfg.Settings.CycleIntervalMS)
-	cores := l.cfg.Cluster.Limits.Cores
+func (sc *scheduler) cycleInterval() Micros {
+	least := config.FromMillis(sc.cfg.Settings.CycleIntervalMS)
+	cores := sc.cfg.Cluster.Limits.Cores
 	if cores <= 0 || cores > 1 {
 		cores = 1 // one loop uses no more
 	}
-	return max(least, Micros(float64(len(l.snapshot.wanting))*entryTime/(cores*cycleShare)))
+	return max(least, Micros(float64(len(sc.snapshot.wanting))*entryTime/(cores*cycleShare)))
 }
--- a/internal/core/leader/estimates.go
+++ b/internal/core/leader/estimates.go
@@ -34,6 +34,11 @@
 // runTimeEstimates is the leader's knowledge of run times, and every node's copy of what is
 // stored of it.
 type runTimeEstimates struct {
+	*environment
+	commits       *jobCommitter
+	completionLog *completionLog
+	diagnostics   *diagnostics
+
 	stored [estimate.Chunks]storedChunk
 	// What follows is only of use to the leader.
 	model       *estimate.Model // nil: not learning
@@ -46,6 +51,12 @@
 	runsEnd      uint64         // how many there have been
 }
 
+// reset forgets what was learned in this term. What is stored of it stays, for whoever leads next.
+func (es *runTimeEstimates) reset() {
+	es.model, es.nextWriteAt, es.nextChunk, es.waits = nil, 0, 0, nil
+	es.nextDeadline, es.recentRuns, es.runsEnd = 0, nil, 0
+}
+
 type storedChunk struct {
 	version      uint64
 	raw          []byte
@@ -73,12 +84,12 @@
 }
 
 // applyStoredEstimates takes a stored value. Nobody but the leader reads it.
-func (l *Leader) applyStoredEstimates(num string, ev *wire.Change) {
+func (es *runTimeEstimates) applyStoredEstimates(num string, ev *wire.Change) {
 	n, err := strconv.Atoi(num)
-	if err != nil || n < 0 || n >= estimate.Chunks || ev.Version <= l.estimates.stored[n].version {
+	if err != nil || n < 0 || n >= estimate.Chunks || ev.Version <= es.stored[n].version {
 		return
 	}
-	v := &l.estimates.stored[n]
+	v := &es.stored[n]
 	v.version, v.raw = ev.Version, nil
 	if ev.Put != "" {
 		v.raw = slices.Clone(ev.Value)
@@ -86,13 +97,13 @@
 }
 
 // restoreEstimates takes over what earlier leaders have learnt.
-func (l *Leader) restoreEstimates() {
-	if !l.cfg.Settings.Estimates {
+func (es *runTimeEstimates) restoreEstimates() {
+	if !es.cfg.Settings.Estimates {
 		return
 	}
 	var chunks []*estimate.Chunk
-	for n := range l.estimates.stored {
-		v := &l.estimates.stored[n]
+	for n := range es.stored {
+		v := &es.stored[n]
 		v.laterVersion, v.writtenRuns, v.inFlight = false, 0, false
 		if len(v.raw) == 0 {
 			continue
@@ -100,24 +111,24 @@
 		chunk, err := estimate.Decode(v.raw)
 		if err != nil {
 			v.laterVersion = errors.Is(err, estimate.ErrVersion)
-			l.outbox.Log("learnt run times set aside", "key", estimatesPrefix+strconv.Itoa(n), "error", err.Error())
+			es.outbox.Log("learnt run times set aside", "key", estimatesPrefix+strconv.Itoa(n), "error", err.Error())
 			continue
 		}
 		chunks = append(chunks, chunk)
 	}
 	s := estimate.DefaultSettings()
-	s.Groups = l.cfg.Settings.EstimateGroups
-	l.estimates.model = estimate.Restore(s, l.elector.TermStart(), chunks...)
-	l.estimates.waits = map[string]*waitStats{}
-	for _, j := range l.unfinished {
+	s.Groups = es.cfg.Settings.EstimateGroups
+	es.model = estimate.Restore(s, es.elector.TermStart(), chunks...)
+	es.waits = map[string]*waitStats{}
+	for _, j := range es.unfinished {
 		j.inherited = j.Record.LastAttempt > 0
 	}
 }
 
 // writeEstimates writes a value of what was learnt, when nothing else wants changes.
-func (l *Leader) writeEstimates() {
-	learnt := &l.estimates
-	if learnt.model == nil || l.elector.TokenChangePending() || l.outbox.Now() < learnt.nextWriteAt || l.inFlightChanges > 0 || len(l.completionLog.unwritten) > 0 || l.counters.held > 0 {
+func (es *runTimeEstimates) writeEstimates() {
+	learnt := es
+	if learnt.model == nil || es.elector.TokenChangePending() || es.outbox.Now() < learnt.nextWriteAt || es.commits.inFlightChanges > 0 || len(es.completionLog.unwritten) > 0 || es.diagnostics.counters.held > 0 {
 		return
 	}
 	for i := range estimate.Chunks {
@@ -126,13 +137,13 @@
 		if v.laterVersion || v.inFlight || v.writtenRuns == learnt.model.Observed() {
 			continue
 		}
-		learnt.nextChunk, learnt.nextWriteAt = n+1, l.outbox.Now()+estimatesWriteInterval
+		learnt.nextChunk, learnt.nextWriteAt = n+1, es.outbox.Now()+estimatesWriteInterval
 		value, err := learnt.model.Encode(n, func(raw []byte) bool {
-			return wire.JSONSize(raw) <= int(float64(l.encoding.MaxValueBytes())*estimatesValueShare)
+			return wire.JSONSize(raw) <= int(float64(es.encoding.MaxValueBytes())*estimatesValueShare)
 		})
 		observed := learnt.model.Observed()
 		if err != nil {
-			l.outbox.Log("learnt run times not written", "error", err.Error())
+			es.outbox.Log("learnt run times not written", "error", err.Error())
 			return
 		}
 		if value == nil {
@@ -141,8 +152,8 @@
 		}
 		v.inFlight = true
 		key := estimatesPrefix + strconv.Itoa(n)
-		l.outbox.CommitDeferrable(wire.Transaction{
-			Conditions: []wire.Condition{l.elector.Condition(), {Key: key, Version: v.version}},
+		es.outbox.CommitDeferrable(wire.Transaction{
+			Conditions: []wire.Condition{es.elector.Condition(), {Key: key, Version: v.version}},
 			Changes:    []wire.Change{{Put: key, Value: value}},
 		}, msg.PurposeEstimates, func(d msg.CommitDone) {
 			v.inFlight = false
@@ -154,36 +165,36 @@
 	}
 }
 
-func (l *Leader) features(j *Job, machine string) estimate.Features {
+func (es *runTimeEstimates) features(j *Job, machine string) estimate.Features {
 	s := j.Record.Spec
 	return estimate.Features{Image: s.Image, Shape: wire.ShapeName(s.Shape), Class: s.Class, Team: s.Team, Expect: config.FromSeconds(s.EstimateS), Machine: machine}
 }
 
 // noteFirstPlacement learns how long a job has waited for its first place.
-func (l *Leader) noteFirstPlacement(j *Job) {
-	if l.estimates.model == nil || j.Record.Spec == nil {
+func (es *runTimeEstimates) noteFirstPlacement(j *Job) {
+	if es.model == nil || j.Record.Spec == nil {
 		return
 	}
-	w := l.estimates.waits[j.Record.Spec.Class]
+	w := es.waits[j.Record.Spec.Class]
 	if w == nil {
-		if len(l.estimates.waits) >= l.cfg.Settings.EstimateGroups {
+		if len(es.waits) >= es.cfg.Settings.EstimateGroups {
 			return
 		}
 		w = &waitStats{}
-		l.estimates.waits[j.Record.Spec.Class] = w
+		es.waits[j.Record.Spec.Class] = w
 	}
-	w.add(l.outbox.Now() - j.arrivedAt)
+	w.add(es.outbox.Now() - j.arrivedAt)
 }
 
 // noteOwnPlacements remembers what this leader has placed itself.
-func (l *Leader) noteOwnPlacements(j *Job, placed []job.Placement) {
-	if l.estimates.model == nil || len(placed) == 0 {
+func (es *runTimeEstimates) noteOwnPlacements(j *Job, placed []job.Placement) {
+	if es.model == nil || len(placed) == 0 {
 		return
 	}
 	if j.ownAttempts == nil {
 		j.ownAttempts = map[int]uint64{}
 		if !j.inherited {
-			l.noteFirstPlacement(j)
+			es.noteFirstPlacement(j)
 		}
 	}
 	for _, p := range placed {
@@ -193,9 +204,9 @@
 
 // observeRun learns from the end of a run, whatever its proof. It is asked before the
 // placement is closed.
-func (l *Leader) observeRun(j *Job, key job.AttemptKey, machine string, done bool) {
+func (es *runTimeEstimates) observeRun(j *Job, key job.AttemptKey, machine string, done bool) {
 	spec := j.Record.Spec
-	m := l.estimates.model
+	m := es.model
 	if m == nil || spec == nil || spec.Shape == wire.Service {
 		return
 	}
@@ -214,10 +225,10 @@
 		}
 	}
 	kept := j.savedProgress[task]
-	work := kept + l.outbox.Now() - began
+	work := kept + es.outbox.Now() - began
 	whole := done && j.ownAttempts[key.Task] == key.Attempt && (!j.inherited || spec.CheckpointS == 0)
-	m.Observe(&estimate.Evidence{Features: l.features(j, machine), Ran: work, Done: whole})
-	l.recordRun(j, key, machine, began, done)
+	m.Observe(&estimate.Evidence{Features: es.features(j, machine), Ran: work, Done: whole})
+	es.recordRun(j, key, machine, began, done)
 	if done || spec.CheckpointS == 0 {
 		return
 	}
@@ -226,20 +237,20 @@
 	}
 	every := config.FromSeconds(spec.CheckpointS)
 	j.savedProgress[task] = max(kept, work/every*every)
-	if m := l.reconciler.Registry().Get(on); m != nil && m.Tasks[key].Saved {
+	if m := es.reconciler.Registry().Get(on); m != nil && m.Tasks[key].Saved {
 		j.savedProgress[task] = work
 	}
 }
 
 // recordRun keeps a run for those who record histories.
-func (l *Leader) recordRun(j *Job, key job.AttemptKey, machine string, began Micros, done bool) {
-	if !l.cfg.Settings.Admin {
+func (es *runTimeEstimates) recordRun(j *Job, key job.AttemptKey, machine string, began Micros, done bool) {
+	if !es.cfg.Settings.Admin {
 		return
 	}
-	spec, learnt := j.Record.Spec, &l.estimates
-	seconds := func(at Micros) float64 { return float64(at+l.wallClockOffset) / 1e6 }
+	spec, learnt := j.Record.Spec, es
+	seconds := func(at Micros) float64 { return float64(at+es.wallClockOffset) / 1e6 }
 	outcome := history.Lost
-	switch m := l.reconciler.Registry().Get(machine); {
+	switch m := es.reconciler.Registry().Get(machine); {
 	case done:
 		outcome = history.Done
 	case j.Record.CancelRequested:
@@ -254,11 +265,11 @@
 	}
 	line := history.Line{Ref: j.ID, Class: spec.Class, Team: spec.Team, Shape: wire.ShapeName(spec.Shape), Tasks: spec.Tasks, CPUs: spec.CPUs, GPUs: spec.GPUs,
 		MemoryGB: spec.MemoryGB, Image: spec.Image, ExpectS: spec.EstimateS, Submitted: float64(j.Record.CreatedAt) / 1e6,
-		Started: seconds(began), Ended: seconds(l.outbox.Now()), Outcome: outcome, Machine: machine}
+		Started: seconds(began), Ended: seconds(es.outbox.Now()), Outcome: outcome, Machine: machine}
 	if spec.Shape == wire.Array {
 		line.Ref, line.Tasks = wire.TaskName(j.ID, key.Task), 1
 	}
-	if m := l.reconciler.Registry().Get(machine); m != nil {
+	if m := es.reconciler.Registry().Get(machine); m != nil {
 		line.Type = m.Type
 	}
 	if len(learnt.recentRuns) < keptRuns {
@@ -270,47 +281,47 @@
 }
 
 // remainingTime estimates what remains of a task that runs.
-func (l *Leader) remainingTime(j *Job, p *job.Placement) (estimate.Answer, bool) {
-	if l.estimates.model == nil {
+func (es *runTimeEstimates) remainingTime(j *Job, p *job.Placement) (estimate.Answer, bool) {
+	if es.model == nil {
 		return estimate.Answer{}, false
 	}
-	f := l.features(j, p.Machine)
-	a := l.estimates.model.Estimate(&f)
+	f := es.features(j, p.Machine)
+	a := es.model.Estimate(&f)
 	if a.Level == estimate.Unknown {
 		return a, false
 	}
-	return a.Left(l.workedTime(j, p)), true
+	return a.Left(es.workedTime(j, p)), true
 }
 
 // workedTime is how long a placed task, or its gang, has worked: what is safe of earlier
 // runs and this one.
-func (l *Leader) workedTime(j *Job, p *job.Placement) Micros {
+func (es *runTimeEstimates) workedTime(j *Job, p *job.Placement) Micros {
 	task := p.Task
 	if j.Record.Spec.Shape == wire.Gang {
 		task = -1
 	}
 	work := j.savedProgress[task]
 	if began, ok := j.startedAt[p.Task]; ok {
-		work += l.outbox.Now() - began
+		work += es.outbox.Now() - began
 	}
 	return work
 }
 
 // addSlowMachines adds the machines that are known to be slow to those that a gang avoids: it
 // would run as slowly as the slowest.
-func (l *Leader) addSlowMachines(avoid map[string]Micros) map[string]Micros {
-	if l.estimates.model == nil {
+func (es *runTimeEstimates) addSlowMachines(avoid map[string]Micros) map[string]Micros {
+	if es.model == nil {
 		return avoid
 	}
 	var out map[string]Micros
-	l.estimates.model.Slow(l.cfg.Settings.SlowFactor, func(machine string) {
+	es.model.Slow(es.cfg.Settings.SlowFactor, func(machine string) {
 		if out == nil {
 			out = make(map[string]Micros, len(avoid)+1)
 			for name, until := range avoid {
 				out[name] = until
 			}
 		}
-		out[machine] = l.outbox.Now() + config.Second
+		out[machine] = es.outbox.Now() + config.Second
 	})
 	if out == nil {
 		return avoid
@@ -368,21 +379,21 @@
 
 // jobDuration is how long a job takes from when its turn has come; false if nothing is
 // known of such work.
-func (l *Leader) jobDuration(j *Job) (durationEstimate, bool) {
+func (es *runTimeEstimates) jobDuration(j *Job) (durationEstimate, bool) {
 	spec := j.Record.Spec
-	f := l.features(j, "")
-	a := l.estimates.model.Estimate(&f)
+	f := es.features(j, "")
+	a := es.model.Estimate(&f)
 	if a.Level == estimate.Unknown {
 		return durationEstimate{}, false
 	}
 	left := spec.Tasks - j.DoneTasks
 	var out durationEstimate
 	if j.OpenTasks == 0 {
-		if w := l.estimates.waits[spec.Class]; w != nil {
+		if w := es.waits[spec.Class]; w != nil {
 			out = durationEstimate{w.mean, w.mean * w.mean}
 		}
 		at := left
-		if t := l.teams[spec.Team]; t != nil && t.GPUsMax > 0 && spec.GPUs > 0 {
+		if t := es.teams[spec.Team]; t != nil && t.GPUsMax > 0 && spec.GPUs > 0 {
 			at = min(at, max(1, int(t.GPUsMax/spec.GPUs)))
 		}
 		return out.plus(inWaves(&a, left, at, spec.Shape)), true
@@ -390,7 +401,7 @@
 	// What runs is through when its longest task is, and the rest takes its places.
 	var latest durationEstimate
 	j.EachPlacement(func(p job.Placement) {
-		if x, ok := l.remainingTime(j, &p); ok {
+		if x, ok := es.remainingTime(j, &p); ok {
 			if s := longestOf(&x, 1); s.mean > latest.mean {
 				latest = s
 			}
@@ -414,14 +425,14 @@
 }
 
 // completionEstimate is how long a job takes along the longest way through what it needs.
-func (l *Leader) completionEstimate(j *Job, depth int) (durationEstimate, bool) {
-	own, ok := l.jobDuration(j)
+func (es *runTimeEstimates) completionEstimate(j *Job, depth int) (durationEstimate, bool) {
+	own, ok := es.jobDuration(j)
 	if !ok || depth >= maxDependencyDepth {
 		return own, ok
 	}
 	var before durationEstimate
 	for _, id := range j.UnfinishedDependencies() {
-		s, known := l.completionEstimate(l.jobs[id], depth+1)
+		s, known := es.completionEstimate(es.jobs[id], depth+1)
 		if !known {
 			return durationEstimate{}, false
 		}
@@ -434,16 +445,16 @@
 
 // deadlineVerdict tells how likely a job meets its deadline; a negative chance means that it
 // can't be told.
-func (l *Leader) deadlineVerdict(j *Job) (verdict string, chance float64) {
+func (es *runTimeEstimates) deadlineVerdict(j *Job) (verdict string, chance float64) {
 	spec := j.Record.Spec
-	if l.estimates.model == nil || spec == nil || spec.DeadlineS == nil || j.Record.Final() || j.Record.CancelRequested || j.DependencyCancelled() {
+	if es.model == nil || spec == nil || spec.DeadlineS == nil || j.Record.Final() || j.Record.CancelRequested || j.DependencyCancelled() {
 		return "", -1
 	}
-	due := float64(j.Record.CreatedAt-l.wallClockOffset-l.outbox.Now())/1e6 + *spec.DeadlineS
+	due := float64(j.Record.CreatedAt-es.wallClockOffset-es.outbox.Now())/1e6 + *spec.DeadlineS
 	if due <= 0 {
 		return verdictLost, 0
 	}
-	s, ok := l.completionEstimate(j, 0)
+	s, ok := es.completionEstimate(j, 0)
 	if !ok {
 		return verdictUnknown, -1
 	}
@@ -457,26 +468,26 @@
 }
 
 // updateDeadlineVerdicts tells of deadlines that have become at risk, lost or safe again.
-func (l *Leader) updateDeadlineVerdicts() {
-	if l.estimates.model == nil {
+func (es *runTimeEstimates) updateDeadlineVerdicts() {
+	if es.model == nil {
 		return
 	}
-	if len(l.unfinished) == 0 {
+	if len(es.unfinished) == 0 {
 		return
 	}
 	judged := 0
-	for i := range l.unfinished {
-		j := l.unfinished[(l.estimates.nextDeadline+i)%len(l.unfinished)]
+	for i := range es.unfinished {
+		j := es.unfinished[(es.nextDeadline+i)%len(es.unfinished)]
 		if judged++; judged > maxDeadlinesPerCycle {
-			l.estimates.nextDeadline = (l.estimates.nextDeadline + i) % len(l.unfinished) // the others come next
+			es.nextDeadline = (es.nextDeadline + i) % len(es.unfinished) // the others come next
 			return
 		}
-		v, chance := l.deadlineVerdict(j)
+		v, chance := es.deadlineVerdict(j)
 		if v == j.verdict || v == "" {
 			continue
 		}
 		if j.verdict != "" || v != verdictSafe {
-			l.outbox.Debug("deadline", "job", j.ID, "class", j.Record.Spec.Class, "is", v, "was", j.verdict, "chance", math.Round(chance*100)/100)
+			es.outbox.Debug("deadline", "job", j.ID, "class", j.Record.Spec.Class, "is", v, "was", j.verdict, "chance", math.Round(chance*100)/100)
 		}
 		j.verdict, j.deadlineChance = v, chance
 	}
@@ -484,12 +495,12 @@
 
 // rankCost orders jobs of one level before their credit does, as the settings have
 // it; smaller goes first.
-func (l *Leader) rankCost(j *Job) float64 {
-	rank := l.cfg.Settings.Rank
-	if l.estimates.model == nil || rank == config.RankCredit {
+func (es *runTimeEstimates) rankCost(j *Job) float64 {
+	rank := es.cfg.Settings.Rank
+	if es.model == nil || rank == config.RankCredit {
 		return 0
 	}
-	s, ok := l.jobDuration(j)
+	s, ok := es.jobDuration(j)
 	if !ok {
 		return math.MaxFloat32
 	}
@@ -497,30 +508,30 @@
 		return s.mean
 	}
 	if d := j.Record.Spec.DeadlineS; d != nil {
-		return float64(j.Record.CreatedAt-l.wallClockOffset-l.outbox.Now())/1e6 + *d - s.mean
+		return float64(j.Record.CreatedAt-es.wallClockOffset-es.outbox.Now())/1e6 + *d - s.mean
 	}
 	return math.MaxFloat32
 }
 
 // subtractSoonFree is how much of the work without room the ends of running tasks will make
 // room for before a machine that is rented now has booted. A half is reckoned with.
-func (l *Leader) subtractSoonFree(s *cycle) {
-	if !l.cfg.Settings.ScaleOutAgainstBoot || l.estimates.model == nil {
+func (es *runTimeEstimates) subtractSoonFree(s *cycle) {
+	if !es.cfg.Settings.ScaleOutAgainstBoot || es.model == nil {
 		return
 	}
 	boot := 0.0
-	for _, t := range l.catalog.Types {
+	for _, t := range es.catalog.Types {
 		if boot == 0 || t.BootS < boot {
 			boot = t.BootS
 		}
 	}
 	free := 0.0
-	for _, j := range l.unfinished {
+	for _, j := range es.unfinished {
 		if j.Record.Spec.Shape == wire.Service || j.OpenTasks == 0 {
 			continue
 		}
 		j.EachPlacement(func(p job.Placement) {
-			if a, ok := l.remainingTime(j, &p); ok {
+			if a, ok := es.remainingTime(j, &p); ok {
 				free += 0.5 * a.Within(config.FromSeconds(boot)) * taskResources(j.Record.Spec).Weight()
 			}
 		})
--- a/internal/core/leader/events.go
+++ b/internal/core/leader/events.go
@@ -5,62 +5,73 @@
 	"coralhub/internal/core/zone"
 )
 
-// EventHandler is where the owner of the zones and the keeper of the fleet bring what is news.
-type EventHandler struct{ leader *Leader }
+// EventHandler takes what the reconciler and the autoscaler find out about machines and tasks, and
+// passes it to the components that it concerns.
+type EventHandler struct {
+	*environment
+	commits      *jobCommitter
+	scheduler    *scheduler
+	snapshot     *clusterSnapshot
+	machineCache *machineCache
+	tasks        *taskEvents
+}
 
-// newEventHandler returns the leader's.
-func (l *Leader) newEventHandler() EventHandler { return EventHandler{l} }
+// EventHandler returns what the reconciler and the autoscaler report their events to.
+func (l *Leader) EventHandler() *EventHandler {
+	return &EventHandler{environment: l.environment, commits: l.commits, scheduler: l.scheduler, snapshot: l.snapshot,
+		machineCache: l.machineCache, tasks: l.taskEvents}
+}
 
-// WorkerJoined hears that a machine's worker has said its first word.
-func (d EventHandler) WorkerJoined(m *zone.Machine) {
-	d.leader.markMachineStale(m)
-	d.leader.markCacheStale(m.Name)
-	d.leader.cycleDue = true
+// WorkerJoined takes the first message of a machine's worker.
+func (h *EventHandler) WorkerJoined(m *zone.Machine) {
+	h.snapshot.markMachineStale(m)
+	h.machineCache.markCacheStale(m.Name)
+	h.scheduler.cycleDue = true
 }
 
-// MachineChanged hears that something about a machine has changed.
-func (d EventHandler) MachineChanged(m *zone.Machine) { d.leader.markMachineStale(m) }
+// MachineChanged takes any change of a machine.
+func (h *EventHandler) MachineChanged(m *zone.Machine) { h.snapshot.markMachineStale(m) }
 
-// AvailabilityChanged hears that what a machine can offer at all may have changed.
-func (d EventHandler) AvailabilityChanged(m *zone.Machine) { d.leader.checkAvailability(m) }
+// AvailabilityChanged takes a change that may decide whether a machine gets work at all.
+func (h *EventHandler) AvailabilityChanged(m *zone.Machine) { h.snapshot.checkAvailability(m) }
 
-// CacheGB tells how much of images a machine keeps; 0: not known.
-func (d EventHandler) CacheGB(m *zone.Machine) float64 {
-	if t := d.leader.catalog.Types[m.Type]; t != nil {
+// CacheGB returns the size of a machine's image cache in GB; 0 if it is not known.
+func (h *EventHandler) CacheGB(m *zone.Machine) float64 {
+	if t := h.catalog.Types[m.Type]; t != nil {
 		return t.CacheGB
 	}
 	return 0
 }
 
-// ImagesChanged hears that a machine is believed to have other images.
-func (d EventHandler) ImagesChanged(m *zone.Machine) {
-	d.leader.markCacheStale(m.Name)
-	d.leader.markMachineStale(m) // its zone finds it by its images
+// ImagesChanged takes a change of the images that a machine is believed to have.
+func (h *EventHandler) ImagesChanged(m *zone.Machine) {
+	h.machineCache.markCacheStale(m.Name)
+	h.snapshot.markMachineStale(m) // its zone finds it by its images
 }
 
-// TaskRunning hears that a task runs.
-func (d EventHandler) TaskRunning(key job.AttemptKey) {
-	d.leader.onTaskRunning(d.leader.jobs[key.Job], key)
+// TaskRunning takes a worker's word that a task runs.
+func (h *EventHandler) TaskRunning(key job.AttemptKey) {
+	h.tasks.onTaskRunning(h.jobs[key.Job], key)
 }
 
-// TaskExited hears that a task has ended, by its worker's word.
-func (d EventHandler) TaskExited(m *zone.Machine, key job.AttemptKey, t *zone.Task) {
-	d.leader.onTaskExited(m, d.leader.jobs[key.Job], key, t)
+// TaskExited takes a worker's word that a task has ended.
+func (h *EventHandler) TaskExited(m *zone.Machine, key job.AttemptKey, t *zone.Task) {
+	h.tasks.onTaskExited(m, h.jobs[key.Job], key, t)
 }
 
-// ClosePlacement hears proof that a placement is over.
-func (d EventHandler) ClosePlacement(key job.AttemptKey, machine string, done bool) {
-	d.leader.closePlacement(key, machine, done)
+// ClosePlacement takes the proof that a task's attempt is not on a machine any more.
+func (h *EventHandler) ClosePlacement(key job.AttemptKey, machine string, done bool) {
+	h.commits.closePlacement(key, machine, done)
 }
 
-// IsClosing tells whether that was proven before.
-func (d EventHandler) IsClosing(key job.AttemptKey, machine string) bool {
-	j := d.leader.jobs[key.Job]
+// IsClosing reports whether there is such proof already, and it is only not committed yet.
+func (h *EventHandler) IsClosing(key job.AttemptKey, machine string) bool {
+	j := h.jobs[key.Job]
 	return j != nil && j.isClosing(key, machine)
 }
 
-// MachineSetChanged hears that a machine came or is gone.
-func (d EventHandler) MachineSetChanged(machine string) { d.leader.markCacheStale(machine) }
+// MachineSetChanged takes a machine's coming or going.
+func (h *EventHandler) MachineSetChanged(machine string) { h.machineCache.markCacheStale(machine) }
 
-// CapacityChanged hears that there may be more or less room.
-func (d EventHandler) CapacityChanged() { d.leader.cycleDue = true }
+// CapacityChanged takes a change of the free capacity as a whole.
+func (h *EventHandler) CapacityChanged() { h.scheduler.cycleDue = true }
--- a/internal/core/leader/machine_cache.go
+++ b/internal/core/leader/machine_cache.go
@@ -10,6 +10,15 @@
 	"coralhub/wire"
 )
 
+// machineCache TODO
+type machineCache struct {
+	*environment
+
+	machinePages     [32]cachePage
+	nextCachePage    int
+	nextCacheWriteAt Micros
+}
+
 // Hints are what a leader knows of machines and a later one would have to learn
 // anew: where they are and which images they have. They are proof of nothing.
 // Many machines share a key, and a page that has changed is written when its
@@ -50,16 +59,18 @@
 }
 
 // markCacheStale has a machine's hint written in its turn.
-func (l *Leader) markCacheStale(name string) { l.machinePages[cachePageOf(name)].changed = true }
+func (mc *machineCache) markCacheStale(name string) {
+	mc.machinePages[cachePageOf(name)].changed = true
+}
 
 // writeMachineCache writes one page, now and then.
-func (l *Leader) writeMachineCache() {
-	if l.outbox.Now() < l.nextCacheWriteAt {
+func (mc *machineCache) writeMachineCache() {
+	if mc.outbox.Now() < mc.nextCacheWriteAt {
 		return
 	}
 	n := -1
 	for i := range machineCachePageCount {
-		if k := (l.nextCachePage + i) % machineCachePageCount; l.machinePages[k].changed {
+		if k := (mc.nextCachePage + i) % machineCachePageCount; mc.machinePages[k].changed {
 			n = k
 			break
 		}
@@ -68,27 +79,27 @@
 		return
 	}
 	var hints []CachedMachine
-	for _, m := range l.reconciler.Registry().All() {
+	for _, m := range mc.reconciler.Registry().All() {
 		if cachePageOf(m.Name) == n && !m.Releasing {
 			hints = append(hints, CachedMachine{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 				Images: m.Images.Names()})
 		}
 	}
-	p := &l.machinePages[n]
-	p.changed, l.nextCachePage, l.nextCacheWriteAt = false, n+1, l.outbox.Now()+l.encoding.IntervalForShare(machineCacheWriteShare)
-	value := l.fitCachePage(hints)
+	p := &mc.machinePages[n]
+	p.changed, mc.nextCachePage, mc.nextCacheWriteAt = false, n+1, mc.outbox.Now()+mc.encoding.IntervalForShare(machineCacheWriteShare)
+	value := mc.fitCachePage(hints)
 	if value == nil {
 		return
 	}
-	l.outbox.CommitDeferrable(wire.Transaction{
-		Conditions: []wire.Condition{l.elector.Condition()},
+	mc.outbox.CommitDeferrable(wire.Transaction{
+		Conditions: []wire.Condition{mc.elector.Condition()},
 		Changes:    []wire.Change{{Put: machineCachePrefix + strconv.Itoa(n), Value: value}},
 	}, msg.PurposeMachineCache, func(d msg.CommitDone) { p.changed = p.changed || d.Outcome != msg.OK })
 }
 
 // fitCachePage encodes hints so that they fit a value: images go first, then the
 // youngest machines.
-func (l *Leader) fitCachePage(hints []CachedMachine) []byte {
+func (mc *machineCache) fitCachePage(hints []CachedMachine) []byte {
 	for most := maxCachedImages; ; most /= 2 {
 		for i := range hints {
 			hints[i].Images = hints[i].Images[:min(len(hints[i].Images), most)]
@@ -97,7 +108,7 @@
 		switch {
 		case err != nil:
 			return nil
-		case l.encoding.Fits(value):
+		case mc.encoding.Fits(value):
 			return value
 		case most == 0:
 			hints = hints[:len(hints)*7/8]
@@ -107,12 +118,12 @@
 
 // applyCachePage takes a page. A leader that has begun knows better than what was
 // written before.
-func (l *Leader) applyCachePage(name string, ev *wire.Change) {
+func (mc *machineCache) applyCachePage(name string, ev *wire.Change) {
 	n, err := strconv.Atoi(name)
-	if err != nil || n < 0 || n >= machineCachePageCount || l.ready || ev.Version <= l.machinePages[n].version {
+	if err != nil || n < 0 || n >= machineCachePageCount || mc.ready || ev.Version <= mc.machinePages[n].version {
 		return
 	}
-	p := &l.machinePages[n]
+	p := &mc.machinePages[n]
 	var hints []CachedMachine
 	if ev.Put != "" && job.Decode(ev.Value, &hints) != nil {
 		return
@@ -122,13 +133,13 @@
 	for i := range hints {
 		h := &hints[i]
 		p.names = append(p.names, h.Name)
-		m := l.reconciler.EnsureMachine(h.Name)
+		m := mc.reconciler.EnsureMachine(h.Name)
 		m.Images.Restore(h.Images)
 		m.Describe(h.Addr, h.Type, h.Zone, h.Spot)
 	}
 	for _, gone := range old {
 		if !slices.Contains(p.names, gone) {
-			l.reconciler.Registry().Remove(gone)
+			mc.reconciler.Registry().Remove(gone)
 		}
 	}
 }
--- a/internal/core/leader/page_builder.go
+++ b/internal/core/leader/page_builder.go
@@ -19,8 +19,8 @@
 }
 
 // newPageBuilder begins to rewrite a page of the copy.
-func (l *Leader) newPageBuilder(n uint64) *pageBuilder {
-	d := &pageBuilder{number: n, version: l.replica.PlacementPage(n).Version, entries: l.replica.Compacted(n)}
+func (pc *placementCommits) newPageBuilder(n uint64) *pageBuilder {
+	d := &pageBuilder{number: n, version: pc.replica.PlacementPage(n).Version, entries: pc.replica.Compacted(n)}
 	value, err := records.EncodePlacementPage(d.entries)
 	if err != nil {
 		panic(err) // a struct of numbers and text always encodes
@@ -31,7 +31,7 @@
 
 // addToPages puts a job's plan into drafts, which may be begun for it, up to a number of them. It returns
 // false, and leaves the drafts as they were, if the transaction has no room for all of it.
-func (l *Leader) addToPages(j *Job, drafts []*pageBuilder, most int) ([]*pageBuilder, bool) {
+func (pc *placementCommits) addToPages(j *Job, drafts []*pageBuilder, most int) ([]*pageBuilder, bool) {
 	type mark struct {
 		d     *pageBuilder
 		parts int
@@ -47,10 +47,10 @@
 	out := slices.Clone(drafts)
 	for _, part := range entriesOf(j) {
 		size := entrySize(&part)
-		i := slices.IndexFunc(out, func(d *pageBuilder) bool { return d.size+size <= l.encoding.MaxValueBytes() })
+		i := slices.IndexFunc(out, func(d *pageBuilder) bool { return d.size+size <= pc.encoding.MaxValueBytes() })
 		if i < 0 {
-			d := l.pageWithRoom(out, most)
-			if d == nil || d.size+size > l.encoding.MaxValueBytes() {
+			d := pc.pageWithRoom(out, most)
+			if d == nil || d.size+size > pc.encoding.MaxValueBytes() {
 				for _, m := range undo {
 					m.d.entries, m.d.size = m.d.entries[:m.parts], m.size
 				}
@@ -72,28 +72,28 @@
 
 // pageWithRoom begins another page: the one of the copy with the most room, or a new one; nil: the
 // transaction can't have more.
-func (l *Leader) pageWithRoom(drafts []*pageBuilder, most int) *pageBuilder {
-	if len(drafts) >= min(most, l.encoding.MaxOps()) {
+func (pc *placementCommits) pageWithRoom(drafts []*pageBuilder, most int) *pageBuilder {
+	if len(drafts) >= min(most, pc.encoding.MaxOps()) {
 		return nil
 	}
-	p := &l.placements
-	best, least := uint64(0), int(maxPageFill*float64(l.encoding.MaxValueBytes()))
-	for _, n := range l.replica.PlacementPages() {
+	p := pc
+	best, least := uint64(0), int(maxPageFill*float64(pc.encoding.MaxValueBytes()))
+	for _, n := range pc.replica.PlacementPages() {
 		if !p.pageFree(n) || slices.ContainsFunc(drafts, func(d *pageBuilder) bool { return d.number == n }) {
 			continue
 		}
-		if size := l.liveSize(n); size < least {
+		if size := pc.liveSize(n); size < least {
 			best, least = n, size
 		}
 	}
 	if best != 0 {
-		if d := l.newPageBuilder(best); d.size <= int(maxPageFill*float64(l.encoding.MaxValueBytes())) {
+		if d := pc.newPageBuilder(best); d.size <= int(maxPageFill*float64(pc.encoding.MaxValueBytes())) {
 			return d
 		}
 	}
 	// Pages are begun in the order of their numbers, and by one transaction at a time: who guards
 	// all pages there are and the next one guards against any.
-	number := l.replica.NextPlacementPage()
+	number := pc.replica.NextPlacementPage()
 	if _, begun := p.busyPages[number]; begun {
 		return nil
 	}
@@ -113,11 +113,11 @@
 )
 
 // liveSize estimates what a page would take without the jobs that are over.
-func (l *Leader) liveSize(n uint64) int {
+func (pc *placementCommits) liveSize(n uint64) int {
 	size := emptyPageSize
-	page := l.replica.PlacementPage(n)
+	page := pc.replica.PlacementPage(n)
 	for i := range page.Entries {
-		if j := l.jobs[page.Entries[i].Job]; j == nil || !j.Archived() {
+		if j := pc.jobs[page.Entries[i].Job]; j == nil || !j.Archived() {
 			size += entryOverhead + placementSize*min(len(page.Entries[i].Open), job.TasksPerShard)
 		}
 	}
--- a/internal/core/leader/placement_commits.go
+++ b/internal/core/leader/placement_commits.go
@@ -30,6 +30,12 @@
 
 // placementCommits is what the leader does about shared parts.
 type placementCommits struct {
+	*environment
+	commits   *jobCommitter
+	estimates *runTimeEstimates
+	scheduler *scheduler
+	snapshot  *clusterSnapshot
+
 	waiting        []*Job                           // with a plan that is to be committed, in the order of passes
 	queued         map[*Job]bool                    // the same
 	inFlight       []*placementTransaction          // that have not been settled
@@ -37,6 +43,11 @@
 	pagesToCompact map[uint64]bool                  // pages to be rewritten so that the log of ended attempts can be shortened
 }
 
+func (pc *placementCommits) reset() {
+	pc.waiting, pc.inFlight = nil, nil
+	pc.queued, pc.busyPages, pc.pagesToCompact = map[*Job]bool{}, map[uint64]*placementTransaction{}, map[uint64]bool{}
+}
+
 // placementTransaction is a transaction on pages.
 type placementTransaction struct {
 	transaction    wire.Transaction
@@ -47,35 +58,31 @@
 	outcomeUnknown bool   // a sending of it had no answer
 }
 
-func newPlacementCommits() placementCommits {
-	return placementCommits{queued: map[*Job]bool{}, busyPages: map[uint64]*placementTransaction{}, pagesToCompact: map[uint64]bool{}}
-}
-
 // usesPlacementPages tells whether placements go into shared parts.
-func (l *Leader) usesPlacementPages() bool {
-	return l.cfg.Settings.PlacementPages && l.encoding.Format >= job.FormatPlacementPages
+func (e *environment) usesPlacementPages() bool {
+	return e.cfg.Settings.PlacementPages && e.encoding.Format >= job.FormatPlacementPages
 }
 
 // queuePlacement has a job's plan committed with those of others.
-func (l *Leader) queuePlacement(j *Job) {
-	if p := &l.placements; !p.queued[j] {
+func (pc *placementCommits) queuePlacement(j *Job) {
+	if p := pc; !p.queued[j] {
 		p.queued[j] = true
 		p.waiting = append(p.waiting, j)
 	}
 }
 
 // writePlacements commits what waits, as much as may be on its way.
-func (l *Leader) writePlacements() {
-	p := &l.placements
+func (pc *placementCommits) writePlacements() {
+	p := pc
 	for len(p.waiting) > 0 || len(p.pagesToCompact) > 0 {
-		if l.elector.TokenChangePending() || l.inFlightChanges >= l.maxInFlightChanges() || p.answersExpected() > 0 && len(p.waiting) < l.maxJobsPerTransaction() {
+		if pc.elector.TokenChangePending() || pc.commits.inFlightChanges >= pc.commits.maxInFlightChanges() || p.answersExpected() > 0 && len(p.waiting) < pc.maxJobsPerTransaction() {
 			return
 		}
-		t := l.nextPlacementTransaction()
+		t := pc.nextPlacementTransaction()
 		if t == nil {
 			return
 		}
-		l.sendPlacement(t)
+		pc.sendPlacement(t)
 	}
 }
 
@@ -92,14 +99,16 @@
 
 // maxJobsPerTransaction is how many jobs a transaction on one page may place: each has a guard, and so have the
 // claim and the page.
-func (l *Leader) maxJobsPerTransaction() int { return wire.ConditionsPerChange*l.encoding.MaxOps() - 2 }
+func (pc *placementCommits) maxJobsPerTransaction() int {
+	return wire.ConditionsPerChange*pc.encoding.MaxOps() - 2
+}
 
 // nextPlacementTransaction returns the next transaction; nil: there is nothing that could be written now.
-func (l *Leader) nextPlacementTransaction() *placementTransaction {
-	p := &l.placements
-	t := &placementTransaction{fencingToken: l.elector.FencingToken(), transaction: wire.Transaction{Conditions: []wire.Condition{l.elector.Condition()}}}
-	drafts := l.compactOnePage()
-	most := wire.ConditionsPerChange * l.encoding.MaxOps()
+func (pc *placementCommits) nextPlacementTransaction() *placementTransaction {
+	p := pc
+	t := &placementTransaction{fencingToken: pc.elector.FencingToken(), transaction: wire.Transaction{Conditions: []wire.Condition{pc.elector.Condition()}}}
+	drafts := pc.compactOnePage()
+	most := wire.ConditionsPerChange * pc.encoding.MaxOps()
 	taken := 0
 	for _, j := range p.waiting {
 		if j.transaction != nil || len(j.plan) == 0 || j.Version == 0 || j.Record.Final() || j.Record.CancelRequested {
@@ -107,14 +116,14 @@
 			delete(p.queued, j)
 			continue
 		}
-		more, ok := l.addToPages(j, drafts, most-len(t.transaction.Conditions)-1)
+		more, ok := pc.addToPages(j, drafts, most-len(t.transaction.Conditions)-1)
 		if !ok && (len(t.jobs) > 0 || len(p.busyPages) > 0) {
 			break // it goes with the next
 		}
 		taken++
 		delete(p.queued, j)
 		if !ok {
-			l.reducePlan(j)
+			pc.reducePlan(j)
 			continue
 		}
 		drafts = more
@@ -122,17 +131,17 @@
 		t.transaction.Conditions = append(t.transaction.Conditions, wire.Condition{Key: job.RecordKey(j.ID), Version: j.Version})
 	}
 	p.waiting = slices.Delete(p.waiting, 0, taken)
-	if len(drafts) == 0 || !l.encodePages(t, drafts) {
+	if len(drafts) == 0 || !pc.encodePages(t, drafts) {
 		return nil
 	}
 	return t
 }
 
 // compactOnePage begins to rewrite one of the pages that are to be, if any can be now.
-func (l *Leader) compactOnePage() []*pageBuilder {
-	for _, n := range slices.Sorted(maps.Keys(l.placements.pagesToCompact)) {
-		if l.placements.pageFree(n) && l.replica.PlacementPage(n) != nil {
-			return []*pageBuilder{l.newPageBuilder(n)}
+func (pc *placementCommits) compactOnePage() []*pageBuilder {
+	for _, n := range slices.Sorted(maps.Keys(pc.pagesToCompact)) {
+		if pc.pageFree(n) && pc.replica.PlacementPage(n) != nil {
+			return []*pageBuilder{pc.newPageBuilder(n)}
 		}
 	}
 	return nil
@@ -146,28 +155,28 @@
 
 // reducePlan has less of a job planned: one transaction has no room for all of it. A gang needs
 // all of its places, and gets them by its own record, in several transactions.
-func (l *Leader) reducePlan(j *Job) {
+func (pc *placementCommits) reducePlan(j *Job) {
 	if j.Record.Spec.Shape == wire.Gang {
 		j.ownRecordOnly = true
-		l.pendingCommits[j.ID] = true
+		pc.commits.pendingCommits[j.ID] = true
 		return
 	}
-	l.setPlan(j, j.plan[:len(j.plan)/2])
+	pc.snapshot.setPlan(j, j.plan[:len(j.plan)/2])
 	if len(j.plan) > 0 {
-		l.queuePlacement(j)
+		pc.queuePlacement(j)
 	}
 }
 
 // encodePages turns drafts into guards and changes. It returns false if a value has become too
 // large after all: then its jobs are planned anew.
-func (l *Leader) encodePages(t *placementTransaction, drafts []*pageBuilder) bool {
+func (pc *placementCommits) encodePages(t *placementTransaction, drafts []*pageBuilder) bool {
 	for _, d := range drafts {
 		value, err := records.EncodePlacementPage(mergeEntries(d.entries))
-		if err != nil || !l.encoding.Fits(value) {
-			l.outbox.Log("placements not written", "page", d.number, "parts", len(d.entries), "limit", l.encoding.MaxValueBytes())
+		if err != nil || !pc.encoding.Fits(value) {
+			pc.outbox.Log("placements not written", "page", d.number, "parts", len(d.entries), "limit", pc.encoding.MaxValueBytes())
 			for _, j := range t.jobs {
-				l.setPlan(j, nil)
-				j.retryAt = l.outbox.Now() + config.Second
+				pc.snapshot.setPlan(j, nil)
+				j.retryAt = pc.outbox.Now() + config.Second
 			}
 			return false
 		}
@@ -180,8 +189,8 @@
 }
 
 // sendPlacement sends a transaction for the first time.
-func (l *Leader) sendPlacement(t *placementTransaction) {
-	p := &l.placements
+func (pc *placementCommits) sendPlacement(t *placementTransaction) {
+	p := pc
 	for _, n := range t.pages {
 		p.busyPages[n] = t
 		delete(p.pagesToCompact, n)
@@ -190,22 +199,22 @@
 		j.transaction = &jobTransaction{fencingToken: t.fencingToken, placed: j.plan}
 	}
 	p.inFlight = append(p.inFlight, t)
-	l.submitPlacement(t)
+	pc.submitPlacement(t)
 }
 
-func (l *Leader) submitPlacement(t *placementTransaction) {
-	reign := l.term
-	l.inFlightChanges += len(t.transaction.Changes)
+func (pc *placementCommits) submitPlacement(t *placementTransaction) {
+	reign := pc.term
+	pc.commits.inFlightChanges += len(t.transaction.Changes)
 	purpose := msg.PurposePlacement
 	if len(t.jobs) == 0 {
 		purpose = msg.PurposeCleanup
 	}
-	l.outbox.CommitWithPriority(t.transaction, t.priority(), purpose, func(d msg.CommitDone) {
-		if reign == l.term {
-			l.inFlightChanges -= len(t.transaction.Changes)
+	pc.outbox.CommitWithPriority(t.transaction, t.priority(), purpose, func(d msg.CommitDone) {
+		if reign == pc.term {
+			pc.commits.inFlightChanges -= len(t.transaction.Changes)
 		}
-		if l.elector.IsLeader() && slices.Contains(l.placements.inFlight, t) {
-			l.onPlacementAnswer(t, &d)
+		if pc.elector.IsLeader() && slices.Contains(pc.inFlight, t) {
+			pc.onPlacementAnswer(t, &d)
 		}
 	})
 }
@@ -221,77 +230,77 @@
 }
 
 // onPlacementAnswer takes the answer to a transaction.
-func (l *Leader) onPlacementAnswer(t *placementTransaction, d *msg.CommitDone) {
+func (pc *placementCommits) onPlacementAnswer(t *placementTransaction, d *msg.CommitDone) {
 	switch d.Outcome {
 	case msg.OK:
 		for _, j := range t.jobs {
-			l.noteOwnPlacements(j, j.plan)
+			pc.estimates.noteOwnPlacements(j, j.plan)
 		}
-		l.settlePlacement(t)
+		pc.settlePlacement(t)
 		for i := range t.transaction.Changes {
 			c := &t.transaction.Changes[i]
-			l.applyRecord(&wire.Change{Put: c.Put, Value: c.Value, Version: d.Revision})
+			pc.applyRecord(&wire.Change{Put: c.Put, Value: c.Value, Version: d.Revision})
 		}
 	case msg.Unknown:
 		// It may be applied later. The same again: either it or the late one fails by its guards,
 		// and until then what it places is counted, and placed nowhere else.
-		t.outcomeUnknown, t.resendAt = true, l.outbox.Now()+commitRetryInterval
+		t.outcomeUnknown, t.resendAt = true, pc.outbox.Now()+commitRetryInterval
 	case msg.Conflict:
-		if !l.elector.DeposedBy(t.fencingToken, d.Failed) {
-			l.onPlacementConflict(t, d.Failed)
+		if !pc.elector.DeposedBy(t.fencingToken, d.Failed) {
+			pc.onPlacementConflict(t, d.Failed)
 		}
 	case msg.Invalid: // values become smaller
-		l.retryPlacementLater(t, config.Second)
+		pc.retryPlacementLater(t, config.Second)
 	default:
 		if t.outcomeUnknown { // this sending was refused; an earlier one may still be applied
-			t.resendAt = l.outbox.Now() + commitRetryInterval
+			t.resendAt = pc.outbox.Now() + commitRetryInterval
 			return
 		}
-		l.retryPlacementLater(t, commitRetryInterval)
+		pc.retryPlacementLater(t, commitRetryInterval)
 	}
 }
 
 // settlePlacement ends a transaction: what it has placed is in the records, or will never be by it.
-func (l *Leader) settlePlacement(t *placementTransaction) {
-	p := &l.placements
+func (pc *placementCommits) settlePlacement(t *placementTransaction) {
+	p := pc
 	p.inFlight = slices.DeleteFunc(p.inFlight, func(o *placementTransaction) bool { return o == t })
 	for _, n := range t.pages {
 		delete(p.busyPages, n)
 	}
 	for _, j := range t.jobs {
 		j.transaction = nil
-		l.setPlan(j, nil)
-		l.pendingCommits[j.ID] = true
+		pc.snapshot.setPlan(j, nil)
+		pc.commits.pendingCommits[j.ID] = true
 	}
-	l.cycleDue = true
+	pc.scheduler.cycleDue = true
 }
 
 // retryPlacementLater has the jobs of a transaction that was not carried out planned anew, after a while.
-func (l *Leader) retryPlacementLater(t *placementTransaction, after Micros) {
-	l.settlePlacement(t)
+func (pc *placementCommits) retryPlacementLater(t *placementTransaction, after Micros) {
+	pc.settlePlacement(t)
 	for _, j := range t.jobs {
-		j.retryAt = l.outbox.Now() + after
+		j.retryAt = pc.outbox.Now() + after
 	}
 }
 
 // onPlacementConflict takes a conflict. If an earlier sending had no answer, that may be what this one
 // has met: until the pages have been read what it places stays counted. Otherwise the jobs whose
 // records have changed are read, and the others go again at once.
-func (l *Leader) onPlacementConflict(t *placementTransaction, failed []string) {
+func (pc *placementCommits) onPlacementConflict(t *placementTransaction, failed []string) {
 	pages := t.failedPages(failed)
 	if t.outcomeUnknown {
 		pages = t.pages
 	}
 	again := func() {
-		l.settlePlacement(t)
+		pc.settlePlacement(t)
 		for _, j := range t.jobs {
 			if slices.Contains(failed, job.RecordKey(j.ID)) {
-				l.onConflict(j, []string{job.RecordKey(j.ID)})
+				pc.commits.onConflict(j, []string{job.RecordKey(j.ID)})
 			}
 		}
 	}
 	if len(pages) > 0 {
-		l.readPages(t, pages, again)
+		pc.readPages(t, pages, again)
 		return
 	}
 	plans := make([][]job.Placement, len(t.jobs))
@@ -301,8 +310,8 @@
 	again()
 	for i, j := range t.jobs {
 		if !slices.Contains(failed, job.RecordKey(j.ID)) {
-			l.setPlan(j, plans[i])
-			l.queuePlacement(j)
+			pc.snapshot.setPlan(j, plans[i])
+			pc.queuePlacement(j)
 		}
 	}
 }
@@ -320,23 +329,23 @@
 
 // readPages reads pages and calls then once all have been read. If any can't be, the transaction is
 // sent again.
-func (l *Leader) readPages(t *placementTransaction, pages []uint64, then func()) {
+func (pc *placementCommits) readPages(t *placementTransaction, pages []uint64, then func()) {
 	left, unread := len(pages), false
 	for _, n := range pages {
 		key := records.PlacementPageKey(n)
-		l.outbox.Read(key, func(d msg.ReadDone) {
-			if !l.elector.IsLeader() || !slices.Contains(l.placements.inFlight, t) {
+		pc.outbox.Read(key, func(d msg.ReadDone) {
+			if !pc.elector.IsLeader() || !slices.Contains(pc.inFlight, t) {
 				return
 			}
 			if d.Outcome == msg.OK && d.Item.Version != 0 {
-				l.applyRecord(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
+				pc.applyRecord(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
 			}
 			left--
 			unread = unread || d.Outcome != msg.OK
 			switch {
 			case left > 0:
 			case unread:
-				t.outcomeUnknown, t.resendAt = true, l.outbox.Now()+commitRetryInterval
+				t.outcomeUnknown, t.resendAt = true, pc.outbox.Now()+commitRetryInterval
 			default:
 				then()
 			}
@@ -345,14 +354,14 @@
 }
 
 // resendPlacements sends transactions again that had no answer.
-func (l *Leader) resendPlacements() {
-	if l.elector.TokenChangePending() {
+func (pc *placementCommits) resendPlacements() {
+	if pc.elector.TokenChangePending() {
 		return
 	}
-	for _, t := range slices.Clone(l.placements.inFlight) {
-		if t.resendAt != 0 && l.outbox.Now() >= t.resendAt {
+	for _, t := range slices.Clone(pc.inFlight) {
+		if t.resendAt != 0 && pc.outbox.Now() >= t.resendAt {
 			t.resendAt = 0
-			l.submitPlacement(t)
+			pc.submitPlacement(t)
 		}
 	}
 }
--- a/internal/core/leader/preemption.go
+++ b/internal/core/leader/preemption.go
@@ -35,6 +35,9 @@
 
 // preemptionDecisions is what a leader has decided and not committed yet. The books are every node's.
 type preemptionDecisions struct {
+	*environment
+	scheduler *scheduler
+
 	decisions preemption.Decisions
 	counts    preemption.Counts
 
@@ -73,29 +76,29 @@
 }
 
 // canAddDecision tells whether one more decision can be kept.
-func (l *Leader) canAddDecision() bool {
-	d := &l.preemptions
+func (ps *preemptionDecisions) canAddDecision() bool {
+	d := ps
 	return len(d.unwritten)+len(d.writing) < preemption.MaxOpenDecisions
 }
 
 // addDecision keeps machines for a job and has others' tasks stopped there.
-func (l *Leader) addDecision(j *Job, why preemption.Reason, level int, keep []string, victims []preemption.Victim, wait Micros) {
+func (ps *preemptionDecisions) addDecision(j *Job, why preemption.Reason, level int, keep []string, victims []preemption.Victim, wait Micros) {
 	j.reservedMachines = make(map[string]bool, len(keep))
 	for _, name := range keep {
 		j.reservedMachines[name] = true
 	}
-	j.preemptingUntil = l.outbox.Now() + wait
+	j.preemptingUntil = ps.outbox.Now() + wait
 	x := preemption.Decision{Preemptor: j.ID, Reason: why, Level: level, ReservedMachines: keep, Victims: victims}
-	if l.encoding.Format < job.FormatPreemption || l.wallClock() == 0 {
-		l.executeDecision(&x)
+	if ps.encoding.Format < job.FormatPreemption || ps.wallClock() == 0 {
+		ps.executeDecision(&x)
 		return
 	}
 	j.preemptingUntil += decisionSlack
-	x.Until = l.wallClock() + wait + decisionSlack
+	x.Until = ps.wallClock() + wait + decisionSlack
 	for i := range victims {
-		l.preemptions.mark(&victims[i])
+		ps.mark(&victims[i])
 	}
-	l.preemptions.unwritten = append(l.preemptions.unwritten, preemption.SplitToFit(x, l.encoding.Fits)...)
+	ps.unwritten = append(ps.unwritten, preemption.SplitToFit(x, ps.encoding.Fits)...)
 }
 
 // wantsPlacements tells whether a job still lacks places.
@@ -104,76 +107,76 @@
 }
 
 // writeDecisions commits what was decided.
-func (l *Leader) writeDecisions() {
-	d := &l.preemptions
-	if d.inFlight || l.elector.TokenChangePending() || l.outbox.Now() < d.nextWriteAt {
+func (ps *preemptionDecisions) writeDecisions() {
+	d := ps
+	if d.inFlight || ps.elector.TokenChangePending() || ps.outbox.Now() < d.nextWriteAt {
 		return
 	}
 	if d.transaction != nil { // without an answer: the same again, by its guards one of the two takes effect
-		l.sendDecisions()
+		ps.sendDecisions()
 		return
 	}
 	if len(d.unwritten) == 0 {
 		return
 	}
-	wall := l.wallClock()
-	writes, packed := d.decisions.Pack(d.unwritten, l.encoding.MaxOps()-1, func(x *preemption.Decision) bool {
-		j := l.jobs[x.Preemptor]
+	wall := ps.wallClock()
+	writes, packed := d.decisions.Pack(d.unwritten, ps.encoding.MaxOps()-1, func(x *preemption.Decision) bool {
+		j := ps.jobs[x.Preemptor]
 		return x.InForce(wall) && j != nil && j.wantsPlacements()
-	}, l.encoding.Fits)
+	}, ps.encoding.Fits)
 	if packed == 0 { // every page is full of what is in force
-		l.dropDecisions(d.unwritten)
+		ps.dropDecisions(d.unwritten)
 		d.unwritten = nil
 		return
 	}
 	d.writing, d.unwritten = slices.Clone(d.unwritten[:packed]), slices.Clone(d.unwritten[packed:])
-	t := &wire.Transaction{Conditions: []wire.Condition{l.elector.Condition()}}
+	t := &wire.Transaction{Conditions: []wire.Condition{ps.elector.Condition()}}
 	for _, w := range writes {
 		t.Conditions = append(t.Conditions, wire.Condition{Key: preemption.PageKey(w.Page), Version: w.Version})
 		t.Changes = append(t.Changes, wire.Change{Put: preemption.PageKey(w.Page), Value: w.Value})
 	}
-	if l.outbox.Now()-d.nextCountsAt >= countsInterval {
-		if value := d.counts.Value(l.encoding.Fits); value != nil {
-			d.nextCountsAt = l.outbox.Now()
+	if ps.outbox.Now()-d.nextCountsAt >= countsInterval {
+		if value := d.counts.Value(ps.encoding.Fits); value != nil {
+			d.nextCountsAt = ps.outbox.Now()
 			t.Conditions = append(t.Conditions, wire.Condition{Key: preemption.CountsKey, Version: d.counts.Version()})
 			t.Changes = append(t.Changes, wire.Change{Put: preemption.CountsKey, Value: value})
 		}
 	}
 	d.transaction, d.outcomeUnknown = t, false
-	d.nextWriteAt = l.outbox.Now() + min(maxDecisionInterval, decisionInterval*Micros(packed))
-	l.sendDecisions()
+	d.nextWriteAt = ps.outbox.Now() + min(maxDecisionInterval, decisionInterval*Micros(packed))
+	ps.sendDecisions()
 }
 
-func (l *Leader) sendDecisions() {
-	d := &l.preemptions
+func (ps *preemptionDecisions) sendDecisions() {
+	d := ps
 	t := d.transaction
 	d.inFlight = true
-	l.outbox.CommitWithPriority(*t, msg.Critical, msg.PurposePreemption, func(x msg.CommitDone) {
-		if !l.elector.IsLeader() || d.transaction != t {
+	ps.outbox.CommitWithPriority(*t, msg.Critical, msg.PurposePreemption, func(x msg.CommitDone) {
+		if !ps.elector.IsLeader() || d.transaction != t {
 			return
 		}
 		d.inFlight = false
 		switch x.Outcome {
 		case msg.OK:
 			for _, c := range t.Changes {
-				l.applyDecisions(&wire.Change{Put: c.Put, Value: c.Value, Version: x.Revision})
+				ps.applyDecisions(&wire.Change{Put: c.Put, Value: c.Value, Version: x.Revision})
 			}
-			l.decisionsCommitted(d.writing)
+			ps.decisionsCommitted(d.writing)
 		case msg.Unknown:
-			d.outcomeUnknown, d.nextWriteAt = true, l.outbox.Now()+commitRetryInterval
+			d.outcomeUnknown, d.nextWriteAt = true, ps.outbox.Now()+commitRetryInterval
 			return
 		case msg.Conflict:
-			if l.elector.DeposedBy(t.Conditions[0].Version, x.Failed) {
+			if ps.elector.DeposedBy(t.Conditions[0].Version, x.Failed) {
 				return
 			}
-			l.readDecisions(t)
+			ps.readDecisions(t)
 			return
 		default:
-			d.nextWriteAt = l.outbox.Now() + commitRetryInterval
+			d.nextWriteAt = ps.outbox.Now() + commitRetryInterval
 			if d.outcomeUnknown { // this sending was refused; an earlier one may still be applied
 				return
 			}
-			l.dropDecisions(d.writing)
+			ps.dropDecisions(d.writing)
 		}
 		d.transaction, d.writing = nil, nil
 	})
@@ -181,23 +184,23 @@
 
 // readDecisions finds out what is stored where a transaction met other versions than it knew: an
 // earlier sending has been applied after all, or it never will be.
-func (l *Leader) readDecisions(t *wire.Transaction) {
-	d := &l.preemptions
+func (ps *preemptionDecisions) readDecisions(t *wire.Transaction) {
+	d := ps
 	left := len(t.Changes)
 	d.inFlight = true
 	for _, c := range t.Changes {
-		l.outbox.Read(c.Put, func(x msg.ReadDone) {
-			if !l.elector.IsLeader() || d.transaction != t {
+		ps.outbox.Read(c.Put, func(x msg.ReadDone) {
+			if !ps.elector.IsLeader() || d.transaction != t {
 				return
 			}
 			if x.Outcome == msg.OK && x.Item.Version != 0 {
-				l.applyDecisions(&wire.Change{Put: c.Put, Value: x.Item.Value, Version: x.Item.Version})
+				ps.applyDecisions(&wire.Change{Put: c.Put, Value: x.Item.Value, Version: x.Item.Version})
 			}
 			if left--; left > 0 {
 				return
 			}
 			stored := map[string]Micros{}
-			for _, s := range d.decisions.InForce(l.wallClock()) {
+			for _, s := range d.decisions.InForce(ps.wallClock()) {
 				stored[s.Preemptor] = s.Until
 			}
 			var made, lost []preemption.Decision
@@ -208,72 +211,72 @@
 					lost = append(lost, s)
 				}
 			}
-			l.decisionsCommitted(made)
-			l.dropDecisions(lost)
+			ps.decisionsCommitted(made)
+			ps.dropDecisions(lost)
 			d.transaction, d.writing, d.inFlight = nil, nil, false
-			d.nextWriteAt = l.outbox.Now() + commitRetryInterval
+			d.nextWriteAt = ps.outbox.Now() + commitRetryInterval
 		})
 	}
 }
 
 // decisionsCommitted carries out decisions that are committed.
-func (l *Leader) decisionsCommitted(ds []preemption.Decision) {
-	l.preemptions.unmark(ds)
+func (ps *preemptionDecisions) decisionsCommitted(ds []preemption.Decision) {
+	ps.unmark(ds)
 	for i := range ds {
-		if j := l.jobs[ds[i].Preemptor]; j != nil && j.wantsPlacements() {
-			l.executeDecision(&ds[i])
+		if j := ps.jobs[ds[i].Preemptor]; j != nil && j.wantsPlacements() {
+			ps.executeDecision(&ds[i])
 		}
 	}
 }
 
 // dropDecisions gives up decisions that are not committed and never will be.
-func (l *Leader) dropDecisions(ds []preemption.Decision) {
-	l.preemptions.unmark(ds)
+func (ps *preemptionDecisions) dropDecisions(ds []preemption.Decision) {
+	ps.unmark(ds)
 	for i := range ds {
-		if j := l.jobs[ds[i].Preemptor]; j != nil {
+		if j := ps.jobs[ds[i].Preemptor]; j != nil {
 			j.preemptingUntil, j.reservedMachines = 0, nil
 		}
 	}
-	l.cycleDue = true
+	ps.scheduler.cycleDue = true
 }
 
 // executeDecision stops the victims of a decision, as far as they are still where they were.
-func (l *Leader) executeDecision(d *preemption.Decision) {
-	winner := l.jobs[d.Preemptor]
+func (ps *preemptionDecisions) executeDecision(d *preemption.Decision) {
+	winner := ps.jobs[d.Preemptor]
 	for _, v := range d.Victims {
-		of := l.jobs[v.Job]
+		of := ps.jobs[v.Job]
 		if of == nil || of.Record.Spec == nil {
 			continue
 		}
 		only := map[job.AttemptKey]bool{}
 		of.EachPlacement(func(p job.Placement) {
-			if key := p.AttemptKey(of.ID); p.Attempt == v.Attempt && (p.Task == v.Task || v.Task == preemption.WholeGang) && !l.reconciler.IsTerminating(key) {
+			if key := p.AttemptKey(of.ID); p.Attempt == v.Attempt && (p.Task == v.Task || v.Task == preemption.WholeGang) && !ps.reconciler.IsTerminating(key) {
 				only[key] = true
 			}
 		})
 		if len(only) == 0 {
 			continue
 		}
-		l.reconciler.Terminate(of.Job, only, d.Reason.String()+" of "+d.Preemptor)
+		ps.reconciler.Terminate(of.Job, only, d.Reason.String()+" of "+d.Preemptor)
 		y := preemption.Pair{Preemptor: winner.Record.Spec.Class, Victim: of.Record.Spec.Class, Reason: d.Reason}
-		l.preemptions.counts.Add(y, len(only))
-		l.outbox.Debug("yields", "job", of.ID, "class", y.Victim, "team", of.Record.Spec.Team, "tasks", len(only), "to", d.Preemptor, "class_to", y.Preemptor,
+		ps.counts.Add(y, len(only))
+		ps.outbox.Debug("yields", "job", of.ID, "class", y.Victim, "team", of.Record.Spec.Team, "tasks", len(only), "to", d.Preemptor, "class_to", y.Preemptor,
 			"team_to", winner.Record.Spec.Team, "by", d.Reason.String(), "level", d.Level)
 	}
 }
 
 // resumeDecisions goes on with what predecessors had decided.
-func (l *Leader) resumeDecisions() {
-	d := &l.preemptions
-	if d.resumed || l.wallClock() == 0 {
+func (ps *preemptionDecisions) resumeDecisions() {
+	d := ps
+	if d.resumed || ps.wallClock() == 0 {
 		return
 	}
 	d.resumed = true
-	wall := l.wallClock()
+	wall := ps.wallClock()
 	ds := d.decisions.InForce(wall - resumeGrace)
 	kept := 0
 	for i := range ds {
-		j := l.jobs[ds[i].Preemptor]
+		j := ps.jobs[ds[i].Preemptor]
 		if j == nil || !j.wantsPlacements() {
 			continue
 		}
@@ -283,42 +286,44 @@
 		for _, name := range ds[i].ReservedMachines {
 			j.reservedMachines[name] = true
 		}
-		j.preemptingUntil = max(j.preemptingUntil, l.outbox.Now()+max(ds[i].Until-wall, resumedReservation))
+		j.preemptingUntil = max(j.preemptingUntil, ps.outbox.Now()+max(ds[i].Until-wall, resumedReservation))
 		kept++
-		l.executeDecision(&ds[i])
+		ps.executeDecision(&ds[i])
 	}
 	if kept > 0 {
-		l.outbox.Log("going on with decisions", "count", kept)
+		ps.outbox.Log("going on with decisions", "count", kept)
 	}
 }
 
 // applyDecisions takes a page of decisions, or the tally, as it is stored.
-func (l *Leader) applyDecisions(ev *wire.Change) {
+func (ps *preemptionDecisions) applyDecisions(ev *wire.Change) {
 	if ev.Put == "" {
 		return
 	}
 	var err error
 	if ev.Put == preemption.CountsKey {
-		if l.ready { // it counts itself
-			l.preemptions.counts.Written(ev.Version)
+		if ps.ready { // it counts itself
+			ps.counts.Written(ev.Version)
 			return
 		}
-		err = l.preemptions.counts.Apply(ev.Version, ev.Value)
+		err = ps.counts.Apply(ev.Version, ev.Value)
 	} else if n, ok := preemption.ParsePage(strings.TrimPrefix(ev.Put, preemption.KeyPrefix)); ok {
-		err = l.preemptions.decisions.Apply(n, ev.Version, ev.Value)
+		err = ps.decisions.Apply(n, ev.Version, ev.Value)
 	}
 	if err != nil {
-		l.outbox.Log("unreadable", "key", ev.Put, "error", err.Error())
+		ps.outbox.Log("unreadable", "key", ev.Put, "error", err.Error())
 	}
 }
 
-// resetPreemptions forgets what was decided under a claim that is over. What is committed stays.
-func (l *Leader) resetPreemptions() {
-	l.preemptions = preemptionDecisions{decisions: l.preemptions.decisions, counts: l.preemptions.counts, preempted: map[string]map[int]bool{}}
+// reset forgets what was decided under a claim that is over. What is committed stays.
+func (ps *preemptionDecisions) reset() {
+	ps.unwritten, ps.preempted = nil, map[string]map[int]bool{}
+	ps.transaction, ps.writing, ps.inFlight, ps.outcomeUnknown = nil, nil, false, false
+	ps.nextWriteAt, ps.nextCountsAt, ps.resumed = 0, 0, false
 }
 
 // victimOf describes a task that a job loses, or all of a gang.
-func (l *Leader) victimOf(j *Job, task int) preemption.Victim {
+func (ps *preemptionDecisions) victimOf(j *Job, task int) preemption.Victim {
 	v := preemption.Victim{Job: j.ID, Task: task}
 	j.EachPlacement(func(p job.Placement) {
 		if p.Task == task || j.Record.Spec.Shape == wire.Gang {
--- a/internal/core/leader/slo.go
+++ b/internal/core/leader/slo.go
@@ -21,38 +21,32 @@
 // come, so that an heir goes on where the leader before it was. A node that has just started
 // knows nothing of jobs that are over: it counts those alone that were accepted since.
 type sloTracker struct {
+	*environment
+
 	tracker  *slo.Tracker
 	since    Micros // time of day; 0: not begun
 	loggedAt Micros
 }
 
-// wallClock is the time of day; 0: not known yet.
-func (l *Leader) wallClock() Micros {
-	if l.wallClockOffset == 0 {
-		return 0
-	}
-	return l.outbox.Now() + l.wallClockOffset
-}
-
 // trackJob takes what a record says of a job.
-func (l *Leader) trackJob(j *Job) {
-	now, rec := l.wallClock(), &j.Record
-	if l.slo.since == 0 || now == 0 || rec.CreatedAt == 0 && rec.Spec != nil || rec.CreatedAt != 0 && rec.CreatedAt < l.slo.since {
+func (st *sloTracker) trackJob(j *Job) {
+	now, rec := st.wallClock(), &j.Record
+	if st.since == 0 || now == 0 || rec.CreatedAt == 0 && rec.Spec != nil || rec.CreatedAt != 0 && rec.CreatedAt < st.since {
 		return
 	}
 	if j.tracked == nil && rec.Spec != nil && !rec.Final() {
-		j.tracked = l.slo.tracker.JobAccepted(now, rec.Spec, rec.CreatedAt)
+		j.tracked = st.tracker.JobAccepted(now, rec.Spec, rec.CreatedAt)
 	}
 	switch {
 	case j.tracked == nil:
 	case rec.Phase == job.Cancelled || rec.CancelRequested:
-		l.slo.tracker.JobCancelled(now, j.tracked)
+		st.tracker.JobCancelled(now, j.tracked)
 	default:
 		if j.hasStarted() {
-			l.slo.tracker.JobStarted(now, j.tracked)
+			st.tracker.JobStarted(now, j.tracked)
 		}
 		if rec.Phase == job.Done || rec.Spec != nil && rec.Spec.Shape == wire.Service && j.OpenTasks >= rec.Spec.Tasks {
-			l.slo.tracker.JobCompleted(now, j.tracked)
+			st.tracker.JobCompleted(now, j.tracked)
 		}
 	}
 	if rec.Final() {
@@ -61,18 +55,18 @@
 }
 
 // logAttainment writes the line when it is due.
-func (l *Leader) logAttainment() {
-	s := &l.slo
-	if l.outbox.Now()-s.loggedAt < attainmentLogInterval || l.wallClock() == 0 {
+func (st *sloTracker) logAttainment() {
+	s := st
+	if st.outbox.Now()-s.loggedAt < attainmentLogInterval || st.wallClock() == 0 {
 		return
 	}
-	s.loggedAt = l.outbox.Now()
+	s.loggedAt = st.outbox.Now()
 	for _, told := range []struct {
 		what string
 		slo.Attainment
-	}{{"served", s.tracker.CompletedInTime(l.wallClock())}, {"begun", s.tracker.StartedInTime(l.wallClock())}} {
+	}{{"served", s.tracker.CompletedInTime(st.wallClock())}, {"begun", s.tracker.StartedInTime(st.wallClock())}} {
 		if len(told.Class) > 0 {
-			l.outbox.Log(told.what, "of_s", min(slo.Window, l.wallClock()-s.since)/config.Second,
+			st.outbox.Log(told.what, "of_s", min(slo.Window, st.wallClock()-s.since)/config.Second,
 				"class", formatShares(told.Class), "team", formatShares(told.Team), "largest", formatShares(told.Largest))
 		}
 	}
--- a/internal/core/leader/snapshot.go
+++ b/internal/core/leader/snapshot.go
@@ -17,6 +17,10 @@
 // that a change which nobody thought of lasts no longer than the scan period, a pass
 // looks at everything that often, as the paper's does.
 type clusterSnapshot struct {
+	*environment
+	scheduler  *scheduler
+	startOrder *startOrder
+
 	zones  []*zone.Zone // in the order of the settings
 	byName map[string]*zone.Zone
 
@@ -44,17 +48,21 @@
 type CycleStatistics struct{ Cycles, Machines, Jobs int }
 
 // cycleStatistics tells what this node's passes have looked at.
-func (l *Leader) cycleStatistics() CycleStatistics { return l.snapshot.statistics }
-
-func newSnapshot(zones []string) clusterSnapshot {
-	s := clusterSnapshot{rebuildDue: true, byName: map[string]*zone.Zone{}, used: map[string]queue.Amount{}, teamQueues: map[string]*queue.TeamQueue{},
-		wanting: map[*Job]bool{}, planned: map[string]map[*Job]int{}, classes: equivalenceClasses{}}
-	for _, name := range zones {
+func (ss *clusterSnapshot) cycleStatistics() CycleStatistics { return ss.statistics }
+
+// reset begins with nothing known: the next cycle examines everything.
+func (ss *clusterSnapshot) reset() {
+	ss.zones, ss.byName = nil, map[string]*zone.Zone{}
+	ss.staleMachines, ss.staleJobs = nil, nil
+	ss.rebuildDue, ss.rebuiltAt, ss.deadlinesDue = true, 0, false
+	ss.used, ss.teamQueues = map[string]queue.Amount{}, map[string]*queue.TeamQueue{}
+	ss.wanting, ss.planned, ss.classes = map[*Job]bool{}, map[string]map[*Job]int{}, equivalenceClasses{}
+	ss.demandUnmet, ss.capacityShort, ss.reservedSince = false, false, 0
+	for _, name := range ss.cfg.Cluster.Zones {
 		z := &zone.Zone{Name: name}
-		s.zones = append(s.zones, z)
-		s.byName[name] = z
+		ss.zones = append(ss.zones, z)
+		ss.byName[name] = z
 	}
-	return s
 }
 
 // cachedJobState is what passes know of one job.
@@ -70,133 +78,133 @@
 const joinDelay = config.Second
 
 // markMachineStale has a machine looked at again.
-func (l *Leader) markMachineStale(m *zone.Machine) {
-	if !l.ready {
+func (ss *clusterSnapshot) markMachineStale(m *zone.Machine) {
+	if !ss.ready {
 		return // a new leader looks at everything
 	}
 	if !m.Stale {
 		m.Stale = true
-		l.snapshot.staleMachines = append(l.snapshot.staleMachines, m)
+		ss.staleMachines = append(ss.staleMachines, m)
 	}
-	l.watchMachine(m)
+	ss.watchMachine(m)
 }
 
 // checkAvailability has a machine looked at again if what it can offer at all may have
 // changed.
-func (l *Leader) checkAvailability(m *zone.Machine) {
-	if offers := l.schedulable(m); offers != (m.Offer != nil) {
-		l.markMachineStale(m)
+func (ss *clusterSnapshot) checkAvailability(m *zone.Machine) {
+	if offers := ss.schedulable(m); offers != (m.Offer != nil) {
+		ss.markMachineStale(m)
 		// A worker that follows a new leader is room for what waits; with most of them
 		// less is stopped for it than with the first.
-		if at := l.outbox.Now() + joinDelay; offers && (l.nextCycleAt == 0 || at < l.nextCycleAt) {
-			l.nextCycleAt = at
+		if at := ss.outbox.Now() + joinDelay; offers && (ss.scheduler.nextCycleAt == 0 || at < ss.scheduler.nextCycleAt) {
+			ss.scheduler.nextCycleAt = at
 		}
 	}
 }
 
 // markJobStale has a job looked at again.
-func (l *Leader) markJobStale(j *Job) {
-	if l.ready && !j.stale {
+func (ss *clusterSnapshot) markJobStale(j *Job) {
+	if ss.ready && !j.stale {
 		j.stale = true
-		l.snapshot.staleJobs = append(l.snapshot.staleJobs, j)
+		ss.staleJobs = append(ss.staleJobs, j)
 	}
 }
 
 // setPlan replaces what is about to be placed of a job. It counts as placed from
 // now on.
-func (l *Leader) setPlan(j *Job, plan []job.Placement) {
+func (ss *clusterSnapshot) setPlan(j *Job, plan []job.Placement) {
 	if len(j.plan) == 0 && len(plan) == 0 {
 		return
 	}
 	for _, p := range j.plan {
-		l.countPlanned(j, p.Machine, -1)
+		ss.countPlanned(j, p.Machine, -1)
 	}
 	j.plan = plan
 	for _, p := range plan {
-		l.countPlanned(j, p.Machine, 1)
+		ss.countPlanned(j, p.Machine, 1)
 	}
-	l.markJobStale(j)
+	ss.markJobStale(j)
 }
 
 // addPlan has one more task of a job placed.
-func (l *Leader) addPlan(j *Job, p job.Placement) {
+func (ss *clusterSnapshot) addPlan(j *Job, p job.Placement) {
 	j.plan = append(j.plan, p)
-	l.countPlanned(j, p.Machine, 1)
-	l.markJobStale(j)
+	ss.countPlanned(j, p.Machine, 1)
+	ss.markJobStale(j)
 }
 
-func (l *Leader) countPlanned(j *Job, machine string, n int) {
-	on := l.snapshot.planned[machine]
+func (ss *clusterSnapshot) countPlanned(j *Job, machine string, n int) {
+	on := ss.planned[machine]
 	if on == nil {
 		on = map[*Job]int{}
-		l.snapshot.planned[machine] = on
+		ss.planned[machine] = on
 	}
 	if on[j] += n; on[j] <= 0 {
 		delete(on, j)
 	}
 	if len(on) == 0 {
-		delete(l.snapshot.planned, machine)
+		delete(ss.planned, machine)
 	}
-	if m := l.reconciler.Registry().Get(machine); m != nil {
-		l.markMachineStale(m)
+	if m := ss.reconciler.Registry().Get(machine); m != nil {
+		ss.markMachineStale(m)
 	}
 }
 
 // schedulable tells whether a machine may be given work at all.
-func (l *Leader) schedulable(m *zone.Machine) bool {
-	return l.snapshot.byName[m.Zone] != nil && l.catalog.Types[m.Type] != nil && m.Incarnation != 0 && m.FencingToken >= l.elector.TermStart() && !m.Releasing &&
-		!m.Failed && !m.IncarnationReset && m.ReclaimedAt == 0 && (!m.Quarantined() || m.OnProbation) && !m.Reachability.Unreachable() && m.SilentSince == 0 && l.outbox.Now()-m.LastContactAt <= l.heartbeatTimeout()
+func (ss *clusterSnapshot) schedulable(m *zone.Machine) bool {
+	return ss.byName[m.Zone] != nil && ss.catalog.Types[m.Type] != nil && m.Incarnation != 0 && m.FencingToken >= ss.elector.TermStart() && !m.Releasing &&
+		!m.Failed && !m.IncarnationReset && m.ReclaimedAt == 0 && (!m.Quarantined() || m.OnProbation) && !m.Reachability.Unreachable() && m.SilentSince == 0 && ss.outbox.Now()-m.LastContactAt <= ss.heartbeatTimeout()
 }
 
 // tryQuarantined decides whether a machine that seems faulty is given work again. It goes back once it is idle; with work that
 // never ends it never is. So it is tried when something has found no room and nothing has failed there for
 // a while. Another failure ends that, a success clears what is held against it.
-func (l *Leader) tryQuarantined(m *zone.Machine) {
-	m.OnProbation = m.Quarantined() && (m.OnProbation || l.snapshot.demandUnmet && l.outbox.Now()-m.LastFailureAt() > failureBackoff)
+func (ss *clusterSnapshot) tryQuarantined(m *zone.Machine) {
+	m.OnProbation = m.Quarantined() && (m.OnProbation || ss.demandUnmet && ss.outbox.Now()-m.LastFailureAt() > failureBackoff)
 }
 
 // heartbeatTimeout is how long a worker may say nothing before it gets no more work.
-func (l *Leader) heartbeatTimeout() Micros {
-	return config.FromSeconds(l.cfg.Cluster.Workers.ReportS*1.25) + 2*config.Second
+func (e *environment) heartbeatTimeout() Micros {
+	return config.FromSeconds(e.cfg.Cluster.Workers.ReportS*1.25) + 2*config.Second
 }
 
 // watchMachine keeps the list of machines that may have to go back: all but those that
 // work. It notes since when a machine is idle.
-func (l *Leader) watchMachine(m *zone.Machine) {
-	l.autoscaler.WatchMachine(m, len(l.replica.PlacementsOn(m.Name)) > 0 || len(l.snapshot.planned[m.Name]) > 0)
+func (ss *clusterSnapshot) watchMachine(m *zone.Machine) {
+	ss.autoscaler.WatchMachine(m, len(ss.replica.PlacementsOn(m.Name)) > 0 || len(ss.planned[m.Name]) > 0)
 }
 
 // refreshSnapshot looks at what has changed since the last pass.
-func (l *Leader) refreshSnapshot() {
-	s := &l.snapshot
-	if l.outbox.Now()-s.rebuiltAt >= config.FromSeconds(l.cfg.Settings.ScanPeriodS) {
+func (ss *clusterSnapshot) refreshSnapshot() {
+	s := ss
+	if ss.outbox.Now()-s.rebuiltAt >= config.FromSeconds(ss.cfg.Settings.ScanPeriodS) {
 		s.rebuildDue = true
 	}
 	if s.rebuildDue {
-		l.rebuildSnapshot()
+		ss.rebuildSnapshot()
 	}
-	l.reconciler.Registry().EachSilent(l.outbox.Now()-l.heartbeatTimeout(), l.checkAvailability)
+	ss.reconciler.Registry().EachSilent(ss.outbox.Now()-ss.heartbeatTimeout(), ss.checkAvailability)
 	s.statistics.Cycles++
 	s.statistics.Jobs += len(s.staleJobs)
-	l.refreshMachines()
+	ss.refreshMachines()
 	for _, j := range s.staleJobs {
-		l.refreshJob(j)
+		ss.refreshJob(j)
 	}
 	s.staleJobs = s.staleJobs[:0]
 }
 
 // rebuildSnapshot puts everything on the lists and adds up from nothing, which also removes
 // what rounding has left in sums.
-func (l *Leader) rebuildSnapshot() {
-	s := &l.snapshot
-	s.rebuildDue, s.rebuiltAt, s.deadlinesDue = false, l.outbox.Now(), true
-	for _, m := range l.reconciler.Registry().All() {
-		l.tryQuarantined(m)
-		l.markMachineStale(m)
+func (ss *clusterSnapshot) rebuildSnapshot() {
+	s := ss
+	s.rebuildDue, s.rebuiltAt, s.deadlinesDue = false, ss.outbox.Now(), true
+	for _, m := range ss.reconciler.Registry().All() {
+		ss.tryQuarantined(m)
+		ss.markMachineStale(m)
 	}
 	if len(s.classes) > maxEquivalenceClasses {
 		clear(s.classes)
-		for _, j := range l.unfinished {
+		for _, j := range ss.unfinished {
 			j.equivalenceClass = 0
 		}
 	}
@@ -207,50 +215,50 @@
 		j.cachedJobState = cachedJobState{}
 	}
 	s.staleJobs = s.staleJobs[:0]
-	for _, j := range l.unfinished {
+	for _, j := range ss.unfinished {
 		j.cachedJobState = cachedJobState{}
-		l.markJobStale(j)
+		ss.markJobStale(j)
 	}
 }
 
 // refreshMachines looks at the machines that have changed. It is asked after every
 // input, when what is looked at is at hand, and not in the pass that follows.
-func (l *Leader) refreshMachines() {
-	s := &l.snapshot
+func (ss *clusterSnapshot) refreshMachines() {
+	s := ss
 	s.statistics.Machines += len(s.staleMachines)
 	for _, m := range s.staleMachines {
-		l.refreshMachine(m)
+		ss.refreshMachine(m)
 	}
 	s.staleMachines = s.staleMachines[:0]
 }
 
-func (l *Leader) refreshMachine(m *zone.Machine) {
-	s := &l.snapshot
+func (ss *clusterSnapshot) refreshMachine(m *zone.Machine) {
+	s := ss
 	m.Stale = false
 	if m.Offer != nil {
 		s.byName[m.Offer.Zone].Remove(m.Offer)
 		m.Offer = nil
 	}
 	if !m.Registered() {
-		l.autoscaler.ForgetMachine(m)
+		ss.autoscaler.ForgetMachine(m)
 		return
 	}
-	open, plans := l.replica.PlacementsOn(m.Name), s.planned[m.Name]
-	l.autoscaler.UpdateMachine(m, len(open) == 0, len(open)+len(plans) > 0)
-	if !l.schedulable(m) {
+	open, plans := ss.replica.PlacementsOn(m.Name), s.planned[m.Name]
+	ss.autoscaler.UpdateMachine(m, len(open) == 0, len(open)+len(plans) > 0)
+	if !ss.schedulable(m) {
 		return
 	}
-	l.sumAllocated(m, open, plans)
-	t := l.catalog.Types[m.Type]
-	m.Offer = &zone.Offer{Machine: m, Zone: m.Zone, Idle: len(open) == 0, PendingImages: l.pendingImages(open, plans),
+	ss.sumAllocated(m, open, plans)
+	t := ss.catalog.Types[m.Type]
+	m.Offer = &zone.Offer{Machine: m, Zone: m.Zone, Idle: len(open) == 0, PendingImages: ss.pendingImages(open, plans),
 		Free: zone.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}.Plus(m.Allocated, -1)}
 	s.byName[m.Zone].Add(m.Offer)
 }
 
 // pendingImages lists the images of what is placed on a machine or about to be, in the order of
 // their names.
-func (l *Leader) pendingImages(open map[job.AttemptKey]job.Placement, plans map[*Job]int) []string {
-	if !l.cfg.Settings.ShareFetches {
+func (ss *clusterSnapshot) pendingImages(open map[job.AttemptKey]job.Placement, plans map[*Job]int) []string {
+	if !ss.cfg.Settings.ShareFetches {
 		return nil
 	}
 	var out []string
@@ -260,7 +268,7 @@
 		}
 	}
 	for key := range open {
-		add(l.jobs[key.Job])
+		add(ss.jobs[key.Job])
 	}
 	for j := range plans {
 		add(j)
@@ -272,7 +280,7 @@
 // sumAllocated adds up what is placed on a machine or about to be. Everything open counts,
 // whatever the worker last said of it. Whole millionths add up to the same in any order,
 // so nothing has to be sorted.
-func (l *Leader) sumAllocated(m *zone.Machine, open map[job.AttemptKey]job.Placement, plans map[*Job]int) {
+func (ss *clusterSnapshot) sumAllocated(m *zone.Machine, open map[job.AttemptKey]job.Placement, plans map[*Job]int) {
 	var cpus, gpus, memory int64
 	add := func(s *wire.Job, n int) {
 		cpus += millionths(s.CPUs) * int64(n)
@@ -280,7 +288,7 @@
 		memory += millionths(s.MemoryGB) * int64(n)
 	}
 	for key := range open {
-		if j := l.jobs[key.Job]; j != nil && j.Record.Spec != nil {
+		if j := ss.jobs[key.Job]; j != nil && j.Record.Spec != nil {
 			add(j.Record.Spec, 1)
 		}
 	}
@@ -294,8 +302,8 @@
 
 func millionths(amount float64) int64 { return int64(math.Round(amount * 1e6)) }
 
-func (l *Leader) refreshJob(j *Job) {
-	s := &l.snapshot
+func (ss *clusterSnapshot) refreshJob(j *Job) {
+	s := ss
 	j.stale = false
 	spec := j.Record.Spec
 	use, team := queue.Amount{}, ""
@@ -312,8 +320,8 @@
 		}
 		j.allocated, j.team = use, team
 	}
-	l.refreshTeamQueue(j)
-	if spec != nil && j.unfinished && !j.Blocked() && j.DoneTasks+j.OpenTasks < spec.Tasks && !j.Record.Final() && !j.Record.CancelRequested && l.teams[spec.Team] != nil {
+	ss.refreshTeamQueue(j)
+	if spec != nil && j.unfinished && !j.Blocked() && j.DoneTasks+j.OpenTasks < spec.Tasks && !j.Record.Final() && !j.Record.CancelRequested && ss.teams[spec.Team] != nil {
 		s.wanting[j] = true
 	} else {
 		delete(s.wanting, j)
@@ -321,22 +329,22 @@
 }
 
 // refreshTeamQueue keeps a job's place in the line of its team, for the guarantee.
-func (l *Leader) refreshTeamQueue(j *Job) {
+func (ss *clusterSnapshot) refreshTeamQueue(j *Job) {
 	spec := j.Record.Spec
 	if spec == nil { // it has left its team's line before or does now
-		if line := l.snapshot.teamQueues[j.queueTeam]; line != nil {
+		if line := ss.teamQueues[j.queueTeam]; line != nil {
 			line.Remove(&j.queued)
 		}
 		return
 	}
-	team := l.teams[spec.Team]
+	team := ss.teams[spec.Team]
 	if team == nil || !queue.HasGuarantee(team) {
 		return
 	}
-	line := l.snapshot.teamQueues[spec.Team]
+	line := ss.teamQueues[spec.Team]
 	if line == nil {
 		line = queue.NewTeamQueue(team)
-		l.snapshot.teamQueues[spec.Team] = line
+		ss.teamQueues[spec.Team] = line
 	}
 	if !j.unfinished || j.Record.Final() || j.Blocked() {
 		line.Remove(&j.queued)
@@ -354,13 +362,13 @@
 
 // withinGuarantee tells whether a job fits into its team's guarantee together with the
 // team's earlier unfinished jobs, as of the last pass.
-func (l *Leader) withinGuarantee(j *Job) bool {
-	team := l.teams[j.Record.Spec.Team]
+func (ss *clusterSnapshot) withinGuarantee(j *Job) bool {
+	team := ss.teams[j.Record.Spec.Team]
 	if team == nil || j.Record.Final() || j.Blocked() {
 		return false
 	}
 	if j.queuedBehind {
-		return l.mayClaimGuarantee(j, l.snapshot.used)
+		return ss.startOrder.mayClaimGuarantee(j, ss.used)
 	}
 	return !queue.HasGuarantee(team) || j.queued.WithinGuarantee
 }
--- a/internal/core/leader/start_order.go
+++ b/internal/core/leader/start_order.go
@@ -156,78 +156,86 @@
 
 // startOrder is what passes know of the order under shortage.
 type startOrder struct {
+	*environment
+	slo      *sloTracker
+	snapshot *clusterSnapshot
+
 	byClass          map[string]*classStats
 	tiersAssignedAt  Micros
 	claimedGuarantee map[string]queue.Amount // by team: what jobs wait for that had others stopped
 }
 
+func (so *startOrder) reset() {
+	so.byClass, so.claimedGuarantee, so.tiersAssignedAt = map[string]*classStats{}, map[string]queue.Amount{}, 0
+}
+
 // hasStarted tells whether a job has ever had a place.
 func (j *Job) hasStarted() bool {
 	return j.OpenTasks > 0 || j.DoneTasks > 0 || j.Record.LastAttempt > 0 || j.Record.Final()
 }
 
 // noteStarted counts a job whose first place is committed.
-func (l *Leader) noteStarted(j *Job) {
+func (so *startOrder) noteStarted(j *Job) {
 	if j.startCounted || !j.hasStarted() {
 		return
 	}
 	j.startCounted = true
-	if !l.ready || j.Record.Spec == nil || !l.cfg.Settings.StartDeadlineFirst {
+	if !so.ready || j.Record.Spec == nil || !so.cfg.Settings.StartDeadlineFirst {
 		return
 	}
-	k := l.classStatsOf(j)
-	k.startRate.add(l.outbox.Now())
-	if k.startsSinceLate++; l.outbox.Now()-j.arrivedAt >= l.startDeadline() {
-		k.startsSinceLate, k.lateStartAt = 0, l.outbox.Now()
+	k := so.classStatsOf(j)
+	k.startRate.add(so.outbox.Now())
+	if k.startsSinceLate++; so.outbox.Now()-j.arrivedAt >= so.startDeadline() {
+		k.startsSinceLate, k.lateStartAt = 0, so.outbox.Now()
 	}
 }
 
 // classStatsOf returns what is known of a job's class.
-func (l *Leader) classStatsOf(j *Job) *classStats {
+func (so *startOrder) classStatsOf(j *Job) *classStats {
 	if j.classStats == nil {
-		j.classStats = l.classStatsNamed(j.Record.Spec.Class)
+		j.classStats = so.classStatsNamed(j.Record.Spec.Class)
 	}
 	return j.classStats
 }
 
-func (l *Leader) classStatsNamed(class string) *classStats {
-	k := l.startOrder.byClass[class]
-	if k == nil && len(l.startOrder.byClass) >= maxClassStats {
+func (so *startOrder) classStatsNamed(class string) *classStats {
+	k := so.byClass[class]
+	if k == nil && len(so.byClass) >= maxClassStats {
 		class = ""
-		k = l.startOrder.byClass[class]
+		k = so.byClass[class]
 	}
 	if k == nil {
 		k = &classStats{name: class}
-		l.startOrder.byClass[class] = k
+		so.byClass[class] = k
 	}
 	return k
 }
 
 // startDeadline is the age from which on a job that has no place can't begin in time.
-func (l *Leader) startDeadline() Micros {
-	within := config.FromSeconds(l.cfg.Settings.StartWithinS)
+func (so *startOrder) startDeadline() Micros {
+	within := config.FromSeconds(so.cfg.Settings.StartWithinS)
 	return within - within/startLeadDivisor
 }
 
 // updateShortages finds out which classes are short of places, among the jobs that want some, and
 // whose turn it is in these.
-func (l *Leader) updateShortages() {
-	if !l.cfg.Settings.StartDeadlineFirst {
+func (so *startOrder) updateShortages() {
+	if !so.cfg.Settings.StartDeadlineFirst {
 		return
 	}
-	now, late := l.outbox.Now(), l.startDeadline()
-	for _, k := range l.startOrder.byClass {
+	now, late := so.outbox.Now(), so.startDeadline()
+	for _, k := range so.byClass {
 		k.waiting, k.late, k.firstLate, k.pendingWork = 0, 0, nil, pendingWork{}
 	}
 	var claiming []*Job
-	for j := range l.snapshot.wanting { // in any order: counted, and the first is picked by an order that knows no ties
+	for j := range so.snapshot.wanting { // in any order: counted, and the first is picked by an order that knows no ties
 		if j.hasStarted() {
 			continue
 		}
 		if j.queuedBehind && now < j.preemptingUntil {
 			claiming = append(claiming, j)
 		}
-		k := l.classStatsOf(j)
+		k := so.classStatsOf(j)
 		if k.waiting++; k.waiting == 1 || j.arrivedAt < k.oldestArrival {
 			k.oldestArrival = j.arrivedAt
 		}
@@ -239,15 +247,15 @@
 			k.firstLate = j
 		}
 	}
-	l.sumClaims(claiming)
+	so.sumClaims(claiming)
 	any, turned := false, false
-	for _, k := range l.startOrder.byClass {
+	for _, k := range so.byClass {
 		lasts, known := k.startRate.timeToStart(now, k.waiting)
 		if !known {
 			lasts = 0
 		}
-		if k.waiting >= shortageMinWaiting && !l.autoscaler.Growing() {
-			lasts = max(lasts, k.pendingWork.drainTime(l.autoscaler.TotalCapacity(k.pendingWork.spot)))
+		if k.waiting >= shortageMinWaiting && !so.autoscaler.Growing() {
+			lasts = max(lasts, k.pendingWork.drainTime(so.autoscaler.TotalCapacity(k.pendingWork.spot)))
 		}
 		if k.late > lateTolerance || k.waiting >= shortageMinWaiting && now-k.oldestArrival >= shortageMinAge && lasts > late/longQueueDivisor {
 			k.shortageSeenAt = now
@@ -260,23 +268,23 @@
 		any = any || short
 	}
 	if turned {
-		l.reorderQueues()
+		so.reorderQueues()
 	}
 	if any {
-		l.assignTiers()
+		so.assignTiers()
 	}
 }
 
 // reorderQueues brings the lines of the teams up to date at once when classes have become short or
 // are so no more: by half of the new order, work that runs could be stopped for nothing.
-func (l *Leader) reorderQueues() {
-	for _, name := range slices.Sorted(maps.Keys(l.startOrder.byClass)) {
-		k := l.startOrder.byClass[name]
-		l.outbox.Debug("places", "class", k.name, "short", k.short, "waiting", k.waiting, "late", k.late)
+func (so *startOrder) reorderQueues() {
+	for _, name := range slices.Sorted(maps.Keys(so.byClass)) {
+		k := so.byClass[name]
+		so.outbox.Debug("places", "class", k.name, "short", k.short, "waiting", k.waiting, "late", k.late)
 	}
 	moved := false
-	for j := range l.snapshot.wanting {
-		if behind := l.shortClass(j) != nil; behind != j.queuedBehind {
+	for j := range so.snapshot.wanting {
+		if behind := so.shortClass(j) != nil; behind != j.queuedBehind {
 			j.queuedBehind, moved = behind, true
 		}
 	}
@@ -284,12 +292,12 @@
 		return
 	}
 	// Thousands may have to move: the lines are made anew, from the front on.
-	clear(l.snapshot.teamQueues)
-	inLine := slices.Clone(l.unfinished)
+	clear(so.snapshot.teamQueues)
+	inLine := slices.Clone(so.unfinished)
 	slices.SortFunc(inLine, (*Job).compareQueuePosition)
 	for _, j := range inLine {
 		j.queued, j.queueTeam = queue.QueuedJob{}, ""
-		l.refreshTeamQueue(j)
+		so.snapshot.refreshTeamQueue(j)
 	}
 }
 
@@ -306,19 +314,19 @@
 
 // assignTiers gives the largest jobs and the others of the classes that are short their turns:
 // those of which the smallest part has begun go first, as long as that isn't enough.
-func (l *Leader) assignTiers() {
-	o := &l.startOrder
-	if o.tiersAssignedAt != 0 && l.outbox.Now()-o.tiersAssignedAt < tierInterval {
+func (so *startOrder) assignTiers() {
+	o := so
+	if o.tiersAssignedAt != 0 && so.outbox.Now()-o.tiersAssignedAt < tierInterval {
 		return
 	}
-	o.tiersAssignedAt = l.outbox.Now()
+	o.tiersAssignedAt = so.outbox.Now()
 	type lane struct {
 		*classStats
 		which int
 		part  float64
 	}
 	var all []lane
-	classes := l.slo.tracker.Classes(l.wallClock())
+	classes := so.slo.tracker.Classes(so.wallClock())
 	for _, name := range slices.Sorted(maps.Keys(o.byClass)) {
 		k := o.byClass[name]
 		if !k.short {
@@ -346,7 +354,7 @@
 }
 
 // shortClass returns the class of a job that has not begun, if that is short of places.
-func (l *Leader) shortClass(j *Job) *classStats {
+func (so *startOrder) shortClass(j *Job) *classStats {
 	if k := j.classStats; k != nil && k.short && !j.hasStarted() {
 		return k
 	}
@@ -355,12 +363,12 @@
 
 // startTier puts a waiting job into the order of its level. The cost, if it isn't 0, comes before
 // credit.
-func (l *Leader) startTier(j *Job) (turn int, cost float64) {
-	k := l.shortClass(j)
+func (so *startOrder) startTier(j *Job) (turn int, cost float64) {
+	k := so.shortClass(j)
 	// What has not begun claims its team's guarantee when its turn comes, and not by its age.
 	if behind := k != nil; behind != j.queuedBehind {
 		j.queuedBehind = behind
-		l.markJobStale(j)
+		so.snapshot.markJobStale(j)
 	}
 	if k == nil {
 		if j.classStats != nil && j.classStats.short {
@@ -368,8 +376,8 @@
 		}
 		return firstTier, 0
 	}
-	late := l.outbox.Now()-j.arrivedAt >= l.startDeadline()
-	if late && j == k.firstLate && (k.startsSinceLate >= lateStartShare || l.outbox.Now()-k.lateStartAt >= lateStartInterval) {
+	late := so.outbox.Now()-j.arrivedAt >= so.startDeadline()
+	if late && j == k.firstLate && (k.startsSinceLate >= lateStartShare || so.outbox.Now()-k.lateStartAt >= lateStartInterval) {
 		return firstTier, 0
 	}
 	spec := j.Record.Spec
@@ -385,9 +393,9 @@
 
 // initialTasks cuts the first tasks of a job down that is to begin, and not more, where others
 // should begin as well.
-func (l *Leader) initialTasks(j *Job, tasks []int) []int {
-	k := l.shortClass(j)
-	if k == nil || j.Record.Spec.Shape == wire.Gang || l.outbox.Now()-j.arrivedAt >= l.startDeadline() || k.tiers[k.sizeBand(j)] >= normalTier {
+func (so *startOrder) initialTasks(j *Job, tasks []int) []int {
+	k := so.shortClass(j)
+	if k == nil || j.Record.Spec.Shape == wire.Gang || so.outbox.Now()-j.arrivedAt >= so.startDeadline() || k.tiers[k.sizeBand(j)] >= normalTier {
 		return tasks
 	}
 	return tasks[:min(len(tasks), (j.Record.Spec.Tasks+initialTasksDivisor-1)/initialTasksDivisor)]
@@ -395,28 +403,28 @@
 
 // mayClaimGuarantee tells whether a job that has not begun, of a class that is short, fits into what
 // its team is guaranteed beside what the teams use.
-func (l *Leader) mayClaimGuarantee(j *Job, used map[string]queue.Amount) bool {
-	if l.outbox.Now() < j.preemptingUntil {
+func (so *startOrder) mayClaimGuarantee(j *Job, used map[string]queue.Amount) bool {
+	if so.outbox.Now() < j.preemptingUntil {
 		return true // what it claims counts already
 	}
 	spec := j.Record.Spec
-	team := l.teams[spec.Team]
-	return !queue.HasGuarantee(team) || queue.UnderGuarantee(team, used[spec.Team].Plus(l.startOrder.claimedGuarantee[spec.Team], 1).Plus(startAmount(spec), 1))
+	team := so.teams[spec.Team]
+	return !queue.HasGuarantee(team) || queue.UnderGuarantee(team, used[spec.Team].Plus(so.claimedGuarantee[spec.Team], 1).Plus(startAmount(spec), 1))
 }
 
 // addClaim counts, for the pass under way, what a job waits for that had others stopped: until it
 // is placed nothing else tells that its team has claimed it.
-func (l *Leader) addClaim(j *Job) {
+func (so *startOrder) addClaim(j *Job) {
 	spec := j.Record.Spec
-	l.startOrder.claimedGuarantee[spec.Team] = l.startOrder.claimedGuarantee[spec.Team].Plus(startAmount(spec), 1)
+	so.claimedGuarantee[spec.Team] = so.claimedGuarantee[spec.Team].Plus(startAmount(spec), 1)
 }
 
 // sumClaims adds up what is claimed as a pass begins.
-func (l *Leader) sumClaims(claiming []*Job) {
-	clear(l.startOrder.claimedGuarantee)
+func (so *startOrder) sumClaims(claiming []*Job) {
+	clear(so.claimedGuarantee)
 	slices.SortFunc(claiming, compareByID) // sums of amounts depend on their order
 	for _, j := range claiming {
-		l.addClaim(j)
+		so.addClaim(j)
 	}
 }
 
@@ -424,22 +432,22 @@
 // among the largest of a class that is short of places, or the first of its late ones. Narrower
 // ones would take each place as it becomes free. It is kept for a bounded time; for as long
 // others have their turn then.
-func (l *Leader) reservesFreedMachines(j *Job) bool {
-	keep := config.FromSeconds(l.cfg.Settings.ReserveFreedS)
-	k := l.shortClass(j)
+func (so *startOrder) reservesFreedMachines(j *Job) bool {
+	keep := config.FromSeconds(so.cfg.Settings.ReserveFreedS)
+	k := so.shortClass(j)
 	if keep <= 0 || j.Record.Spec.Shape != wire.Gang || k == nil || j != k.firstLate && k.sizeBand(j) != largestBand {
 		return false
 	}
-	return alternate(&j.reservingSince, l.outbox.Now(), keep)
+	return alternate(&j.reservingSince, so.outbox.Now(), keep)
 }
 
 // reserveFreedMachines keeps free machines of a zone for a gang that has found no room. One at a time in a
 // zone.
-func (l *Leader) reserveFreedMachines(s *cycle, j *Job, q *zone.Request) {
-	if !l.reservesFreedMachines(j) {
+func (so *startOrder) reserveFreedMachines(s *cycle, j *Job, q *zone.Request) {
+	if !so.reservesFreedMachines(j) {
 		return
 	}
-	now := l.outbox.Now()
+	now := so.outbox.Now()
 	var best []*zone.Offer
 	where := ""
 	for _, z := range s.zones {
@@ -458,6 +466,6 @@
 	s.drainedZones[where] = true
 	for _, r := range best {
 		r.Reserved = true
-		l.markMachineStale(r.Machine)
+		so.snapshot.markMachineStale(r.Machine)
 	}
 }
--- a/internal/core/leader/usage.go
+++ b/internal/core/leader/usage.go
@@ -14,16 +14,25 @@
 	"coralhub/wire"
 )
 
+// usageAccounts TODO
+type usageAccounts struct {
+	*environment
+	scheduler *scheduler
+
+	ledger        accounting.Ledger
+	usageLoggedAt Micros
+}
+
 // usageLogInterval is how often the log tells what teams have used.
 const usageLogInterval = 60 * config.Second
 
 // occupancyOf is the end of a task's stay on a machine, as it is charged.
-func (l *Leader) occupancyOf(j *Job, key job.AttemptKey, machine string, kept bool) job.Occupancy {
+func (jc *jobCommitter) occupancyOf(j *Job, key job.AttemptKey, machine string, kept bool) job.Occupancy {
 	spec := j.Record.Spec
-	if l.encoding.Format < job.FormatPreemption || spec == nil {
+	if jc.encoding.Format < job.FormatPreemption || spec == nil {
 		return job.Occupancy{}
 	}
-	s := job.Occupancy{End: job.EncodeTime(j.Record.CreatedAt, l.wallClock())}
+	s := job.Occupancy{End: job.EncodeTime(j.Record.CreatedAt, jc.wallClock())}
 	if kept || spec.Shape == wire.Service {
 		return s
 	}
@@ -71,26 +80,26 @@
 }
 
 // chargeUsage brings the accounts up to what the records say of a job. Every node does.
-func (l *Leader) chargeUsage(j *Job) {
+func (ua *usageAccounts) chargeUsage(j *Job) {
 	key, use := j.accountUsage()
 	if use == j.charged && key == j.account || key == (accounting.Key{}) {
 		return // a job that is over without an account, in a format before, keeps what was counted
 	}
-	l.ledger.Add(j.account, job.ResourceUsage{}.Plus(j.charged, -1))
-	l.ledger.Add(key, use)
+	ua.ledger.Add(j.account, job.ResourceUsage{}.Plus(j.charged, -1))
+	ua.ledger.Add(key, use)
 	j.account, j.charged = key, use
 }
 
 // restoreUsage has an heir's ranks go by what teams have used before it led, by the accounts: what
 // is over, what runs, all decayed as if it had led all along. Sums depend on the order of ids.
-func (l *Leader) restoreUsage(ids []string) {
-	wall, window := l.wallClock(), config.FromSeconds(l.cfg.Settings.UsageWindowS)
-	if wall == 0 || l.encoding.Format < job.FormatPreemption {
+func (ua *usageAccounts) restoreUsage(ids []string) {
+	wall, window := ua.wallClock(), config.FromSeconds(ua.cfg.Settings.UsageWindowS)
+	if wall == 0 || ua.encoding.Format < job.FormatPreemption {
 		return
 	}
 	used := map[string]float64{}
 	for _, id := range ids {
-		j := l.jobs[id]
+		j := ua.jobs[id]
 		switch rec := &j.Record; {
 		case rec.Account != nil:
 			u := rec.Account.Usage
@@ -109,28 +118,28 @@
 		}
 	}
 	for _, team := range slices.Sorted(maps.Keys(used)) {
-		l.usage.Restore(l.outbox.Now(), team, used[team])
+		ua.scheduler.usage.Restore(ua.outbox.Now(), team, used[team])
 	}
 }
 
 // logUsage writes once a minute what each team has used, and which part of all, beside its due.
-func (l *Leader) logUsage() {
-	if l.outbox.Now()-l.usageLoggedAt < usageLogInterval {
+func (ua *usageAccounts) logUsage() {
+	if ua.outbox.Now()-ua.usageLoggedAt < usageLogInterval {
 		return
 	}
-	l.usageLoggedAt = l.outbox.Now()
+	ua.usageLoggedAt = ua.outbox.Now()
 	byTeam := map[string]job.ResourceUsage{}
-	l.ledger.Each(func(k accounting.Key, u job.ResourceUsage) { byTeam[k.Team] = byTeam[k.Team].Plus(u, 1) })
+	ua.ledger.Each(func(k accounting.Key, u job.ResourceUsage) { byTeam[k.Team] = byTeam[k.Team].Plus(u, 1) })
 	if len(byTeam) == 0 {
 		return
 	}
-	shares := l.usage.Shares(nil)
+	shares := ua.scheduler.usage.Shares(nil)
 	var out []string
 	for _, team := range slices.SortedFunc(maps.Keys(byTeam), func(a, b string) int {
 		return cmp.Or(cmp.Compare(byTeam[b].GPU, byTeam[a].GPU), cmp.Compare(a, b))
 	}) {
-		due := 1 / float64(max(len(l.cfg.Cluster.Teams), 1))
-		if w := l.weights[team]; w > 0 {
+		due := 1 / float64(max(len(ua.cfg.Cluster.Teams), 1))
+		if w := ua.scheduler.weights[team]; w > 0 {
 			due *= w
 		}
 		u := byTeam[team]
@@ -139,23 +148,23 @@
 			break
 		}
 	}
-	l.outbox.Log("accounts", "gpu_s/cpu_s/repeated_task_s", strings.Join(out, " "))
+	ua.outbox.Log("accounts", "gpu_s/cpu_s/repeated_task_s", strings.Join(out, " "))
 }
 
 // usageLedger are what the records say that all have used, for who asks.
-func (l *Leader) usageLedger() *accounting.Ledger { return &l.ledger }
+func (ua *usageAccounts) usageLedger() *accounting.Ledger { return &ua.ledger }
 
 // auditAccounts adds the accounts up anew.
-func (l *Leader) auditAccounts() error {
+func (au *auditor) auditAccounts() error {
 	var again accounting.Ledger
-	for _, j := range l.jobs {
+	for _, j := range au.jobs {
 		key, use := j.accountUsage()
 		if key == (accounting.Key{}) && j.charged != (job.ResourceUsage{}) {
 			return nil // part of it is from a format before
 		}
 		again.Add(key, use)
 	}
-	if !again.Equal(&l.ledger) {
+	if !again.Equal(&au.usageAccounts.ledger) {
 		return fmt.Errorf("accounts differ from what the records add up to")
 	}
 	return nil
--- a/internal/core/leader/wait_reasons.go
+++ b/internal/core/leader/wait_reasons.go
@@ -29,9 +29,9 @@
 }
 
 // waitReasonText tells in a few words why a job has not all its places.
-func (l *Leader) waitReasonText(j *Job) string {
+func (oq *operatorQueries) waitReasonText(j *Job) string {
 	spec := j.Record.Spec
-	now := l.outbox.Now()
+	now := oq.outbox.Now()
 	switch {
 	case j.Archived() || j.Record.Final():
 		return "it is over"
@@ -48,21 +48,21 @@
 	case now < j.preemptingUntil:
 		return "others are leaving machines for it"
 	}
-	if team := l.teams[spec.Team]; team != nil && !queue.UnderLimit(team, l.snapshot.used[spec.Team].Plus(startAmount(spec), 1)) {
+	if team := oq.teams[spec.Team]; team != nil && !queue.UnderLimit(team, oq.snapshot.used[spec.Team].Plus(startAmount(spec), 1)) {
 		return "its team's limit"
 	}
 	return "no machine has room, or others go before it"
 }
 
 // waitReason answers why a job waits.
-func (l *Leader) waitReason(j *Job) WaitReason {
-	out := WaitReason{Job: l.stateOfJob(j), Reason: l.waitReasonText(j), Ahead: []string{}, ReservedMachines: []string{}, PreemptedJobs: []string{}}
+func (oq *operatorQueries) waitReason(j *Job) WaitReason {
+	out := WaitReason{Job: oq.stateOfJob(j), Reason: oq.waitReasonText(j), Ahead: []string{}, ReservedMachines: []string{}, PreemptedJobs: []string{}}
 	if j.Record.Spec == nil {
 		return out
 	}
-	out.Priority, out.WithinGuarantee, out.ClassShort = j.Priority(), l.withinGuarantee(j), l.shortClass(j) != nil
-	out.Late = !j.hasStarted() && l.outbox.Now()-j.arrivedAt >= l.startDeadline()
-	entries := l.pendingJobs(&cycle{})
+	out.Priority, out.WithinGuarantee, out.ClassShort = j.Priority(), oq.snapshot.withinGuarantee(j), oq.startOrder.shortClass(j) != nil
+	out.Late = !j.hasStarted() && oq.outbox.Now()-j.arrivedAt >= oq.startOrder.startDeadline()
+	entries := oq.scheduler.pendingJobs(&cycle{})
 	queue.Rank(entries)
 	out.QueueLength = len(entries)
 	for i := range entries {
@@ -74,7 +74,7 @@
 			out.Ahead = append(out.Ahead, entries[k].ID)
 		}
 	}
-	for _, d := range l.preemptions.decisions.InForce(l.wallClock()) {
+	for _, d := range oq.preemptions.decisions.InForce(oq.wallClock()) {
 		if d.Preemptor != j.ID {
 			continue
 		}
@@ -100,9 +100,9 @@
 }
 
 // listUsage lists what was used; any node can tell.
-func (l *Leader) listUsage(most int) []UsageRow {
+func (oq *operatorQueries) listUsage(most int) []UsageRow {
 	out := []UsageRow{}
-	l.ledger.Each(func(k accounting.Key, u job.ResourceUsage) {
+	oq.usageAccounts.ledger.Each(func(k accounting.Key, u job.ResourceUsage) {
 		if len(out) == most {
 			return
 		}
@@ -139,10 +139,10 @@
 	Tasks          uint64 `json:"tasks"`
 }
 
-func (l *Leader) listPreemptions(most int) Preemptions {
+func (oq *operatorQueries) listPreemptions(most int) Preemptions {
 	out := Preemptions{Decisions: []DecisionRow{}, Counts: []PreemptionRow{}}
-	wall := l.wallClock()
-	for _, d := range l.preemptions.decisions.InForce(wall) {
+	wall := oq.wallClock()
+	for _, d := range oq.preemptions.decisions.InForce(wall) {
 		if len(out.Decisions) == most {
 			break
 		}
@@ -152,7 +152,7 @@
 		}
 		out.Decisions = append(out.Decisions, row)
 	}
-	l.preemptions.counts.Each(func(y preemption.Pair, n uint64) {
+	oq.preemptions.counts.Each(func(y preemption.Pair, n uint64) {
 		if len(out.Counts) < most {
 			out.Counts = append(out.Counts, PreemptionRow{y.Victim, y.Preemptor, y.Reason.String(), n})
 		}
@@ -161,17 +161,17 @@
 }
 
 // answerWithoutEstimates answers the questions that need no run times; false: it isn't one.
-func (l *Leader) answerWithoutEstimates(x msg.AdminIn, most int) bool {
+func (oq *operatorQueries) answerWithoutEstimates(x msg.AdminIn, most int) bool {
 	switch x.Query {
 	case msg.QueryPreemptions:
-		l.outbox.Respond(x.RequestID, http.StatusOK, l.listPreemptions(most))
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listPreemptions(most))
 	case msg.QueryWaitReason:
-		j := l.jobs[x.JobID]
+		j := oq.jobs[x.JobID]
 		if j == nil || j.Version == 0 {
-			l.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "no such job"})
+			oq.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "no such job"})
 			return true
 		}
-		l.outbox.Respond(x.RequestID, http.StatusOK, l.waitReason(j))
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.waitReason(j))
 	default:
 		return false
 	}
