--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -237,7 +237,7 @@
 		if !ok {
 			return
 		}
-		k.outbox.Log("rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(x.Machines))
+		k.outbox.Log("scaled out", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "requested", r.Count, "granted", len(x.Machines))
 		for _, name := range x.Machines {
 			m := k.machines.EnsureMachine(name)
 			m.Describe("", r.Type, r.Zone, r.Spot)
@@ -285,23 +285,23 @@
 		case m.Failed:
 			why = "failed"
 		case m.IncarnationReset:
-			why = "began anew"
+			why = "incarnation reset"
 		case m.Incarnation == 0 && len(k.replica.PlacementsOn(name)) == 0:
 			if k.outbox.Now()-max(m.RentedAt, k.activeSince) > k.bootLimit(m) {
-				why = "never came up"
+				why = "boot timeout"
 			}
 		case k.silence(m) > limit:
 			why = "silent"
 		case m.Quarantined():
 			if m.IdleSince != 0 {
-				why = "faulty"
+				why = "quarantined"
 			}
 		case m.Reachability.Unreachable() && k.outbox.Now()-m.Reachability.UnreachableSince > k.unreachableLimit(m, &crowds):
-			why = "deaf"
+			why = "inbound unreachable"
 		case m.SilentSince != 0 && k.outbox.Now()-m.SilentSince > k.unreachableLimit(m, &crowds):
-			why = "mute"
+			why = "outbound unreachable"
 		case m.Reachability.Episodes >= zone.MaxUnreachableEpisodes && m.IdleSince != 0:
-			why = "deaf again and again"
+			why = "repeatedly unreachable"
 		case m.IdleSince != 0 && k.outbox.Now()-m.IdleSince > k.idleLimit(m):
 			why = "idle"
 		}
@@ -309,7 +309,7 @@
 			continue
 		}
 		if m.ReleaseSentAt == 0 {
-			k.outbox.Log("releasing", "machine", name, "why", why, "placements", len(k.replica.PlacementsOn(name)))
+			k.outbox.Log("scaling in", "machine", name, "reason", why, "placements", len(k.replica.PlacementsOn(name)))
 		}
 		m.Releasing, m.ReleaseSentAt = true, k.outbox.Now()
 		k.listener.MachineChanged(m)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -247,7 +247,7 @@
 			puts = append(puts, t.Changes[i].Put)
 		}
 	}
-	c.outbox.Log("refused as malformed by the state service", "puts", strings.Join(puts, " "), "value_bytes", c.encoding.MaxValueBytes())
+	c.outbox.Log("transaction rejected as malformed", "puts", strings.Join(puts, " "), "max_value_bytes", c.encoding.MaxValueBytes())
 	if len(puts) == 0 {
 		return // no value is at fault
 	}
--- a/internal/core/election/elector.go
+++ b/internal/core/election/elector.go
@@ -131,7 +131,7 @@
 	if version != c.fencingToken || c.tokenChanging || !slices.Contains(guards, c.key) {
 		return false
 	}
-	c.Resign("claim lost")
+	c.Resign("leader key changed")
 	return true
 }
 
@@ -268,7 +268,7 @@
 		if x.Outcome == msg.Gone && x.Lease == c.lease {
 			c.dropLease()
 			c.noteLeaseExpiry()
-			c.Resign("lease ended")
+			c.Resign("lease expired")
 		}
 		return
 	}
@@ -303,7 +303,7 @@
 		c.vacantSince = c.outbox.Now()
 		if c.leading && ev.Version > c.fencingToken {
 			c.noteLeaseExpiry()
-			c.Resign("claim removed")
+			c.Resign("leader key deleted")
 		}
 		return
 	}
@@ -322,7 +322,7 @@
 	c.listener.OnHolderChanged(from, v.Node)
 	if v.Node != c.node {
 		if c.leading && ev.Version > c.fencingToken {
-			c.Resign("claim of " + v.Node)
+			c.Resign("elected elsewhere: " + v.Node)
 		}
 		if !c.leading {
 			c.dropLease()
@@ -338,7 +338,7 @@
 	case !c.leading:
 		c.dropLease()
 	case ev.Version > c.fencingToken:
-		c.Resign("claim of another process of this node")
+		c.Resign("elected elsewhere: another process of this node")
 	}
 }
 
@@ -362,11 +362,11 @@
 		case msg.OK:
 			c.fencingToken = d.Revision
 			c.holder.Version, c.holder.nonce = d.Revision, c.nonce
-			c.outbox.Log("token raised", "from", old, "to", c.fencingToken)
+			c.outbox.Log("fencing token replaced", "previous", old, "fencing_token", c.fencingToken)
 		case msg.Refused, msg.Invalid:
 			c.tokenRequested = true
 		default:
-			c.Resign("claim lost")
+			c.Resign("leader key changed")
 		}
 	})
 }
--- a/internal/core/election/elector_test.go
+++ b/internal/core/election/elector_test.go
@@ -110,7 +110,7 @@
 
 	// A lease that ends takes its own claim alone.
 	w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.Gone, Lease: 7, IsRenewal: true}) })
-	w.heard("a lost: lease ended")
+	w.heard("a lost: lease expired")
 	if !w.b.IsLeader() || w.a.IsLeader() || w.a.FencingToken() != 0 {
 		t.Fatal("b is still held and a is not")
 	}
@@ -143,7 +143,7 @@
 	}
 	// Another node's claim that the guards should have ruled out is believed.
 	w.written(w.a, "n2", 1, 50)
-	w.heard("a won", "a passed to n2", "a lost: claim of n2")
+	w.heard("a won", "a passed to n2", "a lost: elected elsewhere: n2")
 
 	// The same with an answer that never comes: whether it was written is not known, so it
 	// is not held any more.
@@ -151,7 +151,7 @@
 	w.b.RequestNewToken()
 	raise = w.transaction(w.step(w.b.ReplaceTokenIfRequested))
 	w.step(func() { w.box.CommitDone(msg.CommitDone{ID: raise.ID, Outcome: msg.Unknown}) })
-	w.heard("b won", "b lost: claim lost")
+	w.heard("b won", "b lost: leader key changed")
 }
 
 // A claim of an earlier process of this node is not renewed by this one, or it would never
--- a/internal/core/election_test.go
+++ b/internal/core/election_test.go
@@ -68,7 +68,7 @@
 		for _, e := range effects {
 			switch x := e.(type) {
 			case msg.Log:
-				leads = leads || x.Message == "leading"
+				leads = leads || x.Message == "elected leader"
 			case msg.Relist:
 				next = append(next, c.step(msg.Snapshot{Items: []wire.KeyValue{{Key: told.Put, Value: told.Value, Version: 9, Lease: 7}}, Revision: 9})...)
 			case msg.RenewLease:
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -42,9 +42,9 @@
 	c.leader.RequestCycle()
 	if m.Format > job.NewestFormat && !c.formatUnknown {
 		c.formatUnknown = true
-		c.outbox.Log("not serving: the records have a later format", "format", int(m.Format), "newest_known", int(job.NewestFormat))
+		c.outbox.Log("not serving: stored format is newer than this version", "format", int(m.Format), "newest_known", int(job.NewestFormat))
 		c.outbox.Emit(msg.StopServing{})
-		c.elector.Resign("records of a later version")
+		c.elector.Resign("stored format is newer than this version")
 	}
 }
 
@@ -84,7 +84,7 @@
 		return
 	}
 	c.writeFormat(announcePrefix+c.cfg.Node, c.targetFormat(), nil, func(msg.CommitDone) {
-		c.outbox.Log("announced", "reads_format", int(c.targetFormat()))
+		c.outbox.Log("format announced", "format", int(c.targetFormat()))
 	})
 }
 
@@ -102,7 +102,7 @@
 	}
 	guards := []wire.Condition{c.elector.Condition(), {Key: formatKey, Version: c.encoding.Version}}
 	c.writeFormat(formatKey, least, guards, func(msg.CommitDone) {
-		c.outbox.Log("format raised: no way back to older versions", "format", int(least))
+		c.outbox.Log("format raised: older versions can no longer serve", "format", int(least))
 	})
 }
 
--- a/internal/core/format_test.go
+++ b/internal/core/format_test.go
@@ -153,7 +153,7 @@
 		case msg.StopServing:
 			retired = true
 		case msg.Log:
-			told = told || strings.Contains(x.Message, "later format")
+			told = told || strings.Contains(x.Message, "newer than this version")
 		}
 	}
 	if !retired || !told {
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -548,7 +548,7 @@
 		value, err = job.EncodeRecord(rec, f.encoding.Format)
 	}
 	if err != nil || !f.encoding.Fits(value) {
-		f.outbox.Log("record too large to be marked", "job", j.ID, "limit", f.encoding.MaxValueBytes())
+		f.outbox.Log("cancellation not recorded: record too large", "job", j.ID, "limit", f.encoding.MaxValueBytes())
 		f.outbox.RetryLater(req, "try again")
 		return
 	}
--- a/internal/core/leader/counters.go
+++ b/internal/core/leader/counters.go
@@ -5,7 +5,7 @@
 	"coralhub/internal/core/zone"
 )
 
-// diagnostics TODO
+// diagnostics counts what the leader does and lacks, for the debug log and the metrics.
 type diagnostics struct {
 	*environment
 	commits       *jobCommitter
@@ -14,8 +14,8 @@
 	counters counters
 }
 
-// countEvery is how often the debug log tells what the leader is busy with.
-const countEvery = 5 * config.Second
+// statisticsInterval is the time between two lines of the debug log.
+const statisticsInterval = 5 * config.Second
 
 // counters tell, in one line of the debug log, what a leader is short of: a day
 // that goes badly without a broken rule is then explained by its log.
@@ -29,36 +29,48 @@
 	moved   int // replicas, so that machines become whole
 }
 
-// The states that machines are counted by.
+// States of machines, as the metric coralhub_machines is labelled. stateKeys are their keys in the
+// log; metric labels stay as they were first released.
 const (
-	usable  = "usable"
-	quiet   = "quiet"
-	mailed  = "mailed"
-	sick    = "sick"
-	deaf    = "deaf"
-	mute    = "mute"
-	booting = "booting"
-	leaving = "leaving"
+	stateUsable              = "usable"
+	stateLate                = "quiet"
+	stateRelayed             = "mailed"
+	stateQuarantined         = "sick"
+	stateInboundUnreachable  = "deaf"
+	stateOutboundUnreachable = "mute"
+	stateBooting             = "booting"
+	stateLeaving             = "leaving"
 )
 
+var stateKeys = []struct{ state, key string }{
+	{stateUsable, "usable"},
+	{stateLate, "late"},
+	{stateRelayed, "relayed"},
+	{stateQuarantined, "quarantined"},
+	{stateInboundUnreachable, "inbound_unreachable"},
+	{stateOutboundUnreachable, "outbound_unreachable"},
+	{stateBooting, "booting"},
+	{stateLeaving, "leaving"},
+}
+
 func (dx *diagnostics) stateOf(m *zone.Machine) string {
 	switch {
 	case m.Releasing || m.Failed || m.ReclaimedAt != 0:
-		return leaving
+		return stateLeaving
 	case m.Incarnation == 0:
-		return booting
+		return stateBooting
 	case m.Quarantined() && !m.OnProbation:
-		return sick
+		return stateQuarantined
 	case m.Reachability.Unreachable():
-		return deaf
+		return stateInboundUnreachable
 	case m.SilentSince != 0:
-		return mute
+		return stateOutboundUnreachable
 	case m.Relayed:
-		return mailed
+		return stateRelayed
 	case dx.outbox.Now()-m.LastContactAt > dx.heartbeatTimeout():
-		return quiet
+		return stateLate
 	}
-	return usable
+	return stateUsable
 }
 
 // states counts the machines.
@@ -70,19 +82,23 @@
 	return out
 }
 
-// count writes the line when it is due.
-func (dx *diagnostics) count() {
-	if dx.outbox.Now()-dx.counters.at < countEvery {
+// logStatistics writes the line of the debug log when it is due.
+func (dx *diagnostics) logStatistics() {
+	if dx.outbox.Now()-dx.counters.at < statisticsInterval {
 		return
 	}
-	states := dx.states()
-	closing := 0
+	completions := 0
 	for _, j := range dx.unfinished {
-		closing += len(j.completions)
+		completions += len(j.completions)
 	}
 	n := &dx.counters
-	dx.outbox.Debug("leader", "passes", n.cycles, "placed", n.placed, "pending", n.pending, "without", n.without, "held", n.held, "moved", n.moved,
-		"writing", dx.commits.inFlightChanges, "waiting", len(dx.commits.pendingCommits)+len(dx.commits.deferredCommits), "closing", closing, "log", len(dx.completionLog.unwritten),
-		usable, states[usable], quiet, states[quiet], mailed, states[mailed], sick, states[sick], deaf, states[deaf], mute, states[mute], booting, states[booting], leaving, states[leaving])
+	fields := []any{"cycles", n.cycles, "placed", n.placed, "pending", n.pending, "unplaced", n.without, "deferred", n.held, "moved", n.moved,
+		"changes_in_flight", dx.commits.inFlightChanges, "commits_waiting", len(dx.commits.pendingCommits) + len(dx.commits.deferredCommits),
+		"completions_pending", completions, "completion_log_pending", len(dx.completionLog.unwritten)}
+	states := dx.states()
+	for _, k := range stateKeys {
+		fields = append(fields, k.key, states[k.state])
+	}
+	dx.outbox.Debug("leader statistics", fields...)
 	dx.counters = counters{at: dx.outbox.Now()}
 }
--- a/internal/core/leader/cycle.go
+++ b/internal/core/leader/cycle.go
@@ -384,7 +384,7 @@
 				Session: r.Machine.Incarnation, Zone: r.Machine.Zone, PlacedAt: job.EncodeTime(j.Record.CreatedAt, sc.wallClock()), Spot: r.Machine.Spot})
 		}
 		if commit {
-			sc.outbox.Debug("placing", "job", j.ID, "class", spec.Class, "tasks", len(bid.Offers), "warm", bid.CachedImages, "zone", bid.Zone,
+			sc.outbox.Debug("placing", "job", j.ID, "class", spec.Class, "tasks", len(bid.Offers), "images_cached", bid.CachedImages, "zone", bid.Zone,
 				"age_ms", (sc.outbox.Now()-j.arrivedAt)/1000, "level", e.Level)
 			sc.commits.pendingCommits[j.ID] = true
 		}
--- a/internal/core/leader/defragmentation.go
+++ b/internal/core/leader/defragmentation.go
@@ -85,7 +85,7 @@
 	}
 	sc.preemptions.addDecision(j, preemption.ReasonDefragmentation, level, keep, victims, defragReservation)
 	sc.diagnostics.counters.moved += best.MovedReplicas
-	sc.outbox.Debug("gathering", "job", j.ID, "class", j.Record.Spec.Class, "machines", len(best.Clear), "whole", len(best.Whole), "replicas", best.MovedReplicas)
+	sc.outbox.Debug("defragmenting", "job", j.ID, "class", j.Record.Spec.Class, "machines", len(best.Clear), "whole", len(best.Whole), "replicas", best.MovedReplicas)
 }
 
 // defragMachines describes the machines of a zone, for a request of a gang of a level. What ranks
--- a/internal/core/leader/delegations.go
+++ b/internal/core/leader/delegations.go
@@ -88,7 +88,7 @@
 			continue
 		}
 		if !m.Relayed {
-			dg.outbox.Debug("hearing of a worker by way of the state service", "machine", m.Name)
+			dg.outbox.Debug("heartbeat relayed through the state service", "machine", m.Name)
 		}
 		r := wire.Heartbeat{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 			Incarnation: line.Incarnation, Sequence: line.Sequence, FencingToken: line.FencingToken, NoticeS: line.NoticeS}
--- a/internal/core/leader/environment.go
+++ b/internal/core/leader/environment.go
@@ -47,6 +47,6 @@
 // applyRecord takes a change of a job's record or of the log.
 func (e *environment) applyRecord(ev *wire.Change) {
 	if _, err := e.replica.Apply(ev); err != nil {
-		e.outbox.Log("unreadable", "error", err.Error())
+		e.outbox.Log("stored value unreadable", "error", err.Error())
 	}
 }
--- a/internal/core/leader/estimates.go
+++ b/internal/core/leader/estimates.go
@@ -111,7 +111,7 @@
 		chunk, err := estimate.Decode(v.raw)
 		if err != nil {
 			v.laterVersion = errors.Is(err, estimate.ErrVersion)
-			es.outbox.Log("learnt run times set aside", "key", estimatesPrefix+strconv.Itoa(n), "error", err.Error())
+			es.outbox.Log("stored run-time estimates ignored", "key", estimatesPrefix+strconv.Itoa(n), "error", err.Error())
 			continue
 		}
 		chunks = append(chunks, chunk)
@@ -143,7 +143,7 @@
 		})
 		observed := learnt.model.Observed()
 		if err != nil {
-			es.outbox.Log("learnt run times not written", "error", err.Error())
+			es.outbox.Log("run-time estimates not written", "error", err.Error())
 			return
 		}
 		if value == nil {
@@ -487,7 +487,7 @@
 			continue
 		}
 		if j.verdict != "" || v != verdictSafe {
-			es.outbox.Debug("deadline", "job", j.ID, "class", j.Record.Spec.Class, "is", v, "was", j.verdict, "chance", math.Round(chance*100)/100)
+			es.outbox.Debug("deadline outlook changed", "job", j.ID, "class", j.Record.Spec.Class, "outlook", v, "previous", j.verdict, "probability", math.Round(chance*100)/100)
 		}
 		j.verdict, j.deadlineChance = v, chance
 	}
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -133,14 +133,14 @@
 	l.reset()
 	l.electedAt = l.outbox.Now()
 	l.failovers++
-	l.outbox.Log("leading", "token", l.elector.FencingToken(), "times", l.failovers)
+	l.outbox.Log("elected leader", "fencing_token", l.elector.FencingToken(), "elections", l.failovers)
 	l.outbox.Emit(msg.Relist{})
 }
 
 // OnDeposed ends a reign. The leader forgets what it needs no more; a later
 // reign starts from the records.
 func (l *Leader) OnDeposed(why string, token uint64) {
-	l.outbox.Log("no longer leading", "why", why, "token", token)
+	l.outbox.Log("deposed", "reason", why, "fencing_token", token)
 	l.reset()
 	l.outbox.Emit(msg.Relist{})
 }
@@ -184,7 +184,7 @@
 	l.placements.resendPlacements()
 	l.machineCache.writeMachineCache()
 	l.completionLog.deleteMergedPages()
-	l.diagnostics.count()
+	l.diagnostics.logStatistics()
 	l.slo.logAttainment()
 	l.usageAccounts.logUsage()
 	l.estimates.writeEstimates()
--- a/internal/core/leader/placement_commits.go
+++ b/internal/core/leader/placement_commits.go
@@ -173,7 +173,7 @@
 	for _, d := range drafts {
 		value, err := records.EncodePlacementPage(mergeEntries(d.entries))
 		if err != nil || !pc.encoding.Fits(value) {
-			pc.outbox.Log("placements not written", "page", d.number, "parts", len(d.entries), "limit", pc.encoding.MaxValueBytes())
+			pc.outbox.Log("placements not written", "page", d.number, "entries", len(d.entries), "limit", pc.encoding.MaxValueBytes())
 			for _, j := range t.jobs {
 				pc.snapshot.setPlan(j, nil)
 				j.retryAt = pc.outbox.Now() + config.Second
--- a/internal/core/leader/preemption.go
+++ b/internal/core/leader/preemption.go
@@ -260,7 +260,7 @@
 		ps.reconciler.Terminate(of.Job, only, d.Reason.String()+" of "+d.Preemptor)
 		y := preemption.Pair{Preemptor: winner.Record.Spec.Class, Victim: of.Record.Spec.Class, Reason: d.Reason}
 		ps.counts.Add(y, len(only))
-		ps.outbox.Debug("yields", "job", of.ID, "class", y.Victim, "team", of.Record.Spec.Team, "tasks", len(only), "to", d.Preemptor, "class_to", y.Preemptor,
+		ps.outbox.Debug("preempting", "job", of.ID, "class", y.Victim, "team", of.Record.Spec.Team, "tasks", len(only), "to", d.Preemptor, "class_to", y.Preemptor,
 			"team_to", winner.Record.Spec.Team, "by", d.Reason.String(), "level", d.Level)
 	}
 }
@@ -291,7 +291,7 @@
 		ps.executeDecision(&ds[i])
 	}
 	if kept > 0 {
-		ps.outbox.Log("going on with decisions", "count", kept)
+		ps.outbox.Log("preemption decisions resumed", "count", kept)
 	}
 }
 
@@ -311,7 +311,7 @@
 		err = ps.decisions.Apply(n, ev.Version, ev.Value)
 	}
 	if err != nil {
-		ps.outbox.Log("unreadable", "key", ev.Put, "error", err.Error())
+		ps.outbox.Log("stored value unreadable", "key", ev.Put, "error", err.Error())
 	}
 }
 
--- a/internal/core/leader/slo.go
+++ b/internal/core/leader/slo.go
@@ -64,9 +64,9 @@
 	for _, told := range []struct {
 		what string
 		slo.Attainment
-	}{{"served", s.tracker.CompletedInTime(st.wallClock())}, {"begun", s.tracker.StartedInTime(st.wallClock())}} {
+	}{{"completed within objective", s.tracker.CompletedInTime(st.wallClock())}, {"started within objective", s.tracker.StartedInTime(st.wallClock())}} {
 		if len(told.Class) > 0 {
-			st.outbox.Log(told.what, "of_s", min(slo.Window, st.wallClock()-s.since)/config.Second,
+			st.outbox.Log(told.what, "window_s", min(slo.Window, st.wallClock()-s.since)/config.Second,
 				"class", formatShares(told.Class), "team", formatShares(told.Team), "largest", formatShares(told.Largest))
 		}
 	}
--- a/internal/core/leader/start_order.go
+++ b/internal/core/leader/start_order.go
@@ -280,7 +280,7 @@
 func (so *startOrder) reorderQueues() {
 	for _, name := range slices.Sorted(maps.Keys(so.byClass)) {
 		k := so.byClass[name]
-		so.outbox.Debug("places", "class", k.name, "short", k.short, "waiting", k.waiting, "late", k.late)
+		so.outbox.Debug("class capacity", "class", k.name, "short", k.short, "waiting", k.waiting, "late", k.late)
 	}
 	moved := false
 	for j := range so.snapshot.wanting {
--- a/internal/core/leader/task_events.go
+++ b/internal/core/leader/task_events.go
@@ -22,7 +22,7 @@
 	if _, ok := j.startedAt[key.Task]; !ok {
 		j.startedAt[key.Task] = te.outbox.Now()
 		if spec := j.Record.Spec; spec != nil && len(j.startedAt) == spec.Tasks {
-			te.outbox.Debug("all tasks run", "job", j.ID, "class", spec.Class, "age_ms", (te.outbox.Now()-j.arrivedAt)/1000)
+			te.outbox.Debug("all tasks running", "job", j.ID, "class", spec.Class, "age_ms", (te.outbox.Now()-j.arrivedAt)/1000)
 		}
 	}
 	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang {
@@ -75,7 +75,7 @@
 	j.failedOn[m.Name] = te.outbox.Now() + failureBackoff
 	if m.Quarantined() {
 		if !wasSick {
-			te.outbox.Log("machine fails its tasks", "machine", m.Name)
+			te.outbox.Log("machine quarantined", "machine", m.Name)
 		}
 		return
 	}
--- a/internal/core/leader/usage.go
+++ b/internal/core/leader/usage.go
@@ -143,12 +143,12 @@
 			due *= w
 		}
 		u := byTeam[team]
-		out = append(out, fmt.Sprintf("%s=%d/%d/%d had=%.2f due=%.2f", team, u.GPU/1e6, u.CPU/1e6, u.Lost/1e6, shares[team], due))
+		out = append(out, fmt.Sprintf("%s=%d/%d/%d share=%.2f fair_share=%.2f", team, u.GPU/1e6, u.CPU/1e6, u.Lost/1e6, shares[team], due))
 		if len(out) == maxClasses {
 			break
 		}
 	}
-	ua.outbox.Log("accounts", "gpu_s/cpu_s/repeated_task_s", strings.Join(out, " "))
+	ua.outbox.Log("resource usage", "gpu_s/cpu_s/repeated_task_s", strings.Join(out, " "))
 }
 
 // usageLedger are what the records say that all have used, for who asks.
--- a/internal/core/listeners.go
+++ b/internal/core/listeners.go
@@ -92,7 +92,7 @@
 	}
 	if r.FencingToken > c.elector.FencingToken() && !c.elector.TokenChangePending() {
 		c.outbox.Respond(x.RequestID, http.StatusMisdirectedRequest, wire.Redirect{})
-		c.elector.Resign("a worker has seen a higher token")
+		c.elector.Resign("a worker has seen a higher fencing token")
 		return
 	}
 	if r.Machine == "" || r.Incarnation == 0 {
--- a/internal/core/reconciler/reconciler.go
+++ b/internal/core/reconciler/reconciler.go
@@ -169,7 +169,7 @@
 		o.listener.MachineChanged(m)
 	}
 	if !first && m.Incarnation > session && m.Reachability.NoteLeaseExpired(o.outbox.Now(), config.FromSeconds(o.cfg.Cluster.Workers.LeaseS)) {
-		o.markUnreachable(m, "its lease has ended though its reports were answered")
+		o.markUnreachable(m, "its lease expired though its heartbeats were answered")
 	}
 	if first {
 		o.outbox.Log("worker joined", "machine", m.Name, "zone", m.Zone, "spot", m.Spot, "after_ms", (o.outbox.Now()-m.RentedAt)/1000)
@@ -185,7 +185,7 @@
 			// claim. A worker that counts from the start again may be about to do things that
 			// it was told before; only its deletion proves anything.
 			m.IncarnationReset = true
-			o.outbox.Log("worker has begun anew", "machine", m.Name, "session", m.Incarnation, "placed_in", p.Session)
+			o.outbox.Log("worker incarnation reset", "machine", m.Name, "incarnation", m.Incarnation, "placed_in", p.Session)
 			o.listener.MachineChanged(m)
 		}
 	}
@@ -229,7 +229,7 @@
 			continue
 		}
 		if left := m.ReclaimedAt - o.outbox.Now(); left > config.FromSeconds(j.Record.Spec.SaveS) {
-			o.Terminate(j, map[job.AttemptKey]bool{key: true}, "machine is taken back")
+			o.Terminate(j, map[job.AttemptKey]bool{key: true}, "spot machine reclaimed")
 		}
 	}
 }
@@ -320,7 +320,7 @@
 			o.MarkUrgent(m)
 		}
 	})
-	o.outbox.Debug("stopping", "job", j.ID, "why", why)
+	o.outbox.Debug("terminating tasks", "job", j.ID, "reason", why)
 }
 
 // MarkUrgent notes that a machine has commands that should not wait.
@@ -382,7 +382,7 @@
 	if r := x.Heartbeat; r != nil && r.Machine == m.Name {
 		o.markReachable(m)
 		if r.FencingToken > o.elector.FencingToken() && !o.elector.TokenChangePending() {
-			o.elector.Resign("a worker has seen a higher token")
+			o.elector.Resign("a worker has seen a higher fencing token")
 			return
 		}
 		o.receive(m, r, false)
@@ -413,13 +413,13 @@
 	}
 	all := !slices.ContainsFunc(orders, func(x wire.Command) bool { return x.Verb == wire.CommandStart && m.StartsInReply[x.Task] == x.Attempt })
 	if m.Reachability.NoteCarriedOut(o.outbox.Now(), all) {
-		o.markUnreachable(m, "it doesn't carry out what it is told")
+		o.markUnreachable(m, "it does not carry out commands")
 	}
 }
 
 // markUnreachable has a machine given no more work, and tried whether it hears.
 func (o *Reconciler) markUnreachable(m *zone.Machine, why string) {
-	o.outbox.Log("machine seems not to hear", "machine", m.Name, "why", why, "times", m.Reachability.Episodes)
+	o.outbox.Log("machine unreachable", "machine", m.Name, "reason", why, "episodes", m.Reachability.Episodes)
 	o.unreachable[m] = true
 	o.listener.MachineChanged(m)
 }
@@ -427,7 +427,7 @@
 // markReachable notes that something sent to a worker has reached it.
 func (o *Reconciler) markReachable(m *zone.Machine) {
 	if m.Reachability.NoteReceived(o.outbox.Now()) {
-		o.outbox.Log("machine hears again", "machine", m.Name)
+		o.outbox.Log("machine reachable again", "machine", m.Name)
 		delete(o.unreachable, m)
 		o.listener.MachineChanged(m)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,7 +128,7 @@
 	go n.watchPeers(ctx)
 	slog.Info("serving", "node", n.cfg.Node, "location", n.cfg.Location, "users", n.cfg.ClientListen, "peers", n.cfg.PeerListen)
 	if w := &n.cfg.Cluster.Workers; !w.LeaseEndsInTime() {
-		slog.Warn("a worker's lease may outlast a cancellation: users are told only once every task is proven gone",
+		slog.Warn("cancel_s is not longer than lease_s: cancellations are confirmed only once every task is proven gone",
 			"lease_s", w.LeaseS, "cancel_s", w.CancelS)
 	}
 	n.loop(ctx, failed)
@@ -176,10 +176,10 @@
 		n.step(msg.Tick{WallClock: now.UnixMicro()})
 		if now.Sub(counted) >= counterLogInterval && slog.Default().Enabled(ctx, slog.LevelDebug) {
 			counted = now
-			slog.Debug("changes", n.store.Counters()...)
-			slog.Debug("purposes", n.store.PurposeTotals()...)
-			slog.Debug("peers", n.peers.Counters()...)
-			slog.Debug("inputs", n.inputs.Counters()...)
+			slog.Debug("state service transactions", n.store.Counters()...)
+			slog.Debug("state service requests by purpose", n.store.PurposeTotals()...)
+			slog.Debug("peer calls", n.peers.Counters()...)
+			slog.Debug("inbox", n.inputs.Counters()...)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 		n.store.SetAdmissionShare(accepts)
 		alone := anyOK && n.store.FailingFor() > 1500*time.Millisecond
 		if alone != n.isolated.Swap(alone) {
-			slog.Info("state service", "lost_by_this_node_alone", alone)
+			slog.Info("state service reachability", "lost_by_this_node_alone", alone)
 		}
 	})
 }
--- a/internal/startbound/log.go
+++ b/internal/startbound/log.go
@@ -89,7 +89,7 @@
 		if _, had := l.firstPlacedAfter[of["job"]]; !had {
 			l.firstPlacedAfter[of["job"]] = number("age_ms") / 1000
 		}
-	case "leader":
+	case "leader statistics", "leader": // the latter by earlier versions
 		l.machines = append(l.machines, machines{now, int(number("usable"))})
 	}
 }
--- a/internal/startbound/log_test.go
+++ b/internal/startbound/log_test.go
@@ -11,14 +11,14 @@
 	line := func(at, rest string) {
 		b.WriteString("  12.5 n1 time=2026-09-21T14:" + at + ".000Z level=DEBUG msg=" + rest + "\n")
 	}
-	line("00:00", "leader passes=1 usable=10")
+	line("00:00", "leader passes=1 usable=10") // as earlier versions wrote it
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		line("00:00", "accepted job=j-"+id+" class=train team=north tasks=5 shape=group gpus=1 estimate_s=120")
 	}
 	line("00:01", "accepted job=j-s class=sweep team=north tasks=50 shape=sweep gpus=0 estimate_s=10")
 	line("00:02", "placing job=j-a class=train tasks=5 age_ms=2000")
 	line("04:30", "placing job=j-b class=train tasks=5 age_ms=270000")
-	line("05:00", "leader passes=1 usable=10")
+	line("05:00", `"leader statistics" cycles=1 usable=10`)
 	b.WriteString("a line of something else\n")
 	var l Log
 	if err := l.Read(strings.NewReader(b.String())); err != nil {
