--- a/cmd/coralhub/estimate.go
+++ b/cmd/coralhub/estimate.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // nothing was written
 	told := 0
 	lines, skipped, err := history.Read(f, func(p history.Problem) {
 		if told++; told <= toldLines {
@@ -128,14 +128,14 @@
 			"among those given. Runs that were missed, as by a change of leader, are told of.",
 		Example: "  coralhub estimate record --node 10.0.0.1:8080 --node 10.0.0.2:8080 --out runs.jsonl --for 1h",
 		Args:    cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) (err error) {
 			w := cmd.OutOrStdout()
 			if out != "" {
 				f, err := os.OpenFile(out, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 				if err != nil {
 					return err
 				}
-				defer f.Close()
+				defer func() { err = errors.Join(err, f.Close()) }()
 				w = f
 			}
 			r := &recorder.Recorder{Nodes: nodes, Client: &http.Client{Timeout: 5 * time.Second}, Tell: func(s string) { fmt.Fprintln(cmd.ErrOrStderr(), s) }}
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -152,7 +152,8 @@
 	}
 	f.Intercept, f.PerUnit = stat.LinearRegression(xs, ys, nil, false)
 	for i := range xs {
-		f.Spread += math.Pow(ys[i]-f.Intercept-f.PerUnit*xs[i], 2) / float64(len(xs))
+		residual := ys[i] - f.Intercept - f.PerUnit*xs[i]
+		f.Spread += residual * residual / float64(len(xs))
 	}
 	f.Spread = math.Sqrt(f.Spread)
 	return f
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -50,7 +50,7 @@
 					t.Fatal(err)
 				}
 			}
-			cmd := exec.Command("bash", "../../../.ci/test", list, "cat "+log+"; exit "+c.status)
+			cmd := exec.CommandContext(t.Context(), "bash", "../../../.ci/test", list, "cat "+log+"; exit "+c.status)
 			out, err := cmd.CombinedOutput()
 			if (err == nil) != c.ok || !strings.Contains(string(out), c.says) {
 				t.Errorf("%v, want ok %v and %q:\n%s", err, c.ok, c.says, out)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -145,7 +145,7 @@
 
 // serve serves h until the cluster closes, and returns the address that it got.
 func (c *Cluster) serve(addr string, h http.Handler) (string, error) {
-	l, err := net.Listen("tcp", addr)
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return "", err
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -51,6 +51,7 @@
 `
 
 func write(t *testing.T, name, text string) string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/emulator/http.go
+++ b/internal/emulator/http.go
@@ -446,7 +446,7 @@
 		return
 	case status == http.StatusMisdirectedRequest && wire.Unmarshal(body, &to) == nil:
 		if i := slices.Index(s.Names, to.Node); i >= 0 && i != d.node {
-			m.Node, m.NextAt = i, now+Micros(rand.Int64N(Second/2))
+			m.Node, m.NextAt = i, now+rand.Int64N(Second/2)
 			return
 		}
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -185,7 +185,7 @@
 		if now < m.Up {
 			continue
 		}
-		if now-m.alive > w.Lease && !(w.HangKeeps && m.Hang) { // whether it hangs or not: it may go on within its lease alone
+		if now-m.alive > w.Lease && (!w.HangKeeps || !m.Hang) { // whether it hangs or not: it may go on within its lease alone
 			w.lose(now, m)
 			m.tasks, m.changed = nil, true
 			m.Incarnation++
--- a/internal/estimate/stored.go
+++ b/internal/estimate/stored.go
@@ -210,7 +210,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
+	defer func() { _ = w.Close() }() // EncodeAll has written everything
 	return msgpack.Marshal(envelope{version, base64.StdEncoding.EncodeToString(w.EncodeAll(plain, nil))})
 }
 
@@ -375,7 +375,7 @@
 		g.tally, g.base, g.gen, g.alone = tally{}, tally{}, s.Gen, s.Alone
 	}
 	g.alone = g.alone || s.Alone
-	g.tally.plus(&t, 1)
+	g.plus(&t, 1)
 	g.base = g.tally
 	g.reckon()
 }
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -3,6 +3,7 @@
 package faults
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -65,7 +66,7 @@
 
 // New starts a proxy for a target on a loopback port of its own.
 func New(name, target string) (*Proxy, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("proxy %s: %w", name, err)
 	}
@@ -140,7 +141,7 @@
 }
 
 func (p *Proxy) listen() error {
-	l, err := net.Listen("tcp", p.addr)
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", p.addr)
 	if err != nil {
 		return fmt.Errorf("proxy %s: %w", p.name, err)
 	}
@@ -202,7 +203,7 @@
 		c.reset()
 		return
 	}
-	out, err := net.DialTimeout("tcp", p.target, dialTimeout)
+	out, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(context.Background(), "tcp", p.target)
 	if err != nil {
 		p.tellFailure(err)
 		c.reset()
@@ -246,7 +247,7 @@
 			if !p.gate(c, way) {
 				return
 			}
-			if t, ok := to.(*net.TCPConn); ok && err == io.EOF {
+			if t, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
 				_ = t.CloseWrite()
 			} else {
 				_ = to.Close()
--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -13,7 +13,8 @@
 
 // echo answers each line with the same line.
 func echo(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +37,8 @@
 }
 
 func dial(t *testing.T, p *Proxy) client {
-	c, err := net.Dial("tcp", p.Addr())
+	t.Helper()
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", p.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,6 +66,7 @@
 )
 
 func start(t *testing.T) *Proxy {
+	t.Helper()
 	p, err := New("link", echo(t))
 	if err != nil {
 		t.Fatal(err)
@@ -135,7 +138,7 @@
 		t.Fatal("a connection was kept")
 	}
 	p.must(t, Refuse, Both)
-	if x, err := net.Dial("tcp", p.Addr()); err == nil {
+	if x, err := new(net.Dialer).DialContext(t.Context(), "tcp", p.Addr()); err == nil {
 		_ = x.Close()
 		t.Fatal("a connection was accepted")
 	}
@@ -161,11 +164,11 @@
 
 // A proxy that could not accept a connection says why and accepts the next.
 func TestAcceptsAfterFailure(t *testing.T) {
-	target, err := net.Listen("tcp", "127.0.0.1:0")
+	target, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer target.Close()
+	t.Cleanup(func() { _ = target.Close() })
 	p, err := New("poor", target.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -173,7 +176,7 @@
 	defer p.Close()
 	heard := make(chan error, 10)
 	p.OnFailure(func(err error) { heard <- err })
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,11 +185,11 @@
 	if err := <-heard; !errors.Is(err, syscall.EMFILE) {
 		t.Errorf("heard %v", err)
 	}
-	conn, err := net.Dial("tcp", l.Addr().String())
+	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	t.Cleanup(func() { _ = conn.Close() })
 	passed, err := target.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/faulttest/inject.go
+++ b/internal/faulttest/inject.go
@@ -124,7 +124,7 @@
 		return r.affectMachines(f, func(m *emulator.Machine, _ emulator.Micros) { m.InboundLost = deaf }, func(m *emulator.Machine) { m.InboundLost = "" })
 	case "machine_restart":
 		return r.affectMachines(f, func(m *emulator.Machine, now emulator.Micros) {
-			c.Servers.Environment.Restart(now, emulator.Micros(100_000+rand.Int64N(800_000)), m, false)
+			c.Servers.Environment.Restart(now, 100_000+rand.Int64N(800_000), m, false)
 		}, nil)
 	case "reports_again": // copies of reports, up to so many leases late, at any node
 		c.Servers.Repeat(f.Factor * r.scenario.Deploy.LeaseS)
--- a/internal/faulttest/run.go
+++ b/internal/faulttest/run.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
@@ -561,7 +562,7 @@
 }
 
 // save keeps the result and the history that it was judged by.
-func (r *run) save(res *Result) error {
+func (r *run) save(res *Result) (err error) {
 	raw, err := json.MarshalIndent(res, "", " ")
 	if err != nil {
 		return err
@@ -573,7 +574,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { err = errors.Join(err, f.Close()) }()
 	enc := json.NewEncoder(f)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -582,7 +583,7 @@
 			return err
 		}
 	}
-	return f.Close()
+	return nil
 }
 
 // Open reads the result of a run.
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -15,46 +15,46 @@
 
 // Check compares got with the file testdata/NAME of the test's package. A file that does not
 // exist is recorded, and the test fails so that the recording is read before it is committed.
-func Check(t testing.TB, name, got string) {
-	t.Helper()
+func Check(tb testing.TB, name, got string) {
+	tb.Helper()
 	path := filepath.Join("testdata", name)
 	want, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
 		if err := os.MkdirAll(filepath.Dir(path), 0o750); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
-		t.Errorf("%s did not exist and was recorded: read it before committing it", path)
+		tb.Errorf("%s did not exist and was recorded: read it before committing it", path)
 		return
 	}
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s differs\n got: %s\nwant: %s", path, got, want)
+		tb.Errorf("%s differs\n got: %s\nwant: %s", path, got, want)
 	}
 }
 
 // Bytes reads a file of hexadecimal text, as CheckBytes records it.
-func Bytes(t testing.TB, name string) []byte {
-	t.Helper()
+func Bytes(tb testing.TB, name string) []byte {
+	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	raw, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return raw
 }
 
 // CheckBytes compares bytes with a file of hexadecimal text.
-func CheckBytes(t testing.TB, name string, got []byte) {
-	t.Helper()
-	Check(t, name, hex.EncodeToString(got)+"\n")
+func CheckBytes(tb testing.TB, name string, got []byte) {
+	tb.Helper()
+	Check(tb, name, hex.EncodeToString(got)+"\n")
 }
 
 // Names describes a type as an encoder sees it that goes by the struct tag key: each field's
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -118,7 +118,12 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	res, err := http.Post("http://"+r.up.Address+wire.PathCommands, wire.ContentType, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(r.t.Context(), http.MethodPost, "http://"+r.up.Address+wire.PathCommands, bytes.NewReader(raw))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	req.Header.Set("Content-Type", wire.ContentType)
+	res, err := http.DefaultClient.Do(req)
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -53,7 +53,7 @@
 
 // start begins to listen and to report.
 func (h *Host) start(ctx context.Context, m Machine) (*worker, error) {
-	listener, err := net.Listen("tcp", h.nextAddress())
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", h.nextAddress())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -146,7 +146,7 @@
 				t.Fatalf("not found: %s", c.rule)
 			}
 			for _, b := range found {
-				if b.Rule != c.rule && !(c.rule == "nothing_ran" && b.Rule == "went_back") {
+				if b.Rule != c.rule && (c.rule != "nothing_ran" || b.Rule != "went_back") {
 					t.Errorf("%v", b)
 				}
 			}
--- a/internal/node/metrics/names_test.go
+++ b/internal/node/metrics/names_test.go
@@ -35,7 +35,7 @@
 		m.Stepped(in, time.Millisecond)
 	}
 	w := httptest.NewRecorder()
-	m.ServeHTTP(w, httptest.NewRequest("GET", Path, nil))
+	m.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "GET", Path, nil))
 	var names []string
 	for line := range strings.Lines(w.Body.String()) {
 		name, _, _ := strings.Cut(strings.TrimSpace(line), " ")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -102,23 +102,23 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	users, err := net.Listen("tcp", n.cfg.ClientListen)
+	users, err := new(net.ListenConfig).Listen(ctx, "tcp", n.cfg.ClientListen)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
-	defer users.Close()
+	defer func() { _ = users.Close() }()
 	if limits.MaxConnections > 0 {
 		users = netutil.LimitListener(users, max(1, int(float64(limits.MaxConnections)*(1-reservedSockets))))
 	}
-	peers, err := net.Listen("tcp", n.cfg.PeerListen)
+	peers, err := new(net.ListenConfig).Listen(ctx, "tcp", n.cfg.PeerListen)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	defer peers.Close()
+	defer func() { _ = peers.Close() }()
 	failed := make(chan error, 2)
 	server := &http.Server{Handler: n.api.Handler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
 		WriteTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
-	defer server.Close()
+	defer func() { _ = server.Close() }()
 	go func() { failed <- server.Serve(users) }()
 	go func() {
 		failed <- peer.Serve(peers, func(in msg.Input) { n.offer(in) }, n.api, n.status)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -27,11 +27,12 @@
 const patience = 60 * time.Second
 
 func freeAddr(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	t.Cleanup(func() { _ = l.Close() })
 	return l.Addr().String()
 }
 
@@ -46,6 +47,7 @@
 
 // newRig starts three nodes against stand-ins behind HTTP.
 func newRig(t *testing.T) *rig {
+	t.Helper()
 	r := &rig{t: t, servers: emulator.NewServers(), client: &http.Client{Timeout: 5 * time.Second}}
 	state := httptest.NewServer(r.servers.StateHandler())
 	cloud := httptest.NewServer(r.servers.CloudHandler())
@@ -120,7 +122,7 @@
 	default:
 		raw, _ = wire.Marshal(b)
 	}
-	req, err := http.NewRequest(method, "http://"+r.configs[node].ClientListen+path, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(r.t.Context(), method, "http://"+r.configs[node].ClientListen+path, bytes.NewReader(raw))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -198,9 +200,18 @@
 	})
 }
 
+// get fetches a page while the test runs.
+func (r *rig) get(url string) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(r.t.Context(), http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	return r.client.Do(req)
+}
+
 // ask asks an operator's question; it returns whether that was answered with 200.
 func ask(r *rig, addr, path string, into any) bool {
-	res, err := r.client.Get("http://" + addr + path)
+	res, err := r.get("http://" + addr + path)
 	if err != nil {
 		return false
 	}
@@ -250,7 +261,7 @@
 	})
 	leaders, accepted := 0, 0.0
 	for _, c := range r.configs {
-		res, err := r.client.Get("http://" + c.ClientListen + metrics.Path)
+		res, err := r.get("http://" + c.ClientListen + metrics.Path)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/peer/compat_test.go
+++ b/internal/node/peer/compat_test.go
@@ -94,7 +94,7 @@
 
 // An older node finds the methods by their names.
 func TestCallsOfOtherVersions(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -3,6 +3,7 @@
 package peer
 
 import (
+	"context"
 	"errors"
 	"net"
 	"net/http"
@@ -291,7 +292,7 @@
 	if c != nil {
 		return c, nil
 	}
-	to, err := net.DialTimeout("tcp", p.addrs[l.node], callTimeout)
+	to, err := (&net.Dialer{Timeout: callTimeout}).DialContext(context.Background(), "tcp", p.addrs[l.node])
 	if err != nil {
 		return nil, err
 	}
--- a/internal/process/port.go
+++ b/internal/process/port.go
@@ -1,6 +1,7 @@
 package process
 
 import (
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -13,7 +14,7 @@
 	const from, to, tries = 16_000, 32_000, 100 // systems hand out ports above
 	var last error
 	for range tries {
-		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", from+rand.IntN(to-from)))
+		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", fmt.Sprintf("127.0.0.1:%d", from+rand.IntN(to-from)))
 		if err != nil {
 			last = err
 			continue
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -40,8 +40,8 @@
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	cmd := exec.Command(opt.Program, opt.Args...)
+	defer func() { _ = log.Close() }()            // the child has its own descriptor
+	cmd := exec.Command(opt.Program, opt.Args...) //nolint:noctx // the process outlives the call: Signal ends it
 	cmd.Env = append(os.Environ(), opt.Env...)
 	cmd.Stdout, cmd.Stderr = log, log
 	if opt.Output != nil {
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -99,7 +99,7 @@
 const expireEvery = 50 * time.Millisecond
 
 func (r *region) serve(h http.Handler) (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
--- a/internal/scenario/chaos_test.go
+++ b/internal/scenario/chaos_test.go
@@ -89,6 +89,7 @@
 }
 
 func chaos(t *testing.T, s *Sim, rnd *rand.Rand, early, events, tasks int) {
+	t.Helper()
 	s.Run(2 * emulator.Second)
 	var needable []string // accepted, and no service
 	accepted := map[string]bool{}
@@ -221,6 +222,7 @@
 // allAnswered asks about every job, each time at the next node, until it has had an answer. No
 // job may be without one for longer than this once all troubles are over.
 func (s *Sim) allAnswered(t *testing.T, jobs map[string]bool) {
+	t.Helper()
 	const forgottenAfter = 75 * emulator.Second
 	over := s.now
 	var left []string
--- a/internal/scenario/concurrent_faults_test.go
+++ b/internal/scenario/concurrent_faults_test.go
@@ -630,6 +630,7 @@
 
 // playDay plays a script, lets things calm down, and returns what was wrong.
 func playDay(t *testing.T, script string) (wrong []string) {
+	t.Helper()
 	var s *Sim
 	for _, line := range strings.Split(strings.TrimSpace(script), "\n") {
 		if line = strings.TrimSpace(line); line == "" {
@@ -723,6 +724,7 @@
 // shrink leaves out lines of a script as long as the same thing goes wrong, a bounded number
 // of times.
 func shrink(t *testing.T, script, wrong string) string {
+	t.Helper()
 	kind := symptom(wrong)
 	lines := strings.Split(strings.TrimSpace(script), "\n")
 	tries := *shrinkTries
--- a/internal/scenario/generated_faults_test.go
+++ b/internal/scenario/generated_faults_test.go
@@ -32,6 +32,7 @@
 
 // readWeather takes the parts that a script names.
 func readWeather(t *testing.T, d *datadriven.TestData) *weather {
+	t.Helper()
 	seed := uint64(1)
 	w := &weather{}
 	d.MaybeScanArgs(t, "seed", &seed)
@@ -45,6 +46,7 @@
 
 // share is a part from 0 to 1 that a script names; 0 if it doesn't.
 func share(t *testing.T, d *datadriven.TestData, name string) float64 {
+	t.Helper()
 	text := "0"
 	d.MaybeScanArgs(t, name, &text)
 	part, err := strconv.ParseFloat(text, 64)
--- a/internal/scenario/preemption_test.go
+++ b/internal/scenario/preemption_test.go
@@ -34,6 +34,7 @@
 // yields plays one such day and returns how many tasks yielded in vain. Nodes that are held to
 // the first format commit no decisions.
 func yields(t *testing.T, seed uint64, held []string) int {
+	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	s := newSimFor(5, 1, 0, held)
 	s.announced = false
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -20,6 +20,7 @@
 // busy returns a world whose machines are all in use, with jobs that wait for
 // their team's limit, and its leader and another node.
 func busy(tb testing.TB, scale int) (s *Sim, leader, other *node) {
+	tb.Helper()
 	s = newSim(3, scale, 0)
 	s.Run(3 * emulator.Second)
 	for i := range 3 * scale {
@@ -63,6 +64,7 @@
 
 // news returns a new version of the record of a job that waits.
 func (s *Sim) news(tb testing.TB) func() wire.Change {
+	tb.Helper()
 	key := job.RecordKey("j-0")
 	it := s.state.Get(key)
 	if it.Version == 0 {
@@ -77,6 +79,7 @@
 
 // atBothSizes measures what prepare returns.
 func atBothSizes(b *testing.B, prepare func(s *Sim, leader, other *node) func()) {
+	b.Helper()
 	for _, size := range sizes {
 		b.Run(size.name, func(b *testing.B) {
 			run := prepare(busy(b, size.scale))
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -78,8 +78,10 @@
 // by whichever command comes next, so that no script can overlook them.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
+		t.Helper()
 		var s *Sim
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
+			t.Helper()
 			if d.Cmd == "world" {
 				s = newWorld(t, d)
 				return "leader " + s.Leader() + "\n"
@@ -98,6 +100,7 @@
 
 // newWorld makes the world of a script and runs it until there is a leader.
 func newWorld(t *testing.T, d *datadriven.TestData) *Sim {
+	t.Helper()
 	nodes, scale, quota, held := 3, 1, 0, ""
 	d.MaybeScanArgs(t, "nodes", &nodes)
 	d.MaybeScanArgs(t, "scale", &scale)
@@ -126,6 +129,7 @@
 }
 
 func pick(t *testing.T, s *Sim, d *datadriven.TestData) *node {
+	t.Helper()
 	name := "n1"
 	d.MaybeScanArgs(t, "node", &name)
 	known := slices.Contains([]string{"leader", "old", "heir", "other", "others", "all"}, name) ||
@@ -160,6 +164,7 @@
 }
 
 func length(t *testing.T, d *datadriven.TestData, key, def string) emulator.Micros {
+	t.Helper()
 	d.MaybeScanArgs(t, key, &def)
 	x, err := time.ParseDuration(def)
 	if err != nil {
@@ -186,6 +191,7 @@
 }
 
 func command(t *testing.T, s *Sim, d *datadriven.TestData) string {
+	t.Helper()
 	id := "j-1"
 	d.MaybeScanArgs(t, "id", &id)
 	switch d.Cmd {
@@ -372,6 +378,7 @@
 }
 
 func condition(t *testing.T, s *Sim, d *datadriven.TestData, id string) bool {
+	t.Helper()
 	if d.HasArg("heir") { // another than the one that was cut off has the claim
 		return s.Leader() != "none" && s.old != nil && s.Leader() != s.old.name
 	}
@@ -453,6 +460,7 @@
 }
 
 func machine(t *testing.T, s *Sim, d *datadriven.TestData) string {
+	t.Helper()
 	name, of := "", ""
 	d.MaybeScanArgs(t, "name", &name)
 	d.MaybeScanArgs(t, "of", &of)
@@ -508,6 +516,7 @@
 var ranks = map[string]string{"production": wire.Production, "normal": wire.Normal, "low": wire.Low}
 
 func description(t *testing.T, d *datadriven.TestData, id string) *emulator.SubmittedJob {
+	t.Helper()
 	shape, team, rank := wire.Array, "red", wire.Normal
 	tasks, gpus, save := 1, 1, 0
 	d.MaybeScanArgs(t, "shape", &shape)
