--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
+	defer func() { _ = l.Close() }() // the node listens there next
 	return l.Addr().String()
 }
 
