--- a/internal/node/cloud/cloud.go
+++ b/internal/node/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud carries out the core's dealings with the cloud's interface.
+// Package cloud is the client of the cloud's interface: machine types, and renting and deleting machines.
 package cloud
 
 import (
@@ -19,25 +19,31 @@
 )
 
 const (
-	callTimeout = 8 * time.Second
-	maxAnswer   = 4 << 20
+	callTimeout      = 8 * time.Second
+	dialTimeout      = 2 * time.Second
+	maxResponseBytes = 4 << 20
+	// quotaShare is the part of the cloud's quota that a leader uses.
+	quotaShare = 0.7
+	// errNoCapacity is the cloud's error when it has no such machines.
+	errNoCapacity = "no capacity"
 )
 
 // Cloud is a client of the cloud's interface.
 type Cloud struct {
-	base  string
-	post  func(msg.Input)
-	http  *http.Client
-	calls *rate.Limiter
+	baseURL string
+	post    func(msg.Input)
+	client  *http.Client
+	limiter *rate.Limiter
 }
 
-// New returns a client that posts its results.
+// New returns a client that posts results to the core.
 func New(cfg *config.Config, post func(msg.Input)) *Cloud {
-	r := cfg.Cluster.Cloud.RPS
+	quota := cfg.Cluster.Cloud.RPS * quotaShare
 	return &Cloud{
-		base: "http://" + cfg.External.Cloud, post: post,
-		http:  httpclient.Client(2*time.Second, 4, 8),
-		calls: rate.NewLimiter(rate.Limit(r*0.7), max(1, int(r*0.7))),
+		baseURL: "http://" + cfg.External.Cloud,
+		post:    post,
+		client:  httpclient.New(dialTimeout, 4, 8),
+		limiter: rate.NewLimiter(rate.Limit(quota), max(1, int(quota))),
 	}
 }
 
@@ -45,34 +51,32 @@
 func (c *Cloud) Do(e msg.Effect) bool {
 	switch x := e.(type) {
 	case msg.FetchCatalog:
-		go c.catalog()
+		go c.fetchCatalog()
 	case msg.ListMachines:
-		go c.list()
+		go c.listMachines()
 	case msg.ScaleOut:
-		go c.rent(x.Request)
+		go c.scaleOut(x.Request)
 	case msg.ScaleIn:
-		go c.release(x.Machines)
+		go c.scaleIn(x.Machines)
 	default:
 		return false
 	}
 	return true
 }
 
-// call makes a request; the outcome tells OK, Conflict for a lack of capacity,
-// Refused or Unknown.
+// call makes a request. The outcome is OK, Conflict for a lack of capacity, Refused or Unknown.
 func (c *Cloud) call(method, path string, in, out any) msg.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	if c.calls.Wait(ctx) != nil {
+	if c.limiter.Wait(ctx) != nil {
 		return msg.Refused
 	}
 	status, err := c.send(ctx, method, path, in, out)
-	var refusal *refusal
+	var refused *refusedError
 	switch {
-	case errors.As(err, &refusal):
-		if refusal.why == "no capacity" {
-			return msg.Conflict
-		}
+	case errors.As(err, &refused) && refused.reason == errNoCapacity:
+		return msg.Conflict
+	case refused != nil:
 		return msg.Refused
 	case err != nil:
 		return msg.Unknown
@@ -82,16 +86,17 @@
 	return msg.Refused
 }
 
-type refusal struct{ why string }
+// refusedError is a request that was certainly not executed, with the cloud's reason.
+type refusedError struct{ reason string }
 
-func (r *refusal) Error() string { return r.why }
+func (e *refusedError) Error() string { return "refused: " + e.reason }
 
 func (c *Cloud) send(ctx context.Context, method, path string, in, out any) (int, error) {
-	req, err := httpclient.Request(ctx, method, c.base+path, in)
+	req, err := httpclient.NewRequest(ctx, method, c.baseURL+path, in)
 	if err != nil {
-		return 0, &refusal{err.Error()}
+		return 0, &refusedError{err.Error()}
 	}
-	status, raw, err := httpclient.Do(c.http, req, maxAnswer)
+	status, raw, err := httpclient.Do(c.client, req, maxResponseBytes)
 	if err != nil {
 		return 0, fmt.Errorf("cloud: %w", err)
 	}
@@ -100,7 +105,7 @@
 		if wire.Unmarshal(raw, &e) != nil {
 			e.Error = "unreadable"
 		}
-		return status, &refusal{e.Error}
+		return status, &refusedError{e.Error}
 	}
 	if status == http.StatusOK && out != nil {
 		return status, wire.Unmarshal(raw, out)
@@ -108,19 +113,19 @@
 	return status, nil
 }
 
-func (c *Cloud) catalog() {
+func (c *Cloud) fetchCatalog() {
 	var done msg.CatalogDone
 	done.Outcome = c.call(http.MethodGet, wire.PathCatalog, nil, &done.Catalog)
 	c.post(done)
 }
 
-func (c *Cloud) list() {
+func (c *Cloud) listMachines() {
 	var done msg.ListDone
-	from := ""
+	after := ""
 	for {
 		q := url.Values{"most": {strconv.Itoa(wire.MaxList)}}
-		if from != "" {
-			q.Set("from", from)
+		if after != "" {
+			q.Set("from", after)
 		}
 		var page wire.MachineList
 		done.Outcome = c.call(http.MethodGet, wire.PathHosts+"?"+q.Encode(), nil, &page)
@@ -128,12 +133,12 @@
 		if done.Outcome != msg.OK || !page.More || len(page.Machines) == 0 {
 			break
 		}
-		from = page.Machines[len(page.Machines)-1].Name
+		after = page.Machines[len(page.Machines)-1].Name
 	}
 	c.post(done)
 }
 
-func (c *Cloud) rent(r wire.RentalRequest) {
+func (c *Cloud) scaleOut(r wire.RentalRequest) {
 	var names wire.MachineNames
 	done := msg.ScaleOutDone{Name: r.Name}
 	done.Outcome = c.call(http.MethodPost, wire.PathHosts, r, &names)
@@ -141,7 +146,7 @@
 	c.post(done)
 }
 
-func (c *Cloud) release(machines []string) {
+func (c *Cloud) scaleIn(machines []string) {
 	done := msg.ScaleInDone{Machines: machines}
 	done.Outcome = c.call(http.MethodPost, wire.PathRelease, wire.MachineNames{Machines: machines}, nil)
 	c.post(done)
--- a/internal/node/counter/counter.go
+++ b/internal/node/counter/counter.go
@@ -1,28 +1,27 @@
-// Package counter counts what adapters do, for whoever asks for totals and for the debug
-// log, which tells what has come since its last line.
+// Package counter counts events for metrics, as totals, and for the debug log, by interval.
 package counter
 
 import "sync/atomic"
 
-// Counter counts from any goroutine.
+// Counter counts events. All methods but Since may be called from any goroutine.
 type Counter struct {
 	total    atomic.Int64
 	reported int64
 }
 
-// Add counts one more.
+// Add counts one event.
 func (c *Counter) Add() { c.total.Add(1) }
 
-// AddN counts n more.
+// AddN counts n events.
 func (c *Counter) AddN(n int) { c.total.Add(int64(n)) }
 
-// Total is how many there were.
+// Total returns the number of events since the process began.
 func (c *Counter) Total() float64 { return float64(c.total.Load()) }
 
-// Since is how many there were since it was last asked. One goroutine may ask.
+// Since returns the number of events since it was last called. One goroutine may call it.
 func (c *Counter) Since() int64 {
-	n := c.total.Load()
-	since := n - c.reported
-	c.reported = n
+	total := c.total.Load()
+	since := total - c.reported
+	c.reported = total
 	return since
 }
--- a/internal/node/httpapi/httpapi.go
+++ b/internal/node/httpapi/httpapi.go
@@ -1,4 +1,5 @@
-// Package httpapi serves users, workers and health checks.
+// Package httpapi serves users, workers, operators and health checks over HTTP: it hands their requests to the
+// core and waits for its responses.
 package httpapi
 
 import (
@@ -16,22 +17,22 @@
 	"coralhub/wire"
 )
 
-// requestTimeout is when a request that the core has not answered gets a 503.
+// requestTimeout is how long a request waits for the core before it gets a 503.
 const requestTimeout = 3500 * time.Millisecond
 
-// API hands requests to the core and waits for its answers.
+// API is the HTTP interface of a node.
 type API struct {
 	echo  *echo.Echo
 	post  func(msg.Input) bool
 	ready func() bool
 
 	mu      sync.Mutex
-	next    uint64
-	pending map[uint64]chan msg.Respond
+	lastID  uint64
+	pending map[uint64]chan msg.Respond // by request ID
 }
 
-// New returns the interface; post returns false when the node has no time for
-// another request. Operators' questions are answered only if admin is set.
+// New returns the interface. post returns false when the node has no time for another request. Operators'
+// queries are served only if admin is set.
 func New(post func(msg.Input) bool, ready func() bool, admin bool) *API {
 	a := &API{echo: echo.New(), post: post, ready: ready, pending: map[uint64]chan msg.Respond{}}
 	e := a.echo
@@ -39,7 +40,7 @@
 	e.POST(wire.PathJobs, a.submit)
 	e.GET(wire.PathJobs+"/:id", a.poll)
 	e.POST(wire.PathJobs+"/:id/"+wire.CancelVerb, a.cancel)
-	e.POST(wire.PathHeartbeat, a.report)
+	e.POST(wire.PathHeartbeat, a.heartbeat)
 	e.GET(wire.PathReady, a.health)
 	if admin {
 		e.GET(PathEstimates, a.admin(msg.QueryEstimates))
@@ -62,7 +63,7 @@
 	return a
 }
 
-// Paths of operators' questions, which are answered in JSON.
+// Paths of operators' queries, which are answered in JSON.
 const (
 	PathEstimates   = "/admin/v1/estimates"
 	PathJob         = "/admin/v1/jobs"
@@ -72,24 +73,24 @@
 	PathWaits       = "/admin/v1/waits"
 )
 
-// admin answers an operator's question. The query may have from and most.
-func (a *API) admin(what msg.AdminQuery) echo.HandlerFunc {
+// admin answers an operator's query. It may have the parameters from and most.
+func (a *API) admin(query msg.AdminQuery) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		q := msg.AdminIn{Query: what, JobID: c.Param("id")}
+		in := msg.AdminIn{Query: query, JobID: c.Param("id")}
 		var err error
 		if s := c.QueryParam("from"); s != "" {
-			if q.From, err = strconv.ParseUint(s, 10, 64); err != nil {
+			if in.From, err = strconv.ParseUint(s, 10, 64); err != nil {
 				return c.JSON(http.StatusBadRequest, leader.AdminError{Error: "from: no number"})
 			}
 		}
 		if s := c.QueryParam("most"); s != "" {
-			if q.Limit, err = strconv.Atoi(s); err != nil || q.Limit < 1 {
+			if in.Limit, err = strconv.Atoi(s); err != nil || in.Limit < 1 {
 				return c.JSON(http.StatusBadRequest, leader.AdminError{Error: "most: no number above 0"})
 			}
 		}
-		x := a.ask(c.Request().Context().Done(), func(req uint64) msg.Input {
-			q.RequestID = req
-			return q
+		x := a.ask(c.Request().Context().Done(), func(requestID uint64) msg.Input {
+			in.RequestID = requestID
+			return in
 		})
 		if x.RetryAfter > 0 {
 			c.Response().Header().Set("Retry-After", strconv.Itoa(x.RetryAfter))
@@ -101,13 +102,16 @@
 	}
 }
 
-// Serve adds what another package serves on the users' listener.
+// Serve adds a page of another package to the users' listener.
 func (a *API) Serve(path string, h http.Handler) { a.echo.GET(path, echo.WrapHandler(h)) }
 
-// Gauges asks the core to count; false if it has no time.
+// Gauges asks the core for its gauges; false if it has no time.
 func (a *API) Gauges() (leader.Gauges, bool) {
-	g, ok := a.ask(nil, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryGauges} }).Body.(leader.Gauges)
-	return g, ok
+	response := a.ask(nil, func(requestID uint64) msg.Input {
+		return msg.AdminIn{RequestID: requestID, Query: msg.QueryGauges}
+	})
+	gauges, ok := response.Body.(leader.Gauges)
+	return gauges, ok
 }
 
 // Handler is the interface as an HTTP handler.
@@ -129,33 +133,39 @@
 	return true
 }
 
+// overloaded is the response when the core has no time for a request.
 var overloaded = msg.Respond{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "overloaded"}, RetryAfter: 1, Busy: true}
 
-// ask posts an input made for a request number and waits for the answer.
-func (a *API) ask(gone <-chan struct{}, input func(req uint64) msg.Input) msg.Respond {
+// ask posts the input made for a request ID and waits for the response, until the client is gone or the request
+// has timed out.
+func (a *API) ask(clientGone <-chan struct{}, input func(requestID uint64) msg.Input) msg.Respond {
 	ch := make(chan msg.Respond, 1)
-	a.mu.Lock()
-	a.next++
-	req := a.next
-	a.pending[req] = ch
-	a.mu.Unlock()
-	if !a.post(input(req)) {
-		a.removePending(req)
+	id := a.addPending(ch)
+	if !a.post(input(id)) {
+		a.removePending(id)
 		return overloaded
 	}
-	t := time.NewTimer(requestTimeout)
-	defer t.Stop()
+	timeout := time.NewTimer(requestTimeout)
+	defer timeout.Stop()
 	select {
 	case x := <-ch:
 		return x
-	case <-t.C:
-	case <-gone:
+	case <-timeout.C:
+	case <-clientGone:
 	}
-	a.removePending(req)
+	a.removePending(id)
 	return overloaded
 }
 
-// Shed answers a request that the core has not been asked.
+func (a *API) addPending(ch chan msg.Respond) uint64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.lastID++
+	a.pending[a.lastID] = ch
+	return a.lastID
+}
+
+// Shed answers a request that waited too long for the core.
 func (a *API) Shed(in msg.Input) {
 	x := overloaded
 	switch in := in.(type) {
@@ -177,27 +187,29 @@
 	a.Do(x)
 }
 
-func (a *API) serve(c echo.Context, input func(req uint64) msg.Input) error {
+func (a *API) serve(c echo.Context, input func(requestID uint64) msg.Input) error {
 	return reply(c, a.ask(c.Request().Context().Done(), input))
 }
 
-// Report answers a worker's report that its home has handed on.
-func (a *API) Report(r wire.Heartbeat) msg.Respond {
-	return a.ask(nil, func(req uint64) msg.Input { return msg.HeartbeatIn{RequestID: req, Heartbeat: r, Forwarded: true} })
+// Heartbeat answers a worker's heartbeat that a relay has forwarded to this node.
+func (a *API) Heartbeat(r wire.Heartbeat) msg.Respond {
+	return a.ask(nil, func(requestID uint64) msg.Input {
+		return msg.HeartbeatIn{RequestID: requestID, Heartbeat: r, Forwarded: true}
+	})
 }
 
-// Beat answers a home that has answered workers for this node.
-func (a *API) Beat(x msg.HeartbeatBatchIn) msg.Respond {
-	return a.ask(nil, func(req uint64) msg.Input {
-		x.RequestID = req
+// HeartbeatBatch answers a relay that has acknowledged heartbeats for this node.
+func (a *API) HeartbeatBatch(x msg.HeartbeatBatchIn) msg.Respond {
+	return a.ask(nil, func(requestID uint64) msg.Input {
+		x.RequestID = requestID
 		return x
 	})
 }
 
-func (a *API) removePending(req uint64) {
+func (a *API) removePending(id uint64) {
 	a.mu.Lock()
-	delete(a.pending, req)
-	a.mu.Unlock()
+	defer a.mu.Unlock()
+	delete(a.pending, id)
 }
 
 func reply(c echo.Context, x msg.Respond) error {
@@ -213,7 +225,8 @@
 
 var errTooLarge = errors.New("body too large")
 
-func body(c echo.Context) ([]byte, error) {
+// readBody reads a request's body, up to the protocol's limit.
+func readBody(c echo.Context) ([]byte, error) {
 	raw, err := io.ReadAll(io.LimitReader(c.Request().Body, wire.MaxBody+1))
 	if err == nil && len(raw) > wire.MaxBody {
 		return nil, errTooLarge
@@ -221,39 +234,41 @@
 	return raw, err
 }
 
-func bad(c echo.Context, err error) error {
+func badRequest(c echo.Context, err error) error {
 	return reply(c, msg.Respond{Status: http.StatusBadRequest, Body: wire.Error{Error: err.Error()}})
 }
 
 func (a *API) submit(c echo.Context) error {
-	raw, err := body(c)
+	raw, err := readBody(c)
 	if err != nil {
-		return bad(c, err)
+		return badRequest(c, err)
 	}
-	wall := time.Now().UnixMicro()
-	return a.serve(c, func(req uint64) msg.Input { return msg.SubmitIn{RequestID: req, WallClock: wall, Body: raw} })
+	now := time.Now().UnixMicro()
+	return a.serve(c, func(requestID uint64) msg.Input {
+		return msg.SubmitIn{RequestID: requestID, WallClock: now, Body: raw}
+	})
 }
 
 func (a *API) poll(c echo.Context) error {
 	id := c.Param("id")
-	return a.serve(c, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} })
+	return a.serve(c, func(requestID uint64) msg.Input { return msg.PollIn{RequestID: requestID, JobID: id} })
 }
 
 func (a *API) cancel(c echo.Context) error {
 	id := c.Param("id")
-	return a.serve(c, func(req uint64) msg.Input { return msg.CancelIn{RequestID: req, JobID: id} })
+	return a.serve(c, func(requestID uint64) msg.Input { return msg.CancelIn{RequestID: requestID, JobID: id} })
 }
 
-func (a *API) report(c echo.Context) error {
-	raw, err := body(c)
+func (a *API) heartbeat(c echo.Context) error {
+	raw, err := readBody(c)
 	if err != nil {
-		return bad(c, err)
+		return badRequest(c, err)
 	}
 	var r wire.Heartbeat
 	if err := wire.Unmarshal(raw, &r); err != nil {
-		return bad(c, errors.New("unreadable report"))
+		return badRequest(c, errors.New("unreadable report"))
 	}
-	return a.serve(c, func(req uint64) msg.Input { return msg.HeartbeatIn{RequestID: req, Heartbeat: r} })
+	return a.serve(c, func(requestID uint64) msg.Input { return msg.HeartbeatIn{RequestID: requestID, Heartbeat: r} })
 }
 
 func (a *API) health(c echo.Context) error {
--- a/internal/node/httpclient/httpclient.go
+++ b/internal/node/httpclient/httpclient.go
@@ -1,4 +1,4 @@
-// Package httpclient makes the HTTP requests of the adapters.
+// Package httpclient makes the HTTP requests of the adapters, with MessagePack bodies.
 package httpclient
 
 import (
@@ -13,36 +13,45 @@
 	"coralhub/wire"
 )
 
-// Client returns a client that keeps so many idle connections a host, and has
-// no more than most open to one; 0 means no limit.
-func Client(dial time.Duration, idle, most int) *http.Client {
+const (
+	maxIdleConnections = 200
+	idleTimeout        = time.Minute
+)
+
+// New returns a client that keeps up to idlePerHost idle connections to a host and opens up to maxPerHost
+// of them; 0 means no limit.
+func New(dialTimeout time.Duration, idlePerHost, maxPerHost int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dial}).DialContext,
-		MaxIdleConns:        200,
-		MaxIdleConnsPerHost: idle, MaxConnsPerHost: most, DisableCompression: true, IdleConnTimeout: time.Minute,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConns:        maxIdleConnections,
+		MaxIdleConnsPerHost: idlePerHost,
+		MaxConnsPerHost:     maxPerHost,
+		DisableCompression:  true,
+		IdleConnTimeout:     idleTimeout,
 	}}
 }
 
-// Request makes a request whose body is the message in, none if it is nil.
-func Request(ctx context.Context, method, url string, in any) (*http.Request, error) {
+// NewRequest returns a request whose body is the encoded message, or empty if message is nil.
+func NewRequest(ctx context.Context, method, url string, message any) (*http.Request, error) {
 	var body io.Reader
-	if in != nil {
-		raw, err := wire.Marshal(in)
+	if message != nil {
+		raw, err := wire.Marshal(message)
 		if err != nil {
 			return nil, err
 		}
 		body = bytes.NewReader(raw)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
-	if err == nil {
-		req.Header.Set("Content-Type", wire.ContentType)
+	if err != nil {
+		return nil, err
 	}
-	return req, err
+	req.Header.Set("Content-Type", wire.ContentType)
+	return req, nil
 }
 
-// Do sends a request and reads the answer, up to limit bytes of it.
-func Do(c *http.Client, req *http.Request, limit int64) (status int, body []byte, err error) {
-	res, err := c.Do(req)
+// Do sends a request and reads up to limit bytes of the response's body.
+func Do(client *http.Client, req *http.Request, limit int64) (status int, body []byte, err error) {
+	res, err := client.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -51,9 +60,9 @@
 	return res.StatusCode, body, err
 }
 
-// NotSent tells whether an error of Do shows that no connection came about: the
-// request was certainly not executed, nor will it be.
+// NotSent reports whether an error of Do shows that no connection was made: the request was certainly
+// not executed, nor will it be.
 func NotSent(err error) bool {
-	var oe *net.OpError
-	return errors.As(err, &oe) && oe.Op == "dial"
+	var opError *net.OpError
+	return errors.As(err, &opError) && opError.Op == "dial"
 }
--- a/internal/node/inbox/inbox.go
+++ b/internal/node/inbox/inbox.go
@@ -1,7 +1,6 @@
-// Package inbox is the line of inputs in front of a node's loop, in lanes by who may fill
-// them, so that what keeps a node alive never waits behind what users send. A lane has a
-// length and a patience of its own: what doesn't fit, or would wait for longer than its
-// sender does, is refused at once, and a refusal costs a hundredth of an answer.
+// Package inbox queues the inputs of a node's loop by class, so that what keeps the node alive never waits
+// behind what users send. Each class has a maximum length and a maximum waiting time: what exceeds
+// them is shed at once, which costs a hundredth of answering it.
 package inbox
 
 import (
@@ -9,33 +8,32 @@
 	"time"
 )
 
-// Class is one of the lanes, the most important first.
+// Class is a class of inputs, the most important first.
 type Class int
 
-// The lanes, and who may fill each.
+// The classes, and who may fill each.
 const (
-	// Liveness is for answers to what this node has asked of the state service and the cloud,
-	// and for beats: bounded by what it asks and by the nodes.
+	// Liveness is for answers to what this node has asked of the state service and the cloud, and for
+	// heartbeat batches: bounded by what the node asks and by the number of nodes.
 	Liveness Class = iota
-	// Workers is for reports, and for what leaders and workers answer: bounded by the
-	// machines and by their reports' pace.
+	// Workers is for heartbeats, and for answers of the leader and of workers: bounded by the machines
+	// and the interval of their heartbeats.
 	Workers
 	// Users is for polls and cancellations: bounded by nothing but users.
 	Users
-	// Submissions is for new jobs and word of them.
+	// Submissions is for new jobs and peers' updates about them.
 	Submissions
 	classes
 )
 
-// weights are how many inputs of each lane go in a round while all of them wait. None of
-// the lanes starves another: even a node that is behind with everything gives a user
-// every fifteenth turn at least.
+// weights are how many inputs of each class are taken in a round while all of them wait. No class starves
+// another: even a node that is late with everything takes every fifteenth input from the last.
 var weights = [classes]int{8, 4, 2, 1}
 
-// maxWaiting are how long a lane may be, and how long what is offered to it may wait.
-var maxWaiting = [classes]struct {
-	length   int
-	patience time.Duration
+// limits are how many inputs of a class may wait, and for how long an offered one may.
+var limits = [classes]struct {
+	length  int
+	maxWait time.Duration
 }{
 	Liveness:    {2048, 2 * time.Second},
 	Workers:     {2048, 2 * time.Second},
@@ -46,116 +44,123 @@
 type item[T any] struct {
 	input    T
 	postedAt time.Time
-	offered  bool // and may be refused
+	offered  bool // it may be shed
 }
 
-// Inbox is the line in front of one loop.
+// Inbox is the queue of one loop. Its methods may be called from any goroutine.
 type Inbox[T any] struct {
-	now       func() time.Time
+	now  func() time.Time
+	wake chan struct{}
+
 	mu        sync.Mutex
-	room      [classes]*sync.Cond
+	hasRoom   [classes]*sync.Cond
 	queues    [classes][]item[T]
-	nextClass [classes]int // left in this round
-	wake      chan struct{}
-
-	shed [classes]int // at once, or as too late
+	remaining [classes]int // inputs that a class may still have taken in this round
+	shed      [classes]int // since Counters was last called
 }
 
-// New returns an empty line that goes by a clock.
+// New returns an empty inbox that goes by a clock.
 func New[T any](now func() time.Time) *Inbox[T] {
-	l := &Inbox[T]{now: now, wake: make(chan struct{}, 1), nextClass: weights}
-	for i := range l.room {
-		l.room[i] = sync.NewCond(&l.mu)
+	b := &Inbox[T]{now: now, wake: make(chan struct{}, 1), remaining: weights}
+	for i := range b.hasRoom {
+		b.hasRoom[i] = sync.NewCond(&b.mu)
 	}
-	return l
+	return b
 }
 
-// Post puts an answer of the outside into a lane. It is never refused, for the core waits
-// for it; if there is no room, whoever has asked for more than the loop can take waits.
-func (l *Inbox[T]) Post(lane Class, x T) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for len(l.queues[lane]) >= maxWaiting[lane].length {
-		l.room[lane].Wait()
+// Post adds an answer that the core waits for. It is never shed: while its class is full, Post blocks.
+func (b *Inbox[T]) Post(class Class, input T) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for len(b.queues[class]) >= limits[class].length {
+		b.hasRoom[class].Wait()
 	}
-	l.put(lane, item[T]{x, l.now(), false})
+	b.add(class, item[T]{input, b.now(), false})
 }
 
-// Offer puts an input into a lane, or returns false if it would wait for too long.
-func (l *Inbox[T]) Offer(lane Class, x T) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	q := l.queues[lane]
-	if len(q) >= maxWaiting[lane].length || len(q) > 0 && l.late(lane, &q[0]) {
-		l.shed[lane]++
+// Offer adds a request, or returns false if it would wait for too long.
+func (b *Inbox[T]) Offer(class Class, input T) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	queue := b.queues[class]
+	if len(queue) >= limits[class].length || len(queue) > 0 && b.expired(class, &queue[0]) {
+		b.shed[class]++
 		return false
 	}
-	l.put(lane, item[T]{x, l.now(), true})
+	b.add(class, item[T]{input, b.now(), true})
 	return true
 }
 
-func (l *Inbox[T]) put(lane Class, x item[T]) {
-	l.queues[lane] = append(l.queues[lane], x)
+func (b *Inbox[T]) add(class Class, x item[T]) {
+	b.queues[class] = append(b.queues[class], x)
 	select {
-	case l.wake <- struct{}{}:
+	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
-// late tells whether an input has waited for longer than its sender does.
-func (l *Inbox[T]) late(lane Class, x *item[T]) bool {
-	return l.now().Sub(x.postedAt) > maxWaiting[lane].patience
+// expired reports whether an input has waited for longer than its sender does.
+func (b *Inbox[T]) expired(class Class, x *item[T]) bool {
+	return b.now().Sub(x.postedAt) > limits[class].maxWait
 }
 
-// Ready is told when something may have come.
-func (l *Inbox[T]) Ready() <-chan struct{} { return l.wake }
+// Ready has a value when an input may have come.
+func (b *Inbox[T]) Ready() <-chan struct{} { return b.wake }
 
-// Delivery is what Next has found.
+// Delivery is an input with how long it waited.
 type Delivery[T any] struct {
-	Input  T
-	Waited time.Duration
-	Late   bool // whoever sent it has given up, or is about to: it is to be refused
+	Input   T
+	Waited  time.Duration
+	Expired bool // its sender has given up, or is about to: it is to be shed
 }
 
-// Next takes the next input; false: there is none.
-func (l *Inbox[T]) Next() (Delivery[T], bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for range 2 {
-		for lane := range l.queues {
-			if len(l.queues[lane]) == 0 || l.nextClass[lane] == 0 {
+// Next takes the next input; false if there is none.
+func (b *Inbox[T]) Next() (Delivery[T], bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for range 2 { // the second time with a new round
+		for class := range b.queues {
+			if len(b.queues[class]) == 0 || b.remaining[class] == 0 {
 				continue
 			}
-			l.nextClass[lane]--
-			return l.take(Class(lane)), true
+			b.remaining[class]--
+			return b.take(Class(class)), true
 		}
-		l.nextClass = weights
+		b.remaining = weights
 	}
 	return Delivery[T]{}, false
 }
 
-func (l *Inbox[T]) take(lane Class) Delivery[T] {
-	q := l.queues[lane]
-	x := q[0]
-	q[0] = item[T]{} // the rest of the slice keeps nothing alive
-	if l.queues[lane] = q[1:]; len(q) == 1 {
-		l.queues[lane] = nil
+func (b *Inbox[T]) take(class Class) Delivery[T] {
+	queue := b.queues[class]
+	x := queue[0]
+	queue[0] = item[T]{} // the rest of the slice must not keep it alive
+	b.queues[class] = queue[1:]
+	if len(queue) == 1 {
+		b.queues[class] = nil
 	}
-	l.room[lane].Signal()
-	late := x.offered && l.late(lane, &x)
-	if late {
-		l.shed[lane]++
+	b.hasRoom[class].Signal()
+	expired := x.offered && b.expired(class, &x)
+	if expired {
+		b.shed[class]++
 	}
-	return Delivery[T]{x.input, l.now().Sub(x.postedAt), late}
+	return Delivery[T]{x.input, b.now().Sub(x.postedAt), expired}
 }
 
-// Counters tells how many inputs wait, and how many were refused or came too late since it
-// was last asked. It is for the debug log.
-func (l *Inbox[T]) Counters() []any {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := []any{"alive", len(l.queues[Liveness]), "workers", len(l.queues[Workers]), "users", len(l.queues[Users]), "submissions", len(l.queues[Submissions]),
-		"workers_refused", l.shed[Workers], "users_refused", l.shed[Users], "submissions_refused", l.shed[Submissions]}
-	l.shed = [classes]int{}
+// Counters returns key-value pairs for the debug log: how many inputs wait, and how many were shed since
+// the last call.
+func (b *Inbox[T]) Counters() []any {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	out := []any{
+		"alive", len(b.queues[Liveness]),
+		"workers", len(b.queues[Workers]),
+		"users", len(b.queues[Users]),
+		"submissions", len(b.queues[Submissions]),
+		"workers_refused", b.shed[Workers],
+		"users_refused", b.shed[Users],
+		"submissions_refused", b.shed[Submissions],
+	}
+	b.shed = [classes]int{}
 	return out
 }
--- a/internal/node/inbox/inbox_test.go
+++ b/internal/node/inbox/inbox_test.go
@@ -15,7 +15,7 @@
 
 func (c *clock) now() time.Time { return c.at }
 
-func TestAFloodOfUsersHoldsNobodyElseUp(t *testing.T) {
+func TestUsersDoNotDelayOtherClasses(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
 	l := New[Class](c.now)
 	for l.Offer(Users, Users) {
@@ -24,7 +24,7 @@
 	}
 	l.Post(Liveness, Liveness)
 	if !l.Offer(Workers, Workers) {
-		t.Fatal("a worker was refused for users' sake")
+		t.Fatal("a worker was refused because of users")
 	}
 	if x, ok := l.Next(); !ok || x.Input != Liveness {
 		t.Errorf("first came %v", x.Input)
@@ -34,48 +34,48 @@
 	}
 }
 
-func TestWhatWouldWaitTooLongIsRefusedAtOnce(t *testing.T) {
+func TestShedsWhatWouldWaitTooLong(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
 	l := New[int](c.now)
 	l.Offer(Users, 1)
 	l.Offer(Users, 2)
-	c.at = c.at.Add(maxWaiting[Users].patience + 1)
+	c.at = c.at.Add(limits[Users].maxWait + 1)
 	if l.Offer(Users, 3) {
-		t.Error("taken though the one before it waits for too long already")
+		t.Error("accepted though the one before it has expired")
 	}
-	if x, _ := l.Next(); !x.Late {
-		t.Error("who has given up was not told apart")
+	if x, _ := l.Next(); !x.Expired {
+		t.Error("an expired input was not marked")
 	}
 	l.Next()
 	if !l.Offer(Users, 4) {
-		t.Error("an empty lane refuses")
+		t.Error("an empty queue refuses")
 	}
-	if x, _ := l.Next(); x.Late || x.Input != 4 {
+	if x, _ := l.Next(); x.Expired || x.Input != 4 {
 		t.Errorf("%+v", x)
 	}
 	l.Post(Liveness, 5)
 	c.at = c.at.Add(time.Hour)
-	if x, _ := l.Next(); x.Late {
-		t.Error("an answer of the outside was dropped")
+	if x, _ := l.Next(); x.Expired {
+		t.Error("a posted answer was shed")
 	}
 }
 
-// Whatever comes, nothing is lost or repeated, each lane keeps its order, and while a lane
-// waits it gets its part of any turns.
-func TestEveryLaneGetsItsPart(t *testing.T) {
+// Whatever comes, nothing is lost or repeated, each class keeps its order, and while a class waits it
+// gets its share of what is taken.
+func TestNoClassStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &clock{time.Unix(1, 0)}
 		l := New[[2]int](c.now)
 		var put, got [classes]int
-		waits := [classes]int{} // turns that others had while it waited
+		waits := [classes]int{} // inputs of others taken while it waited
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			if lane := Class(rapid.IntRange(0, int(classes)).Draw(t, "lane")); lane < classes {
-				if lane == Liveness {
-					l.Post(Liveness, [2]int{int(lane), put[lane]})
-				} else if !l.Offer(lane, [2]int{int(lane), put[lane]}) {
+			if class := Class(rapid.IntRange(0, int(classes)).Draw(t, "class")); class < classes {
+				if class == Liveness {
+					l.Post(Liveness, [2]int{int(class), put[class]})
+				} else if !l.Offer(class, [2]int{int(class), put[class]}) {
 					t.Fatal("refused with room")
 				}
-				put[lane]++
+				put[class]++
 				continue
 			}
 			x, ok := l.Next()
@@ -85,17 +85,17 @@
 				}
 				continue
 			}
-			lane := x.Input[0]
-			if x.Input[1] != got[lane] {
-				t.Fatalf("lane %d: got %d, should be %d", lane, x.Input[1], got[lane])
+			class := x.Input[0]
+			if x.Input[1] != got[class] {
+				t.Fatalf("class %d: got %d, should be %d", class, x.Input[1], got[class])
 			}
-			got[lane]++
+			got[class]++
 			for i := range waits {
-				if waits[i]++; i == lane || put[i] == got[i] {
+				if waits[i]++; i == class || put[i] == got[i] {
 					waits[i] = 0
 				}
 				if waits[i] > 2*(weights[0]+weights[1]+weights[2]+weights[3]) {
-					t.Fatalf("lane %d has waited for %d turns", i, waits[i])
+					t.Fatalf("class %d has waited while %d others were taken", i, waits[i])
 				}
 			}
 		}
--- a/internal/node/kvstore/counters.go
+++ b/internal/node/kvstore/counters.go
@@ -9,51 +9,57 @@
 	"coralhub/internal/node/counter"
 )
 
-// counters counts what was asked of the state service since the process began: what became of
-// transactions that change something, by turn, and transactions, changes and other requests
-// by purpose.
+// counters count requests to the state service since the process began: transactions with changes by
+// priority and result, and transactions, changes and other requests by purpose.
 type counters struct {
-	accepted, refused [msg.WritePriorities]counter.Counter // by the service
-	unsent            [msg.WritePriorities]counter.Counter // their turn would have come too late
+	accepted [msg.WritePriorities]counter.Counter
+	refused  [msg.WritePriorities]counter.Counter // by the service, for its quota
+	unsent   [msg.WritePriorities]counter.Counter // the limiter had no quota for them in time
 
 	transactions [msg.Purposes]counter.Counter // sent, refused ones too
-	changes      [msg.Purposes]counter.Counter // puts and deletes of those that were not refused for the quota
+	changes      [msg.Purposes]counter.Counter // of transactions that were not refused for the quota
 
-	reads, lists, watches, leases counter.Counter // requests that are no transactions
+	reads, lists, watches, leases counter.Counter // requests that are not transactions
 }
 
-// requests names the requests that are no transactions.
-func (t *counters) requests() map[string]*counter.Counter {
-	return map[string]*counter.Counter{"read": &t.reads, "list": &t.lists, "watch": &t.watches, "lease": &t.leases}
+// requests names the requests that are not transactions.
+func (c *counters) requests() map[string]*counter.Counter {
+	return map[string]*counter.Counter{"read": &c.reads, "list": &c.lists, "watch": &c.watches, "lease": &c.leases}
 }
 
+// priorityNames are the names of priorities in metrics and logs. Dashboards go by them.
 var priorityNames = [msg.WritePriorities]string{msg.Critical: "first", msg.Admission: "accept", msg.Deferrable: "later"}
 
-// Totals tells what became of changes since the process began, by name.
+// Totals returns what became of transactions with changes since the process began, by name, and
+// the present rate of deferrable changes (later_pace, a second).
 func (s *Store) Totals() map[string]float64 {
-	t := &s.counters
 	out := map[string]float64{"later_pace": float64(s.deferrableLimiter.limiter.Limit())}
-	for i, kind := range priorityNames {
-		out[kind+"_taken"] = t.accepted[i].Total()
-		out[kind+"_refused"] = t.refused[i].Total()
+	for i, name := range priorityNames {
+		out[name+"_taken"] = s.counters.accepted[i].Total()
+		out[name+"_refused"] = s.counters.refused[i].Total()
 	}
 	return out
 }
 
-// Counters tells what became of changes since it was last asked, and how many a
-// second those may take that give way. It is for the debug log, which alone asks.
+// Counters returns key-value pairs for the debug log: what became of transactions since the last call,
+// and the present rates a second. One goroutine may call it.
 func (s *Store) Counters() []any {
-	t := &s.counters
 	var out []any
-	for i, kind := range priorityNames {
-		out = append(out, kind, t.accepted[i].Since(), kind+"_refused", t.refused[i].Since(), kind+"_unsent", t.unsent[i].Since())
+	for i, name := range priorityNames {
+		out = append(out,
+			name, s.counters.accepted[i].Since(),
+			name+"_refused", s.counters.refused[i].Since(),
+			name+"_unsent", s.counters.unsent[i].Since())
 	}
-	pace := func(p *rateLimiter) float64 { return math.Round(float64(p.limiter.Limit())*10) / 10 }
-	return append(out, "later_pace", pace(s.deferrableLimiter), "accept_pace", pace(s.admissionLimiter), "calls_pace", pace(s.requestLimiter))
+	rounded := func(l *rateLimiter) float64 { return math.Round(float64(l.limiter.Limit())*10) / 10 }
+	return append(out,
+		"later_pace", rounded(s.deferrableLimiter),
+		"accept_pace", rounded(s.admissionLimiter),
+		"calls_pace", rounded(s.requestLimiter))
 }
 
-// Requests tells how many requests were sent since the process began, refused ones too, by
-// purpose: those of msg.Purpose are transactions, and read, list, watch and lease are not.
+// Requests returns how many requests were sent since the process began, refused ones too, by purpose:
+// those of msg.Purpose are transactions; read, list, watch and lease are not.
 func (s *Store) Requests() map[string]float64 {
 	out := map[string]float64{}
 	for name, c := range s.counters.requests() {
@@ -65,8 +71,8 @@
 	return out
 }
 
-// Changes tells how many puts and deletes were sent and not refused for the quota since the
-// process began, by purpose.
+// Changes returns how many puts and deletes were sent and not refused for the quota since the process
+// began, by purpose.
 func (s *Store) Changes() map[string]float64 {
 	out := map[string]float64{}
 	for p := range msg.Purposes {
@@ -75,7 +81,8 @@
 	return out
 }
 
-// PurposeTotals tells all of Requests and Changes that is not 0 as a line of the debug log.
+// PurposeTotals returns Requests and Changes as key-value pairs for the debug log, without those that
+// are 0.
 func (s *Store) PurposeTotals() []any {
 	var out []any
 	add := func(kind string, totals map[string]float64) {
--- a/internal/node/kvstore/rate_limiter.go
+++ b/internal/node/kvstore/rate_limiter.go
@@ -1,7 +1,6 @@
 package kvstore
 
 import (
-	"math"
 	"sync"
 	"time"
 
@@ -10,159 +9,150 @@
 	"coralhub/internal/config"
 )
 
-// rateLimiter is a limiter that slows down when the service refuses, to no less than a part that
-// is its own, and recovers with each time that it doesn't and with time: whole within
-// paceRecovery of the last refusal, however little is sent. By successes alone it would
-// stay down on a node that sends nothing: one that has only accepted jobs during a flood
-// kept an eighth of the rate for minutes, and began with it when it came to lead. What it
-// recovers to follows the quota down, when that falls from some moment on: refusals are then
-// frequent, and those who wait for answers would be refused as well.
-type rateLimiter struct {
-	limiter *rate.Limiter
-	mu      sync.Mutex
-	aimdParameters
-	minRate          rate.Limit // however often it is refused
-	lowRate, maxRate rate.Limit // between these goes what it recovers to
-	maxBurst         rate.Limit // what it recovers to
-	recoveredAt      time.Time  // when it was last changed
-	decreasedAt      time.Time  // when it was last cut
-}
+// The quotas are for all nodes together, and nobody divides them. Each purpose borrows what is idle,
+// up to its maximum share, and is left with its guaranteed share once the service refuses. The
+// guaranteed shares add up to less than the whole: under overload nothing is refused for long, and
+// neither do admissions take the changes that placements need, nor the other way round.
+// Transactions that are neither, such as elections and cancellations, are few and not adapted.
+const (
+	maxAdmissionShare = 0.7 // of one node, of the quota of changes
+	admissionShare    = 0.5 // of all nodes together
+	maxLeaderShare    = 0.9 // of the leader's deferrable changes
+	leaderShare       = 0.4
+	maxRequestShare   = 0.5 // of one node, of the quota of requests
+	requestShare      = 0.9 // of all nodes together
+)
+
+const (
+	// recoveryTime is how long after the last refusal a limiter has its full rate.
+	recoveryTime = 5 * time.Second
+	// ceilingDecrease and ceilingIncrease move the rate that a limiter recovers to: by a refusal,
+	// and, as a part of the maximum, by a request that is not refused.
+	ceilingDecrease = 0.96
+	ceilingIncrease = 0.001
+	// futureQuotaShare is the part of a quota that falls later which deferrable changes recover to
+	// at the least.
+	futureQuotaShare = 0.8
+	// leaderBurstShare is how much of a second's quota deferrable changes may use at once.
+	leaderBurstShare = 0.2
+)
 
-// aimdParameters is how a pace answers.
+// aimdParameters are how a limiter adapts: additive increase, multiplicative decrease.
 type aimdParameters struct {
-	decreaseFactor   rate.Limit    // what a refusal leaves of it
-	increase         rate.Limit    // what is added for each time that it isn't refused, in parts of the whole
-	fullRecovery     time.Duration // how long after a refusal it is back, if no other comes
-	decreaseInterval time.Duration // refusals within so long are one: what was sent together is refused together
+	decreaseFactor   rate.Limit    // what a refusal leaves of the rate
+	increase         rate.Limit    // what a request that is not refused adds, as a part of the ceiling
+	fullRecovery     time.Duration // how long after a refusal the rate is back if no other comes
+	decreaseInterval time.Duration // refusals within it count once: what was sent together is refused together
 }
 
 var (
-	// A leader's part is used by one node: it takes what it finds.
+	// fastRecovery is for a share that one node uses: it takes what it finds idle.
 	fastRecovery = aimdParameters{decreaseFactor: 0.7, increase: 0.03, fullRecovery: recoveryTime}
-	// All nodes accept. What one of them finds idle the others find too, so they are slower to
-	// take it. A day begins with hundreds of jobs at once: with each refusal cutting the pace
-	// and 30 s to recover, a third of the quota was left idle for 20 s.
-	slowRecovery = aimdParameters{decreaseFactor: 0.6, increase: 0.03, fullRecovery: 1 * recoveryTime, decreaseInterval: 200 * time.Millisecond}
+	// slowRecovery is for a share that all nodes use. What one of them finds idle the others find
+	// too, so they are slower to take it. When hundreds of jobs come at once, decreasing with every
+	// refusal left a third of the quota idle for 20 s.
+	slowRecovery = aimdParameters{decreaseFactor: 0.6, increase: 0.03, fullRecovery: recoveryTime, decreaseInterval: 200 * time.Millisecond}
 )
 
-// recoveryTime is how long after a refusal a leader's pace is back, if no other comes.
-const recoveryTime = 5 * time.Second
+// rateLimiter is a limiter that slows down when the service refuses, to no less than a share of its
+// own, and recovers with every request that is not refused and with time: fully within
+// fullRecovery of the last refusal, however little is sent. By successes alone it would stay slow on
+// a node that sends nothing, which then has an eighth of the rate when it is elected. The ceiling
+// that it recovers to follows the quota down when that falls at some moment: refusals are frequent then.
+type rateLimiter struct {
+	aimdParameters
+	limiter *rate.Limiter
 
-// The quotas are for all nodes together, and nobody deals them out. Each purpose borrows
-// what is idle, up to its top, and is left with its part once the service refuses: the parts
-// add up to less than the whole, so that in a flood nothing is refused for long, and neither
-// do accepts take the changes that placements need, nor the other way round. Transactions
-// that are neither, such as claims and cancellations, are few and have no pace.
-const (
-	maxAdmissionShare = 0.7 // of one node, in parts of the quota of changes
-	admissionShare    = 0.5 // of all nodes together
-	maxLeaderShare    = 0.9 // of what a leader writes that can wait
-	leaderShare       = 0.4
-	maxRequestShare   = 0.5 // of one node, in parts of the quota of requests
-	requestShare      = 0.9 // of all nodes together
-)
+	mu          sync.Mutex
+	minRate     rate.Limit // however often it is refused
+	lowRate     rate.Limit // the least that the ceiling falls to
+	maxRate     rate.Limit // the most that the ceiling rises to
+	ceiling     rate.Limit // what it recovers to
+	recoveredAt time.Time
+	decreasedAt time.Time
+}
 
-func newRateLimiter(top, least, low rate.Limit, burst int, t aimdParameters) *rateLimiter {
-	return &rateLimiter{limiter: rate.NewLimiter(top, burst), aimdParameters: t, minRate: min(least, top), lowRate: min(low, top), maxRate: top, maxBurst: top}
+func newRateLimiter(maxRate, minRate, lowRate rate.Limit, burst int, parameters aimdParameters) *rateLimiter {
+	return &rateLimiter{
+		aimdParameters: parameters,
+		limiter:        rate.NewLimiter(maxRate, burst),
+		minRate:        min(minRate, maxRate),
+		lowRate:        min(lowRate, maxRate),
+		maxRate:        maxRate,
+		ceiling:        maxRate,
+	}
 }
 
-// newLeaderLimiter is for what a leader writes that can wait.
+// newLeaderLimiter is for a leader's deferrable changes.
 func newLeaderLimiter(s *config.State) *rateLimiter {
-	top := rate.Limit(s.WriteRPS * maxLeaderShare)
-	low := top
+	maxRate := rate.Limit(s.WriteRPS * maxLeaderShare)
+	lowRate := maxRate
 	if s.LeastWriteRPS() < s.WriteRPS {
-		low = rate.Limit(s.LeastWriteRPS() * 0.8)
+		lowRate = rate.Limit(s.LeastWriteRPS() * futureQuotaShare)
 	}
-	return newRateLimiter(top, rate.Limit(s.LeastWriteRPS()*leaderShare), low, max(1, int(s.LeastWriteRPS()*0.2), s.Ops()), fastRecovery)
+	burst := max(1, int(s.LeastWriteRPS()*leaderBurstShare), s.Ops())
+	return newRateLimiter(maxRate, rate.Limit(s.LeastWriteRPS()*leaderShare), lowRate, burst, fastRecovery)
 }
 
 // newAdmissionLimiter is for the jobs that one of so many nodes accepts.
 func newAdmissionLimiter(s *config.State, nodes int) *rateLimiter {
-	part := rate.Limit(s.LeastWriteRPS() * admissionShare / float64(nodes))
-	return newRateLimiter(rate.Limit(s.WriteRPS*maxAdmissionShare), part, part, max(1, int(s.LeastWriteRPS()*maxAdmissionShare), s.Ops()), slowRecovery)
+	share := rate.Limit(s.LeastWriteRPS() * admissionShare / float64(nodes))
+	burst := max(1, int(s.LeastWriteRPS()*maxAdmissionShare), s.Ops())
+	return newRateLimiter(rate.Limit(s.WriteRPS*maxAdmissionShare), share, share, burst, slowRecovery)
 }
 
-// newRequestLimiter is for all requests of one of so many nodes, but for those that keep it alive.
+// newRequestLimiter is for all requests of one of so many nodes, but for leases and the watch.
 func newRequestLimiter(s *config.State, nodes int) *rateLimiter {
-	part := rate.Limit(s.RPS * requestShare / float64(nodes))
-	return newRateLimiter(rate.Limit(s.RPS*maxRequestShare), part, part, max(1, int(s.RPS*maxRequestShare)), slowRecovery)
+	share := rate.Limit(s.RPS * requestShare / float64(nodes))
+	burst := max(1, int(s.RPS*maxRequestShare))
+	return newRateLimiter(rate.Limit(s.RPS*maxRequestShare), share, share, burst, slowRecovery)
 }
 
-// setMinRate gives it another part.
-func (p *rateLimiter) setMinRate(now time.Time, least float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.minRate = min(rate.Limit(least), p.maxRate)
-	p.lowRate = p.minRate
-	if p.maxBurst = max(p.maxBurst, p.lowRate); p.limiter.Limit() < p.minRate {
-		p.limiter.SetLimitAt(now, p.minRate)
+// setMinRate changes the share that the limiter keeps however often it is refused, in events a second.
+func (l *rateLimiter) setMinRate(now time.Time, minRate float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.minRate = min(rate.Limit(minRate), l.maxRate)
+	l.lowRate = l.minRate
+	l.ceiling = max(l.ceiling, l.lowRate)
+	if l.limiter.Limit() < l.minRate {
+		l.limiter.SetLimitAt(now, l.minRate)
 	}
 }
 
-// demand is a mean over the last seconds of how often something is wanted.
-type demand struct {
-	mu       sync.Mutex
-	fadedAt  time.Time
-	meanRate float64 // a second
-}
-
-// demandWindow is how many seconds it is the mean of.
-const demandWindow = 3
-
-func (w *demand) add(now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.fade(now)
-	w.meanRate += 1.0 / demandWindow
-}
-
-func (w *demand) rate(now time.Time) float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.fade(now)
-	return w.meanRate
-}
-
-func (w *demand) fade(now time.Time) {
-	if passed := now.Sub(w.fadedAt).Seconds(); passed > 0 {
-		w.meanRate *= math.Exp(-passed / demandWindow)
-		w.fadedAt = now
+// observe adapts the rate to whether the service has refused a request for its quota.
+func (l *rateLimiter) observe(now time.Time, refused bool) {
+	l.recover(now)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	limit := l.limiter.Limit()
+	if !refused {
+		l.ceiling = min(l.maxRate, l.ceiling+l.maxRate*ceilingIncrease)
+		l.limiter.SetLimitAt(now, min(l.ceiling, limit+l.ceiling*l.increase))
+		return
 	}
-}
-
-// observe is told whether the service has refused a request for its quota.
-func (p *rateLimiter) observe(now time.Time, refused bool) {
-	p.recover(now)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	limit := p.limiter.Limit()
-	if refused {
-		if now.Sub(p.decreasedAt) < p.decreaseInterval {
-			return
-		}
-		p.decreasedAt = now
-		p.maxBurst = max(p.lowRate, p.maxBurst*0.96)
-		p.limiter.SetLimitAt(now, max(p.minRate, min(limit, p.maxBurst)*p.decreaseFactor))
+	if now.Sub(l.decreasedAt) < l.decreaseInterval {
 		return
 	}
-	p.maxBurst = min(p.maxRate, p.maxBurst+p.maxRate*0.001)
-	p.limiter.SetLimitAt(now, min(p.maxBurst, limit+p.maxBurst*p.increase))
+	l.decreasedAt = now
+	l.ceiling = max(l.lowRate, l.ceiling*ceilingDecrease)
+	l.limiter.SetLimitAt(now, max(l.minRate, min(limit, l.ceiling)*l.decreaseFactor))
 }
 
-// recover gives back what time has brought since the last change.
-func (p *rateLimiter) recover(now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.recoveredAt.IsZero() {
-		p.recoveredAt = now
+// recover raises the rate by the time since it was last called.
+func (l *rateLimiter) recover(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.recoveredAt.IsZero() {
+		l.recoveredAt = now
 	}
-	passed := now.Sub(p.recoveredAt)
+	passed := now.Sub(l.recoveredAt)
 	if passed <= 0 {
 		return
 	}
-	p.recoveredAt = now
-	gained := p.maxBurst * rate.Limit(passed.Seconds()/p.fullRecovery.Seconds())
-	if limit := p.limiter.Limit(); limit < p.maxBurst {
-		p.limiter.SetLimitAt(now, min(p.maxBurst, limit+gained))
+	l.recoveredAt = now
+	gained := l.ceiling * rate.Limit(passed.Seconds()/l.fullRecovery.Seconds())
+	if limit := l.limiter.Limit(); limit < l.ceiling {
+		l.limiter.SetLimitAt(now, min(l.ceiling, limit+gained))
 	}
 }
--- a/internal/node/kvstore/store_test.go
+++ b/internal/node/kvstore/store_test.go
@@ -14,16 +14,16 @@
 // The same cases every run; -rapid.seed draws others.
 var _ = flag.Set("rapid.seed", "1")
 
-// A pace that was refused down to its floor is whole again in the stated time though
-// nothing is sent, and never leaves its bounds whatever happens.
-func TestPaceRecoversWithTime(t *testing.T) {
+// A limiter that was refused down to its minimum has its full rate again in the stated time though nothing is
+// sent.
+func TestRateRecoversWithTime(t *testing.T) {
 	p := newLeaderLimiter(&config.State{RPS: 120, WriteRPS: 25, TxnOps: 8})
 	now := time.Unix(100, 0)
 	for range 50 {
 		p.observe(now, true)
 	}
 	if got := p.limiter.Limit(); got != p.minRate {
-		t.Fatalf("refused fifty times: %v, not the floor %v", got, p.minRate)
+		t.Fatalf("refused fifty times: %v, not the minimum %v", got, p.minRate)
 	}
 	p.recover(now.Add(recoveryTime / 2))
 	if got := p.limiter.Limit(); got < p.maxRate/2 || got >= p.maxRate {
@@ -35,7 +35,8 @@
 	}
 }
 
-func TestPaceStaysInItsBounds(t *testing.T) {
+// Whatever happens, the rate stays between the limiter's minimum and maximum.
+func TestRateStaysInItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &config.State{RPS: 120, WriteRPS: 40, TxnOps: 8}
 		s.Next.WriteRPS = rapid.SampledFrom([]float64{0, 18}).Draw(t, "coming")
@@ -51,10 +52,10 @@
 	})
 }
 
-// In a flood every node accepts what it can and the leader has places to write. The parts add
-// up to less than the quota, so it is used and little is refused, however many nodes there are,
-// and neither purpose takes the other's part.
-func TestPartsAddUpInAFlood(t *testing.T) {
+// Under overload every node accepts what it can and the leader has placements to write. The shares add up to
+// less than the quota, so it is used and little is refused, however many nodes there are, and neither
+// purpose takes the other's share.
+func TestSharesAddUpUnderOverload(t *testing.T) {
 	for _, nodes := range []int{3, 9} {
 		s := &config.State{RPS: 250, WriteRPS: 60, TxnOps: 8}
 		var accepts []*rateLimiter
@@ -73,7 +74,7 @@
 			ok := quota.AllowN(now, 1)
 			p.observe(now, !ok)
 			if !ok && p != later {
-				later.observe(now, true) // each node's own, but the leader hears of its refusals
+				later.observe(now, true) // each node's own, but the leader slows down by its refusals
 			}
 			if now.Unix() < 120 {
 				return ok // the burst that the quota allows
--- a/internal/node/leaserenewal/renewer_test.go
+++ b/internal/node/leaserenewal/renewer_test.go
@@ -8,19 +8,19 @@
 const ttl = 3 * time.Second
 
 // A loop that is stuck for some seconds keeps its lease, one that is stuck for good doesn't.
-func TestKeepsForABusyLoop(t *testing.T) {
+func TestRenewsForABusyLoop(t *testing.T) {
 	now := time.Unix(100, 0)
-	var k Renewer
-	k.Adopt(7, ttl, now)
-	last, end := now, now.Add(commandLifetimeTTLs*ttl)
+	var r Renewer
+	r.Adopt(7, ttl, now)
+	last, end := now, now.Add(maxSilenceTTLs*ttl)
 	for now.Before(end.Add(ttl)) {
-		lease, in := k.Due(now)
+		lease, in := r.Due(now)
 		if lease == 0 {
 			now = now.Add(in)
 			continue
 		}
 		if now.After(end) {
-			t.Fatal("renewed for a loop that says nothing")
+			t.Fatal("renewed for a loop that asks for nothing")
 		}
 		if now.Sub(last) > ttl/2 {
 			t.Errorf("not renewed for %v", now.Sub(last))
@@ -30,26 +30,26 @@
 	if end.Sub(last) > ttl/2 {
 		t.Errorf("given up %v early", end.Sub(last))
 	}
-	k.Adopt(7, ttl, now)
-	k.Release(6)
-	if lease, _ := k.Due(now.Add(ttl / 2)); lease != 7 {
+	r.Adopt(7, ttl, now)
+	r.Release(6)
+	if lease, _ := r.Due(now.Add(ttl / 2)); lease != 7 {
 		t.Error("another lease's end ended this one")
 	}
-	k.Release(7)
-	if lease, _ := k.Due(now.Add(ttl)); lease != 0 {
+	r.Release(7)
+	if lease, _ := r.Due(now.Add(ttl)); lease != 0 {
 		t.Error("renewed after it was dropped")
 	}
 }
 
 // A loop that keeps up renews by itself alone: no request is added.
-func TestAddsNothingToALoopThatKeepsUp(t *testing.T) {
+func TestAddsNoRenewalsToALoopThatKeepsUp(t *testing.T) {
 	now := time.Unix(100, 0)
-	var k Renewer
+	var r Renewer
 	for range 20 {
-		k.Adopt(7, ttl, now)
-		for range 8 { // the core's next word is a tick after a quarter
+		r.Adopt(7, ttl, now)
+		for range 8 { // the core's next request is a tick after a quarter
 			now = now.Add(100 * time.Millisecond)
-			if lease, _ := k.Due(now); lease != 0 {
+			if lease, _ := r.Due(now); lease != 0 {
 				t.Fatal("renewed twice")
 			}
 		}
--- a/internal/node/metrics/names_test.go
+++ b/internal/node/metrics/names_test.go
@@ -32,7 +32,7 @@
 	for _, in := range []msg.Input{msg.Tick{}, msg.Snapshot{}, msg.Changed{}, msg.CommitDone{}, msg.ReadDone{}, msg.LeaseDone{}, msg.HeartbeatIn{}, msg.CommandDone{},
 		msg.CatalogDone{}, msg.ListDone{}, msg.ScaleOutDone{}, msg.ScaleInDone{}, msg.SubmitIn{}, msg.PollIn{}, msg.CancelIn{}, msg.ForwardDone{}, msg.HeartbeatBatchIn{},
 		msg.HeartbeatBatchDone{}, msg.PeerAlive{}, msg.PeerUpdate{}, msg.AdminIn{}} {
-		m.Stepped(in, time.Millisecond)
+		m.ObserveStep(in, time.Millisecond)
 	}
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "GET", Path, nil))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs the core: one loop owns it, and adapters carry its effects
-// out and post what comes of them.
+// Package node runs a controller: one loop owns the core, and adapters carry out its effects and post the
+// results.
 package node
 
 import (
@@ -31,14 +31,19 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	// reservedSockets are kept back for workers' direct calls, peers and the
-	// outside systems.
+	// reservedSockets is the share of connections that is kept for direct calls to workers, peers and
+	// the outside systems.
 	reservedSockets = 0.3
-	// counterLogInterval is how often the debug log tells what the adapters were busy with.
+	// counterLogInterval is the time between two lines of each adapter in the debug log.
 	counterLogInterval = 5 * time.Second
+	// peerStatusInterval is how often peers are asked for their status.
+	peerStatusInterval = time.Second
+	// isolatedAfter is how long the state service has to be out of reach for this node, while a peer
+	// reaches it, for the node to be not ready.
+	isolatedAfter = 1500 * time.Millisecond
 )
 
-// adapter carries out the effects that are its own.
+// adapter carries out effects. Do returns false for effects of other adapters.
 type adapter interface {
 	Do(msg.Effect) bool
 }
@@ -54,9 +59,9 @@
 	api      *httpapi.API
 	loaded   atomic.Bool
 	isolated atomic.Bool // the state service is out of reach for this node alone
-	retired  atomic.Bool // the records are of a later version
+	stopped  atomic.Bool // the stored format is newer than this version
 	start    time.Time
-	metrics  *metrics.Metrics // nil: nobody asks
+	metrics  *metrics.Metrics // nil if metrics are off
 }
 
 // New returns a node that is not running yet.
@@ -66,7 +71,7 @@
 	fromWorkers := func(in msg.Input) { n.inputs.Post(classOf(in), in) }
 	n.store = kvstore.New(cfg, n.clock, post)
 	n.peers = peer.New(cfg, fromWorkers)
-	n.api = httpapi.New(n.offer, func() bool { return n.loaded.Load() && !n.isolated.Load() && !n.retired.Load() }, cfg.Settings.Admin)
+	n.api = httpapi.New(n.offer, n.ready, cfg.Settings.Admin)
 	if cfg.Settings.Metrics {
 		n.metrics = metrics.New(n.api.Gauges, n.store, n.peers.Totals)
 		n.api.Serve(metrics.Path, n.metrics)
@@ -75,12 +80,14 @@
 	return n
 }
 
-// offer posts an input unless its lane is so long that its answer would come
-// too late anyway.
+// ready reports whether the node can take requests.
+func (n *Node) ready() bool { return n.loaded.Load() && !n.isolated.Load() && !n.stopped.Load() }
+
+// offer adds an input to the inbox unless its answer would come too late anyway.
 func (n *Node) offer(in msg.Input) bool { return n.inputs.Offer(classOf(in), in) }
 
-// classOf tells where an input waits that somebody else has sent. Beats tell who is alive: they
-// are some a second, and don't wait behind reports.
+// classOf returns the inbox class of an input that somebody else has sent. Heartbeat batches show who is
+// alive: they are a few a second, and don't wait behind heartbeats.
 func classOf(in msg.Input) inbox.Class {
 	switch in.(type) {
 	case msg.HeartbeatBatchIn, msg.HeartbeatBatchDone, msg.PeerAlive:
@@ -93,31 +100,30 @@
 	return inbox.Workers
 }
 
-// Run serves until ctx ends or a listener fails.
+// Run serves until ctx ends or a listener fails. The error names the listener.
 func (n *Node) Run(ctx context.Context) error {
-	limits := &n.cfg.Cluster.Limits
-	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(limits.MemoryMB * n.cfg.Settings.MemoryShare * (1 << 20)))
-		debug.SetGCPercent(200)
-	}
+	n.limitMemory()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	users, err := new(net.ListenConfig).Listen(ctx, "tcp", n.cfg.ClientListen)
+	users, err := n.listenForUsers(ctx)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
 	defer func() { _ = users.Close() }()
-	if limits.MaxConnections > 0 {
-		users = netutil.LimitListener(users, max(1, int(float64(limits.MaxConnections)*(1-reservedSockets))))
-	}
 	peers, err := new(net.ListenConfig).Listen(ctx, "tcp", n.cfg.PeerListen)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
 	defer func() { _ = peers.Close() }()
 	failed := make(chan error, 2)
-	server := &http.Server{Handler: n.api.Handler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
-		WriteTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10}
+	server := &http.Server{
+		Handler:           n.api.Handler(),
+		ReadHeaderTimeout: 5 * time.Second,
+		ReadTimeout:       10 * time.Second,
+		WriteTimeout:      10 * time.Second,
+		IdleTimeout:       2 * time.Minute,
+		MaxHeaderBytes:    16 << 10,
+	}
 	defer func() { _ = server.Close() }()
 	go func() { failed <- server.Serve(users) }()
 	go func() {
@@ -126,11 +132,7 @@
 	go n.store.Follow(ctx)
 	go n.store.RenewLeases(ctx)
 	go n.watchPeers(ctx)
-	slog.Info("serving", "node", n.cfg.Node, "location", n.cfg.Location, "users", n.cfg.ClientListen, "peers", n.cfg.PeerListen)
-	if w := &n.cfg.Cluster.Workers; !w.LeaseEndsInTime() {
-		slog.Warn("cancel_s is not longer than lease_s: cancellations are confirmed only once every task is proven gone",
-			"lease_s", w.LeaseS, "cancel_s", w.CancelS)
-	}
+	n.logStart()
 	n.loop(ctx, failed)
 	select {
 	case err := <-failed:
@@ -142,14 +144,46 @@
 	return nil
 }
 
+// limitMemory has the garbage collector keep the process below its memory limit.
+func (n *Node) limitMemory() {
+	limitMB := n.cfg.Cluster.Limits.MemoryMB
+	if limitMB <= 0 {
+		return
+	}
+	debug.SetMemoryLimit(int64(limitMB * n.cfg.Settings.MemoryShare * (1 << 20)))
+	debug.SetGCPercent(200)
+}
+
+func (n *Node) listenForUsers(ctx context.Context) (net.Listener, error) {
+	users, err := new(net.ListenConfig).Listen(ctx, "tcp", n.cfg.ClientListen)
+	if err != nil {
+		return nil, err
+	}
+	limit := n.cfg.Cluster.Limits.MaxConnections
+	if limit <= 0 {
+		return users, nil
+	}
+	return netutil.LimitListener(users, max(1, int(float64(limit)*(1-reservedSockets)))), nil
+}
+
+func (n *Node) logStart() {
+	slog.Info("serving", "node", n.cfg.Node, "location", n.cfg.Location, "users", n.cfg.ClientListen, "peers", n.cfg.PeerListen)
+	if w := &n.cfg.Cluster.Workers; !w.LeaseEndsInTime() {
+		slog.Warn("cancel_s is not longer than lease_s: cancellations are confirmed only once every task is proven gone",
+			"lease_s", w.LeaseS, "cancel_s", w.CancelS)
+	}
+}
+
+// loop hands inputs and ticks to the core until ctx ends or a listener fails. It is the only goroutine that
+// uses the core.
 func (n *Node) loop(ctx context.Context, failed chan error) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	counted := n.start
+	loggedAt := n.start
 	for {
-		taken, ok := n.inputs.Next()
+		delivery, ok := n.inputs.Next()
 		if ok {
-			n.process(taken)
+			n.process(delivery)
 			select {
 			case <-tick.C:
 			case err := <-failed:
@@ -174,26 +208,30 @@
 		}
 		now := time.Now()
 		n.step(msg.Tick{WallClock: now.UnixMicro()})
-		if now.Sub(counted) >= counterLogInterval && slog.Default().Enabled(ctx, slog.LevelDebug) {
-			counted = now
-			slog.Debug("state service transactions", n.store.Counters()...)
-			slog.Debug("state service requests by purpose", n.store.PurposeTotals()...)
-			slog.Debug("peer calls", n.peers.Counters()...)
-			slog.Debug("inbox", n.inputs.Counters()...)
+		if now.Sub(loggedAt) >= counterLogInterval && slog.Default().Enabled(ctx, slog.LevelDebug) {
+			loggedAt = now
+			n.logCounters()
 		}
 	}
 }
 
-// process hands an input to the core, unless whoever sent it has waited for too long: then it
-// is refused, which costs next to nothing.
-func (n *Node) process(t inbox.Delivery[msg.Input]) {
-	if t.Late {
-		n.api.Shed(t.Input)
+func (n *Node) logCounters() {
+	slog.Debug("state service transactions", n.store.Counters()...)
+	slog.Debug("state service requests by purpose", n.store.PurposeTotals()...)
+	slog.Debug("peer calls", n.peers.Counters()...)
+	slog.Debug("inbox", n.inputs.Counters()...)
+}
+
+// process hands an input to the core, unless its sender has waited for too long: shedding it costs next to
+// nothing.
+func (n *Node) process(d inbox.Delivery[msg.Input]) {
+	if d.Expired {
+		n.api.Shed(d.Input)
 		return
 	}
-	in := t.Input
+	in := d.Input
 	if x, ok := in.(msg.LeaseDone); ok {
-		x.Age += t.Waited.Microseconds()
+		x.Age += d.Waited.Microseconds()
 		in = x
 	}
 	n.step(in)
@@ -202,54 +240,59 @@
 	}
 }
 
-// clock is the steady clock that the core goes by.
+// clock is the monotonic clock that the core goes by, in microseconds.
 func (n *Node) clock() msg.Micros { return time.Since(n.start).Microseconds() + 1 }
 
+// step hands an input to the core and carries out the effects.
 func (n *Node) step(in msg.Input) {
 	began := time.Now()
-	defer func() { n.metrics.Stepped(in, time.Since(began)) }()
+	defer func() { n.metrics.ObserveStep(in, time.Since(began)) }()
 	for _, e := range n.core.Step(n.clock(), in) {
-		if l, ok := e.(msg.Log); ok {
-			level := slog.LevelInfo
-			if l.Debug {
-				level = slog.LevelDebug
-			}
-			slog.Log(context.Background(), level, l.Message, l.Args...)
-			continue
-		}
-		if _, ok := e.(msg.StopServing); ok {
-			n.retired.Store(true)
-			continue
+		n.carryOut(e)
+	}
+}
+
+func (n *Node) carryOut(e msg.Effect) {
+	switch x := e.(type) {
+	case msg.Log:
+		level := slog.LevelInfo
+		if x.Debug {
+			level = slog.LevelDebug
 		}
-		for _, a := range n.adapters {
-			if a.Do(e) {
-				break
-			}
+		slog.Log(context.Background(), level, x.Message, x.Args...)
+		return
+	case msg.StopServing:
+		n.stopped.Store(true)
+		return
+	}
+	for _, a := range n.adapters {
+		if a.Do(e) {
+			return
 		}
 	}
 }
 
-// status is what this node tells its peers.
+// status is what this node reports to its peers.
 func (n *Node) status() peer.Status {
 	return peer.Status{StateOK: n.store.FailingFor() == 0, Says: true, Accepts: n.store.AdmissionDemand()}
 }
 
-// watchPeers keeps in touch with the other nodes. It also finds out whether this node alone has lost the state service: it
-// then says that it is not ready. If no peer has it either, all stay ready and
-// answer 503 with Retry-After, so that nobody waits for the balancer afterwards.
+// watchPeers asks the other nodes for their status. It shows whether this node alone has lost the state
+// service: then the node is not ready. If no peer reaches it either, all stay ready and answer 503 with
+// Retry-After, so that nobody waits for the load balancer afterwards.
 func (n *Node) watchPeers(ctx context.Context) {
-	wait.Every(ctx, time.Second, func() {
-		anyOK := false
-		var accepts []float64
-		for node, st := range n.peers.CollectStatus() {
-			anyOK = anyOK || st.StateOK
-			if st.Says {
-				accepts = append(accepts, st.Accepts)
+	wait.Every(ctx, peerStatusInterval, func() {
+		anyReaches := false
+		var admissionDemands []float64
+		for node, status := range n.peers.CollectStatus() {
+			anyReaches = anyReaches || status.StateOK
+			if status.Says {
+				admissionDemands = append(admissionDemands, status.Accepts)
 			}
 			n.inputs.Post(inbox.Liveness, msg.PeerAlive{Node: node})
 		}
-		n.store.SetAdmissionShare(accepts)
-		alone := anyOK && n.store.FailingFor() > 1500*time.Millisecond
+		n.store.SetAdmissionShare(admissionDemands)
+		alone := anyReaches && n.store.FailingFor() > isolatedAfter
 		if alone != n.isolated.Swap(alone) {
 			slog.Info("state service reachability", "lost_by_this_node_alone", alone)
 		}
--- a/internal/node/peer/compat_test.go
+++ b/internal/node/peer/compat_test.go
@@ -84,11 +84,11 @@
 
 type fixedAnswers struct{}
 
-func (fixedAnswers) Report(r wire.Heartbeat) msg.Respond {
+func (fixedAnswers) Heartbeat(r wire.Heartbeat) msg.Respond {
 	return msg.Respond{Status: 200, Body: wire.HeartbeatResponse{FencingToken: r.FencingToken}}
 }
 
-func (fixedAnswers) Beat(b msg.HeartbeatBatchIn) msg.Respond {
+func (fixedAnswers) HeartbeatBatch(b msg.HeartbeatBatchIn) msg.Respond {
 	return msg.Respond{Body: msg.HeartbeatBatchResponse{ResendMachines: []string{b.Node, b.Acks[0].Machine}, Delegation: int64(b.Revision)}}
 }
 
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -1,12 +1,11 @@
-// Package peer is what nodes say to each other, by net/rpc. It is a fast path:
-// the records are the truth, and nothing depends on a peer being heard.
+// Package peer is what controller nodes send each other, by net/rpc. It is a fast path: the records are the
+// truth, and nothing depends on a message to a peer arriving.
 package peer
 
 import (
 	"context"
 	"errors"
 	"net"
-	"net/http"
 	"net/rpc"
 	"sync"
 	"sync/atomic"
@@ -19,182 +18,72 @@
 )
 
 const (
-	callTimeout = time.Second
-	maxCalls    = 64 // at a time
+	callTimeout        = time.Second
+	maxConcurrentCalls = 64
 )
 
-// Event is a key that a peer has just written.
-type Event struct {
-	Key     string
-	Value   []byte
-	Version uint64
-}
-
-// Report is a worker's report that its home hands to the leader.
-type Report struct{ Body []byte }
-
-// ReportAnswer is the leader's answer; Body is empty unless it was a 200. Busy: the leader
-// had no time for it.
-type ReportAnswer struct {
-	Body []byte
-	Busy bool
-}
-
-// Heard is a heartbeat acknowledgement as nodes exchange it, see msg.HeartbeatAck.
-type Heard struct {
-	Machine      string
-	Session, Seq uint64
-}
-
-// Beat is a batch of heartbeat acknowledgements as nodes exchange it, see msg.HeartbeatBatch.
-type Beat struct {
-	Node     string
-	Revision uint64
-	Heard    []Heard
-}
-
-// BeatAnswer is the leader's response to a Beat, see msg.HeartbeatBatchResponse. StandIn is in
-// microseconds.
-type BeatAnswer struct {
-	Wanted  []string
-	StandIn int64
-}
-
-func encodeAcks(acks []msg.HeartbeatAck) []Heard {
-	out := make([]Heard, len(acks))
-	for i, a := range acks {
-		out[i] = Heard{Machine: a.Machine, Session: a.Incarnation, Seq: a.Sequence}
-	}
-	return out
-}
-
-func decodeAcks(heard []Heard) []msg.HeartbeatAck {
-	out := make([]msg.HeartbeatAck, len(heard))
-	for i, h := range heard {
-		out[i] = msg.HeartbeatAck{Machine: h.Machine, Incarnation: h.Session, Sequence: h.Seq}
-	}
-	return out
-}
-
-// Status is how a peer is doing, and how many jobs a second it is asked to accept. One that
-// doesn't know of that says nothing of it.
-type Status struct {
-	StateOK bool
-	Says    bool // it says how many
-	Accepts float64
-}
-
-// Service is what a node offers its peers.
-type Service struct {
-	post   func(msg.Input)
-	answer Answerer
-	status func() Status
-}
-
-// Answerer has the core answer what peers ask.
-type Answerer interface {
-	Report(wire.Heartbeat) msg.Respond
-	Beat(msg.HeartbeatBatchIn) msg.Respond
-}
-
-// Report has the node answer a worker's report as the leader.
-func (s *Service) Report(q *Report, a *ReportAnswer) error {
-	var r wire.Heartbeat
-	if err := wire.Unmarshal(q.Body, &r); err != nil {
-		return err
-	}
-	x := s.answer.Report(r)
-	if x.Status != http.StatusOK {
-		a.Busy = x.Busy
-		return nil
-	}
-	var err error
-	a.Body, err = wire.Marshal(x.Body)
-	return err
-}
-
-// Beat takes word of workers that the caller has answered for this node.
-func (s *Service) Beat(q *Beat, a *BeatAnswer) error {
-	if said, ok := s.answer.Beat(msg.HeartbeatBatchIn{Node: q.Node, Revision: q.Revision, Acks: decodeAcks(q.Heard)}).Body.(msg.HeartbeatBatchResponse); ok {
-		a.Wanted, a.StandIn = said.ResendMachines, said.Delegation
-	}
-	return nil
-}
-
-// Tell takes a copy of a key that the caller has written.
-func (s *Service) Tell(e *Event, _ *struct{}) error {
-	s.post(msg.PeerUpdate{Change: wire.Change{Put: e.Key, Value: e.Value, Version: e.Version}})
-	return nil
-}
-
-// Status tells how this node is doing.
-func (s *Service) Status(_ *struct{}, st *Status) error {
-	*st = s.status()
-	return nil
-}
+// errSlowPeer is a call without an answer in time, while other calls on the same connection had answers.
+var errSlowPeer = errors.New("no answer in time, though others came")
 
-// connectionKey is one of two to each node. What tells that nodes are alive, and for how long homes
-// may stand in, has one of its own: reports by the hundred don't hold it up.
+// connectionKey names one of the two connections to each node. Calls that show that nodes are alive, and for how
+// long relays may act as delegates, have one of their own: hundreds of heartbeats don't delay them.
 type connectionKey struct {
 	node     string
 	liveness bool
 }
 
-// connection is a connection and when an answer last came by it.
+// connection is an RPC client and when an answer last came by it.
 type connection struct {
 	*rpc.Client
-	lastAnswer atomic.Int64 // nanoseconds since the peers began
+	lastAnswer atomic.Int64 // nanoseconds since the start
 }
 
-var errSlowPeer = errors.New("no answer in time, though others came")
-
-// Peers holds the connections to the other nodes.
+// Peers holds the connections to the other nodes. Its methods may be called from any goroutine, but for
+// Counters.
 type Peers struct {
-	self  string
-	post  func(msg.Input)
-	mu    sync.Mutex
-	addrs map[string]string
-	conns map[connectionKey]*connection
-	slots chan struct{}
+	self      string
+	post      func(msg.Input)
+	addresses map[string]string // by node
+	slots     chan struct{}     // one for each call of runLimited that is under way
+	start     time.Time
 
-	began time.Time
+	mu          sync.Mutex
+	connections map[connectionKey]*connection
 
 	handed, lost, busy, full, closed counter.Counter
 }
 
-// Totals tells how many reports were handed on and lost since the process began.
-func (p *Peers) Totals() map[string]float64 {
-	return map[string]float64{"handed": p.handed.Total(), "lost": p.lost.Total()}
-}
-
-// Counters tells, since it was last asked, how many reports the leader has
-// answered, how many it has not, or had no time for, how many messages found too many
-// others on their way, and how often a connection was given up. It is for the debug log.
-func (p *Peers) Counters() []any {
-	return []any{"handed", p.handed.Since(), "lost", p.lost.Since(), "busy", p.busy.Since(), "full", p.full.Since(), "closed", p.closed.Since()}
-}
-
-// New returns the peers of a node.
+// New returns the peers of a node. It posts the results of calls to the core.
 func New(cfg *config.Config, post func(msg.Input)) *Peers {
-	p := &Peers{self: cfg.Node, post: post, addrs: map[string]string{}, conns: map[connectionKey]*connection{}, slots: make(chan struct{}, maxCalls), began: time.Now()}
+	p := &Peers{
+		self:        cfg.Node,
+		post:        post,
+		addresses:   map[string]string{},
+		slots:       make(chan struct{}, maxConcurrentCalls),
+		start:       time.Now(),
+		connections: map[connectionKey]*connection{},
+	}
 	for _, n := range cfg.Peers {
-		p.addrs[n.Node] = n.Address
+		p.addresses[n.Node] = n.Address
 	}
 	return p
 }
 
-// Serve answers peers on l.
-func Serve(l net.Listener, post func(msg.Input), answer Answerer, status func() Status) error {
-	server := rpc.NewServer()
-	if err := server.RegisterName("Peer", &Service{post, answer, status}); err != nil {
-		return err
-	}
-	for {
-		conn, err := l.Accept()
-		if err != nil {
-			return err
-		}
-		go server.ServeConn(conn)
+// Totals returns how many heartbeats were forwarded to the leader, and lost on the way, since the process began.
+func (p *Peers) Totals() map[string]float64 {
+	return map[string]float64{"handed": p.handed.Total(), "lost": p.lost.Total()}
+}
+
+// Counters returns key-value pairs for the debug log, since the last call: heartbeats that the leader has answered
+// (handed), that it has not (lost) or had no time for (busy), calls that found too many others under way (full), and
+// connections given up (closed). One goroutine may call it.
+func (p *Peers) Counters() []any {
+	return []any{
+		"handed", p.handed.Since(),
+		"lost", p.lost.Since(),
+		"busy", p.busy.Since(),
+		"full", p.full.Since(),
+		"closed", p.closed.Since(),
 	}
 }
 
@@ -202,146 +91,170 @@
 func (p *Peers) Do(e msg.Effect) bool {
 	switch x := e.(type) {
 	case msg.SendPeerUpdate:
-		p.runLimited(func() {
-			ev := Event{x.Change.Put, x.Change.Value, x.Change.Version}
-			_ = p.call(x.Node, "Peer.Tell", &ev, &struct{}{}) // the leader's watch tells it too
-		}, func() {})
+		p.sendUpdate(x)
 	case msg.Forward:
-		done := msg.ForwardDone{RequestID: x.RequestID, Heartbeat: x.Heartbeat}
-		p.runLimited(func() {
-			switch done.Response, done.Busy = p.forward(x); {
-			case done.Response != nil:
-				p.handed.Add()
-			case done.Busy:
-				p.busy.Add()
-			default:
-				p.lost.Add()
-			}
-			p.post(done)
-		}, func() {
-			done.Busy = true // as far as is known: whoever is out of reach is told apart by beats
-			go p.post(done)
-		})
+		p.forward(x)
 	case msg.HeartbeatBatch:
-		go func() { // some are on their way at most: they are sent at a pace, and given up after a second
-			var out BeatAnswer
-			if p.callOn(connectionKey{x.Node, true}, "Peer.Beat", &Beat{p.self, x.Revision, encodeAcks(x.Acks)}, &out) == nil {
-				p.post(msg.HeartbeatBatchDone{Batch: x, HeartbeatBatchResponse: msg.HeartbeatBatchResponse{ResendMachines: out.Wanted, Delegation: out.StandIn}})
-			}
-		}()
+		// Batches are sent at an interval and given up after callTimeout: few are under way.
+		go p.sendBatch(x)
 	default:
 		return false
 	}
 	return true
 }
 
-// runLimited runs f in the background, or instead if too much is going on.
-func (p *Peers) runLimited(f, instead func()) {
-	select {
-	case p.slots <- struct{}{}:
-		go func() {
-			defer func() { <-p.slots }()
-			f()
-		}()
-	default:
-		p.full.Add()
-		instead()
-	}
+// sendUpdate sends a peer a copy of a key. If it is lost, the peer's watch brings the key a little later.
+func (p *Peers) sendUpdate(x msg.SendPeerUpdate) {
+	p.runLimited(func() {
+		event := Event{Key: x.Change.Put, Value: x.Change.Value, Version: x.Change.Version}
+		_ = p.call(x.Node, "Tell", &event, &struct{}{})
+	}, func() {})
 }
 
-func (p *Peers) forward(x msg.Forward) (answer *wire.HeartbeatResponse, busy bool) {
+// forward hands a heartbeat to the leader and posts its response.
+func (p *Peers) forward(x msg.Forward) {
+	done := msg.ForwardDone{RequestID: x.RequestID, Heartbeat: x.Heartbeat}
+	p.runLimited(func() {
+		done.Response, done.Busy = p.callReport(x)
+		switch {
+		case done.Response != nil:
+			p.handed.Add()
+		case done.Busy:
+			p.busy.Add()
+		default:
+			p.lost.Add()
+		}
+		p.post(done)
+	}, func() {
+		done.Busy = true // as far as is known: heartbeat batches show who is out of reach
+		go p.post(done)
+	})
+}
+
+func (p *Peers) callReport(x msg.Forward) (response *wire.HeartbeatResponse, busy bool) {
 	body, err := wire.Marshal(&x.Heartbeat)
 	if err != nil {
 		return nil, false
 	}
 	var out ReportAnswer
-	if err := p.call(x.Node, "Peer.Report", &Report{body}, &out); err != nil {
-		return nil, errors.Is(err, errSlowPeer) // what comes later may still be written to out
+	if err := p.call(x.Node, "Report", &Report{body}, &out); err != nil {
+		return nil, errors.Is(err, errSlowPeer) // out must not be read: a late answer may still be written to it
 	}
-	var a wire.HeartbeatResponse
-	if len(out.Body) == 0 || wire.Unmarshal(out.Body, &a) != nil {
+	response = &wire.HeartbeatResponse{}
+	if len(out.Body) == 0 || wire.Unmarshal(out.Body, response) != nil {
 		return nil, out.Busy
 	}
-	return &a, false
+	return response, false
+}
+
+func (p *Peers) sendBatch(x msg.HeartbeatBatch) {
+	in := Beat{Node: p.self, Revision: x.Revision, Heard: encodeAcks(x.Acks)}
+	var out BeatAnswer
+	if p.callOn(connectionKey{x.Node, true}, "Beat", &in, &out) != nil {
+		return
+	}
+	response := msg.HeartbeatBatchResponse{ResendMachines: out.Wanted, Delegation: out.StandIn}
+	p.post(msg.HeartbeatBatchDone{Batch: x, HeartbeatBatchResponse: response})
 }
 
-// CollectStatus asks every peer for its status, all at once; a peer that doesn't answer
-// is left out.
+// CollectStatus asks every peer for its status, all at once. A peer that doesn't answer is left out.
 func (p *Peers) CollectStatus() map[string]Status {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	out := make(map[string]Status, len(p.addrs))
-	for node := range p.addrs {
+	out := make(map[string]Status, len(p.addresses))
+	for node := range p.addresses {
 		wg.Go(func() {
-			var st Status
-			if p.callOn(connectionKey{node, true}, "Peer.Status", &struct{}{}, &st) == nil {
-				mu.Lock()
-				out[node] = st
-				mu.Unlock()
+			var status Status
+			if p.callOn(connectionKey{node, true}, "Status", &struct{}{}, &status) != nil {
+				return
 			}
+			mu.Lock()
+			defer mu.Unlock()
+			out[node] = status
 		})
 	}
 	wg.Wait()
 	return out
 }
 
-func (p *Peers) client(l connectionKey) (*connection, error) {
+// runLimited runs f in the background, or instead at once if too many calls are under way.
+func (p *Peers) runLimited(f, instead func()) {
+	select {
+	case p.slots <- struct{}{}:
+		go func() {
+			defer func() { <-p.slots }()
+			f()
+		}()
+	default:
+		p.full.Add()
+		instead()
+	}
+}
+
+// connect returns the open connection of a key, or opens one.
+func (p *Peers) connect(key connectionKey) (*connection, error) {
 	p.mu.Lock()
-	c := p.conns[l]
+	c := p.connections[key]
 	p.mu.Unlock()
 	if c != nil {
 		return c, nil
 	}
-	to, err := (&net.Dialer{Timeout: callTimeout}).DialContext(context.Background(), "tcp", p.addrs[l.node])
+	dialer := net.Dialer{Timeout: callTimeout}
+	conn, err := dialer.DialContext(context.Background(), "tcp", p.addresses[key.node])
 	if err != nil {
 		return nil, err
 	}
-	c = &connection{Client: rpc.NewClient(to)}
+	c = &connection{Client: rpc.NewClient(conn)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if other := p.conns[l]; other != nil {
+	if other := p.connections[key]; other != nil {
 		_ = c.Close()
 		return other, nil
 	}
-	p.conns[l] = c
+	p.connections[key] = c
 	return c, nil
 }
 
+// disconnect gives a connection up.
+func (p *Peers) disconnect(key connectionKey, c *connection) {
+	p.mu.Lock()
+	if p.connections[key] == c {
+		delete(p.connections, key)
+		p.closed.Add()
+	}
+	p.mu.Unlock()
+	_ = c.Close()
+}
+
 func (p *Peers) call(node, method string, in, out any) error {
 	return p.callOn(connectionKey{node, false}, method, in, out)
 }
 
-// callOn makes a call. One without an answer in time doesn't end the connection if other
-// answers have come by it meanwhile: with it, all other calls that were on it were lost, which
-// made a slow leader look like one out of reach.
-func (p *Peers) callOn(l connectionKey, method string, in, out any) error {
-	c, err := p.client(l)
+// callOn calls a method of Service. A call without an answer in time does not end the connection if other answers
+// have come by it meanwhile: all calls that are under way on it would be lost with it, which makes a slow
+// leader look like one out of reach.
+func (p *Peers) callOn(key connectionKey, method string, in, out any) error {
+	c, err := p.connect(key)
 	if err != nil {
 		return err
 	}
-	sent := int64(time.Since(p.began))
-	call := c.Go(method, in, out, make(chan *rpc.Call, 1))
+	sentAt := int64(time.Since(p.start))
+	call := c.Go(serviceName+"."+method, in, out, make(chan *rpc.Call, 1))
 	timer := time.NewTimer(callTimeout)
 	defer timer.Stop()
 	select {
 	case <-call.Done:
 		err = call.Error
 	case <-timer.C:
-		if c.lastAnswer.Load() > sent {
+		if c.lastAnswer.Load() > sentAt {
 			return errSlowPeer
 		}
 		err = rpc.ErrShutdown
 	}
 	if err != nil {
-		p.mu.Lock()
-		if p.conns[l] == c {
-			delete(p.conns, l)
-			p.closed.Add()
-		}
-		p.mu.Unlock()
-		_ = c.Close()
+		p.disconnect(key, c)
 		return err
 	}
-	c.lastAnswer.Store(int64(time.Since(p.began)))
+	c.lastAnswer.Store(int64(time.Since(p.start)))
 	return nil
 }
--- a/internal/node/worker/worker.go
+++ b/internal/node/worker/worker.go
@@ -1,4 +1,4 @@
-// Package worker carries out direct calls to workers.
+// Package worker is the client of the workers, for commands that should not wait for the next heartbeat.
 package worker
 
 import (
@@ -11,17 +11,20 @@
 	"coralhub/wire"
 )
 
-const callTimeout = 3 * time.Second
+const (
+	callTimeout = 3 * time.Second
+	dialTimeout = 2 * time.Second
+)
 
 // Workers is a client of the workers.
 type Workers struct {
-	post func(msg.Input)
-	http *http.Client
+	post   func(msg.Input)
+	client *http.Client
 }
 
-// New returns a client that posts its results.
+// New returns a client that posts results to the core.
 func New(post func(msg.Input)) *Workers {
-	return &Workers{post: post, http: httpclient.Client(2*time.Second, 1, 0)}
+	return &Workers{post: post, client: httpclient.New(dialTimeout, 1, 0)}
 }
 
 // Do carries out an effect; it returns false for effects of other adapters.
@@ -41,17 +44,17 @@
 	w.post(done)
 }
 
-// send tells apart calls that were certainly not executed (no connection, or a
-// refusal) from those that may still be.
+// send makes a direct call. The outcome is Refused for a call that was certainly not executed (no connection, or
+// a refusal) and Unknown for one that may still be.
 func (w *Workers) send(ctx context.Context, x msg.Command) (msg.Outcome, *wire.Heartbeat) {
-	req, err := httpclient.Request(ctx, http.MethodPost, "http://"+x.Addr+wire.PathCommands, x.Commands)
+	req, err := httpclient.NewRequest(ctx, http.MethodPost, "http://"+x.Addr+wire.PathCommands, x.Commands)
 	if err != nil {
 		return msg.Refused, nil
 	}
-	// A kept connection that turns out to be dead makes the client repeat the
-	// request by itself; commands must go out once per call.
+	// On an idle connection that turns out to be dead, the HTTP client repeats a request that has
+	// GetBody. Commands must be sent once a call.
 	req.GetBody = nil
-	status, raw, err := httpclient.Do(w.http, req, wire.MaxBody)
+	status, raw, err := httpclient.Do(w.client, req, wire.MaxBody)
 	if httpclient.NotSent(err) {
 		return msg.Refused, nil
 	}
