--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -94,6 +95,23 @@
 			if err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
 				t.Fatalf("error %v, want one line with %q", err, tt.want)
 			}
+			var typed *Error
+			if !errors.As(err, &typed) || typed.Path == "" || (typed.File == SettingsFile) != (tt.settings != "") {
+				t.Errorf("error %+v does not name the file", typed)
+			}
 		})
 	}
 }
+
+// Whoever starts a node can tell a file that is not there from one that is wrong, and which field it is.
+func TestErrorsAreTyped(t *testing.T) {
+	_, err := Load(filepath.Join(t.TempDir(), "none.toml"), "")
+	if !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a missing file: %v", err)
+	}
+	_, err = Load(write(t, "p.toml", strings.Replace(platform, `zones = ["a", "b"]`, "", 1)), "")
+	var field *FieldError
+	if !errors.As(err, &field) || field.Field != "cluster.zones" {
+		t.Errorf("a missing field: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/config/load.go
@@ -0,0 +1,83 @@
+package config
+
+import (
+	_ "embed"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"coralhub/internal/schema"
+)
+
+//go:embed settings.schema.json
+var settingsSchema []byte
+
+// The files of an Error.
+const (
+	PlatformFile = "platform file"
+	SettingsFile = "settings"
+)
+
+// Error is a file that can't be read or that the service can't run with.
+type Error struct {
+	File string // PlatformFile or SettingsFile
+	Path string // empty if it could not be opened: Err says which
+	Err  error
+}
+
+func (e *Error) Error() string {
+	if e.Path == "" {
+		return fmt.Sprintf("%s: %v", e.File, e.Err)
+	}
+	return fmt.Sprintf("%s %s: %v", e.File, e.Path, e.Err)
+}
+
+func (e *Error) Unwrap() error { return e.Err }
+
+// Load reads the platform's file and, unless settings is empty, the operators' settings. Its errors are of type *Error, of
+// one line that names the file and, if the content is at fault, the field.
+func Load(platform, settings string) (*Config, error) {
+	raw, err := os.ReadFile(platform)
+	if err != nil {
+		return nil, &Error{File: PlatformFile, Err: err}
+	}
+	c := &Config{Settings: Defaults()}
+	if err := readPlatform(raw, &c.Platform); err != nil {
+		return nil, &Error{File: PlatformFile, Path: platform, Err: err}
+	}
+	if settings == "" {
+		return c, nil
+	}
+	if raw, err = os.ReadFile(settings); err != nil {
+		return nil, &Error{File: SettingsFile, Err: err}
+	}
+	if err := readSettings(raw, &c.Settings); err != nil {
+		return nil, &Error{File: SettingsFile, Path: settings, Err: err}
+	}
+	return c, nil
+}
+
+func readPlatform(raw []byte, p *Platform) error {
+	err := toml.Unmarshal(raw, p)
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		row, column := decodeError.Position()
+		field := strings.Join(decodeError.Key(), ".")
+		return fmt.Errorf("line %d column %d: field %s: %s", row, column, field, schema.OneLine(decodeError.Error()))
+	}
+	if err != nil {
+		return errors.New(schema.OneLine(err.Error()))
+	}
+	return p.check()
+}
+
+func readSettings(raw []byte, s *Settings) error {
+	if err := schema.Check(settingsSchema, raw); err != nil {
+		return err
+	}
+	return json.Unmarshal(raw, s)
+}
--- a/wire/scan.go
+++ b/wire/check.go
@@ -7,63 +7,75 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth bounds how deep lists and maps may nest. The scan itself needs no
-// recursion, but decoders do.
+// maxDepth is how deep lists and maps may nest. Check needs no recursion, but decoders do.
 const maxDepth = 100
 
 var (
 	errShort  = errors.New("message ends early")
 	errDeep   = errors.New("message nests too deep")
 	errBinary = errors.New("message holds binary data or extensions")
-	errRest   = errors.New("bytes after the message")
+	errExtra  = errors.New("bytes after the message")
 )
 
-// Check tells whether b is one complete message. It guards the decoder, which
-// reserves memory for as many elements as a list claims to have: a message of
-// ten bytes could otherwise take gigabytes.
+// Check returns an error unless b is one complete message without binary data. It guards the decoder, which reserves
+// memory for as many elements as a list claims to have: a message of ten bytes could otherwise take gigabytes.
 func Check(b []byte) error {
-	var left [maxDepth]int // elements still to come, by depth
+	var pending [maxDepth]int // elements still to come, by depth
 	depth := 0
-	left[0] = 1
+	pending[0] = 1
 	for {
-		for left[depth] == 0 {
+		for pending[depth] == 0 {
 			if depth == 0 {
-				if len(b) > 0 {
-					return errRest
-				}
-				return nil
+				return checkEnd(b)
 			}
 			depth--
 		}
-		left[depth]--
-		if len(b) == 0 {
-			return errShort
-		}
-		code := b[0]
-		b = b[1:]
-		skip, elements, err := shape(code, b)
+		pending[depth]--
+		elements, rest, err := nextElement(b)
 		if err != nil {
 			return err
 		}
-		if skip > len(b) {
-			return errShort
-		}
-		b = b[skip:]
-		if elements > len(b) { // each takes a byte at least
-			return errShort
+		b = rest
+		if elements == 0 {
+			continue
 		}
-		if elements > 0 {
-			if depth++; depth == maxDepth {
-				return errDeep
-			}
-			left[depth] = elements
+		depth++
+		if depth == maxDepth {
+			return errDeep
 		}
+		pending[depth] = elements
+	}
+}
+
+func checkEnd(b []byte) error {
+	if len(b) > 0 {
+		return errExtra
+	}
+	return nil
+}
+
+// nextElement returns how many elements the first element of b holds, and what follows its header.
+func nextElement(b []byte) (elements int, rest []byte, err error) {
+	if len(b) == 0 {
+		return 0, nil, errShort
+	}
+	skip, elements, err := elementHeader(b[0], b[1:])
+	if err != nil {
+		return 0, nil, err
+	}
+	rest = b[1:]
+	if skip > len(rest) {
+		return 0, nil, errShort
+	}
+	rest = rest[skip:]
+	if elements > len(rest) { // each takes a byte at least
+		return 0, nil, errShort
 	}
+	return elements, rest, nil
 }
 
-// shape tells how many bytes follow a code before its elements, and how many
-// elements there are.
-func shape(code byte, b []byte) (skip, elements int, err error) {
+// elementHeader returns how many bytes follow a code before its elements, and how many elements there are.
+func elementHeader(code byte, b []byte) (skip, elements int, err error) {
 	size := func(n int) int {
 		if len(b) < n {
 			err = errShort
--- /dev/null
+++ b/wire/jobs.go
@@ -0,0 +1,86 @@
+package wire
+
+// Shapes of jobs: job arrays, gangs (all tasks run at the same time or none does) and services.
+const (
+	Array   = "sweep"
+	Gang    = "group"
+	Service = "service"
+)
+
+// Priorities, highest first.
+const (
+	Production = "critical"
+	High       = "high"
+	Normal     = "standard"
+	Low        = "idle"
+)
+
+// States that users see.
+const (
+	Queued    = "queued"
+	Running   = "running"
+	Done      = "done"
+	Cancelled = "cancelled"
+)
+
+// Job is a submission, POST /v1/jobs.
+type Job struct {
+	ID          string   `msgpack:"ref"`
+	Class       string   `msgpack:"docket"` // what objectives are given for
+	Team        string   `msgpack:"desk"`
+	Shape       string   `msgpack:"shape"`
+	Priority    string   `msgpack:"rank"`
+	Tasks       int      `msgpack:"lots"`
+	CPUs        float64  `msgpack:"cores"`
+	GPUs        float64  `msgpack:"gpus"` // of each task, as CPUs and memory
+	MemoryGB    float64  `msgpack:"ram_gb"`
+	Image       string   `msgpack:"build"`
+	ImageGB     float64  `msgpack:"pull_gb"`
+	Types       []string `msgpack:"rigs,omitempty"` // allowed machine types; empty: any
+	Zone        string   `msgpack:"yard,omitempty"` // the only allowed zone, if any
+	OneZone     bool     `msgpack:"one_zone"`
+	Spread      bool     `msgpack:"spread"`     // at most half of the tasks, rounded up, in one zone
+	Spot        bool     `msgpack:"loaners"`    // may use spot instances
+	EstimateS   float64  `msgpack:"expect_s"`   // the owner's estimate of a task's run time
+	CheckpointS float64  `msgpack:"bookmark_s"` // checkpoint interval; 0: tasks cannot save
+	SaveS       float64  `msgpack:"stash_s"`    // time to save a checkpoint when stopped
+	DeadlineS   *float64 `msgpack:"due_s,omitempty"`
+	Needs       []string `msgpack:"awaits,omitempty"` // dependencies: jobs to be done before any task of this one starts
+}
+
+// ShapeName returns what a shape is called outside of the protocol: array, gang or service.
+func ShapeName(shape string) string {
+	switch shape {
+	case Array:
+		return "array"
+	case Gang:
+		return "gang"
+	case Service:
+		return "service"
+	}
+	return shape
+}
+
+// ParseShape returns the shape with a name of ShapeName; false if there is none.
+func ParseShape(name string) (string, bool) {
+	for _, shape := range []string{Array, Gang, Service} {
+		if ShapeName(shape) == name {
+			return shape, true
+		}
+	}
+	return "", false
+}
+
+// ParsePriority returns the priority with one of the names production, high, normal and low; false if there is none.
+func ParsePriority(name string) (string, bool) {
+	priority, ok := map[string]string{"production": Production, "high": High, "normal": Normal, "low": Low}[name]
+	return priority, ok
+}
+
+// JobStatus answers submissions, polls and cancellations.
+type JobStatus struct {
+	ID      string `msgpack:"ref"`
+	Status  string `msgpack:"status"`
+	Done    *int   `msgpack:"done,omitempty"`
+	Running *int   `msgpack:"running,omitempty"`
+}
--- /dev/null
+++ b/wire/submission.go
@@ -0,0 +1,98 @@
+package wire
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+
+	"github.com/vmihailenco/msgpack/v5"
+	"github.com/vmihailenco/msgpack/v5/msgpcode"
+)
+
+// ValidationError is a submission that is malformed: users hear 400 and its text.
+type ValidationError struct {
+	Field  string // on the wire; empty if it is the body as a whole
+	Reason string
+}
+
+func (e *ValidationError) Error() string {
+	switch {
+	case e.Field == "":
+		return e.Reason
+	case e.Reason == reasonMissing:
+		return fmt.Sprintf("field %q is missing", e.Field)
+	}
+	return fmt.Sprintf("field %q: %s", e.Field, e.Reason)
+}
+
+const reasonMissing = "missing"
+
+// ParseJob reads and checks a submission. Its errors are of type *ValidationError. When the ID could be read it is
+// returned even along with an error, since a job that is known already is answered whatever a retry holds.
+func ParseJob(body []byte) (Job, error) {
+	var j Job
+	if len(body) > MaxBody {
+		return j, &ValidationError{Reason: "body too large"}
+	}
+	if err := Check(body); err != nil {
+		return j, &ValidationError{Reason: err.Error()}
+	}
+	present, err := readFields(body, &j)
+	if err != nil {
+		return j, err
+	}
+	for _, name := range requiredFields {
+		if !present[name] {
+			return j, &ValidationError{Field: name, Reason: reasonMissing}
+		}
+	}
+	if j.Shape == Service {
+		j.EstimateS = 0
+	}
+	if slices.Contains(j.Needs, j.ID) {
+		return j, &ValidationError{Field: "awaits", Reason: "the job itself"}
+	}
+	return j, nil
+}
+
+// readFields reads the known fields of a submission and returns which of them are present. After the first field that
+// is invalid it goes on, for the ID may follow.
+func readFields(body []byte, j *Job) (present map[string]bool, err error) {
+	d := msgpack.NewDecoder(bytes.NewReader(body))
+	code, err := d.PeekCode()
+	if err != nil || !isMap(code) {
+		return nil, &ValidationError{Reason: "body is not a map"}
+	}
+	n, err := d.DecodeMapLen()
+	if err != nil {
+		return nil, &ValidationError{Reason: fmt.Sprintf("body: %v", err)}
+	}
+	present = map[string]bool{}
+	var invalid error
+	for range n {
+		name, err := decodeText(d)
+		if err != nil {
+			return nil, &ValidationError{Reason: fmt.Sprintf("field name: %v", err)}
+		}
+		set, known := jobFields[name]
+		if !known {
+			if err := d.Skip(); err != nil {
+				return nil, &ValidationError{Field: name, Reason: err.Error()}
+			}
+			continue
+		}
+		raw, err := d.DecodeRaw()
+		if err != nil {
+			return nil, &ValidationError{Field: name, Reason: err.Error()}
+		}
+		present[name], err = set(j, raw)
+		if err != nil && invalid == nil {
+			invalid = &ValidationError{Field: name, Reason: err.Error()}
+		}
+	}
+	return present, invalid
+}
+
+func isMap(code byte) bool {
+	return msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
+}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -1,6 +1,7 @@
 package wire
 
 import (
+	"errors"
 	"math"
 	"strconv"
 	"strings"
@@ -167,3 +168,18 @@
 		JSONSize(raw)
 	})
 }
+
+// Errors of a submission name the field on the wire.
+func TestParseJobErrorsNameTheField(t *testing.T) {
+	m := submission()
+	m["gpus"] = "many"
+	raw, err := Marshal(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, err = ParseJob(raw)
+	var invalid *ValidationError
+	if !errors.As(err, &invalid) || invalid.Field != "gpus" || err.Error() != `field "gpus": not a number` {
+		t.Errorf("%v", err)
+	}
+}
