--- /dev/null
+++ b/internal/core/frontend/submissions.go
@@ -0,0 +1,192 @@
+package frontend
+
+import (
+	"net/http"
+	"slices"
+
+	"coralhub/internal/core/job"
+	"coralhub/internal/core/msg"
+	"coralhub/internal/core/queue"
+	"coralhub/internal/core/records"
+	"coralhub/wire"
+)
+
+// refusal is why a submission is not accepted: an HTTP status and a text. The zero value refuses nothing.
+type refusal struct {
+	status int
+	reason string
+}
+
+// Submit handles POST /v1/jobs. A job is accepted once the creation of its record has been confirmed, on the condition
+// that there was none. A job that is known already is answered with 200, whatever its retry holds.
+func (f *Frontend) Submit(x msg.SubmitIn) {
+	spec, err := wire.ParseJob(x.Body)
+	if spec.ID == "" {
+		f.outbox.Respond(x.RequestID, http.StatusBadRequest, wire.Error{Error: err.Error()})
+		return
+	}
+	if reason := f.node.NotServingReason(); reason != "" {
+		f.outbox.RetryLater(x.RequestID, reason)
+		return
+	}
+	known := f.replica.Job(spec.ID)
+	if known != nil && known.Record.Final() {
+		f.outbox.Respond(x.RequestID, http.StatusOK, Status(known))
+		return
+	}
+	refused := f.refusalOf(&spec, err)
+	if refused.status != 0 || known != nil && known.Version != 0 {
+		f.refuse(x, spec.ID, refused)
+		return
+	}
+	if len(spec.Needs) == 0 {
+		f.createRecord(x, &spec)
+		return
+	}
+	f.checkDependencies(spec.Needs, func(missing string, outcome msg.Outcome) {
+		switch {
+		case outcome != msg.OK:
+			f.outbox.RetryLater(x.RequestID, reasonStoreUnavailable)
+		case missing != "":
+			f.refuse(x, spec.ID, refusal{http.StatusUnprocessableEntity, "needs " + missing + ", which was never accepted"})
+		default:
+			f.createRecord(x, &spec)
+		}
+	})
+}
+
+// refusalOf returns why a submission can't be accepted, by what this node knows. invalid is the error of parsing it.
+func (f *Frontend) refusalOf(spec *wire.Job, invalid error) refusal {
+	switch {
+	case invalid != nil:
+		return refusal{http.StatusBadRequest, invalid.Error()}
+	case !f.catalog.Known():
+		return refusal{http.StatusServiceUnavailable, "machine types not known yet"}
+	case f.dependsOnService(spec):
+		return refusal{http.StatusUnprocessableEntity, "needs a service, which is never done"}
+	case len(spec.Needs) > 0 && f.encoding.UpgradePending():
+		// An older node would lose the dependencies.
+		return refusal{http.StatusServiceUnavailable, "needed jobs are not taken before every node has been upgraded"}
+	}
+	if reason := f.whyImpossible(spec); reason != "" {
+		return refusal{http.StatusUnprocessableEntity, reason}
+	}
+	return refusal{}
+}
+
+// whyImpossible returns why a job can never run; empty if it can.
+func (f *Frontend) whyImpossible(spec *wire.Job) string {
+	team := f.teams[spec.Team]
+	if team == nil {
+		return "unknown team"
+	}
+	tasksAtOnce := 1.0
+	if spec.Shape != wire.Array {
+		tasksAtOnce = float64(spec.Tasks)
+	}
+	amount := queue.Amount{}.Plus(queue.Amount{CPUs: spec.CPUs, GPUs: spec.GPUs}, tasksAtOnce)
+	if !queue.UnderLimit(team, amount) {
+		return "needs more than the team's limit"
+	}
+	if spec.Zone != "" && !slices.Contains(f.cfg.Cluster.Zones, spec.Zone) {
+		return "unknown zone"
+	}
+	if !f.catalog.Runs(spec) {
+		return "a task fits no allowed machine type"
+	}
+	// All of a gang run at once. Some of a service or an array can, and the others when there is a zone for them.
+	spreadGang := spec.Shape == wire.Gang && spec.Spread && spec.Tasks > 1
+	if spreadGang && (spec.OneZone || f.catalog.Zones(spec) < 2) {
+		return "a gang can't be spread over one zone"
+	}
+	return ""
+}
+
+// dependsOnService reports whether a submission depends on a service, as far as this node knows. One that is not
+// recognized waits, and is cancelled with the service.
+func (f *Frontend) dependsOnService(spec *wire.Job) bool {
+	return slices.ContainsFunc(spec.Needs, func(id string) bool {
+		n := f.replica.Job(id)
+		return n != nil && n.Record.Spec != nil && n.Record.Spec.Shape == wire.Service
+	})
+}
+
+// refuse answers a submission that can't be accepted. Existence comes before validity: a job that is known is answered
+// with 200.
+func (f *Frontend) refuse(x msg.SubmitIn, id string, refused refusal) {
+	f.readCurrent(x.RequestID, id, func(j *records.Job) {
+		switch {
+		case j != nil:
+			f.respondWithStatus(x.RequestID, j)
+		case refused.status == 0 || refused.status == http.StatusServiceUnavailable:
+			f.outbox.RetryLater(x.RequestID, refused.reason)
+		default:
+			f.outbox.Respond(x.RequestID, refused.status, wire.Error{Error: refused.reason})
+		}
+	})
+}
+
+// createRecord accepts a job.
+func (f *Frontend) createRecord(x msg.SubmitIn, spec *wire.Job) {
+	rec, value, err := f.firstRecord(x, spec)
+	if err != nil {
+		f.outbox.Respond(x.RequestID, http.StatusBadRequest, wire.Error{Error: err.Error()})
+		return
+	}
+	status := wire.Queued
+	if rec.Final() {
+		status = wire.Cancelled
+	}
+	key := job.RecordKey(spec.ID)
+	f.outbox.CommitWithPriority(wire.Transaction{
+		Conditions: []wire.Condition{{Key: key, Version: 0}},
+		Changes:    []wire.Change{{Put: key, Value: value}},
+	}, msg.Admission, msg.PurposeAdmission, func(d msg.CommitDone) {
+		switch d.Outcome {
+		case msg.OK:
+			f.node.ApplyWritten(wire.Change{Put: key, Value: value, Version: d.Revision})
+			f.outbox.Debug("accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks,
+				"shape", spec.Shape, "gpus", spec.GPUs, "estimate_s", spec.EstimateS)
+			f.outbox.Respond(x.RequestID, http.StatusCreated, wire.JobStatus{ID: spec.ID, Status: status})
+		case msg.Conflict:
+			f.refuse(x, spec.ID, refusal{0, reasonTryAgain})
+		case msg.Invalid:
+			f.outbox.RetryLater(x.RequestID, reasonTryAgain)
+		default:
+			f.outbox.RetryLater(x.RequestID, reasonStoreUnavailable)
+		}
+	})
+}
+
+// checkDependencies calls then with the first of the jobs that was never accepted, empty if all were, as the state service
+// confirms it now. This node's replica may lag, and users submit a job as soon as its dependencies are accepted,
+// perhaps by another node.
+func (f *Frontend) checkDependencies(ids []string, then func(missing string, outcome msg.Outcome)) {
+	batch := f.replica.UnknownJobs(ids)
+	if len(batch) == 0 {
+		then("", msg.OK)
+		return
+	}
+	batch = batch[:min(len(batch), wire.ConditionsPerChange*f.encoding.MaxOps())]
+	absent := wire.Transaction{} // its conditions hold for what does not exist
+	for _, id := range batch {
+		absent.Conditions = append(absent.Conditions, wire.Condition{Key: job.RecordKey(id)})
+	}
+	f.outbox.Commit(absent, msg.PurposeReadCheck, func(d msg.CommitDone) {
+		answered := d.Outcome == msg.OK || d.Outcome == msg.Conflict && len(d.Failed) > 0
+		if !answered {
+			then("", msg.Unknown)
+			return
+		}
+		left := slices.Clone(ids)
+		for _, id := range batch {
+			exists := d.Outcome != msg.OK && slices.Contains(d.Failed, job.RecordKey(id))
+			if !exists {
+				then(id, msg.OK)
+				return
+			}
+			left = slices.DeleteFunc(left, func(other string) bool { return other == id })
+		}
+		f.checkDependencies(left, then)
+	})
+}
--- /dev/null
+++ b/internal/core/reconciler/commands.go
@@ -0,0 +1,90 @@
+package reconciler
+
+import (
+	"slices"
+
+	"coralhub/internal/config"
+	"coralhub/internal/core/job"
+	"coralhub/internal/core/zone"
+	"coralhub/wire"
+)
+
+// commands returns everything that a worker should do by its newest message and the records. Forgetting is left to
+// responses to heartbeats (inResponse): it is never urgent.
+func (r *Reconciler) commands(m *zone.Machine, inResponse bool) []wire.Command {
+	commands := []wire.Command{}
+	expected := r.replica.PlacementsOn(m.Name)
+	for _, key := range job.SortedAttemptKeys(m.Tasks) {
+		t := m.Tasks[key]
+		_, open := expected[key]
+		if t.State == wire.Exited {
+			// Once forgotten, a repeated start takes effect again: so only when the end is committed and
+			// no start can still be in flight.
+			if !open && inResponse && m.Settled() {
+				commands = append(commands, newCommand(wire.CommandForget, key, nil))
+			}
+			continue
+		}
+		graceS, stop := r.shouldStop(key, &t)
+		if !open {
+			graceS, stop = 0, true // closed by mistake or never placed: it must not run
+		}
+		if stop {
+			commands = append(commands, newCommand(wire.CommandStop, key, &graceS))
+		}
+	}
+	for _, key := range job.SortedAttemptKeys(expected) {
+		if _, reported := m.Tasks[key]; reported || expected[key].Session != m.Incarnation {
+			continue
+		}
+		if r.shouldStart(m, key, inResponse) {
+			commands = append(commands, newCommand(wire.CommandStart, key, nil))
+		}
+	}
+	return commands
+}
+
+func newCommand(verb string, key job.AttemptKey, graceS *float64) wire.Command {
+	return wire.Command{Verb: verb, Task: wire.TaskName(key.Job, key.Task), Attempt: key.Attempt, GraceS: graceS}
+}
+
+// shouldStart reports whether an attempt that is placed on a machine and not reported by its worker is to be started. One
+// that is not wanted any more is closed once no start of it can be in flight.
+func (r *Reconciler) shouldStart(m *zone.Machine, key job.AttemptKey, inResponse bool) bool {
+	if j := r.replica.Job(key.Job); j != nil && r.listener.IsClosing(key, m.Name) {
+		// Its end is proven and only not committed yet: a start now would run beside the next attempt.
+		return false
+	}
+	if _, unwanted := r.shouldStop(key, nil); !unwanted {
+		return true
+	}
+	if m.Settled() {
+		r.listener.ClosePlacement(key, m.Name, false) // never started, and nothing can start it any more
+	} else if inResponse && !m.StartInFlight && m.StartUncertain() {
+		r.elector.RequestNewToken() // voids the start that may be in flight
+	}
+	return false
+}
+
+// shouldStop reports whether an attempt is to be stopped, and with how many seconds of grace. t is nil if the worker does
+// not report it.
+func (r *Reconciler) shouldStop(key job.AttemptKey, t *zone.Task) (graceS float64, stop bool) {
+	j := r.replica.Job(key.Job)
+	if j == nil || j.Record.CancelRequested || j.Record.Phase == job.Cancelled {
+		return 0, true
+	}
+	if pending, ok := r.terminations[j.ID][key]; ok {
+		allowed := config.FromSeconds(pending.graceS + r.cfg.Cluster.Workers.GangPeerS)
+		if t != nil && r.outbox.Now() > pending.since+allowed+terminationMargin {
+			return 0, true
+		}
+		return pending.graceS, true
+	}
+	gangDone := j.Record.Phase == job.Done && j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang
+	return 0, t != nil && gangDone
+}
+
+// containsStart reports whether any of the commands is a start.
+func containsStart(commands []wire.Command) bool {
+	return slices.ContainsFunc(commands, func(c wire.Command) bool { return c.Verb == wire.CommandStart })
+}
--- /dev/null
+++ b/internal/core/reconciler/heartbeats.go
@@ -0,0 +1,127 @@
+package reconciler
+
+import (
+	"net/http"
+
+	"coralhub/internal/config"
+	"coralhub/internal/core/job"
+	"coralhub/internal/core/msg"
+	"coralhub/internal/core/zone"
+	"coralhub/wire"
+)
+
+// HandleHeartbeat takes a worker's heartbeat and responds with the commands for it.
+func (r *Reconciler) HandleHeartbeat(x msg.HeartbeatIn) {
+	m := r.EnsureMachine(x.Heartbeat.Machine)
+	if !r.receive(m, &x.Heartbeat, true) {
+		r.outbox.RetryLater(x.RequestID, "older than another report")
+		return
+	}
+	commands := r.commands(m, true)
+	r.checkCarriedOut(m, commands)
+	if containsStart(commands) {
+		m.NoteReply(commands)
+	}
+	m.Reachability.NoteAnswered(r.outbox.Now())
+	response := wire.HeartbeatResponse{FencingToken: r.elector.FencingToken(), Commands: commands}
+	r.outbox.Respond(x.RequestID, http.StatusOK, response)
+}
+
+// receive takes a message that a worker has sent to this node itself. It returns false for one that is not the newest.
+func (r *Reconciler) receive(m *zone.Machine, h *wire.Heartbeat, isHeartbeat bool) bool {
+	if !r.Observe(m, h, isHeartbeat) {
+		return false
+	}
+	m.Relayed = false
+	r.registry.NoteContact(m, r.outbox.Now())
+	r.listener.AvailabilityChanged(m)
+	return true
+}
+
+// Observe takes a worker's message, whichever way it came, and reconciles the records with it. It returns false for one
+// that is not the newest. isHeartbeat tells heartbeats from answers to direct calls.
+func (r *Reconciler) Observe(m *zone.Machine, h *wire.Heartbeat, isHeartbeat bool) bool {
+	before := *m
+	if !m.ApplyHeartbeat(r.outbox.Now(), h, isHeartbeat) {
+		return false
+	}
+	isFirst := before.Incarnation == 0
+	if (m.SilentSince != 0) != (before.SilentSince != 0) {
+		r.listener.MachineChanged(m)
+	}
+	if isFirst {
+		r.outbox.Log("worker joined", "machine", m.Name, "zone", m.Zone, "spot", m.Spot, "after_ms", (r.outbox.Now()-m.RentedAt)/1000)
+		r.listener.WorkerJoined(m)
+	} else {
+		r.checkLeaseExpiry(m, before.Incarnation)
+	}
+	r.reconcileIncarnation(m)
+	if m.ReclaimedAt != 0 {
+		r.evictGracefully(m)
+	}
+	if !isFirst && m.FencingToken > before.FencingToken {
+		r.markReachable(m)
+	}
+	r.reconcileTasks(m, &before)
+	return true
+}
+
+// checkLeaseExpiry looks for a lease that has expired though the worker's heartbeats were answered in time.
+func (r *Reconciler) checkLeaseExpiry(m *zone.Machine, previousIncarnation uint64) {
+	if m.Incarnation == previousIncarnation {
+		return
+	}
+	lease := config.FromSeconds(r.cfg.Cluster.Workers.LeaseS)
+	if m.Reachability.NoteLeaseExpired(r.outbox.Now(), lease) {
+		r.markUnreachable(m, "its lease expired though its heartbeats were answered")
+	}
+}
+
+// reconcileIncarnation closes the placements of earlier incarnations, and notes a worker that counts them anew.
+func (r *Reconciler) reconcileIncarnation(m *zone.Machine) {
+	expected := r.replica.PlacementsOn(m.Name)
+	for _, key := range job.SortedAttemptKeys(expected) {
+		placedIn := expected[key].Session
+		switch {
+		case placedIn < m.Incarnation:
+			r.listener.ClosePlacement(key, m.Name, false) // with the lease, everything of that incarnation is gone
+		case placedIn > m.Incarnation && m.FencingToken >= r.elector.TermStart() && !m.IncarnationReset:
+			// Whoever placed it had a message of that incarnation, and this message was sent after this
+			// node's election. A worker that counts from the start again may be about to carry out older
+			// commands: only the machine's deletion proves anything.
+			m.IncarnationReset = true
+			r.outbox.Log("worker incarnation reset", "machine", m.Name, "incarnation", m.Incarnation, "placed_in", placedIn)
+			r.listener.MachineChanged(m)
+		}
+	}
+}
+
+// reconcileTasks passes on what the worker's tasks have come to.
+func (r *Reconciler) reconcileTasks(m, before *zone.Machine) {
+	sameIncarnation := before.Incarnation != 0 && m.Incarnation == before.Incarnation
+	expected := r.replica.PlacementsOn(m.Name)
+	images := map[string]float64{}
+	for _, key := range job.SortedAttemptKeys(m.Tasks) {
+		t := m.Tasks[key]
+		hasImage := t.State != wire.Fetching && t.State != wire.Exited
+		if j := r.replica.Job(key.Job); hasImage && j != nil && j.Record.Spec != nil {
+			images[j.Record.Spec.Image] = j.Record.Spec.ImageGB
+		}
+		p, open := expected[key]
+		if !open || p.Session != m.Incarnation {
+			continue
+		}
+		if _, known := before.Tasks[key]; !known && sameIncarnation {
+			r.markReachable(m) // it has carried out a start
+		}
+		switch t.State {
+		case wire.Running:
+			r.listener.TaskRunning(key)
+		case wire.Exited:
+			r.listener.TaskExited(m, key, &t)
+		}
+	}
+	if m.Images.Update(r.listener.CacheGB(m), images) {
+		r.listener.ImagesChanged(m)
+	}
+}
