--- a/internal/core/election/elector.go
+++ b/internal/core/election/elector.go
@@ -1,6 +1,7 @@
-// Package election holds a key of the state service for a node, by a lease, and follows who
-// holds it. The revision of a claim is the token that workers see: revisions only grow, so a
-// later holder's token is higher with no counter to keep.
+// Package election elects a leader through a key of the key-value store that is bound to a
+// lease, and follows who holds that key. The store's revision of the write that made a node
+// leader is its fencing token: revisions only grow, so that a later leader's token is higher
+// without a counter that would have to be stored.
 package election
 
 import (
@@ -17,40 +18,42 @@
 type Micros = config.Micros
 
 const (
-	// tokenChangeInterval is the least time between two raises.
+	// tokenChangeInterval is the least time between two replacements of the fencing token.
 	tokenChangeInterval = 2 * config.Second
-	// shortTerm is how long a claim is to be held for that its end says nothing against
-	// its holder.
-	shortTerm = 30 * config.Second
-	// maxCampaignDelay is the longest that a node leaves a free claim to others, having lost some
-	// in a row after a short time.
-	maxCampaignDelay = 4 * config.Second
+	// maxJitter bounds the random part of the delay before a campaign.
+	maxJitter = 200_000
+	// renewalsPerTTL is how many times a lease is renewed within its time to live.
+	renewalsPerTTL = 4
 )
 
-// LeaseRecord is what is stored under the key.
+// LeaseRecord is the value that is stored under the leader key.
 type LeaseRecord struct {
 	Node  string `msgpack:"node"`
 	Nonce uint64 `msgpack:"nonce"`
 }
 
-// Holder is who holds a claim, as far as is known.
+// Holder is the holder of the leader key, as far as this node knows.
 type Holder struct {
-	Node    string // "": nobody
-	Version uint64 // of the claim; 0: nobody holds it
-	// Base is the version of its first claim: all before are others'. 0: not known, for a claim that was
-	// listed may be one that was rewritten.
+	Node    string // empty if there is none
+	Version uint64 // of the leader key, 0 if there is no holder
+	// TermStart is the version at which the holder's term began: any lower version is of another
+	// leader. It is 0 if unknown: the value of a listing may be a rewritten one.
 	TermStart uint64
 	nonce     uint64
 }
 
-// Listener hears how the claim fares.
+// Listener is notified of changes of leadership.
 type Listener interface {
-	OnElected()                         // this node holds it from now on
-	OnDeposed(why string, token uint64) // and doesn't any more
-	OnHolderChanged(from, to string)    // somebody has written a claim
+	// OnElected is called when this node has become the leader.
+	OnElected()
+	// OnDeposed is called when this node is not the leader any more. The token is the fencing
+	// token that it held last.
+	OnDeposed(why string, token uint64)
+	// OnHolderChanged is called whenever the leader key was written; both nodes may be the same.
+	OnHolderChanged(from, to string)
 }
 
-// Elector is one key's.
+// Elector campaigns for one leader key on behalf of one node.
 type Elector struct {
 	outbox   *outbox.Outbox
 	key      string
@@ -59,314 +62,221 @@
 	listener Listener
 
 	holder           Holder
-	seenVacant       bool // it was seen that nobody holds it, and nothing is missing since
+	seenVacant       bool // the key was seen without a holder, and no change can have been missed since
 	jitter           Micros
-	vacantSince      Micros // since when the claim has been free
-	lease            uint64
+	vacantSince      Micros // when the key lost its last holder
+	lease            uint64 // 0 if there is none
 	leaseRequested   bool
 	renewalSent      bool
 	renewalSentAt    Micros
-	leaseConfirmedAt Micros // when the last request was sent that proved our lease alive
+	leaseConfirmedAt Micros // when the last request was sent that proved the lease alive
 	campaigning      bool
-	nonce            uint64 // of the last claim
-	firstNonce       uint64 // of the first one that was made on the present lease
+	nonce            uint64 // of the last value written
+	firstNonce       uint64 // of the first value written under the present lease
 
-	electedAt  Micros // when it was last won
-	shortTerms int    // how many in a row ended soon because the lease did
+	electedAt  Micros // when this node was last elected
+	shortTerms int    // how many terms in a row ended early because the lease expired
 
 	leading        bool
-	fencingToken   uint64 // version of our claim; 0 unless held
-	termStart      uint64 // token of our first claim: older ones are others'
+	fencingToken   uint64 // version of the leader key, 0 unless leading
+	termStart      uint64 // fencing token at the start of the term, 0 unless leading
 	tokenChanging  bool
 	tokenChangedAt Micros
 	tokenRequested bool
 }
 
-// New returns the claim on a key for a node. The seed tells its claims from those of an
-// earlier process, and decides when it claims among nodes that could at the same moment.
-func New(box *outbox.Outbox, key, node string, ttl Micros, seed uint64, to Listener) *Elector {
-	return &Elector{outbox: box, key: key, node: node, ttl: ttl, listener: to, jitter: Micros(seed % 200_000), nonce: seed}
+// New returns an Elector for a node. The seed distinguishes its values of the key from those of
+// an earlier process of the same node, and determines the jitter that keeps nodes from
+// campaigning at the same moment. The ttl is that of the lease.
+func New(out *outbox.Outbox, key, node string, ttl Micros, seed uint64, listener Listener) *Elector {
+	return &Elector{
+		outbox:   out,
+		key:      key,
+		node:     node,
+		ttl:      ttl,
+		listener: listener,
+		jitter:   Micros(seed % maxJitter),
+		nonce:    seed,
+	}
 }
 
-// Key is the key that is claimed.
-func (c *Elector) Key() string { return c.key }
+// Key returns the leader key.
+func (e *Elector) Key() string { return e.key }
 
-// Holder tells who holds the claim.
-func (c *Elector) Holder() Holder { return c.holder }
+// Holder returns the holder of the leader key as far as this node knows.
+func (e *Elector) Holder() Holder { return e.holder }
 
-// OtherHolder names the holder if it is another node; "" otherwise.
-func (c *Elector) OtherHolder() string {
-	if c.holder.Node == c.node {
+// OtherHolder returns the name of the holder if it is another node, and the empty string otherwise.
+func (e *Elector) OtherHolder() string {
+	if e.holder.Node == e.node {
 		return ""
 	}
-	return c.holder.Node
+	return e.holder.Node
 }
 
-// IsLeader tells whether this node holds the claim, as far as it knows.
-func (c *Elector) IsLeader() bool { return c.leading }
+// IsLeader reports whether this node is the leader, as far as it knows.
+func (e *Elector) IsLeader() bool { return e.leading }
 
-// FencingToken is the version of our claim; 0 unless held.
-func (c *Elector) FencingToken() uint64 { return c.fencingToken }
+// FencingToken returns this node's fencing token, 0 unless it leads.
+func (e *Elector) FencingToken() uint64 { return e.fencingToken }
 
-// TermStart is the token of our first claim: older ones are others'.
-func (c *Elector) TermStart() uint64 { return c.termStart }
+// TermStart returns the fencing token with which this node's term began, 0 unless it leads. Lower
+// tokens are other leaders'.
+func (e *Elector) TermStart() uint64 { return e.termStart }
 
-// TokenChangePending tells whether the claim is being rewritten.
-func (c *Elector) TokenChangePending() bool { return c.tokenChanging }
+// TokenChangePending reports whether the fencing token is being replaced.
+func (e *Elector) TokenChangePending() bool { return e.tokenChanging }
 
-// Condition has a transaction fail unless our claim is the one in force.
-func (c *Elector) Condition() wire.Condition {
-	return wire.Condition{Key: c.key, Version: c.fencingToken}
+// Condition returns a condition that fails a transaction unless this node's fencing token is in force.
+func (e *Elector) Condition() wire.Condition {
+	return wire.Condition{Key: e.key, Version: e.fencingToken}
 }
 
-// HolderCondition has a transaction fail once somebody has written another claim than the
-// one that is known here, whoever's it is.
-func (c *Elector) HolderCondition() wire.Condition {
-	return wire.Condition{Key: c.key, Version: c.holder.Version}
+// HolderCondition returns a condition that fails a transaction once the leader key was written
+// again, by whichever node, since the version that this node knows.
+func (e *Elector) HolderCondition() wire.Condition {
+	return wire.Condition{Key: e.key, Version: e.holder.Version}
 }
 
-// DeposedBy hears which guards of a transaction have failed that was guarded by a version of our
-// claim. If that is the one in force, the claim is lost: it returns true.
-func (c *Elector) DeposedBy(version uint64, guards []string) bool {
-	if version != c.fencingToken || c.tokenChanging || !slices.Contains(guards, c.key) {
+// DeposedBy evaluates the failed conditions of a transaction that was conditional on a version of
+// the leader key. If that version is this node's present fencing token, it has lost its
+// leadership: DeposedBy resigns and returns true.
+func (e *Elector) DeposedBy(version uint64, failedKeys []string) bool {
+	if version != e.fencingToken || e.tokenChanging || !slices.Contains(failedKeys, e.key) {
 		return false
 	}
-	c.Resign("leader key changed")
+	e.Resign("leader key changed")
 	return true
 }
 
-// Tick does what is due by time alone: it keeps the lease, and claims what is free.
-func (c *Elector) Tick() {
-	c.abandonUnusedLease()
-	if c.lease != 0 && !c.renewalSent && c.outbox.Now()-c.renewalSentAt > c.ttl/4 {
-		c.renewalSent, c.renewalSentAt = true, c.outbox.Now()
-		c.outbox.Emit(msg.RenewLease{Lease: c.lease, TTL: c.ttl})
-	}
-	if c.holder.Version != 0 || c.leading || c.campaigning || c.outbox.Now()-c.vacantSince < c.jitter+c.campaignDelay() {
+// Tick does what is due by time alone: it renews the lease, and campaigns if there is no leader.
+func (e *Elector) Tick() {
+	e.abandonUnusedLease()
+	e.renewLeaseIfDue()
+	if !e.campaignDue() {
 		return
 	}
-	if c.lease == 0 {
-		if !c.leaseRequested {
-			c.leaseRequested = true
-			c.outbox.Emit(msg.GrantLease{TTL: c.ttl})
-		}
+	if e.lease == 0 {
+		e.requestLease()
 		return
 	}
-	c.campaign()
+	e.campaign()
 }
 
-// isOwn tells whether a claim is one that this process has made on its present lease:
-// the last, or an earlier one whose answer was lost. They all guard against each other,
-// so whichever is there is the one that holds.
-func (c *Elector) isOwn(node string, nonce uint64) bool {
-	return node == c.node && c.lease != 0 && nonce >= c.firstNonce && nonce <= c.nonce
-}
-
-// abandonUnusedLease stops renewing a lease while somebody holds the claim and this node doesn't
-// by it. If the claim is one of ours that we don't know for ours, it ends with the lease,
-// and somebody can claim anew: else nobody ever would.
-func (c *Elector) abandonUnusedLease() {
-	if !c.leading && !c.campaigning && c.holder.Version != 0 {
-		c.dropLease()
+// campaignDue reports whether there is no leader and this node has waited long enough to campaign.
+func (e *Elector) campaignDue() bool {
+	if e.holder.Version != 0 || e.leading || e.campaigning {
+		return false
 	}
+	return e.outbox.Now()-e.vacantSince >= e.jitter+e.campaignDelay()
 }
 
-// dropLease has our lease renewed no more.
-func (c *Elector) dropLease() {
-	if c.lease != 0 {
-		c.outbox.Emit(msg.ReleaseLease{Lease: c.lease})
-		c.lease = 0
+// Resign gives up the leadership, or acknowledges that it is lost already. The lease is not
+// renewed any more, so that a key that is left behind expires with it.
+func (e *Elector) Resign(why string) {
+	if !e.leading {
+		return
 	}
+	token := e.fencingToken
+	e.dropLease()
+	e.leading = false
+	e.fencingToken = 0
+	e.termStart = 0
+	e.tokenChanging = false
+	e.tokenRequested = false
+	e.listener.OnDeposed(why, token)
 }
 
-// LeaseInDoubt tells whether our lease may have ended. A leader in doubt goes on
-// answering its workers, but asks nothing of the cloud: a request that a cut
-// holds back would come late and delete machines that an heir is using.
-func (c *Elector) LeaseInDoubt() bool { return c.outbox.Now()-c.leaseConfirmedAt > c.ttl }
+// wroteUnderPresentLease reports whether this process wrote a value of the leader key under its
+// present lease: the last one, or an earlier one whose response was lost. Each of those writes is
+// conditional on the key's version, so at most one of them is in force.
+func (e *Elector) wroteUnderPresentLease(node string, nonce uint64) bool {
+	return node == e.node && e.lease != 0 && nonce >= e.firstNonce && nonce <= e.nonce
+}
 
-// leaseTransaction writes a new claim of ours in the place of a version of the key, 0 for none.
-func (c *Elector) leaseTransaction(version uint64) wire.Transaction {
-	c.nonce++
-	raw, err := job.Encode(LeaseRecord{c.node, c.nonce})
+// keyTransaction writes a new value of the leader key in place of the given version, 0 for none.
+func (e *Elector) keyTransaction(version uint64) wire.Transaction {
+	e.nonce++
+	value, err := job.Encode(LeaseRecord{Node: e.node, Nonce: e.nonce})
 	if err != nil {
 		panic(err) // a struct of text and number always encodes
 	}
 	return wire.Transaction{
-		Conditions: []wire.Condition{{Key: c.key, Version: version}},
-		Changes:    []wire.Change{{Put: c.key, Value: raw, Lease: c.lease}},
+		Conditions: []wire.Condition{{Key: e.key, Version: version}},
+		Changes:    []wire.Change{{Put: e.key, Value: value, Lease: e.lease}},
 	}
 }
 
-func (c *Elector) campaign() {
-	c.campaigning = true
-	c.outbox.Commit(c.leaseTransaction(0), msg.PurposeElection, func(d msg.CommitDone) {
-		c.campaigning = false
-		switch d.Outcome {
-		case msg.OK:
-			c.becomeLeader(d.Revision)
-		case msg.Gone:
-			c.dropLease()
-		case msg.Unknown, msg.Conflict:
-			if c.holder.Version != 0 && c.isOwn(c.holder.Node, c.holder.nonce) {
-				c.becomeLeader(c.holder.Version) // the watch was faster than the answer
-				return
-			}
-			c.outbox.Emit(msg.Relist{}) // the listing tells whether a claim went through
-		}
-	})
+// campaign tries to create the leader key.
+func (e *Elector) campaign() {
+	e.campaigning = true
+	e.outbox.Commit(e.keyTransaction(0), msg.PurposeElection, e.campaignDone)
 }
 
-func (c *Elector) becomeLeader(token uint64) {
-	if c.leading {
-		return
+func (e *Elector) campaignDone(done msg.CommitDone) {
+	e.campaigning = false
+	switch done.Outcome {
+	case msg.OK:
+		e.becomeLeader(done.Revision)
+	case msg.Gone:
+		e.dropLease()
+	case msg.Unknown, msg.Conflict:
+		if e.holder.Version != 0 && e.wroteUnderPresentLease(e.holder.Node, e.holder.nonce) {
+			e.becomeLeader(e.holder.Version) // the watch was faster than the response
+			return
+		}
+		e.outbox.Emit(msg.Relist{}) // the listing shows whether the write went through
 	}
-	c.leading, c.fencingToken, c.termStart, c.electedAt = true, token, token, c.outbox.Now()
-	c.tokenChanging, c.tokenRequested = false, false
-	c.holder = Holder{Node: c.node, Version: token, TermStart: token, nonce: c.nonce}
-	c.seenVacant = false
-	c.listener.OnElected()
 }
 
-// Resign gives up a claim that is held, or lost already: it is never renewed again, and
-// what is left behind ends with its lease.
-func (c *Elector) Resign(why string) {
-	if !c.leading {
+func (e *Elector) becomeLeader(token uint64) {
+	if e.leading {
 		return
 	}
-	token := c.fencingToken
-	c.dropLease()
-	c.leading, c.fencingToken, c.termStart, c.tokenChanging, c.tokenRequested = false, 0, 0, false, false
-	c.listener.OnDeposed(why, token)
-}
-
-// noteLeaseExpiry notes that a claim ends because its lease has.
-func (c *Elector) noteLeaseExpiry() {
-	if c.leading && c.outbox.Now()-c.electedAt < shortTerm {
-		c.shortTerms++
-	} else {
-		c.shortTerms = 0
-	}
+	e.leading = true
+	e.fencingToken = token
+	e.termStart = token
+	e.electedAt = e.outbox.Now()
+	e.tokenChanging = false
+	e.tokenRequested = false
+	e.holder = Holder{Node: e.node, Version: token, TermStart: token, nonce: e.nonce}
+	e.seenVacant = false
+	e.listener.OnElected()
 }
 
-// campaignDelay is how long a free claim is left to others first. A node that can't keep one lets
-// somebody else try, for longer each time: two that are both too slow, each heir having more
-// to do than who was before it, else take turns for good.
-func (c *Elector) campaignDelay() Micros {
-	if c.shortTerms == 0 {
-		return 0
-	}
-	return min(maxCampaignDelay, config.Second/4<<min(c.shortTerms, 8))
-}
+// RequestNewToken has the fencing token replaced soon.
+func (e *Elector) RequestNewToken() { e.tokenRequested = true }
 
-// LeaseDone answers what was asked of the lease.
-func (c *Elector) LeaseDone(x msg.LeaseDone) {
-	if x.IsRenewal {
-		c.renewalSent = false
-		if x.Outcome == msg.OK && x.Lease == c.lease {
-			c.leaseConfirmedAt = max(c.leaseConfirmedAt, c.outbox.Now()-x.Age)
-		}
-		if x.Outcome == msg.Gone && x.Lease == c.lease {
-			c.dropLease()
-			c.noteLeaseExpiry()
-			c.Resign("lease expired")
-		}
+// ReplaceTokenIfRequested rewrites the leader key if a new token was requested, at most once per
+// tokenChangeInterval. The new token invalidates every command that is still in flight under the
+// old one.
+func (e *Elector) ReplaceTokenIfRequested() {
+	if !e.tokenRequested || e.tokenChanging || e.outbox.Now()-e.tokenChangedAt <= tokenChangeInterval {
 		return
 	}
-	c.leaseRequested = false
-	if x.Outcome == msg.OK {
-		c.lease, c.firstNonce = x.Lease, c.nonce+1
-		c.renewalSentAt, c.leaseConfirmedAt = c.outbox.Now(), c.outbox.Now()-x.Age
-		if c.holder.Version == 0 && !c.leading && !c.campaigning {
-			c.campaign()
-		}
-	}
-}
-
-// ApplyListingWithoutHolder takes a listing of this revision that holds no claim.
-func (c *Elector) ApplyListingWithoutHolder(revision uint64) {
-	if c.holder.Version <= revision {
-		c.seenVacant = true
-	}
-	if c.holder.Version != 0 && c.holder.Version <= revision {
-		c.Apply(&wire.Change{Delete: c.key, Version: revision}, true)
-	}
+	e.tokenChanging = true
+	e.tokenRequested = false
+	e.tokenChangedAt = e.outbox.Now()
+	previous := e.fencingToken
+	e.outbox.Commit(e.keyTransaction(previous), msg.PurposeElection, func(done msg.CommitDone) {
+		e.replaceTokenDone(previous, done)
+	})
 }
 
-// Apply follows a put or a delete of the key. A change that comes from the watch is the first after
-// those that came before it; from a listing, others may lie between.
-func (c *Elector) Apply(ev *wire.Change, watched bool) {
-	if ev.Version < c.holder.Version || ev.Version == c.holder.Version && ev.Put != "" {
-		return
-	}
-	if ev.Put == "" {
-		c.holder, c.seenVacant = Holder{nonce: c.holder.nonce}, true
-		c.vacantSince = c.outbox.Now()
-		if c.leading && ev.Version > c.fencingToken {
-			c.noteLeaseExpiry()
-			c.Resign("leader key deleted")
-		}
-		return
-	}
-	var v LeaseRecord
-	if err := job.Decode(ev.Value, &v); err != nil {
+func (e *Elector) replaceTokenDone(previous uint64, done msg.CommitDone) {
+	if !e.leading || e.fencingToken != previous {
 		return
 	}
-	from, base := c.holder.Node, uint64(0)
-	switch {
-	case c.seenVacant && watched: // a claim is rewritten in its own place only
-		base = ev.Version
-	case from == v.Node: // by the same process, or by a later one of that node
-		base = c.holder.TermStart
+	e.tokenChanging = false
+	switch done.Outcome {
+	case msg.OK:
+		e.fencingToken = done.Revision
+		e.holder.Version = done.Revision
+		e.holder.nonce = e.nonce
+		e.outbox.Log("fencing token replaced", "previous", previous, "fencing_token", e.fencingToken)
+	case msg.Refused, msg.Invalid:
+		e.tokenRequested = true
+	default:
+		e.Resign("leader key changed")
 	}
-	c.holder, c.seenVacant = Holder{v.Node, ev.Version, base, v.Nonce}, false
-	c.listener.OnHolderChanged(from, v.Node)
-	if v.Node != c.node {
-		if c.leading && ev.Version > c.fencingToken {
-			c.Resign("elected elsewhere: " + v.Node)
-		}
-		if !c.leading {
-			c.dropLease()
-		}
-		return
-	}
-	// A claim of ours whose answer was lost, or one of an earlier process of
-	// this node: the latter has to end by itself before we can claim.
-	switch {
-	case c.campaigning || c.tokenChanging:
-	case !c.leading && c.isOwn(v.Node, v.Nonce):
-		c.becomeLeader(ev.Version)
-	case !c.leading:
-		c.dropLease()
-	case ev.Version > c.fencingToken:
-		c.Resign("elected elsewhere: another process of this node")
-	}
-}
-
-// RequestNewToken has the claim raised soon.
-func (c *Elector) RequestNewToken() { c.tokenRequested = true }
-
-// ReplaceTokenIfRequested rewrites the claim if somebody wants it, not too often: the new token
-// voids every command that is still on its way under the old one.
-func (c *Elector) ReplaceTokenIfRequested() {
-	if !c.tokenRequested || c.tokenChanging || c.outbox.Now()-c.tokenChangedAt <= tokenChangeInterval {
-		return
-	}
-	c.tokenChanging, c.tokenRequested, c.tokenChangedAt = true, false, c.outbox.Now()
-	old := c.fencingToken
-	c.outbox.Commit(c.leaseTransaction(old), msg.PurposeElection, func(d msg.CommitDone) {
-		if !c.leading || c.fencingToken != old {
-			return
-		}
-		c.tokenChanging = false
-		switch d.Outcome {
-		case msg.OK:
-			c.fencingToken = d.Revision
-			c.holder.Version, c.holder.nonce = d.Revision, c.nonce
-			c.outbox.Log("fencing token replaced", "previous", old, "fencing_token", c.fencingToken)
-		case msg.Refused, msg.Invalid:
-			c.tokenRequested = true
-		default:
-			c.Resign("leader key changed")
-		}
-	})
 }
--- a/internal/core/election/elector_test.go
+++ b/internal/core/election/elector_test.go
@@ -11,61 +11,61 @@
 	"coralhub/wire"
 )
 
-// two claims of one node on keys of their own, as zones will be: what befalls one leaves
-// the other alone.
-type two struct {
-	t    *testing.T
-	box  *outbox.Outbox
-	now  Micros
-	a, b *Elector
-	said []string
+// electorPair is two electors of one node, each with a leader key of its own: what happens to one
+// must not affect the other.
+type electorPair struct {
+	t      *testing.T
+	outbox *outbox.Outbox
+	now    Micros
+	a, b   *Elector
+	events []string
 }
 
+// recordingListener records the events of one elector of a pair.
 type recordingListener struct {
-	w    *two
+	pair *electorPair
 	name string
 }
 
-func (e recordingListener) OnElected() { e.w.said = append(e.w.said, e.name+" won") }
-func (e recordingListener) OnDeposed(why string, _ uint64) {
-	e.w.said = append(e.w.said, e.name+" lost: "+why)
-}
-func (e recordingListener) OnHolderChanged(_, to string) {
-	e.w.said = append(e.w.said, e.name+" passed to "+to)
+func (l recordingListener) OnElected() { l.record("elected") }
+
+func (l recordingListener) OnDeposed(why string, _ uint64) { l.record("deposed: " + why) }
+
+func (l recordingListener) OnHolderChanged(_, to string) { l.record("held by " + to) }
+
+func (l recordingListener) record(event string) {
+	l.pair.events = append(l.pair.events, l.name+" "+event)
 }
 
 const ttl = 4 * config.Second
 
-func newTwo(t *testing.T) *two {
-	w := &two{t: t, box: outbox.New(func(*wire.Transaction) {})}
-	w.a, w.b = New(w.box, "zone/a", "n1", ttl, 100, recordingListener{w, "a"}), New(w.box, "zone/b", "n1", ttl, 200, recordingListener{w, "b"})
+func newElectorPair(t *testing.T) *electorPair {
+	t.Helper()
+	w := &electorPair{t: t, outbox: outbox.New(func(*wire.Transaction) {})}
+	w.a = New(w.outbox, "zone/a", "n1", ttl, 100, recordingListener{w, "a"})
+	w.b = New(w.outbox, "zone/b", "n1", ttl, 200, recordingListener{w, "b"})
 	return w
 }
 
-// step lets a second pass and does f; it returns what was asked for.
-func (w *two) step(f func()) []msg.Effect {
+// step advances the clock by a second and runs f. It returns the effects.
+func (w *electorPair) step(f func()) []msg.Effect {
 	w.now += config.Second
-	w.box.Begin(w.now)
+	w.outbox.Begin(w.now)
 	f()
-	return w.box.End()
+	return w.outbox.End()
 }
 
-// heard tells what was said since it was last asked.
-func (w *two) heard(want ...string) {
+// expectEvents checks the events since its last call.
+func (w *electorPair) expectEvents(want ...string) {
 	w.t.Helper()
-	if len(want) != len(w.said) {
-		w.t.Fatalf("heard %q, want %q", w.said, want)
-	}
-	for i := range want {
-		if w.said[i] != want[i] {
-			w.t.Fatalf("heard %q, want %q", w.said, want)
-		}
+	if !slices.Equal(w.events, want) {
+		w.t.Fatalf("events %q, want %q", w.events, want)
 	}
-	w.said = nil
+	w.events = nil
 }
 
-// transaction finds the only transaction among effects.
-func (w *two) transaction(effects []msg.Effect) msg.Commit {
+// transaction returns the only transaction among the effects.
+func (w *electorPair) transaction(effects []msg.Effect) msg.Commit {
 	w.t.Helper()
 	var found []msg.Commit
 	for _, e := range effects {
@@ -79,21 +79,22 @@
 	return found[0]
 }
 
-// win has a claim made and granted at a revision.
-func (w *two) win(c *Elector, lease, revision uint64) {
+// elect has an elector obtain a lease and create its leader key at a revision.
+func (w *electorPair) elect(c *Elector, lease, revision uint64) {
 	w.t.Helper()
 	w.step(c.Tick)
 	t := w.transaction(w.step(func() { c.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: lease}) }))
 	if t.Transaction.Conditions[0] != (wire.Condition{Key: c.Key()}) || t.Transaction.Changes[0].Lease != lease {
 		w.t.Fatalf("%+v", t.Transaction)
 	}
-	w.step(func() { w.box.CommitDone(msg.CommitDone{ID: t.ID, Outcome: msg.OK, Revision: revision}) })
+	w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: t.ID, Outcome: msg.OK, Revision: revision}) })
 	if !c.IsLeader() || c.FencingToken() != revision || c.TermStart() != revision || c.Condition() != (wire.Condition{Key: c.Key(), Version: revision}) {
 		w.t.Fatalf("held %v, token %d", c.IsLeader(), c.FencingToken())
 	}
 }
 
-func (w *two) written(c *Elector, node string, nonce, revision uint64) {
+// put applies a watched value of the leader key.
+func (w *electorPair) put(c *Elector, node string, nonce, revision uint64) {
 	w.t.Helper()
 	raw, err := job.Encode(LeaseRecord{node, nonce})
 	if err != nil {
@@ -102,122 +103,122 @@
 	w.step(func() { c.Apply(&wire.Change{Put: c.Key(), Value: raw, Version: revision}, true) })
 }
 
-func TestClaimsStandApart(t *testing.T) {
-	w := newTwo(t)
-	w.win(w.a, 7, 40)
-	w.win(w.b, 8, 41)
-	w.heard("a won", "b won")
+func TestElectorsAreIndependent(t *testing.T) {
+	w := newElectorPair(t)
+	w.elect(w.a, 7, 40)
+	w.elect(w.b, 8, 41)
+	w.expectEvents("a elected", "b elected")
 
-	// A lease that ends takes its own claim alone.
+	// The expiry of a lease deposes its own elector alone.
 	w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.Gone, Lease: 7, IsRenewal: true}) })
-	w.heard("a lost: lease expired")
+	w.expectEvents("a deposed: lease expired")
 	if !w.b.IsLeader() || w.a.IsLeader() || w.a.FencingToken() != 0 {
-		t.Fatal("b is still held and a is not")
+		t.Fatal("b must still lead and a must not")
 	}
 
-	// What is held by another is followed, and not claimed.
-	w.written(w.a, "n2", 1, 50)
-	w.heard("a passed to n2")
+	// A key that another node holds is followed, without a campaign.
+	w.put(w.a, "n2", 1, 50)
+	w.expectEvents("a held by n2")
 	if w.a.OtherHolder() != "n2" || len(w.step(w.a.Tick)) != 0 {
 		t.Fatalf("%+v", w.a.Holder())
 	}
 	w.step(func() { w.a.ApplyListingWithoutHolder(60) })
 	w.step(w.a.Tick)
-	w.win(w.a, 9, 61)
-	w.heard("a won")
+	w.elect(w.a, 9, 61)
+	w.expectEvents("a elected")
 }
 
-// A raise voids what is under way under the older token, and keeps the first one.
-func TestRaise(t *testing.T) {
-	w := newTwo(t)
-	w.win(w.a, 7, 40)
+// Replacing the fencing token fails transactions that are in flight under the old one, and keeps the
+// start of the term.
+func TestReplaceToken(t *testing.T) {
+	w := newElectorPair(t)
+	w.elect(w.a, 7, 40)
 	w.step(w.a.ReplaceTokenIfRequested)
 	w.a.RequestNewToken()
-	raise := w.transaction(w.step(w.a.ReplaceTokenIfRequested))
-	if raise.Transaction.Conditions[0] != (wire.Condition{Key: "zone/a", Version: 40}) || !w.a.TokenChangePending() {
-		t.Fatalf("%+v", raise.Transaction)
+	replacement := w.transaction(w.step(w.a.ReplaceTokenIfRequested))
+	if replacement.Transaction.Conditions[0] != (wire.Condition{Key: "zone/a", Version: 40}) || !w.a.TokenChangePending() {
+		t.Fatalf("%+v", replacement.Transaction)
 	}
-	w.step(func() { w.box.CommitDone(msg.CommitDone{ID: raise.ID, Outcome: msg.OK, Revision: 45}) })
+	w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: replacement.ID, Outcome: msg.OK, Revision: 45}) })
 	if w.a.FencingToken() != 45 || w.a.TermStart() != 40 || w.a.TokenChangePending() {
-		t.Fatalf("token %d, base %d", w.a.FencingToken(), w.a.TermStart())
+		t.Fatalf("token %d, term start %d", w.a.FencingToken(), w.a.TermStart())
 	}
-	// Another node's claim that the guards should have ruled out is believed.
-	w.written(w.a, "n2", 1, 50)
-	w.heard("a won", "a passed to n2", "a lost: elected elsewhere: n2")
+	// A value of another node that the conditions should have prevented deposes the leader.
+	w.put(w.a, "n2", 1, 50)
+	w.expectEvents("a elected", "a held by n2", "a deposed: elected elsewhere: n2")
 
-	// The same with an answer that never comes: whether it was written is not known, so it
-	// is not held any more.
-	w.win(w.b, 8, 41)
+	// Without a response it is not known whether the new token was written, so the leader resigns.
+	w.elect(w.b, 8, 41)
 	w.b.RequestNewToken()
-	raise = w.transaction(w.step(w.b.ReplaceTokenIfRequested))
-	w.step(func() { w.box.CommitDone(msg.CommitDone{ID: raise.ID, Outcome: msg.Unknown}) })
-	w.heard("b won", "b lost: leader key changed")
+	replacement = w.transaction(w.step(w.b.ReplaceTokenIfRequested))
+	w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: replacement.ID, Outcome: msg.Unknown}) })
+	w.expectEvents("b elected", "b deposed: leader key changed")
 }
 
-// A claim of an earlier process of this node is not renewed by this one, or it would never
-// end.
-func TestEarlierProcess(t *testing.T) {
-	w := newTwo(t)
+// The leader key of an earlier process of this node is not kept alive by this process, or it would
+// never expire.
+func TestKeyOfEarlierProcessExpires(t *testing.T) {
+	w := newElectorPair(t)
 	w.step(w.a.Tick)
-	w.written(w.a, "n1", 3, 30)
+	w.put(w.a, "n1", 3, 30)
 	if effects := w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }); len(effects) != 0 || w.a.IsLeader() {
 		t.Fatalf("%v", effects)
 	}
 	for range 10 {
 		for _, e := range w.step(w.a.Tick) {
 			if _, renews := e.(msg.RenewLease); renews {
-				t.Fatal("renews a lease while an earlier process's claim is there")
+				t.Fatal("renews a lease while the leader key is an earlier process's")
 			}
 		}
 	}
 	w.step(func() { w.a.Apply(&wire.Change{Delete: "zone/a", Version: 31}, true) })
 	w.step(w.a.Tick)
-	w.win(w.a, 9, 33)
-	w.heard("a passed to n1", "a won")
+	w.elect(w.a, 9, 33)
+	w.expectEvents("a held by n1", "a elected")
 }
 
-// A node whose claims end soon after it has made them, one after the other, leaves a free one
-// to others for longer each time, and for a while at most.
-func TestLapsesInARowPause(t *testing.T) {
-	w := newTwo(t)
+// A node whose terms end early, one after the other, backs off from campaigns for longer each time,
+// up to a maximum; a long term resets the backoff.
+func TestShortTermsBackOff(t *testing.T) {
+	w := newElectorPair(t)
 	revision := uint64(40)
 	for i := range 12 {
-		free := w.now
-		for !asks(w.step(w.a.Tick)) {
-			if w.now-free > maxCampaignDelay+2*config.Second {
-				t.Fatal("never claims again")
+		vacantSince := w.now
+		for !requestsLease(w.step(w.a.Tick)) {
+			if w.now-vacantSince > maxCampaignDelay+2*config.Second {
+				t.Fatal("never campaigns again")
 			}
 		}
-		switch paused := w.now - free; {
-		case i == 0 && paused > config.Second:
-			t.Errorf("the first claim pauses for %d us", paused)
-		case i > 6 && i < 11 && paused < maxCampaignDelay:
-			t.Errorf("many lapses pause for %d us", paused)
-		case i == 11 && paused > config.Second:
-			t.Errorf("pauses for %d us after a long reign", paused)
+		switch delay := w.now - vacantSince; {
+		case i == 0 && delay > config.Second:
+			t.Errorf("the first campaign is delayed by %d us", delay)
+		case i > 6 && i < 11 && delay < maxCampaignDelay:
+			t.Errorf("after many short terms the campaign is delayed by only %d us", delay)
+		case i == 11 && delay > config.Second:
+			t.Errorf("delayed by %d us after a long term", delay)
 		}
-		claim := w.transaction(w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: uint64(i + 1)}) }))
-		w.step(func() { w.box.CommitDone(msg.CommitDone{ID: claim.ID, Outcome: msg.OK, Revision: revision}) })
+		campaign := w.transaction(w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: uint64(i + 1)}) }))
+		w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: revision}) })
 		if i == 10 {
-			w.now += shortTerm // a long reign makes up for those before it
+			w.now += shortTerm // a long term resets the backoff
 		}
 		revision += 2
 		w.step(func() { w.a.Apply(&wire.Change{Delete: "zone/a", Version: revision - 1}, true) })
 		if w.a.IsLeader() {
-			t.Fatal("held though it is removed")
+			t.Fatal("leads though its key was deleted")
 		}
 	}
 }
 
-func asks(effects []msg.Effect) bool {
+func requestsLease(effects []msg.Effect) bool {
 	return slices.ContainsFunc(effects, func(e msg.Effect) bool { _, ok := e.(msg.GrantLease); return ok })
 }
 
-// The first claim of a reign is told from one that rewrites it only where nothing can lie
-// between what was seen: a token that is taken for an earlier leader's must be one.
-func TestBaseOfOthersClaims(t *testing.T) {
-	w := newTwo(t)
-	raw := func(node string) []byte {
+// The start of another node's term is known only where no change can have been missed: a token that
+// is taken for an earlier leader's must be one.
+func TestTermStartOfOtherNodes(t *testing.T) {
+	w := newElectorPair(t)
+	encoded := func(node string) []byte {
 		v, err := job.Encode(LeaseRecord{node, 1})
 		if err != nil {
 			t.Fatal(err)
@@ -225,53 +226,54 @@
 		return v
 	}
 	put := func(node string, revision uint64, watched bool) {
-		w.step(func() { w.a.Apply(&wire.Change{Put: w.a.Key(), Value: raw(node), Version: revision}, watched) })
+		w.step(func() { w.a.Apply(&wire.Change{Put: w.a.Key(), Value: encoded(node), Version: revision}, watched) })
 	}
-	gone := func(revision uint64) {
+	deleted := func(revision uint64) {
 		w.step(func() { w.a.Apply(&wire.Change{Delete: w.a.Key(), Version: revision}, true) })
 	}
-	is := func(what string, version, base uint64) {
+	expect := func(what string, version, termStart uint64) {
 		t.Helper()
-		if h := w.a.Holder(); h.Version != version || h.TermStart != base {
-			t.Errorf("%s: %+v, want version %d and base %d", what, h, version, base)
+		if h := w.a.Holder(); h.Version != version || h.TermStart != termStart {
+			t.Errorf("%s: %+v, want version %d and term start %d", what, h, version, termStart)
 		}
 	}
 	put("n8", 10, true)
-	is("the first that was ever heard of", 10, 0)
+	expect("the first value that was seen", 10, 0)
 	put("n8", 12, true)
-	is("rewritten", 12, 0)
-	gone(13)
+	expect("rewritten", 12, 0)
+	deleted(13)
 	put("n9", 14, true)
-	is("made after the end of another", 14, 14)
+	expect("created after a delete", 14, 14)
 	put("n9", 16, true)
-	is("rewritten", 16, 14)
+	expect("rewritten", 16, 14)
 	put("n8", 20, false)
-	is("listed: it may have been rewritten", 20, 0)
-	gone(21)
+	expect("listed: it may have been rewritten", 20, 0)
+	deleted(21)
 	put("n9", 30, false)
-	is("listed, after an end that was seen", 30, 0)
+	expect("listed, after a delete that was seen", 30, 0)
 	w.step(func() { w.a.ApplyListingWithoutHolder(40) })
 	put("n9", 44, true)
-	is("made after a listing without any", 44, 44)
+	expect("created after a listing without the key", 44, 44)
 	put("n9", 50, false)
-	is("listed, of the same node", 50, 44)
+	expect("listed, of the same node", 50, 44)
 	put("n9", 52, true)
-	is("rewritten", 52, 44)
+	expect("rewritten", 52, 44)
 }
 
-// A claim of an earlier process of the node isn't this one's, though the node is the same and it holds a lease: that
-// process's transactions and calls may still be on their way under it, and it ends with the other's lease.
-func TestClaimOfAnEarlierProcess(t *testing.T) {
-	w := newTwo(t)
+// The leader key of an earlier process of this node does not make this process the leader, though it
+// has a lease: the earlier process's transactions and calls may still be in flight under that token,
+// and the key expires with the earlier process's lease.
+func TestKeyOfEarlierProcessIsNotOwn(t *testing.T) {
+	w := newElectorPair(t)
 	w.step(func() { w.a.Tick() })
-	made := w.transaction(w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }))
-	w.step(func() { w.box.CommitDone(msg.CommitDone{ID: made.ID, Outcome: msg.Refused}) })
+	campaign := w.transaction(w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }))
+	w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.Refused}) })
 	value, err := job.Encode(LeaseRecord{"n1", 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.step(func() { w.a.Apply(&wire.Change{Put: "zone/a", Value: value, Version: 9}, true) })
 	if w.a.IsLeader() {
-		t.Error("it leads by the claim of an earlier process")
+		t.Error("leads by the key of an earlier process")
 	}
 }
