--- a/internal/core/election/elector_test.go
+++ b/internal/core/election/elector_test.go
@@ -89,7 +89,7 @@
 	}
 	w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: t.ID, Outcome: msg.OK, Revision: revision}) })
 	if !c.IsLeader() || c.FencingToken() != revision || c.TermStart() != revision || c.Condition() != (wire.Condition{Key: c.Key(), Version: revision}) {
-		w.t.Fatalf("held %v, token %d", c.IsLeader(), c.FencingToken())
+		w.t.Fatalf("leading %v, token %d", c.IsLeader(), c.FencingToken())
 	}
 }
 
--- a/internal/core/job/format.go
+++ b/internal/core/job/format.go
@@ -9,49 +9,48 @@
 	"coralhub/wire"
 )
 
-// Format is how values are written. Nodes of different versions run side by
-// side during an upgrade, and one that doesn't know a field drops it when it
-// rewrites a value. So a node writes what the format in force says, which is
-// raised once every node has announced that it reads the next; it reads all
-// formats up to Newest.
+// Format is the version of the encoding of stored values. Nodes of different versions run side by
+// side during an upgrade, and a node that doesn't know a field drops it when it rewrites a value.
+// So a node writes the format in force, which is raised once every node has announced that it
+// reads the next one; it reads all formats up to NewestFormat.
 type Format int
 
 const (
-	// FormatPlacements is the first format: each open placement stands for itself, and
-	// no job needs another. Its writer, and this name, may go once no deployment
-	// is left that has not raised its format; its reader once no value of it is. What
-	// serves it alone asks whether the format is below Grouped.
+	// FormatPlacements is the first format: each open placement is stored by itself, and jobs
+	// have no dependencies. Its encoder, and this name, can be removed once every deployment has
+	// raised its format; its decoder once no stored value has it. Code that serves it alone tests
+	// for formats below FormatGrouped.
 	FormatPlacements Format = 1
-	// FormatGrouped puts the tasks that one machine has of a job into one group, and
-	// descriptions may name needed jobs.
+	// FormatGrouped stores the tasks of a job that are on the same machine as a group, and lets
+	// jobs have dependencies.
 	FormatGrouped Format = 2
-	// FormatPreemption has leaders commit by which decisions work is set aside before they stop it. Open
-	// placements have the time at which they were made, parts and the log of ended attempts what
-	// was used, and what is left of a job that is over has its account.
+	// FormatPreemption has leaders commit preemption decisions before they stop tasks. Open
+	// placements have the time at which they were made, shards and the completion log have
+	// usage, and finished jobs have usage accounts.
 	FormatPreemption Format = 3
-	// FormatPlacementPages has leaders place tasks of many jobs in one value, see package records. A record
-	// doesn't tell any more by itself whether anything of its job was ever placed.
+	// FormatPlacementPages has leaders place tasks of many jobs in one value, see package
+	// records. A record alone doesn't show any more whether tasks of its job were ever placed.
 	FormatPlacementPages Format = 4
-	// NewestFormat is the last format that this version reads.
+	// NewestFormat is the newest format that this version reads.
 	NewestFormat = FormatPlacementPages
 )
 
-// group is the tasks of a part that share a machine and an attempt.
+// group is the tasks of a shard that share a machine and an attempt.
 type group struct {
-	//lint:ignore U1000 read by the encoder: a group is a list, to be short
+	//lint:ignore U1000 read by the encoder: a group is encoded as an array, to be short
 	_msgpack struct{} `msgpack:",as_array"`
 	First    int      // task number that bit 0 stands for
-	Tasks    string
+	Tasks    string   // hexadecimal bit set
 	Attempt  uint64
 	Machine  string
 	Session  uint64
 	Zone     string
 }
 
-// timedGroup is a group with the time at which its tasks were placed: twice that, and one more on a
-// spot machine.
+// timedGroup is a group with the time at which its tasks were placed. PlacedAt is twice the encoded
+// time, plus one on a spot instance.
 type timedGroup struct {
-	//lint:ignore U1000 read by the encoder: a group is a list, to be short
+	//lint:ignore U1000 read by the encoder: a group is encoded as an array, to be short
 	_msgpack struct{} `msgpack:",as_array"`
 	First    int
 	Tasks    string
@@ -62,96 +61,116 @@
 	PlacedAt int64
 }
 
-// pack returns the part as the format writes it.
-func (p Shard) pack(f Format) Shard {
-	if f < FormatPreemption {
-		p.Usage = nil
+// groupKey is what the tasks of a group have in common.
+type groupKey struct {
+	attempt, session uint64
+	machine, zone    string
+	placedAt         int64 // as in timedGroup, 0 for a group without a time
+}
+
+// groupKeyOf returns the key of the group that a placement belongs to in a format.
+func groupKeyOf(p *Placement, format Format) groupKey {
+	key := groupKey{attempt: p.Attempt, session: p.Session, machine: p.Machine, zone: p.Zone}
+	if format < FormatPreemption {
+		return key
 	}
-	if f < FormatGrouped || len(p.Open) == 0 {
-		return p
+	key.placedAt = p.PlacedAt * 2
+	if p.Spot {
+		key.placedAt++
 	}
-	type at struct {
-		attempt, session uint64
-		machine, zone    string
-		time             int64
+	return key
+}
+
+// pack returns the shard as it is stored in a format. Groups are in the order of their first placement.
+func (s Shard) pack(format Format) Shard {
+	if format < FormatPreemption {
+		s.Usage = nil
 	}
-	var order []at
-	masks := map[at]uint64{}
-	first := p.Open[0].Task / TasksPerShard * TasksPerShard
-	for _, o := range p.Open {
-		k := at{o.Attempt, o.Session, o.Machine, o.Zone, 0}
-		if f >= FormatPreemption {
-			if k.time = o.PlacedAt * 2; o.Spot {
-				k.time++
-			}
-		}
-		if masks[k] == 0 {
-			order = append(order, k)
+	if format < FormatGrouped || len(s.Open) == 0 {
+		return s
+	}
+	var order []groupKey
+	masks := map[groupKey]uint64{}
+	for i := range s.Open {
+		p := &s.Open[i]
+		key := groupKeyOf(p, format)
+		if masks[key] == 0 {
+			order = append(order, key)
 		}
-		masks[k] |= 1 << uint(o.Task%TasksPerShard)
+		masks[key] |= 1 << uint(p.Task%TasksPerShard)
 	}
-	q := Shard{DoneSet: p.DoneSet, Usage: p.Usage}
-	for _, k := range order {
-		if f >= FormatPreemption {
-			q.TimedGroups = append(q.TimedGroups, timedGroup{First: first, Tasks: strconv.FormatUint(masks[k], 16), Attempt: k.attempt,
-				Machine: k.machine, Session: k.session, Zone: k.zone, PlacedAt: k.time})
+	packed := Shard{DoneSet: s.DoneSet, Usage: s.Usage}
+	first := s.Open[0].Task / TasksPerShard * TasksPerShard
+	for _, key := range order {
+		tasks := strconv.FormatUint(masks[key], 16)
+		if format >= FormatPreemption {
+			packed.TimedGroups = append(packed.TimedGroups, timedGroup{First: first, Tasks: tasks, Attempt: key.attempt,
+				Machine: key.machine, Session: key.session, Zone: key.zone, PlacedAt: key.placedAt})
 			continue
 		}
-		q.Groups = append(q.Groups, group{First: first, Tasks: strconv.FormatUint(masks[k], 16), Attempt: k.attempt,
-			Machine: k.machine, Session: k.session, Zone: k.zone})
+		packed.Groups = append(packed.Groups, group{First: first, Tasks: tasks, Attempt: key.attempt,
+			Machine: key.machine, Session: key.session, Zone: key.zone})
 	}
-	return q
+	return packed
 }
 
-// unpack turns groups into placements.
-func (p *Shard) unpack() {
-	for _, g := range p.Groups {
-		p.TimedGroups = append(p.TimedGroups, timedGroup{First: g.First, Tasks: g.Tasks, Attempt: g.Attempt, Machine: g.Machine, Session: g.Session, Zone: g.Zone})
+// unpack replaces the groups of a stored shard by placements, in the order of tasks.
+func (s *Shard) unpack() {
+	for _, g := range s.Groups {
+		s.TimedGroups = append(s.TimedGroups, timedGroup{First: g.First, Tasks: g.Tasks, Attempt: g.Attempt,
+			Machine: g.Machine, Session: g.Session, Zone: g.Zone})
 	}
-	for _, g := range p.TimedGroups {
-		mask, _ := strconv.ParseUint(g.Tasks, 16, 64)
-		for i := range TasksPerShard {
-			if mask>>uint(i)&1 == 1 {
-				p.Open = append(p.Open, Placement{Task: g.First + i, Attempt: g.Attempt, Machine: g.Machine, Session: g.Session, Zone: g.Zone,
-					PlacedAt: g.PlacedAt / 2, Spot: g.PlacedAt%2 == 1})
-			}
-		}
+	if s.TimedGroups == nil {
+		return
+	}
+	for i := range s.TimedGroups {
+		s.unpackGroup(&s.TimedGroups[i])
 	}
-	if p.TimedGroups != nil {
-		p.Groups, p.TimedGroups = nil, nil
-		slices.SortStableFunc(p.Open, func(a, b Placement) int { return a.Task - b.Task })
+	s.Groups = nil
+	s.TimedGroups = nil
+	slices.SortStableFunc(s.Open, func(a, b Placement) int { return a.Task - b.Task })
+}
+
+func (s *Shard) unpackGroup(g *timedGroup) {
+	mask, _ := strconv.ParseUint(g.Tasks, 16, 64)
+	for i := range TasksPerShard {
+		if mask>>uint(i)&1 == 0 {
+			continue
+		}
+		s.Open = append(s.Open, Placement{Task: g.First + i, Attempt: g.Attempt, Machine: g.Machine, Session: g.Session,
+			Zone: g.Zone, PlacedAt: g.PlacedAt / 2, Spot: g.PlacedAt%2 == 1})
 	}
 }
 
-// EncodeRecord turns a record into a value.
-func EncodeRecord(r *Record, f Format) ([]byte, error) {
-	c := *r
-	c.Shard = r.pack(f)
-	return Encode(&c)
+// EncodeRecord encodes a record as a value of the given format.
+func EncodeRecord(record *Record, format Format) ([]byte, error) {
+	packed := *record
+	packed.Shard = record.pack(format)
+	return Encode(&packed)
 }
 
-// EncodeShard turns a part into a value.
-func EncodeShard(p *Shard, f Format) ([]byte, error) {
-	q := p.pack(f)
-	return Encode(&q)
+// EncodeShard encodes a shard as a value of the given format.
+func EncodeShard(shard *Shard, format Format) ([]byte, error) {
+	packed := shard.pack(format)
+	return Encode(&packed)
 }
 
-// DecodeRecord reads a record of any format.
-func DecodeRecord(b []byte, r *Record) error {
-	err := Decode(b, r)
-	r.unpack()
+// DecodeRecord decodes a record of any format.
+func DecodeRecord(value []byte, record *Record) error {
+	err := Decode(value, record)
+	record.unpack()
 	return err
 }
 
-// DecodeShard reads a part of any format.
-func DecodeShard(b []byte, p *Shard) error {
-	err := Decode(b, p)
-	p.unpack()
+// DecodeShard decodes a shard of any format.
+func DecodeShard(value []byte, shard *Shard) error {
+	err := Decode(value, shard)
+	shard.unpack()
 	return err
 }
 
-// Encode turns anything else that is stored into a value.
+// Encode encodes any other stored value.
 func Encode(v any) ([]byte, error) { return msgpack.Marshal(v) }
 
-// Decode is the reverse of Encode.
-func Decode(b []byte, v any) error { return wire.Unmarshal(b, v) }
+// Decode is the inverse of Encode.
+func Decode(value []byte, v any) error { return wire.Unmarshal(value, v) }
--- a/internal/core/job/job_test.go
+++ b/internal/core/job/job_test.go
@@ -10,9 +10,9 @@
 )
 
 func fullRecord(zone string) *Record {
-	due := 900.5
+	deadline := 900.5
 	r := &Record{Spec: &wire.Job{ID: "j-123456789012", Class: strings.Repeat("c", 40), Team: strings.Repeat("t", 40), Shape: wire.Array, Priority: wire.Normal,
-		Tasks: wire.MaxTasks, CPUs: 1.2345678901234, GPUs: 1, MemoryGB: 29.000001, Image: strings.Repeat("i", 40), Types: []string{"g8", "g16"}, DeadlineS: &due},
+		Tasks: wire.MaxTasks, CPUs: 1.2345678901234, GPUs: 1, MemoryGB: 29.000001, Image: strings.Repeat("i", 40), Types: []string{"g8", "g16"}, DeadlineS: &deadline},
 		CreatedAt: 1_900_000_000_000_000, LastAttempt: 123456, DoneTasks: wire.MaxTasks}
 	for i := range TasksPerShard {
 		r.Open = append(r.Open, Placement{Task: i, Attempt: 123456, Machine: "m-00000231", Session: 12, Zone: zone})
@@ -21,8 +21,8 @@
 	return r
 }
 
-// A record with everything placed must fit the smallest values in use.
-func TestRecordFits(t *testing.T) {
+// A record with all of its tasks placed must fit the smallest value limit in use.
+func TestFullRecordFitsSmallestValue(t *testing.T) {
 	r := fullRecord("a-zone-with-a-name")
 	raw, err := Encode(r)
 	if err != nil {
@@ -31,16 +31,16 @@
 	if n := wire.JSONSize(raw); n > 4096 {
 		t.Fatalf("%d bytes", n)
 	}
-	var back Record
-	if err := Decode(raw, &back); err != nil {
+	var decoded Record
+	if err := Decode(raw, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(r, &back) {
-		t.Fatalf("read back as %+v", back)
+	if !reflect.DeepEqual(r, &decoded) {
+		t.Fatalf("decoded as %+v", decoded)
 	}
 }
 
-func TestShrink(t *testing.T) {
+func TestShrinkKeepsPhaseAndDoneTasks(t *testing.T) {
 	r := Record{Spec: &wire.Job{}, Phase: Done, DoneTasks: 3}
 	r.Shrink()
 	if r.Spec != nil || r.Phase != Done || r.DoneTasks != 3 || !r.Final() {
@@ -48,36 +48,36 @@
 	}
 }
 
-// Done tasks and open placements of a part behave like sets.
-func TestPartProperties(t *testing.T) {
-	rnd := rand.New(rand.NewPCG(1, 2))
-	var p Shard
+// Done tasks and open placements of a shard behave like sets.
+func TestShardBehavesLikeSets(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
+	var shard Shard
 	done, open := map[int]bool{}, map[int]bool{}
 	for range 5000 {
-		i := rnd.IntN(TasksPerShard)
-		switch rnd.IntN(3) {
+		i := random.IntN(TasksPerShard)
+		switch random.IntN(3) {
 		case 0:
-			p.SetDone(i)
+			shard.SetDone(i)
 			done[i] = true
 		case 1:
 			if !open[i] {
-				p.Open = append(p.Open, Placement{Task: i, Attempt: 1, Machine: "m"})
+				shard.Open = append(shard.Open, Placement{Task: i, Attempt: 1, Machine: "m"})
 				open[i] = true
 			}
 		case 2:
-			before := p.Clone()
-			if p.Remove(i, 1, "m") != open[i] {
-				t.Fatal("removed what was not there")
+			before := shard.Clone()
+			if shard.Remove(i, 1, "m") != open[i] {
+				t.Fatal("removed a placement that was not open")
 			}
 			if len(before.Open) != len(open) {
-				t.Fatal("a copy changed")
+				t.Fatal("a clone changed")
 			}
 			delete(open, i)
 		}
-		if p.DoneCount() != len(done) || len(p.Open) != len(open) || p.IsDone(i) != done[i] {
-			t.Fatalf("%+v, want %v done and %v open", p, done, open)
+		if shard.DoneCount() != len(done) || len(shard.Open) != len(open) || shard.IsDone(i) != done[i] {
+			t.Fatalf("%+v, want %v done and %v open", shard, done, open)
 		}
-		for _, m := range p.Missing(TasksPerShard) {
+		for _, m := range shard.Missing(TasksPerShard) {
 			if done[m] || open[m] {
 				t.Fatalf("%d is not missing", m)
 			}
@@ -85,10 +85,10 @@
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestParseKey(t *testing.T) {
 	for _, tt := range []struct {
 		key, id string
-		part    int
+		shard   int
 		ok      bool
 	}{
 		{RecordKey("j-1"), "j-1", 0, true},
@@ -97,9 +97,9 @@
 		{KeyRoot + "leader", "", 0, false},
 		{"", "", 0, false},
 	} {
-		id, part, ok := ParseKey(tt.key)
-		if ok != tt.ok || ok && (id != tt.id || part != tt.part) {
-			t.Errorf("%q: %s %d %v", tt.key, id, part, ok)
+		id, shard, ok := ParseKey(tt.key)
+		if ok != tt.ok || ok && (id != tt.id || shard != tt.shard) {
+			t.Errorf("%q: %s %d %v", tt.key, id, shard, ok)
 		}
 	}
 }
--- /dev/null
+++ b/internal/core/job/shard.go
@@ -0,0 +1,122 @@
+package job
+
+import (
+	"math/bits"
+	"slices"
+	"strconv"
+)
+
+// TasksPerShard is how many tasks share one value of the key-value store: the open placements of
+// this many tasks fit into 2 KiB with names of usual length.
+const TasksPerShard = 32
+
+// Shard holds the state of TasksPerShard tasks. Shard 0 is stored inside the record, the others
+// under keys of their own. A stored value has placements in one of Open, Groups and TimedGroups,
+// depending on its format; in memory they are always in Open. The methods that take a number i
+// count the tasks of the shard from 0.
+type Shard struct {
+	DoneSet     string       `msgpack:"d,omitempty"` // hexadecimal bit set
+	Open        []Placement  `msgpack:"o,omitempty"`
+	Groups      []group      `msgpack:"g,omitempty"`
+	TimedGroups []timedGroup `msgpack:"h,omitempty"` // in place of Groups from FormatPreemption on
+	Usage       *Usage       `msgpack:"u,omitempty"` // never modified, only replaced
+}
+
+// IsDone reports whether the i-th task is done.
+func (s *Shard) IsDone(i int) bool { return s.doneMask()>>uint(i)&1 == 1 }
+
+// SetDone marks the i-th task as done.
+func (s *Shard) SetDone(i int) { s.DoneSet = formatDoneSet(s.doneMask() | 1<<uint(i)) }
+
+// DoneCount returns the number of done tasks.
+func (s *Shard) DoneCount() int { return bits.OnesCount64(s.doneMask()) }
+
+// Missing returns which of the first n tasks are neither done nor placed.
+func (s *Shard) Missing(n int) []int {
+	taken := s.doneMask()
+	for _, p := range s.Open {
+		taken |= 1 << uint(p.Task%TasksPerShard)
+	}
+	if bits.OnesCount64(taken) == n {
+		return nil
+	}
+	var missing []int
+	for i := range n {
+		if taken>>uint(i)&1 == 0 {
+			missing = append(missing, i)
+		}
+	}
+	return missing
+}
+
+// Clone returns a copy that shares nothing mutable with s.
+func (s *Shard) Clone() Shard {
+	return Shard{DoneSet: s.DoneSet, Open: append([]Placement(nil), s.Open...), Usage: s.Usage}
+}
+
+// Remove removes the placement of a task's attempt on a machine, and reports whether it was open.
+func (s *Shard) Remove(task int, attempt uint64, machine string) bool {
+	i := s.find(task, attempt, machine)
+	if i < 0 {
+		return false
+	}
+	s.Open = append(s.Open[:i:i], s.Open[i+1:]...)
+	return true
+}
+
+// Close removes the placement of a task's attempt on a machine and charges the shard with its usage.
+// It reports whether the placement was open: one that is not has been charged before.
+func (s *Shard) Close(task int, attempt uint64, machine string, occupancy Occupancy) bool {
+	i := s.find(task, attempt, machine)
+	if i < 0 {
+		return false
+	}
+	s.Usage = s.Usage.Plus(s.Open[i].usage(occupancy))
+	return s.Remove(task, attempt, machine)
+}
+
+// IsOpen reports whether the placement of a task's attempt on a machine is open.
+func (s *Shard) IsOpen(task int, attempt uint64, machine string) bool {
+	return s.find(task, attempt, machine) >= 0
+}
+
+// Placement returns the open placement of a task's attempt on a machine.
+func (s *Shard) Placement(task int, attempt uint64, machine string) (Placement, bool) {
+	if i := s.find(task, attempt, machine); i >= 0 {
+		return s.Open[i], true
+	}
+	return Placement{}, false
+}
+
+func (s *Shard) find(task int, attempt uint64, machine string) int {
+	return slices.IndexFunc(s.Open, func(p Placement) bool {
+		return p.Task == task && p.Attempt == attempt && p.Machine == machine
+	})
+}
+
+func (s *Shard) doneMask() uint64 { return parseDoneSet(s.DoneSet) }
+
+// UnionDoneSets returns the bit set of the tasks that are done in either set.
+func UnionDoneSets(a, b string) string {
+	switch {
+	case a == "" || a == b:
+		return b
+	case b == "":
+		return a
+	}
+	return formatDoneSet(parseDoneSet(a) | parseDoneSet(b))
+}
+
+// CountDoneSet returns the number of done tasks in a bit set.
+func CountDoneSet(doneSet string) int { return bits.OnesCount64(parseDoneSet(doneSet)) }
+
+// parseDoneSet parses a hexadecimal bit set. The empty string, and one that is malformed, has no tasks.
+func parseDoneSet(doneSet string) uint64 {
+	if doneSet == "" {
+		return 0
+	}
+	mask, _ := strconv.ParseUint(doneSet, 16, 64)
+	return mask
+}
+
+func formatDoneSet(mask uint64) string { return strconv.FormatUint(mask, 16) }
--- a/internal/core/job/usage.go
+++ b/internal/core/job/usage.go
@@ -6,11 +6,15 @@
 	"coralhub/wire"
 )
 
-// Times of placements are stored in tenths of a second from a job's acceptance, plus one; 0: not
-// known, as in the formats before Standing.
+// timeUnit is the unit of stored times, in microseconds: a tenth of a second.
 const timeUnit = 100_000
 
-// EncodeTime is how a time of day is stored in a job that was accepted at some time.
+// microsPerSecond converts times of day in microseconds to seconds.
+const microsPerSecond = 1_000_000
+
+// EncodeTime encodes a time of day as it is stored with the placements of a job: in tenths of a
+// second since the job's creation, plus one. 0 means unknown, as in all formats before
+// FormatPreemption. Both arguments are times of day in microseconds.
 func EncodeTime(created, wall int64) int64 {
 	if created == 0 || wall == 0 {
 		return 0
@@ -18,103 +22,112 @@
 	return max(0, (wall-created)/timeUnit) + 1
 }
 
-// DecodeTime is the time of day that such a time stands for; 0: not known.
-func DecodeTime(created, at int64) int64 {
-	if created == 0 || at == 0 {
+// DecodeTime is the inverse of EncodeTime: it returns a time of day in microseconds, 0 if unknown.
+func DecodeTime(created, encoded int64) int64 {
+	if created == 0 || encoded == 0 {
 		return 0
 	}
-	return created + (at-1)*timeUnit
+	return created + (encoded-1)*timeUnit
 }
 
-// Usage is how long tasks have had places whose end is proven, in microseconds: from the
-// placement to the proof.
+// Usage is how long tasks have occupied machines, in microseconds. It counts closed placements
+// only, from the placement to the proof of its end.
 type Usage struct {
-	//lint:ignore U1000 read by the encoder: a list, to be short
+	//lint:ignore U1000 read by the encoder: encoded as an array, to be short
 	_msgpack struct{} `msgpack:",as_array"`
 	Time     int64
-	Spot     int64 // of it, on spot machines
-	Lost     int64 // of it, work that has to be repeated
+	Spot     int64 // part of Time that was on spot instances
+	Lost     int64 // part of Time whose work has to be repeated
 }
 
-// Plus adds two; either may be nil, and neither is changed.
-func (s *Usage) Plus(o *Usage) *Usage {
+// Plus returns the sum of two usages. Either may be nil, and neither is modified.
+func (u *Usage) Plus(other *Usage) *Usage {
 	switch {
-	case o == nil:
-		return s
-	case s == nil:
-		return o
+	case other == nil:
+		return u
+	case u == nil:
+		return other
 	}
-	return &Usage{Time: s.Time + o.Time, Spot: s.Spot + o.Spot, Lost: s.Lost + o.Lost}
+	return &Usage{Time: u.Time + other.Time, Spot: u.Spot + other.Spot, Lost: u.Lost + other.Lost}
 }
 
-// Occupancy is the end of a task's stay on a machine.
+// Occupancy describes the end of a task's occupancy of a machine.
 type Occupancy struct {
-	End  int64 // 0: not known, nothing is charged
-	Lost int64 // tenths of a second that have to be repeated
+	End  int64 // see EncodeTime; 0 if unknown, in which case nothing is charged
+	Lost int64 // work that has to be repeated, in tenths of a second
 }
 
-// usage is what a placement that ends has spent.
-func (p *Placement) usage(s Occupancy) *Usage {
-	if p.PlacedAt == 0 || s.End == 0 || s.End <= p.PlacedAt {
+// usage returns the usage of a placement that ends; nil if its length is unknown, or not positive
+// because the clock went back.
+func (p *Placement) usage(occupancy Occupancy) *Usage {
+	if p.PlacedAt == 0 || occupancy.End == 0 || occupancy.End <= p.PlacedAt {
 		return nil
 	}
-	d := (s.End - p.PlacedAt) * timeUnit
-	out := &Usage{Time: d, Lost: min(d, s.Lost*timeUnit)}
+	duration := (occupancy.End - p.PlacedAt) * timeUnit
+	u := &Usage{Time: duration, Lost: min(duration, occupancy.Lost*timeUnit)}
 	if p.Spot {
-		out.Spot = d
-	}
-	return out
-}
-
-// Close closes the placement of a task's attempt on a machine, and charges it: what is not open
-// any more has been charged.
-func (p *Shard) Close(task int, attempt uint64, machine string, s Occupancy) bool {
-	i := p.find(task, attempt, machine)
-	if i < 0 {
-		return false
+		u.Spot = duration
 	}
-	p.Usage = p.Usage.Plus(p.Open[i].usage(s))
-	return p.Remove(task, attempt, machine)
+	return u
 }
 
-// ResourceUsage is what a job has used: machine amounts times time, in microseconds.
+// ResourceUsage is what a job has used: amounts of resources times microseconds.
 type ResourceUsage struct {
-	//lint:ignore U1000 read by the encoder: a list, to be short
+	//lint:ignore U1000 read by the encoder: encoded as an array, to be short
 	_msgpack         struct{} `msgpack:",as_array"`
-	CPU, GPU, Memory int64    // of cores, GPUs, GB
-	Time, Spot, Lost int64    // of tasks, see Spent
+	CPU, GPU, Memory int64    // of cores, GPUs and GB
+	Time, Spot, Lost int64    // of tasks, see Usage
 }
 
-// Plus adds n times another.
-func (u ResourceUsage) Plus(o ResourceUsage, n int64) ResourceUsage {
-	return ResourceUsage{CPU: u.CPU + n*o.CPU, GPU: u.GPU + n*o.GPU, Memory: u.Memory + n*o.Memory,
-		Time: u.Time + n*o.Time, Spot: u.Spot + n*o.Spot, Lost: u.Lost + n*o.Lost}
+// Plus returns the sum of u and n times another usage.
+func (u ResourceUsage) Plus(other ResourceUsage, n int64) ResourceUsage {
+	return ResourceUsage{
+		CPU:    u.CPU + n*other.CPU,
+		GPU:    u.GPU + n*other.GPU,
+		Memory: u.Memory + n*other.Memory,
+		Time:   u.Time + n*other.Time,
+		Spot:   u.Spot + n*other.Spot,
+		Lost:   u.Lost + n*other.Lost,
+	}
 }
 
-// ResourceUsageOf is what a job's tasks have used.
-func ResourceUsageOf(spec *wire.Job, s *Usage) ResourceUsage {
-	if s == nil {
+// ResourceUsageOf returns what the tasks of a job have used in the given time, which may be nil.
+func ResourceUsageOf(spec *wire.Job, usage *Usage) ResourceUsage {
+	if usage == nil {
 		return ResourceUsage{}
 	}
-	times := func(amount float64) int64 { return int64(math.Round(amount * float64(s.Time))) }
-	return ResourceUsage{CPU: times(spec.CPUs), GPU: times(spec.GPUs), Memory: times(spec.MemoryGB), Time: s.Time, Spot: s.Spot, Lost: s.Lost}
+	overTime := func(amount float64) int64 { return int64(math.Round(amount * float64(usage.Time))) }
+	return ResourceUsage{
+		CPU:    overTime(spec.CPUs),
+		GPU:    overTime(spec.GPUs),
+		Memory: overTime(spec.MemoryGB),
+		Time:   usage.Time,
+		Spot:   usage.Spot,
+		Lost:   usage.Lost,
+	}
 }
 
-// UsageAccount is what is kept of a job's use when it is over.
+// UsageAccount is what is kept of a job's usage once it is finished.
 type UsageAccount struct {
-	//lint:ignore U1000 read by the encoder: a list, to be short
+	//lint:ignore U1000 read by the encoder: encoded as an array, to be short
 	_msgpack    struct{} `msgpack:",as_array"`
 	Team, Class string
 	Service     bool
 	Usage       ResourceUsage
-	End         int64 // time of day in seconds; 0: not known
+	End         int64 // time of day in seconds, 0 if unknown
 }
 
-// NewUsageAccount is the account of a job whose tasks have used so much, and ended at a time of day; nil:
-// they have used nothing.
-func NewUsageAccount(spec *wire.Job, s *Usage, wall int64) *UsageAccount {
-	if s == nil {
+// NewUsageAccount returns the account of a job that ended at a time of day in microseconds. It is
+// nil if usage is nil.
+func NewUsageAccount(spec *wire.Job, usage *Usage, wall int64) *UsageAccount {
+	if usage == nil {
 		return nil
 	}
-	return &UsageAccount{Team: spec.Team, Class: spec.Class, Service: spec.Shape == wire.Service, Usage: ResourceUsageOf(spec, s), End: wall / 1e6}
+	return &UsageAccount{
+		Team:    spec.Team,
+		Class:   spec.Class,
+		Service: spec.Shape == wire.Service,
+		Usage:   ResourceUsageOf(spec, usage),
+		End:     wall / microsPerSecond,
+	}
 }
