--- a/internal/core/outbox/outbox.go
+++ b/internal/core/outbox/outbox.go
@@ -1,5 +1,5 @@
-// Package outbox gathers what the rooms of a core ask for during a step, and brings
-// answers back to who asked.
+// Package outbox collects the effects that the components of a core request during a step, and
+// routes the results of transactions and reads back to the component that requested them.
 package outbox
 
 import (
@@ -13,107 +13,121 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
-// retryAfter is what is told when the service can't answer now, in seconds.
-const retryAfter = 1
+// retryAfterSeconds is the Retry-After of a response that asks the client to try again.
+const retryAfterSeconds = 1
 
-// Outbox is one node's.
+// Outbox holds the effects of one node's core. It is not safe for concurrent use.
 type Outbox struct {
 	now       Micros
 	effects   []msg.Effect
 	nextID    uint64
-	commits   map[uint64]func(msg.CommitDone)
-	reads     map[uint64]func(msg.ReadDone)
+	commits   map[uint64]func(msg.CommitDone) // callbacks of transactions in flight, by ID
+	reads     map[uint64]func(msg.ReadDone)   // callbacks of reads in flight, by ID
 	onInvalid func(*wire.Transaction)
 }
 
-// New returns an empty Box. It calls invalid with each transaction that the state
-// service refuses as malformed, before who asked for it hears of it.
-func New(invalid func(*wire.Transaction)) *Outbox {
-	return &Outbox{commits: map[uint64]func(msg.CommitDone){}, reads: map[uint64]func(msg.ReadDone){}, onInvalid: invalid}
+// New returns an empty Outbox. It calls onInvalid with each transaction that the key-value store
+// rejects as malformed, before the callback of that transaction.
+func New(onInvalid func(*wire.Transaction)) *Outbox {
+	return &Outbox{
+		commits:   map[uint64]func(msg.CommitDone){},
+		reads:     map[uint64]func(msg.ReadDone){},
+		onInvalid: onInvalid,
+	}
 }
 
-// Begin begins a step.
-func (b *Outbox) Begin(now Micros) { b.now, b.effects = now, nil }
+// Begin begins a step at the given time.
+func (o *Outbox) Begin(now Micros) {
+	o.now = now
+	o.effects = nil
+}
 
-// End returns what was asked for since Begin.
-func (b *Outbox) End() []msg.Effect { return b.effects }
+// End returns the effects that were requested since Begin.
+func (o *Outbox) End() []msg.Effect { return o.effects }
 
-// Now is the time of the step.
-func (b *Outbox) Now() Micros { return b.now }
+// Now returns the time of the step.
+func (o *Outbox) Now() Micros { return o.now }
 
-// Emit asks for an effect that nothing comes back from by way of the box.
-func (b *Outbox) Emit(e msg.Effect) { b.effects = append(b.effects, e) }
+// Emit requests an effect whose result, if it has one, does not come back through the outbox.
+func (o *Outbox) Emit(effect msg.Effect) { o.effects = append(o.effects, effect) }
 
-// Log writes a line for the operator.
-func (b *Outbox) Log(text string, args ...any) { b.Emit(msg.Log{Message: text, Args: args}) }
+// Log writes a log line for the operators.
+func (o *Outbox) Log(message string, args ...any) { o.Emit(msg.Log{Message: message, Args: args}) }
 
-// Debug writes a line for who looks closely.
-func (b *Outbox) Debug(text string, args ...any) {
-	b.Emit(msg.Log{Debug: true, Message: text, Args: args})
+// Debug writes a log line at debug level.
+func (o *Outbox) Debug(message string, args ...any) {
+	o.Emit(msg.Log{Debug: true, Message: message, Args: args})
 }
 
 // Respond answers a request.
-func (b *Outbox) Respond(req uint64, status int, body any) {
-	b.Emit(msg.Respond{RequestID: req, Status: status, Body: body})
+func (o *Outbox) Respond(requestID uint64, status int, body any) {
+	o.Emit(msg.Respond{RequestID: requestID, Status: status, Body: body})
 }
 
-// RetryLater answers a request that can't be taken now.
-func (b *Outbox) RetryLater(req uint64, why string) { b.RetryLaterWith(req, wire.Error{Error: why}) }
+// RetryLater answers a request that cannot be served now.
+func (o *Outbox) RetryLater(requestID uint64, why string) {
+	o.RetryLaterWith(requestID, wire.Error{Error: why})
+}
 
-// RetryLaterWith does the same with more to say than why.
-func (b *Outbox) RetryLaterWith(req uint64, body any) {
-	b.Emit(msg.Respond{RequestID: req, Status: http.StatusServiceUnavailable, Body: body, RetryAfter: retryAfter})
+// RetryLaterWith is RetryLater with a body that says more than the reason.
+func (o *Outbox) RetryLaterWith(requestID uint64, body any) {
+	o.Emit(msg.Respond{
+		RequestID:  requestID,
+		Status:     http.StatusServiceUnavailable,
+		Body:       body,
+		RetryAfter: retryAfterSeconds,
+	})
 }
 
-// NextID numbers what is asked for.
-func (b *Outbox) NextID() uint64 {
-	b.nextID++
-	return b.nextID
+// NextID returns a new ID for an effect.
+func (o *Outbox) NextID() uint64 {
+	o.nextID++
+	return o.nextID
 }
 
-// Commit asks for a transaction that should not wait: somebody is to be answered
-// or a claim hangs on it.
-func (b *Outbox) Commit(t wire.Transaction, purpose msg.Purpose, then func(msg.CommitDone)) {
-	b.CommitWithPriority(t, msg.Critical, purpose, then)
+// Commit requests a transaction that should not wait, because a response or the leadership depends
+// on it.
+func (o *Outbox) Commit(transaction wire.Transaction, purpose msg.Purpose, then func(msg.CommitDone)) {
+	o.CommitWithPriority(transaction, msg.Critical, purpose, then)
 }
 
-// CommitDeferrable asks for a transaction that gives way to those of Commit when the
-// state service is short of changes.
-func (b *Outbox) CommitDeferrable(t wire.Transaction, purpose msg.Purpose, then func(msg.CommitDone)) {
-	b.CommitWithPriority(t, msg.Deferrable, purpose, then)
+// CommitDeferrable requests a transaction that gives way to those of Commit when the write rate of
+// the key-value store is short.
+func (o *Outbox) CommitDeferrable(transaction wire.Transaction, purpose msg.Purpose, then func(msg.CommitDone)) {
+	o.CommitWithPriority(transaction, msg.Deferrable, purpose, then)
 }
 
-// CommitWithPriority asks for a transaction of any kind.
-func (b *Outbox) CommitWithPriority(t wire.Transaction, turn msg.WritePriority, purpose msg.Purpose, then func(msg.CommitDone)) {
-	id := b.NextID()
-	b.commits[id] = func(d msg.CommitDone) {
-		if d.Outcome == msg.Invalid {
-			b.onInvalid(&t)
+// CommitWithPriority requests a transaction of the given priority.
+func (o *Outbox) CommitWithPriority(transaction wire.Transaction, priority msg.WritePriority, purpose msg.Purpose, then func(msg.CommitDone)) {
+	id := o.NextID()
+	o.commits[id] = func(done msg.CommitDone) {
+		if done.Outcome == msg.Invalid {
+			o.onInvalid(&transaction)
 		}
-		then(d)
+		then(done)
 	}
-	b.Emit(msg.Commit{ID: id, Transaction: t, Priority: turn, Purpose: purpose})
+	o.Emit(msg.Commit{ID: id, Transaction: transaction, Priority: priority, Purpose: purpose})
 }
 
-// Read asks for a key.
-func (b *Outbox) Read(key string, then func(msg.ReadDone)) {
-	id := b.NextID()
-	b.reads[id] = then
-	b.Emit(msg.Read{ID: id, Key: key})
+// Read requests the value of a key.
+func (o *Outbox) Read(key string, then func(msg.ReadDone)) {
+	id := o.NextID()
+	o.reads[id] = then
+	o.Emit(msg.Read{ID: id, Key: key})
 }
 
-// CommitDone brings an answer back.
-func (b *Outbox) CommitDone(d msg.CommitDone) {
-	if f := b.commits[d.ID]; f != nil {
-		delete(b.commits, d.ID)
-		f(d)
+// CommitDone calls the callback of a transaction. A result that comes again is ignored.
+func (o *Outbox) CommitDone(done msg.CommitDone) {
+	if then := o.commits[done.ID]; then != nil {
+		delete(o.commits, done.ID)
+		then(done)
 	}
 }
 
-// ReadDone brings an answer back.
-func (b *Outbox) ReadDone(d msg.ReadDone) {
-	if f := b.reads[d.ID]; f != nil {
-		delete(b.reads, d.ID)
-		f(d)
+// ReadDone calls the callback of a read. A result that comes again is ignored.
+func (o *Outbox) ReadDone(done msg.ReadDone) {
+	if then := o.reads[done.ID]; then != nil {
+		delete(o.reads, done.ID)
+		then(done)
 	}
 }
