--- a/internal/core/election/elector_test.go
+++ b/internal/core/election/elector_test.go
@@ -41,32 +41,32 @@
 
 func newElectorPair(t *testing.T) *electorPair {
 	t.Helper()
-	w := &electorPair{t: t, outbox: outbox.New(func(*wire.Transaction) {})}
-	w.a = New(w.outbox, "zone/a", "n1", ttl, 100, recordingListener{w, "a"})
-	w.b = New(w.outbox, "zone/b", "n1", ttl, 200, recordingListener{w, "b"})
-	return w
+	pair := &electorPair{t: t, outbox: outbox.New(func(*wire.Transaction) {})}
+	pair.a = New(pair.outbox, "zone/a", "n1", ttl, 100, recordingListener{pair, "a"})
+	pair.b = New(pair.outbox, "zone/b", "n1", ttl, 200, recordingListener{pair, "b"})
+	return pair
 }
 
 // step advances the clock by a second and runs f. It returns the effects.
-func (w *electorPair) step(f func()) []msg.Effect {
-	w.now += config.Second
-	w.outbox.Begin(w.now)
+func (pair *electorPair) step(f func()) []msg.Effect {
+	pair.now += config.Second
+	pair.outbox.Begin(pair.now)
 	f()
-	return w.outbox.End()
+	return pair.outbox.End()
 }
 
 // expectEvents checks the events since its last call.
-func (w *electorPair) expectEvents(want ...string) {
-	w.t.Helper()
-	if !slices.Equal(w.events, want) {
-		w.t.Fatalf("events %q, want %q", w.events, want)
+func (pair *electorPair) expectEvents(want ...string) {
+	pair.t.Helper()
+	if !slices.Equal(pair.events, want) {
+		pair.t.Fatalf("events %q, want %q", pair.events, want)
 	}
-	w.events = nil
+	pair.events = nil
 }
 
 // transaction returns the only transaction among the effects.
-func (w *electorPair) transaction(effects []msg.Effect) msg.Commit {
-	w.t.Helper()
+func (pair *electorPair) transaction(effects []msg.Effect) msg.Commit {
+	pair.t.Helper()
 	var found []msg.Commit
 	for _, e := range effects {
 		if c, ok := e.(msg.Commit); ok {
@@ -74,122 +74,122 @@
 		}
 	}
 	if len(found) != 1 {
-		w.t.Fatalf("%d transactions", len(found))
+		pair.t.Fatalf("%d transactions", len(found))
 	}
 	return found[0]
 }
 
 // elect has an elector obtain a lease and create its leader key at a revision.
-func (w *electorPair) elect(c *Elector, lease, revision uint64) {
-	w.t.Helper()
-	w.step(c.Tick)
-	t := w.transaction(w.step(func() { c.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: lease}) }))
+func (pair *electorPair) elect(c *Elector, lease, revision uint64) {
+	pair.t.Helper()
+	pair.step(c.Tick)
+	t := pair.transaction(pair.step(func() { c.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: lease}) }))
 	if t.Transaction.Conditions[0] != (wire.Condition{Key: c.Key()}) || t.Transaction.Changes[0].Lease != lease {
-		w.t.Fatalf("%+v", t.Transaction)
+		pair.t.Fatalf("%+v", t.Transaction)
 	}
-	w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: t.ID, Outcome: msg.OK, Revision: revision}) })
+	pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: t.ID, Outcome: msg.OK, Revision: revision}) })
 	if !c.IsLeader() || c.FencingToken() != revision || c.TermStart() != revision || c.Condition() != (wire.Condition{Key: c.Key(), Version: revision}) {
-		w.t.Fatalf("leading %v, token %d", c.IsLeader(), c.FencingToken())
+		pair.t.Fatalf("leading %v, token %d", c.IsLeader(), c.FencingToken())
 	}
 }
 
 // put applies a watched value of the leader key.
-func (w *electorPair) put(c *Elector, node string, nonce, revision uint64) {
-	w.t.Helper()
+func (pair *electorPair) put(c *Elector, node string, nonce, revision uint64) {
+	pair.t.Helper()
 	raw, err := job.Encode(LeaseRecord{node, nonce})
 	if err != nil {
-		w.t.Fatal(err)
+		pair.t.Fatal(err)
 	}
-	w.step(func() { c.Apply(&wire.Change{Put: c.Key(), Value: raw, Version: revision}, true) })
+	pair.step(func() { c.Apply(&wire.Change{Put: c.Key(), Value: raw, Version: revision}, true) })
 }
 
 func TestElectorsAreIndependent(t *testing.T) {
-	w := newElectorPair(t)
-	w.elect(w.a, 7, 40)
-	w.elect(w.b, 8, 41)
-	w.expectEvents("a elected", "b elected")
+	pair := newElectorPair(t)
+	pair.elect(pair.a, 7, 40)
+	pair.elect(pair.b, 8, 41)
+	pair.expectEvents("a elected", "b elected")
 
 	// The expiry of a lease deposes its own elector alone.
-	w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.Gone, Lease: 7, IsRenewal: true}) })
-	w.expectEvents("a deposed: lease expired")
-	if !w.b.IsLeader() || w.a.IsLeader() || w.a.FencingToken() != 0 {
+	pair.step(func() { pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.Gone, Lease: 7, IsRenewal: true}) })
+	pair.expectEvents("a deposed: lease expired")
+	if !pair.b.IsLeader() || pair.a.IsLeader() || pair.a.FencingToken() != 0 {
 		t.Fatal("b must still lead and a must not")
 	}
 
 	// A key that another node holds is followed, without a campaign.
-	w.put(w.a, "n2", 1, 50)
-	w.expectEvents("a held by n2")
-	if w.a.OtherHolder() != "n2" || len(w.step(w.a.Tick)) != 0 {
-		t.Fatalf("%+v", w.a.Holder())
+	pair.put(pair.a, "n2", 1, 50)
+	pair.expectEvents("a held by n2")
+	if pair.a.OtherHolder() != "n2" || len(pair.step(pair.a.Tick)) != 0 {
+		t.Fatalf("%+v", pair.a.Holder())
 	}
-	w.step(func() { w.a.ApplyListingWithoutHolder(60) })
-	w.step(w.a.Tick)
-	w.elect(w.a, 9, 61)
-	w.expectEvents("a elected")
+	pair.step(func() { pair.a.ApplyListingWithoutHolder(60) })
+	pair.step(pair.a.Tick)
+	pair.elect(pair.a, 9, 61)
+	pair.expectEvents("a elected")
 }
 
 // Replacing the fencing token fails transactions that are in flight under the old one, and keeps the
 // start of the term.
 func TestReplaceToken(t *testing.T) {
-	w := newElectorPair(t)
-	w.elect(w.a, 7, 40)
-	w.step(w.a.ReplaceTokenIfRequested)
-	w.a.RequestNewToken()
-	replacement := w.transaction(w.step(w.a.ReplaceTokenIfRequested))
-	if replacement.Transaction.Conditions[0] != (wire.Condition{Key: "zone/a", Version: 40}) || !w.a.TokenChangePending() {
+	pair := newElectorPair(t)
+	pair.elect(pair.a, 7, 40)
+	pair.step(pair.a.ReplaceTokenIfRequested)
+	pair.a.RequestNewToken()
+	replacement := pair.transaction(pair.step(pair.a.ReplaceTokenIfRequested))
+	if replacement.Transaction.Conditions[0] != (wire.Condition{Key: "zone/a", Version: 40}) || !pair.a.TokenChangePending() {
 		t.Fatalf("%+v", replacement.Transaction)
 	}
-	w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: replacement.ID, Outcome: msg.OK, Revision: 45}) })
-	if w.a.FencingToken() != 45 || w.a.TermStart() != 40 || w.a.TokenChangePending() {
-		t.Fatalf("token %d, term start %d", w.a.FencingToken(), w.a.TermStart())
+	pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: replacement.ID, Outcome: msg.OK, Revision: 45}) })
+	if pair.a.FencingToken() != 45 || pair.a.TermStart() != 40 || pair.a.TokenChangePending() {
+		t.Fatalf("token %d, term start %d", pair.a.FencingToken(), pair.a.TermStart())
 	}
 	// A value of another node that the conditions should have prevented deposes the leader.
-	w.put(w.a, "n2", 1, 50)
-	w.expectEvents("a elected", "a held by n2", "a deposed: elected elsewhere: n2")
+	pair.put(pair.a, "n2", 1, 50)
+	pair.expectEvents("a elected", "a held by n2", "a deposed: elected elsewhere: n2")
 
 	// Without a response it is not known whether the new token was written, so the leader resigns.
-	w.elect(w.b, 8, 41)
-	w.b.RequestNewToken()
-	replacement = w.transaction(w.step(w.b.ReplaceTokenIfRequested))
-	w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: replacement.ID, Outcome: msg.Unknown}) })
-	w.expectEvents("b elected", "b deposed: leader key changed")
+	pair.elect(pair.b, 8, 41)
+	pair.b.RequestNewToken()
+	replacement = pair.transaction(pair.step(pair.b.ReplaceTokenIfRequested))
+	pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: replacement.ID, Outcome: msg.Unknown}) })
+	pair.expectEvents("b elected", "b deposed: leader key changed")
 }
 
 // The leader key of an earlier process of this node is not kept alive by this process, or it would
 // never expire.
 func TestKeyOfEarlierProcessExpires(t *testing.T) {
-	w := newElectorPair(t)
-	w.step(w.a.Tick)
-	w.put(w.a, "n1", 3, 30)
-	if effects := w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }); len(effects) != 0 || w.a.IsLeader() {
+	pair := newElectorPair(t)
+	pair.step(pair.a.Tick)
+	pair.put(pair.a, "n1", 3, 30)
+	if effects := pair.step(func() { pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }); len(effects) != 0 || pair.a.IsLeader() {
 		t.Fatalf("%v", effects)
 	}
 	for range 10 {
-		for _, e := range w.step(w.a.Tick) {
+		for _, e := range pair.step(pair.a.Tick) {
 			if _, renews := e.(msg.RenewLease); renews {
 				t.Fatal("renews a lease while the leader key is an earlier process's")
 			}
 		}
 	}
-	w.step(func() { w.a.Apply(&wire.Change{Delete: "zone/a", Version: 31}, true) })
-	w.step(w.a.Tick)
-	w.elect(w.a, 9, 33)
-	w.expectEvents("a held by n1", "a elected")
+	pair.step(func() { pair.a.Apply(&wire.Change{Delete: "zone/a", Version: 31}, true) })
+	pair.step(pair.a.Tick)
+	pair.elect(pair.a, 9, 33)
+	pair.expectEvents("a held by n1", "a elected")
 }
 
 // A node whose terms end early, one after the other, backs off from campaigns for longer each time,
 // up to a maximum; a long term resets the backoff.
 func TestShortTermsBackOff(t *testing.T) {
-	w := newElectorPair(t)
+	pair := newElectorPair(t)
 	revision := uint64(40)
 	for i := range 12 {
-		vacantSince := w.now
-		for !requestsLease(w.step(w.a.Tick)) {
-			if w.now-vacantSince > maxCampaignDelay+2*config.Second {
+		vacantSince := pair.now
+		for !requestsLease(pair.step(pair.a.Tick)) {
+			if pair.now-vacantSince > maxCampaignDelay+2*config.Second {
 				t.Fatal("never campaigns again")
 			}
 		}
-		switch delay := w.now - vacantSince; {
+		switch delay := pair.now - vacantSince; {
 		case i == 0 && delay > config.Second:
 			t.Errorf("the first campaign is delayed by %d us", delay)
 		case i > 6 && i < 11 && delay < maxCampaignDelay:
@@ -197,14 +197,14 @@
 		case i == 11 && delay > config.Second:
 			t.Errorf("delayed by %d us after a long term", delay)
 		}
-		campaign := w.transaction(w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: uint64(i + 1)}) }))
-		w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: revision}) })
+		campaign := pair.transaction(pair.step(func() { pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: uint64(i + 1)}) }))
+		pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: revision}) })
 		if i == 10 {
-			w.now += shortTerm // a long term resets the backoff
+			pair.now += shortTerm // a long term resets the backoff
 		}
 		revision += 2
-		w.step(func() { w.a.Apply(&wire.Change{Delete: "zone/a", Version: revision - 1}, true) })
-		if w.a.IsLeader() {
+		pair.step(func() { pair.a.Apply(&wire.Change{Delete: "zone/a", Version: revision - 1}, true) })
+		if pair.a.IsLeader() {
 			t.Fatal("leads though its key was deleted")
 		}
 	}
@@ -217,7 +217,7 @@
 // The start of another node's term is known only where no change can have been missed: a token that
 // is taken for an earlier leader's must be one.
 func TestTermStartOfOtherNodes(t *testing.T) {
-	w := newElectorPair(t)
+	pair := newElectorPair(t)
 	encoded := func(node string) []byte {
 		v, err := job.Encode(LeaseRecord{node, 1})
 		if err != nil {
@@ -226,14 +226,14 @@
 		return v
 	}
 	put := func(node string, revision uint64, watched bool) {
-		w.step(func() { w.a.Apply(&wire.Change{Put: w.a.Key(), Value: encoded(node), Version: revision}, watched) })
+		pair.step(func() { pair.a.Apply(&wire.Change{Put: pair.a.Key(), Value: encoded(node), Version: revision}, watched) })
 	}
 	deleted := func(revision uint64) {
-		w.step(func() { w.a.Apply(&wire.Change{Delete: w.a.Key(), Version: revision}, true) })
+		pair.step(func() { pair.a.Apply(&wire.Change{Delete: pair.a.Key(), Version: revision}, true) })
 	}
 	expect := func(what string, version, termStart uint64) {
 		t.Helper()
-		if h := w.a.Holder(); h.Version != version || h.TermStart != termStart {
+		if h := pair.a.Holder(); h.Version != version || h.TermStart != termStart {
 			t.Errorf("%s: %+v, want version %d and term start %d", what, h, version, termStart)
 		}
 	}
@@ -251,7 +251,7 @@
 	deleted(21)
 	put("n9", 30, false)
 	expect("listed, after a delete that was seen", 30, 0)
-	w.step(func() { w.a.ApplyListingWithoutHolder(40) })
+	pair.step(func() { pair.a.ApplyListingWithoutHolder(40) })
 	put("n9", 44, true)
 	expect("created after a listing without the key", 44, 44)
 	put("n9", 50, false)
@@ -264,16 +264,16 @@
 // has a lease: the earlier process's transactions and calls may still be in flight under that token,
 // and the key expires with the earlier process's lease.
 func TestKeyOfEarlierProcessIsNotOwn(t *testing.T) {
-	w := newElectorPair(t)
-	w.step(func() { w.a.Tick() })
-	campaign := w.transaction(w.step(func() { w.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }))
-	w.step(func() { w.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.Refused}) })
+	pair := newElectorPair(t)
+	pair.step(func() { pair.a.Tick() })
+	campaign := pair.transaction(pair.step(func() { pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }))
+	pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.Refused}) })
 	value, err := job.Encode(LeaseRecord{"n1", 3})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.step(func() { w.a.Apply(&wire.Change{Put: "zone/a", Value: value, Version: 9}, true) })
-	if w.a.IsLeader() {
+	pair.step(func() { pair.a.Apply(&wire.Change{Put: "zone/a", Value: value, Version: 9}, true) })
+	if pair.a.IsLeader() {
 		t.Error("leads by the key of an earlier process")
 	}
 }
--- a/internal/core/records/completion_pages.go
+++ b/internal/core/records/completion_pages.go
@@ -4,208 +4,150 @@
 	"fmt"
 	"maps"
 	"slices"
-	"strconv"
 
 	"coralhub/internal/core/job"
 	"coralhub/wire"
 )
 
-const completionPrefix = job.KeyRoot + "ended/"
-
-// CompletionPageKey is where a page of the log of ended attempts is.
-func CompletionPageKey(n uint64) string { return completionPrefix + strconv.FormatUint(n, 10) }
-
-// CompletionEntry is a line of the log: an attempt of a task is not on a machine any more. That
-// is true for ever, whichever record it is held against, so it can be applied any number
-// of times.
-type CompletionEntry struct {
-	//lint:ignore U1000 read by the encoder: a line is a list, to be short
-	_msgpack      struct{} `msgpack:",as_array"`
-	Job           string
-	Task          int
-	Attempt       uint64
-	Machine       string
-	Done          bool
-	job.Occupancy // from Standing on
-}
-
-// completionEntryV1 is a line in the formats before Standing.
-type completionEntryV1 struct {
-	//lint:ignore U1000 read by the encoder
-	_msgpack struct{} `msgpack:",as_array"`
-	Job      string
-	Task     int
-	Attempt  uint64
-	Machine  string
-	Done     bool
-}
-
-// EncodeCompletionPage turns lines into the value of a page.
-func EncodeCompletionPage(lines []CompletionEntry, f job.Format) ([]byte, error) {
-	if f >= job.FormatPreemption {
-		return job.Encode(lines)
-	}
-	before := make([]completionEntryV1, len(lines))
-	for i, l := range lines {
-		before[i] = completionEntryV1{Job: l.Job, Task: l.Task, Attempt: l.Attempt, Machine: l.Machine, Done: l.Done}
-	}
-	return job.Encode(before)
-}
-
-// DecodeCompletionPage reads a page of any format.
-func DecodeCompletionPage(value []byte) ([]CompletionEntry, error) {
-	var lines []CompletionEntry
-	err := job.Decode(value, &lines)
-	if err == nil {
-		return lines, nil
-	}
-	var before []completionEntryV1
-	if job.Decode(value, &before) != nil {
-		return nil, err // of the present format
-	}
-	lines = make([]CompletionEntry, len(before))
-	for i, l := range before {
-		lines[i] = CompletionEntry{Job: l.Job, Task: l.Task, Attempt: l.Attempt, Machine: l.Machine, Done: l.Done}
-	}
-	return lines, nil
-}
-
-// Completion is a line of a page as its job knows it.
+// Completion is an entry of the completion log together with what it has been merged into.
 type Completion struct {
 	CompletionEntry
-	Merged bool       // the job's record or page, as it is stored, says so too
-	entry  *pageEntry // the part of a page that has the attempt open, as it is stored; nil: none
+	Merged bool       // the job's record, shard or placement page, as stored, includes it
+	entry  *pageEntry // the entry of a placement page in which the attempt is open as stored, or nil
 }
 
-// PlacementPage is the page of shared parts that has to be rewritten for a line to be of no more use;
-// false: none has.
-func (f *Completion) PlacementPage() (page uint64, ok bool) {
-	if f.entry == nil {
+// PlacementPage returns the placement page that has to be rewritten before the completion can be
+// dropped from the log. It returns false if there is none.
+func (c *Completion) PlacementPage() (page uint64, ok bool) {
+	if c.entry == nil {
 		return 0, false
 	}
-	return f.entry.page, true
+	return c.entry.page, true
 }
 
-// CompletionPage is a page of the log.
+// CompletionPage is a page of the completion log.
 type CompletionPage struct {
 	Version     uint64
 	Completions []*Completion
 }
 
-// CompletionPages lists the pages' numbers, oldest first.
-func (b *Replica) CompletionPages() []uint64 { return slices.Sorted(maps.Keys(b.completionPages)) }
+// CompletionPages returns the numbers of the pages of the completion log, oldest first.
+func (r *Replica) CompletionPages() []uint64 { return slices.Sorted(maps.Keys(r.completionPages)) }
 
-// CompletionPage returns a page; nil: there is none.
-func (b *Replica) CompletionPage(n uint64) *CompletionPage { return b.completionPages[n] }
+// CompletionPage returns a page of the completion log, nil if it does not exist.
+func (r *Replica) CompletionPage(n uint64) *CompletionPage { return r.completionPages[n] }
 
-func (b *Replica) applyCompletionPage(n uint64, ev *wire.Change) error {
-	p := b.completionPages[n]
-	if p != nil && p.Version >= ev.Version {
+func (r *Replica) applyCompletionPage(n uint64, change *wire.Change) error {
+	page := r.completionPages[n]
+	if page != nil && page.Version >= change.Version {
 		return nil
 	}
-	if ev.Put == "" {
-		if p != nil {
-			b.DropCompletionPage(n)
+	if change.Put == "" {
+		if page != nil {
+			r.DropCompletionPage(n)
 		}
 		return nil
 	}
-	lines, err := DecodeCompletionPage(ev.Value)
+	entries, err := DecodeCompletionPage(change.Value)
 	if err != nil {
-		return fmt.Errorf("log of ended attempts, page %d: %w", n, err)
+		return fmt.Errorf("completion log page %d: %w", n, err)
 	}
-	if p == nil {
-		p = &CompletionPage{}
-		b.completionPages[n] = p
+	if page == nil {
+		page = &CompletionPage{}
+		r.completionPages[n] = page
 	}
-	p.Version = ev.Version
-	for _, l := range lines[min(len(p.Completions), len(lines)):] { // a page only grows
-		f := &Completion{CompletionEntry: l}
-		p.Completions = append(p.Completions, f)
-		b.applyCompletion(f)
+	page.Version = change.Version
+	known := min(len(page.Completions), len(entries)) // a page only grows
+	for _, entry := range entries[known:] {
+		c := &Completion{CompletionEntry: entry}
+		page.Completions = append(page.Completions, c)
+		r.applyCompletion(c)
 	}
 	return nil
 }
 
 // DropCompletionPage drops a page that was deleted.
-func (b *Replica) DropCompletionPage(n uint64) {
-	for _, f := range b.completionPages[n].Completions {
-		if j := b.jobs[f.Job]; j != nil {
-			j.completions = slices.DeleteFunc(j.completions, func(o *Completion) bool { return o == f })
+func (r *Replica) DropCompletionPage(n uint64) {
+	for _, c := range r.completionPages[n].Completions {
+		if j := r.jobs[c.Job]; j != nil {
+			j.completions = slices.DeleteFunc(j.completions, func(other *Completion) bool { return other == c })
 		}
 	}
-	delete(b.completionPages, n)
+	delete(r.completionPages, n)
 }
 
-// applyCompletion holds a line against what is known of its job.
-func (b *Replica) applyCompletion(f *Completion) {
-	j := b.job(f.Job)
-	j.completions = append(j.completions, f)
-	if b.closeInPlacementPages(j, f) {
+// applyCompletion applies a new completion to its job.
+func (r *Replica) applyCompletion(c *Completion) {
+	j := r.jobOrNew(c.Job)
+	j.completions = append(j.completions, c)
+	if r.closeInPlacementPages(j, c) {
 		return
 	}
-	n := j.Record.ShardOf(f.Task)
+	n := j.Record.ShardOf(c.Task)
 	if j.Version == 0 || j.Archived() || n > len(j.Shards) {
-		return // the record or the part comes later, or not at all
+		return // the record or the shard comes later, or not at all
 	}
-	p, _ := j.Shard(n)
-	q := p.Clone()
-	if !f.apply(j, &q) {
+	shard, _ := j.Shard(n)
+	updated := shard.Clone()
+	if !c.apply(j, &updated) {
 		return
 	}
-	b.replacePlacements(j, p.Open, q.Open)
-	*p = q
+	r.replacePlacements(j, shard.Open, updated.Open)
+	*shard = updated
 	j.recount()
-	b.listener.JobChanged(j)
+	r.listener.JobChanged(j)
 }
 
-// closeInPlacementPages closes what a line says has ended if a page of shared parts has it open.
-func (b *Replica) closeInPlacementPages(j *Job, f *Completion) bool {
-	for _, s := range j.pageEntries {
-		old := s.Open
-		if !s.close(f) {
+// closeInPlacementPages closes the placement of a completion if it is open in a placement page, and
+// reports whether it was.
+func (r *Replica) closeInPlacementPages(j *Job, c *Completion) bool {
+	for _, e := range j.pageEntries {
+		old := e.Open
+		if !e.closeCompleted(c) {
 			continue
 		}
-		b.replacePlacements(j, old, s.Open)
+		r.replacePlacements(j, old, e.Open)
 		j.recount()
-		b.listener.JobChanged(j)
+		r.listener.JobChanged(j)
 		return true
 	}
 	return false
 }
 
-// apply brings a part of the record up to a line; it returns whether that changed anything. A line
-// about what a page has placed is none of the record's business.
-func (f *Completion) apply(j *Job, p *job.Shard) bool {
-	if f.entry != nil {
+// apply applies the completion to a shard of its job, and reports whether that changed the shard. A
+// completion of a placement that is in a placement page does not concern the shard.
+func (c *Completion) apply(j *Job, shard *job.Shard) bool {
+	if c.entry != nil {
 		return false
 	}
-	if f.Done && j.pagesSayDone(f.Task) {
-		f.Merged = true
+	if c.Done && j.doneInPages(c.Task) {
+		c.Merged = true
 		return false
 	}
-	changed := p.Close(f.Task, f.Attempt, f.Machine, f.Occupancy)
-	if f.Done && !p.IsDone(f.Task%job.TasksPerShard) {
-		p.SetDone(f.Task % job.TasksPerShard)
+	changed := shard.Close(c.Task, c.Attempt, c.Machine, c.Occupancy)
+	if c.Done && !shard.IsDone(c.Task%job.TasksPerShard) {
+		shard.SetDone(c.Task % job.TasksPerShard)
 		changed = true
 	}
-	f.Merged = !changed
+	c.Merged = !changed
 	return changed
 }
 
-// applyCompletions brings the stored value of a job's n-th part up to the log.
-func (j *Job) applyCompletions(n int, p *job.Shard) {
-	for _, f := range j.completions {
-		if j.Record.ShardOf(f.Task) == n {
-			f.apply(j, p)
+// applyCompletions applies the completion log to the stored value of the job's n-th shard.
+func (j *Job) applyCompletions(n int, shard *job.Shard) {
+	for _, c := range j.completions {
+		if j.Record.ShardOf(c.Task) == n {
+			c.apply(j, shard)
 		}
 	}
 }
 
-// EachUnmerged calls f for the task of each line that the job's record doesn't say yet.
+// EachUnmerged calls f with the task of each completion that the job's record or shards, as stored,
+// do not include yet.
 func (j *Job) EachUnmerged(f func(task int)) {
-	for _, x := range j.completions {
-		if !x.Merged && x.entry == nil {
-			f(x.Task)
+	for _, c := range j.completions {
+		if !c.Merged && c.entry == nil {
+			f(c.Task)
 		}
 	}
 }
--- a/internal/core/records/dependencies.go
+++ b/internal/core/records/dependencies.go
@@ -6,65 +6,66 @@
 	"coralhub/wire"
 )
 
-// Chains. A job may need others to be done before any task of it starts. What
-// it waits for is decided by committed records alone: "done" and "cancelled"
-// never change, so nothing has to be guarded when it starts. Every node links the
-// jobs as their records come; each step's work goes with the jobs that it
-// concerns, and none recurs, so that chains may be long.
+// Dependencies form a DAG: a job may depend on other jobs, all of which must be done before any of
+// its tasks starts. Whether a job is blocked follows from committed records alone: the phases "done"
+// and "cancelled" never change, so that starting a job needs no conditions on its dependencies.
+// Every node links the jobs as their records come. The work of each step is proportional to the
+// number of jobs concerned, and nothing is recursive, so that chains of dependencies may be long.
 
-// dependencies is how a job hangs together with others.
+// dependencies is the part of a job that relates it to other jobs.
 type dependencies struct {
 	linked     bool
-	dependsOn  []*Job // those that were not done when it was linked
+	dependsOn  []*Job // dependencies that were not done when the job was linked
 	unmet      int    // how many of them are not done yet
-	dependents []*Job // jobs that wait for this one
-	// A job that it needs, directly or not, is cancelled: this one is as good as
-	// cancelled, and its record will say so before anybody is told.
+	dependents []*Job // unfinished jobs that depend on this one
+	// dependencyCancelled is set once a direct or indirect dependency is cancelled: this job will
+	// be cancelled as well, and its record will say so before any client is told.
 	dependencyCancelled bool
-	// The highest priority of the jobs that need it, directly or not. It stays
-	// when they are cancelled: a matter of rank alone.
+	// inheritedPriority is the highest priority of the direct and indirect dependents. It is not
+	// lowered when they are cancelled, since it only affects the order of the queue.
 	inheritedPriority string
 }
 
-// HasDependencies tells whether a job was submitted with jobs that it needs.
+// HasDependencies reports whether the job was submitted with dependencies.
 func (j *Job) HasDependencies() bool { return j.Record.Spec != nil && len(j.Record.Spec.Needs) > 0 }
 
-// WaitsForDependencies tells whether a job that it needs is not done yet.
+// WaitsForDependencies reports whether a dependency of the job is not done yet.
 func (j *Job) WaitsForDependencies() bool { return j.unmet > 0 }
 
-// DependencyCancelled tells whether a job that it needs, directly or not, is cancelled.
+// DependencyCancelled reports whether a direct or indirect dependency of the job is cancelled.
 func (j *Job) DependencyCancelled() bool { return j.dependencyCancelled }
 
-// Blocked tells whether a job still waits for others, or never will start because
-// one of them is cancelled. It holds no part of anything until then.
+// Blocked reports whether the job waits for its dependencies, or will never start because one of
+// them is cancelled. A blocked job is not queued, and has no part in fair share and guarantees.
 func (j *Job) Blocked() bool { return j.unmet > 0 || j.dependencyCancelled }
 
-// UnfinishedDependencies lists the jobs that it needs which are neither done nor cancelled, and whose
-// records have come.
+// UnfinishedDependencies returns the IDs of the dependencies that are neither done nor cancelled,
+// and whose records have come.
 func (j *Job) UnfinishedDependencies() []string {
-	var out []string
-	for _, n := range j.dependsOn {
-		if n.Record.Spec != nil && !n.Record.Final() {
-			out = append(out, n.ID)
+	var ids []string
+	for _, dependency := range j.dependsOn {
+		if dependency.Record.Spec != nil && !dependency.Record.Final() {
+			ids = append(ids, dependency.ID)
 		}
 	}
-	return out
+	return ids
 }
 
-// DependentCount tells how many jobs wait for this one.
+// DependentCount returns how many jobs wait for this one.
 func (j *Job) DependentCount() int { return len(j.dependents) }
 
-// Priority is that of the job, or of one that needs it if that is higher.
+// Priority returns the job's priority, or that of a direct or indirect dependent if it is higher.
 func (j *Job) Priority() string {
-	if p := j.Record.Spec.Priority; j.inheritedPriority == "" || queue.Level(p, false) >= queue.Level(j.inheritedPriority, false) {
-		return p
+	own := j.Record.Spec.Priority
+	if j.inheritedPriority == "" || queue.Level(own, false) >= queue.Level(j.inheritedPriority, false) {
+		return own
 	}
 	return j.inheritedPriority
 }
 
-// link ties a job to those that it needs when its record first comes. The
-// record of a needed job may come later.
-func (b *Replica) link(j *Job) {
+// linkDependencies links a job to its dependencies when its record first comes. The record of a
+// dependency may come later.
+func (r *Replica) linkDependencies(j *Job) {
 	if j.linked || j.Record.Spec == nil {
 		return
 	}
@@ -73,80 +74,71 @@
 		return
 	}
 	for _, id := range j.Record.Spec.Needs {
-		n := b.job(id)
-		if n.Record.Phase == job.Done {
+		dependency := r.jobOrNew(id)
+		if dependency.Record.Phase == job.Done {
 			continue
 		}
-		j.dependsOn = append(j.dependsOn, n)
+		j.dependsOn = append(j.dependsOn, dependency)
 		j.unmet++
-		if n.Record.Phase == job.Cancelled || n.dependencyCancelled {
-			b.cancelDependents(j)
+		if dependency.Record.Phase == job.Cancelled || dependency.dependencyCancelled {
+			r.cancelDependents(j)
 			continue
 		}
-		n.dependents = append(n.dependents, j)
+		dependency.dependents = append(dependency.dependents, j)
 	}
 	inheritPriority(j)
 }
 
-// inheritPriority gives the jobs that one needs its priority, and so on. Those of services
-// stay with them: nothing waits for a service.
+// inheritPriority raises the inherited priority of all direct and indirect dependencies of a job.
+// The priority of a service is not inherited, because nothing waits for a service.
 func inheritPriority(j *Job) {
 	if j.Record.Spec.Shape == wire.Service {
 		return
 	}
-	for todo := []*Job{j}; len(todo) > 0; {
-		x := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		p := x.inheritedPriority
-		if x.Record.Spec != nil {
-			p = x.Priority()
+	for stack := []*Job{j}; len(stack) > 0; {
+		dependent := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
+		priority := dependent.inheritedPriority
+		if dependent.Record.Spec != nil {
+			priority = dependent.Priority()
 		}
-		for _, n := range x.dependsOn {
-			if n.inheritedPriority == "" || queue.Level(p, false) > queue.Level(n.inheritedPriority, false) {
-				n.inheritedPriority = p
-				todo = append(todo, n)
+		for _, dependency := range dependent.dependsOn {
+			inherited := dependency.inheritedPriority
+			if inherited == "" || queue.Level(priority, false) > queue.Level(inherited, false) {
+				dependency.inheritedPriority = priority
+				stack = append(stack, dependency)
 			}
 		}
 	}
 }
 
-// notifyDependents tells the jobs that wait for one that its phase is final.
-func (b *Replica) notifyDependents(j *Job) {
-	waiting := j.dependents
-	j.dependents, j.dependsOn = nil, nil
-	for _, d := range waiting {
+// notifyDependents updates the dependents of a job whose phase has become final.
+func (r *Replica) notifyDependents(j *Job) {
+	dependents := j.dependents
+	j.dependents = nil
+	j.dependsOn = nil
+	for _, dependent := range dependents {
 		if j.Record.Phase == job.Cancelled {
-			b.cancelDependents(d)
+			r.cancelDependents(dependent)
 			continue
 		}
-		if d.unmet--; d.unmet == 0 && !d.Record.Final() {
-			b.listener.DependenciesMet(d)
+		dependent.unmet--
+		if dependent.unmet == 0 && !dependent.Record.Final() {
+			r.listener.DependenciesMet(dependent)
 		}
 	}
 }
 
-// cancelDependents marks a job, and those that need it, directly or not, as cancelled by a
-// cancellation before them.
-func (b *Replica) cancelDependents(j *Job) {
-	for todo := []*Job{j}; len(todo) > 0; {
-		x := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		if x.dependencyCancelled || x.Record.Final() {
+// cancelDependents marks a job with a cancelled dependency, and all of its direct and indirect dependents.
+func (r *Replica) cancelDependents(j *Job) {
+	for stack := []*Job{j}; len(stack) > 0; {
+		dependent := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
+		if dependent.dependencyCancelled || dependent.Record.Final() {
 			continue
 		}
-		x.dependencyCancelled = true
-		b.listener.DependencyCancelled(x)
-		todo = append(todo, x.dependents...)
+		dependent.dependencyCancelled = true
+		r.listener.DependencyCancelled(dependent)
+		stack = append(stack, dependent.dependents...)
 	}
 }
-
-// UnknownJobs lists those of the ids that the copy has no record of.
-func (b *Replica) UnknownJobs(ids []string) []string {
-	var out []string
-	for _, id := range ids {
-		if j := b.jobs[id]; j == nil || j.Version == 0 {
-			out = append(out, id)
-		}
-	}
-	return out
-}
--- a/internal/core/records/dependencies_test.go
+++ b/internal/core/records/dependencies_test.go
@@ -9,76 +9,77 @@
 	"coralhub/wire"
 )
 
-// links is long enough for anything that recurs along a chain, or goes through
-// all of it at each step, to be noticed.
-const links = 20000
+// chainLength is long enough for anything that is recursive along a chain of dependencies, or goes
+// through all of it at each step, to be noticed.
+const chainLength = 20000
 
-// recordingListener notes which jobs were freed.
-type recordingListener struct{ freed []string }
+// recordingListener records the jobs whose dependencies are met.
+type recordingListener struct{ unblocked []string }
 
-func (h *recordingListener) JobAdded(*Job)                                            {}
-func (h *recordingListener) PlacementsChanged(*Job, []job.Placement, []job.Placement) {}
-func (h *recordingListener) PlanOutdated(*Job)                                        {}
-func (h *recordingListener) RecordChanged(*Job)                                       {}
-func (h *recordingListener) JobFinished(*Job)                                         {}
-func (h *recordingListener) JobChanged(*Job)                                          {}
-func (h *recordingListener) DependenciesMet(j *Job)                                   { h.freed = append(h.freed, j.ID) }
-func (h *recordingListener) DependencyCancelled(*Job)                                 {}
+func (l *recordingListener) JobAdded(*Job)                                            {}
+func (l *recordingListener) PlacementsChanged(*Job, []job.Placement, []job.Placement) {}
+func (l *recordingListener) PlanOutdated(*Job)                                        {}
+func (l *recordingListener) RecordChanged(*Job)                                       {}
+func (l *recordingListener) JobFinished(*Job)                                         {}
+func (l *recordingListener) JobChanged(*Job)                                          {}
+func (l *recordingListener) DependenciesMet(j *Job)                                   { l.unblocked = append(l.unblocked, j.ID) }
+func (l *recordingListener) DependencyCancelled(*Job)                                 {}
 
-func put(t *testing.T, b *Replica, version uint64, rec job.Record, n int) {
+// putRecord applies a put of the record of job j-n.
+func putRecord(t *testing.T, r *Replica, version uint64, record job.Record, n int) {
 	t.Helper()
-	value, err := job.EncodeRecord(&rec, job.FormatGrouped)
+	value, err := job.EncodeRecord(&record, job.FormatGrouped)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if ours, err := b.Apply(&wire.Change{Put: job.RecordKey(fmt.Sprintf("j-%d", n)), Value: value, Version: version}); !ours || err != nil {
-		t.Fatal(ours, err)
+	if handled, err := r.Apply(&wire.Change{Put: job.RecordKey(fmt.Sprintf("j-%d", n)), Value: value, Version: version}); !handled || err != nil {
+		t.Fatal(handled, err)
 	}
 }
 
-// chained returns a copy that holds a chain whose last job alone is urgent. The
-// records come in any order.
-func chained(t *testing.T, backwards bool) (*Replica, *recordingListener) {
+// newChain returns a replica with a chain of jobs, each of which depends on the one before. The last
+// job alone has high priority. The records come from the first job on, or backwards.
+func newChain(t *testing.T, backwards bool) (*Replica, *recordingListener) {
 	t.Helper()
-	h := &recordingListener{}
-	b := New(h)
-	order := make([]int, links)
+	listener := &recordingListener{}
+	replica := New(listener)
+	order := make([]int, chainLength)
 	for i := range order {
 		order[i] = i
 	}
 	if backwards {
 		slices.Reverse(order)
 	}
-	for v, n := range order {
-		rec := job.Record{CreatedAt: Micros(n + 1), Spec: &wire.Job{Shape: wire.Array, Priority: wire.Low, Tasks: 1}}
+	for i, n := range order {
+		record := job.Record{CreatedAt: Micros(n + 1), Spec: &wire.Job{Shape: wire.Array, Priority: wire.Low, Tasks: 1}}
 		if n > 0 {
-			rec.Spec.Needs = []string{fmt.Sprintf("j-%d", n-1)}
+			record.Spec.Needs = []string{fmt.Sprintf("j-%d", n-1)}
 		}
-		if n == links-1 {
-			rec.Spec.Priority = wire.High
+		if n == chainLength-1 {
+			record.Spec.Priority = wire.High
 		}
-		put(t, b, uint64(v+1), rec, n)
+		putRecord(t, replica, uint64(i+1), record, n)
 	}
-	return b, h
+	return replica, listener
 }
 
-func TestLongChain(t *testing.T) {
+func TestLongDependencyChain(t *testing.T) {
 	for _, backwards := range []bool{false, true} {
-		b, h := chained(t, backwards)
-		for n := range links {
-			j := b.Job(fmt.Sprintf("j-%d", n))
+		replica, listener := newChain(t, backwards)
+		for n := range chainLength {
+			j := replica.Job(fmt.Sprintf("j-%d", n))
 			if j.Blocked() != (n > 0) || j.Priority() != wire.High {
-				t.Fatalf("job %d: held %v, priority %s", n, j.Blocked(), j.Priority())
+				t.Fatalf("job %d: blocked %v, priority %s", n, j.Blocked(), j.Priority())
 			}
 		}
-		put(t, b, links+1, job.Record{Phase: job.Done}, 0)
-		if b.Job("j-1").Blocked() || !b.Job("j-2").Blocked() || !slices.Equal(h.freed, []string{"j-1"}) {
-			t.Fatal("the end of a job frees the next and no other")
+		putRecord(t, replica, chainLength+1, job.Record{Phase: job.Done}, 0)
+		if replica.Job("j-1").Blocked() || !replica.Job("j-2").Blocked() || !slices.Equal(listener.unblocked, []string{"j-1"}) {
+			t.Fatal("the end of a job must unblock the next and no other")
 		}
-		put(t, b, links+2, job.Record{Phase: job.Cancelled}, 1)
-		for n := 2; n < links; n++ {
-			if !b.Job(fmt.Sprintf("j-%d", n)).DependencyCancelled() {
-				t.Fatalf("job %d goes on after a cancellation", n)
+		putRecord(t, replica, chainLength+2, job.Record{Phase: job.Cancelled}, 1)
+		for n := 2; n < chainLength; n++ {
+			if !replica.Job(fmt.Sprintf("j-%d", n)).DependencyCancelled() {
+				t.Fatalf("job %d is not cancelled by a cancelled dependency", n)
 			}
 		}
 	}
--- a/internal/core/records/encoding.go
+++ b/internal/core/records/encoding.go
@@ -6,60 +6,64 @@
 	"coralhub/wire"
 )
 
-// slackBytes is what values stay below the state service's limit.
-const slackBytes = 32
+const (
+	// valueSlackBytes is how far values stay below the limit of the key-value store.
+	valueSlackBytes = 32
+	// minValueBytes is the lower bound of a reduced value limit.
+	minValueBytes = 1024
+	// minWriteShare bounds the interval between writes when a share is tiny.
+	minWriteShare = 0.01
+)
 
-// minValueBytes is what values are never made smaller than.
-const minValueBytes = 1024
+// FormatKey is the key of the format in force.
+const FormatKey = job.KeyRoot + "format"
 
-// Encoding is how what is written has to look: the format in force, and how much the state
-// service takes.
+// Encoding determines how values are encoded: the format in force, and the size limits of the
+// key-value store.
 type Encoding struct {
 	Format  job.Format // as far as this node knows
-	Version uint64     // of the key that says so; 0: there is none
+	Version uint64     // of FormatKey, 0 if it does not exist
 
 	state        *config.State
-	reducedLimit int // values stay below this, if it isn't 0
+	reducedLimit int // upper bound of values in bytes, 0 if there is none
 }
 
-// NewEncoding returns the first format within the limits of a state service.
+// NewEncoding returns the first format within the limits of a key-value store.
 func NewEncoding(state *config.State) *Encoding {
 	return &Encoding{Format: job.FormatPlacements, state: state}
 }
 
-// FormatKey is where the format is.
-const FormatKey = job.KeyRoot + "format"
-
-// Condition has a transaction fail unless the format is the one that this node knows.
-func (f *Encoding) Condition() wire.Condition {
-	return wire.Condition{Key: FormatKey, Version: f.Version}
+// Condition returns a condition that fails a transaction unless the format that this node knows is
+// in force.
+func (e *Encoding) Condition() wire.Condition {
+	return wire.Condition{Key: FormatKey, Version: e.Version}
 }
 
-// UpgradePending tells whether the format is still to be raised.
-func (f *Encoding) UpgradePending() bool { return f.Format < job.NewestFormat }
+// UpgradePending reports whether the format is older than the newest one.
+func (e *Encoding) UpgradePending() bool { return e.Format < job.NewestFormat }
 
-func (f *Encoding) valueLimit() int {
-	if f.reducedLimit > 0 {
-		return min(f.state.ValueBytes(), f.reducedLimit)
+func (e *Encoding) valueLimit() int {
+	if e.reducedLimit > 0 {
+		return min(e.state.ValueBytes(), e.reducedLimit)
 	}
-	return f.state.ValueBytes()
+	return e.state.ValueBytes()
 }
 
-// MaxValueBytes is how large a value may be: within the limits that the state service has
-// and those that it will have, since nobody tells when they change.
-func (f *Encoding) MaxValueBytes() int { return f.valueLimit() - slackBytes }
+// MaxValueBytes returns how large a value may be. It respects the present limit of the key-value
+// store as well as announced ones, since it is not known when they take effect.
+func (e *Encoding) MaxValueBytes() int { return e.valueLimit() - valueSlackBytes }
 
-// Fits tells whether an encoded value may be put.
-func (f *Encoding) Fits(value []byte) bool { return wire.JSONSize(value) <= f.MaxValueBytes() }
+// Fits reports whether an encoded value is small enough to be put.
+func (e *Encoding) Fits(value []byte) bool { return wire.JSONSize(value) <= e.MaxValueBytes() }
 
-// MaxOps is how many changes a transaction may have.
-func (f *Encoding) MaxOps() int { return f.state.Ops() }
+// MaxOps returns how many changes a transaction may have.
+func (e *Encoding) MaxOps() int { return e.state.Ops() }
 
-// ReduceMaxValueBytes has values become smaller, down to a bound: the state service has refused one
-// as malformed.
-func (f *Encoding) ReduceMaxValueBytes() { f.reducedLimit = max(minValueBytes, f.valueLimit()*3/4) }
+// ReduceMaxValueBytes lowers the limit of values by a quarter, down to a bound. It is called when
+// the key-value store has rejected a transaction as malformed.
+func (e *Encoding) ReduceMaxValueBytes() { e.reducedLimit = max(minValueBytes, e.valueLimit()*3/4) }
 
-// IntervalForShare is the time between changes that may take a share of all changes.
-func (f *Encoding) IntervalForShare(share float64) Micros {
-	return config.FromSeconds(1 / max(0.01, share*f.state.LeastWriteRPS()))
+// IntervalForShare returns the time between writes that may take a share, from 0 to 1, of the write rate.
+func (e *Encoding) IntervalForShare(share float64) Micros {
+	return config.FromSeconds(1 / max(minWriteShare, share*e.state.LeastWriteRPS()))
 }
--- a/internal/core/records/placement_pages_test.go
+++ b/internal/core/records/placement_pages_test.go
@@ -14,8 +14,9 @@
 	"coralhub/wire"
 )
 
-func TestSharedIsReadAsWritten(t *testing.T) {
-	parts := []PlacementEntry{
+// A page is decoded as it was encoded, and a malformed one is refused.
+func TestPlacementPageEncoding(t *testing.T) {
+	entries := []PlacementEntry{
 		{Job: "j-1", Index: 0, LastAttempt: 3, Shard: job.Shard{DoneSet: "5", Usage: &job.Usage{Time: 7, Spot: 2, Lost: 1}, Open: []job.Placement{
 			{Task: 1, Attempt: 2, Machine: "m-1", Session: 1, Zone: "a", PlacedAt: 12},
 			{Task: 4, Attempt: 2, Machine: "m-1", Session: 1, Zone: "a", PlacedAt: 12},
@@ -24,13 +25,13 @@
 		{Job: "j-2", Index: 3, LastAttempt: 1, Shard: job.Shard{Open: []job.Placement{{Task: 96, Attempt: 1, Machine: "m-3", Session: 1, Zone: "a"}}}},
 		{Job: "j-3", Index: 0, LastAttempt: 8},
 	}
-	value, err := EncodePlacementPage(parts)
+	value, err := EncodePlacementPage(entries)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := DecodePlacementPage(value)
-	if err != nil || !reflect.DeepEqual(got, parts) {
-		t.Errorf("%v\n%+v\n%+v", err, got, parts)
+	if err != nil || !reflect.DeepEqual(got, entries) {
+		t.Errorf("%v\n%+v\n%+v", err, got, entries)
 	}
 	for _, page := range []storedPage{
 		{Entries: []storedEntry{{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "1", Zone: 2}}}}}}},
@@ -43,70 +44,70 @@
 			t.Fatal(err)
 		}
 		if _, err := DecodePlacementPage(value); err == nil {
-			t.Errorf("%+v was read", page)
+			t.Errorf("%+v was decoded without an error", page)
 		}
 	}
 }
 
-// sharedWorld is a state service that one writer changes as a leader does, with the writer's copy.
-type sharedWorld struct {
+// leaderModel is a key-value store that one writer changes as a leader does, with the writer's replica.
+type leaderModel struct {
 	t       *rapid.T
 	store   map[string]wire.KeyValue
 	version uint64
 	replica *Replica
 	jobs    int
-	ended   uint64 // page of the log that is being filled
+	logPage uint64 // page of the completion log that is being filled
 }
 
-func (w *sharedWorld) put(key string, value []byte) {
-	w.version++
-	w.store[key] = wire.KeyValue{Key: key, Value: value, Version: w.version}
-	w.apply(w.replica, wire.Change{Put: key, Value: value, Version: w.version})
+func (m *leaderModel) put(key string, value []byte) {
+	m.version++
+	m.store[key] = wire.KeyValue{Key: key, Value: value, Version: m.version}
+	m.apply(m.replica, wire.Change{Put: key, Value: value, Version: m.version})
 }
 
-func (w *sharedWorld) apply(b *Replica, ev wire.Change) {
-	if _, err := b.Apply(&ev); err != nil {
-		w.t.Fatal(err)
+func (m *leaderModel) apply(replica *Replica, change wire.Change) {
+	if _, err := replica.Apply(&change); err != nil {
+		m.t.Fatal(err)
 	}
 }
 
-func (w *sharedWorld) submit() {
-	id := fmt.Sprintf("j-%d", w.jobs)
-	w.jobs++
-	tasks := rapid.IntRange(1, 70).Draw(w.t, "tasks")
-	w.record(id, &job.Record{CreatedAt: 1, Spec: &wire.Job{ID: id, Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks, CPUs: 1}})
+func (m *leaderModel) submit() {
+	id := fmt.Sprintf("j-%d", m.jobs)
+	m.jobs++
+	tasks := rapid.IntRange(1, 70).Draw(m.t, "tasks")
+	m.putRecord(id, &job.Record{CreatedAt: 1, Spec: &wire.Job{ID: id, Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks, CPUs: 1}})
 }
 
-func (w *sharedWorld) record(id string, rec *job.Record) {
-	value, err := job.EncodeRecord(rec, job.NewestFormat)
+func (m *leaderModel) putRecord(id string, record *job.Record) {
+	value, err := job.EncodeRecord(record, job.NewestFormat)
 	if err != nil {
-		w.t.Fatal(err)
+		m.t.Fatal(err)
 	}
-	w.put(job.RecordKey(id), value)
+	m.put(job.RecordKey(id), value)
 }
 
-// pick draws a job that is not over; nil: there is none.
-func (w *sharedWorld) pick() *Job {
-	var open []*Job
-	for i := range w.jobs {
-		if j := w.replica.Job(fmt.Sprintf("j-%d", i)); !j.Archived() {
-			open = append(open, j)
+// pick draws a job that is not finished, nil if there is none.
+func (m *leaderModel) pick() *Job {
+	var active []*Job
+	for i := range m.jobs {
+		if j := m.replica.Job(fmt.Sprintf("j-%d", i)); !j.Archived() {
+			active = append(active, j)
 		}
 	}
-	if len(open) == 0 {
+	if len(active) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(open).Draw(w.t, "job")
+	return rapid.SampledFrom(active).Draw(m.t, "job")
 }
 
-// place places some tasks of a job, by a page that there is or the next.
-func (w *sharedWorld) place() {
-	j := w.pick()
+// place places some tasks of a job in an existing page or the next.
+func (m *leaderModel) place() {
+	j := m.pick()
 	if j == nil {
 		return
 	}
-	page := rapid.Uint64Range(1, w.replica.NextPlacementPage()).Draw(w.t, "page")
-	parts := w.replica.Compacted(page)
+	page := rapid.Uint64Range(1, m.replica.NextPlacementPage()).Draw(m.t, "page")
+	entries := m.replica.Compacted(page)
 	attempt := j.Record.LastAttempt + 1
 	for n, end := j.Record.ShardRange(j.Record.Spec.Tasks); n < end; n++ {
 		first, count := j.Record.ShardSpan(n, j.Record.Spec.Tasks)
@@ -114,155 +115,158 @@
 		if len(missing) == 0 {
 			continue
 		}
-		missing = missing[:rapid.IntRange(1, len(missing)).Draw(w.t, "how many")]
+		missing = missing[:rapid.IntRange(1, len(missing)).Draw(m.t, "how many")]
 		added := PlacementEntry{Job: j.ID, Index: first / job.TasksPerShard, LastAttempt: attempt}
 		for _, i := range missing {
 			added.Open = append(added.Open, job.Placement{Task: first + i, Attempt: attempt, Machine: fmt.Sprintf("m-%d", i%5), Session: 1, Zone: "a", PlacedAt: 5})
 		}
-		if at := slices.IndexFunc(parts, func(p PlacementEntry) bool { return p.Job == j.ID && p.Index == added.Index }); at >= 0 {
-			p := &parts[at]
-			p.Open, p.LastAttempt = append(slices.Clip(p.Open), added.Open...), attempt
+		if i := slices.IndexFunc(entries, func(p PlacementEntry) bool { return p.Job == j.ID && p.Index == added.Index }); i >= 0 {
+			entry := &entries[i]
+			entry.Open = append(slices.Clip(entry.Open), added.Open...)
+			entry.LastAttempt = attempt
 		} else {
-			parts = append(parts, added)
+			entries = append(entries, added)
 		}
 	}
-	w.write(page, parts)
+	m.putPage(page, entries)
 }
 
-func (w *sharedWorld) write(page uint64, parts []PlacementEntry) {
-	value, err := EncodePlacementPage(parts)
+func (m *leaderModel) putPage(page uint64, entries []PlacementEntry) {
+	value, err := EncodePlacementPage(entries)
 	if err != nil {
-		w.t.Fatal(err)
+		m.t.Fatal(err)
 	}
-	w.put(PlacementPageKey(page), value)
+	m.put(PlacementPageKey(page), value)
 }
 
-// fold rewrites a page with nothing new.
-func (w *sharedWorld) fold() {
-	if pages := w.replica.PlacementPages(); len(pages) > 0 {
-		n := rapid.SampledFrom(pages).Draw(w.t, "page")
-		w.write(n, w.replica.Compacted(n))
+// compact rewrites a page without new placements.
+func (m *leaderModel) compact() {
+	if pages := m.replica.PlacementPages(); len(pages) > 0 {
+		n := rapid.SampledFrom(pages).Draw(m.t, "page")
+		m.putPage(n, m.replica.Compacted(n))
 	}
 }
 
-// end writes some ends of a job's tasks into the log.
-func (w *sharedWorld) end() {
-	j := w.pick()
+// complete writes completions of some of a job's tasks into the log.
+func (m *leaderModel) complete() {
+	j := m.pick()
 	if j == nil || j.OpenTasks == 0 {
 		return
 	}
-	var lines []CompletionEntry
-	if p := w.replica.CompletionPage(w.ended); p != nil {
-		for _, f := range p.Completions {
-			lines = append(lines, f.CompletionEntry)
+	var completions []CompletionEntry
+	if page := m.replica.CompletionPage(m.logPage); page != nil {
+		for _, c := range page.Completions {
+			completions = append(completions, c.CompletionEntry)
 		}
 	}
 	j.EachPlacement(func(p job.Placement) {
-		if rapid.Bool().Draw(w.t, "ends") {
-			lines = append(lines, CompletionEntry{Job: j.ID, Task: p.Task, Attempt: p.Attempt, Machine: p.Machine, Done: rapid.Bool().Draw(w.t, "done"),
+		if rapid.Bool().Draw(m.t, "completes") {
+			completions = append(completions, CompletionEntry{Job: j.ID, Task: p.Task, Attempt: p.Attempt, Machine: p.Machine, Done: rapid.Bool().Draw(m.t, "done"),
 				Occupancy: job.Occupancy{End: p.PlacedAt + 10}})
 		}
 	})
-	value, err := EncodeCompletionPage(lines, job.NewestFormat)
+	value, err := EncodeCompletionPage(completions, job.NewestFormat)
 	if err != nil {
-		w.t.Fatal(err)
+		m.t.Fatal(err)
 	}
-	w.put(CompletionPageKey(w.ended), value)
-	if rapid.Bool().Draw(w.t, "next page") {
-		w.ended++
+	m.put(CompletionPageKey(m.logPage), value)
+	if rapid.Bool().Draw(m.t, "next page") {
+		m.logPage++
 	}
 }
 
-// tidy deletes pages of the log that nothing needs any more.
-func (w *sharedWorld) tidy() {
-	for _, n := range w.replica.CompletionPages() {
-		needed := slices.ContainsFunc(w.replica.CompletionPage(n).Completions, func(f *Completion) bool {
-			j := w.replica.Job(f.Job)
-			return !f.Merged && j.Record.Spec != nil
+// deleteMerged deletes pages of the completion log whose completions are all merged.
+func (m *leaderModel) deleteMerged() {
+	for _, n := range m.replica.CompletionPages() {
+		needed := slices.ContainsFunc(m.replica.CompletionPage(n).Completions, func(c *Completion) bool {
+			j := m.replica.Job(c.Job)
+			return !c.Merged && j.Record.Spec != nil
 		})
-		if needed || n == w.ended {
+		if needed || n == m.logPage {
 			continue
 		}
-		w.version++
-		delete(w.store, CompletionPageKey(n))
-		w.apply(w.replica, wire.Change{Delete: CompletionPageKey(n), Version: w.version})
+		m.version++
+		delete(m.store, CompletionPageKey(n))
+		m.apply(m.replica, wire.Change{Delete: CompletionPageKey(n), Version: m.version})
 	}
 }
 
-// rewrite writes a job's record as it is known, as a node does that marks it.
-func (w *sharedWorld) rewrite() {
-	if j := w.pick(); j != nil {
-		rec := j.Record.Clone()
-		w.record(j.ID, &rec)
+// rewrite writes a job's record as the replica has it, as a node does to request a cancellation.
+func (m *leaderModel) rewrite() {
+	if j := m.pick(); j != nil {
+		record := j.Record.Clone()
+		m.putRecord(j.ID, &record)
 	}
 }
 
-// finish ends a job that has nothing open.
-func (w *sharedWorld) finish() {
-	if j := w.pick(); j != nil && j.OpenTasks == 0 {
-		w.record(j.ID, &job.Record{Phase: job.Cancelled, DoneTasks: j.DoneTasks, Account: job.NewUsageAccount(j.Record.Spec, w.spent(j), 0)})
+// finish cancels a job that has no open placements.
+func (m *leaderModel) finish() {
+	if j := m.pick(); j != nil && j.OpenTasks == 0 {
+		m.putRecord(j.ID, &job.Record{Phase: job.Cancelled, DoneTasks: j.DoneTasks, Account: job.NewUsageAccount(j.Record.Spec, m.usage(j), 0)})
 	}
 }
 
-func (w *sharedWorld) spent(j *Job) *job.Usage {
+// usage returns what a job has used in total.
+func (m *leaderModel) usage(j *Job) *job.Usage {
 	return j.Record.Usage.Plus(j.PageUsage())
 }
 
-// said is what a copy says of a job.
-type said struct {
+// jobState is what a replica says of a job.
+type jobState struct {
 	Done, Open int
-	Spent      job.Usage
+	Usage      job.Usage
 	Account    *job.UsageAccount
 	Attempt    uint64
-	Places     []job.Placement
+	Placements []job.Placement
 }
 
-func (w *sharedWorld) said(b *Replica) map[string]said {
-	out := map[string]said{}
-	for i := range w.jobs {
-		j := b.Job(fmt.Sprintf("j-%d", i))
-		s := said{Done: j.DoneTasks, Open: j.OpenTasks, Account: j.Record.Account}
-		if spent := w.spent(j); spent != nil {
-			s.Spent = *spent
+// jobStates returns the state of each job according to a replica.
+func (m *leaderModel) jobStates(replica *Replica) map[string]jobState {
+	states := map[string]jobState{}
+	for i := range m.jobs {
+		j := replica.Job(fmt.Sprintf("j-%d", i))
+		state := jobState{Done: j.DoneTasks, Open: j.OpenTasks, Account: j.Record.Account}
+		if usage := m.usage(j); usage != nil {
+			state.Usage = *usage
 		}
 		if !j.Archived() {
-			s.Attempt = j.Record.LastAttempt
+			state.Attempt = j.Record.LastAttempt
 		}
-		j.EachPlacement(func(p job.Placement) { s.Places = append(s.Places, p) })
-		slices.SortFunc(s.Places, func(a, b job.Placement) int {
+		j.EachPlacement(func(p job.Placement) { state.Placements = append(state.Placements, p) })
+		slices.SortFunc(state.Placements, func(a, b job.Placement) int {
 			return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 		})
-		out[j.ID] = s
+		states[j.ID] = state
 	}
-	return out
+	return states
 }
 
-// Whatever a leader has done with pages, records and the log, a node that begins now reads the same
-// of each job as the leader knows, in whichever order it reads.
-func TestSharedMeansTheSameToAll(t *testing.T) {
+// Whatever a leader has done with placement pages, records and the completion log, a node that starts
+// now has the same state of each job as the leader, in whichever order it reads the values.
+func TestReplicaStateIsIndependentOfReadOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &sharedWorld{t: t, store: map[string]wire.KeyValue{}, replica: New(noopListener{}), ended: 1}
-		w.submit()
+		m := &leaderModel{t: t, store: map[string]wire.KeyValue{}, replica: New(noopListener{}), logPage: 1}
+		m.submit()
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			step := rapid.SampledFrom([]func(){w.submit, w.place, w.place, w.place, w.end, w.end, w.fold, w.tidy, w.rewrite, w.finish}).Draw(t, "step")
+			step := rapid.SampledFrom([]func(){m.submit, m.place, m.place, m.place, m.complete, m.complete, m.compact, m.deleteMerged, m.rewrite, m.finish}).Draw(t, "step")
 			step()
 		}
-		want := w.said(w.replica)
-		keys := slices.Sorted(maps.Keys(w.store))
+		want := m.jobStates(m.replica)
+		keys := slices.Sorted(maps.Keys(m.store))
 		for _, order := range [][]string{keys, rapid.Permutation(keys).Draw(t, "order")} {
 			fresh := New(noopListener{})
 			for _, key := range order {
-				it := w.store[key]
-				w.apply(fresh, wire.Change{Put: key, Value: it.Value, Version: it.Version})
+				item := m.store[key]
+				m.apply(fresh, wire.Change{Put: key, Value: item.Value, Version: item.Version})
 			}
-			if got := w.said(fresh); !reflect.DeepEqual(got, want) {
+			if got := m.jobStates(fresh); !reflect.DeepEqual(got, want) {
 				t.Fatalf("read in the order %v:\n%+v\nthe leader:\n%+v", order, got, want)
 			}
 		}
 	})
 }
 
-// noopListener is a listener that hears nothing.
+// noopListener is a Listener that ignores everything.
 type noopListener struct{}
 
 func (noopListener) JobAdded(*Job)                                            {}
