--- a/internal/core/election/elector_test.go
+++ b/internal/core/election/elector_test.go
@@ -226,7 +226,9 @@
 		return v
 	}
 	put := func(node string, revision uint64, watched bool) {
-		pair.step(func() { pair.a.Apply(&wire.Change{Put: pair.a.Key(), Value: encoded(node), Version: revision}, watched) })
+		pair.step(func() {
+			pair.a.Apply(&wire.Change{Put: pair.a.Key(), Value: encoded(node), Version: revision}, watched)
+		})
 	}
 	deleted := func(revision uint64) {
 		pair.step(func() { pair.a.Apply(&wire.Change{Delete: pair.a.Key(), Version: revision}, true) })
