--- /dev/null
+++ b/internal/core/msg/effects.go
@@ -0,0 +1,116 @@
+package msg
+
+import "coralhub/wire"
+
+// Commit requests a transaction of the key-value store.
+type Commit struct {
+	ID          uint64
+	Transaction wire.Transaction
+	Priority    WritePriority
+	Purpose     Purpose `json:"-"`
+}
+
+// Read requests the value of a key.
+type Read struct {
+	ID  uint64
+	Key string
+}
+
+// GrantLease requests a new lease.
+type GrantLease struct{ TTL Micros }
+
+// RenewLease renews a lease. The node goes on renewing it for a while, in case the core is too busy
+// to request the next renewal in time.
+type RenewLease struct {
+	Lease uint64
+	TTL   Micros
+}
+
+// ReleaseLease ends the renewals of a lease by the node.
+type ReleaseLease struct{ Lease uint64 }
+
+// PollWatchFast has the watch polled at short intervals for some seconds, even if nothing changes.
+type PollWatchFast struct{}
+
+// Relist requests a new Snapshot.
+type Relist struct{}
+
+// Respond answers a request of a user or worker. RetryAfter is in seconds, 0 for none. Busy means
+// that the node had no time to pass the request to its core.
+type Respond struct {
+	RequestID  uint64
+	Status     int
+	Body       any
+	RetryAfter int
+	Busy       bool
+}
+
+// Command is a direct call to a worker.
+type Command struct {
+	ID            uint64
+	Machine, Addr string
+	Commands      wire.CommandRequest
+}
+
+// FetchCatalog requests the machine types from the cloud.
+type FetchCatalog struct{}
+
+// ListMachines requests a list of all machines from the cloud.
+type ListMachines struct{}
+
+// ScaleOut requests machines from the cloud.
+type ScaleOut struct{ Request wire.RentalRequest }
+
+// ScaleIn deletes machines.
+type ScaleIn struct{ Machines []string }
+
+// SendPeerUpdate sends the leader a change that was just committed.
+type SendPeerUpdate struct {
+	Node   string
+	Change wire.Change
+}
+
+// Forward passes a worker's heartbeat to the leader.
+type Forward struct {
+	RequestID uint64
+	Node      string
+	Heartbeat wire.Heartbeat
+}
+
+// HeartbeatBatch tells the leader which heartbeats this node has answered on its behalf.
+type HeartbeatBatch struct {
+	Node     string // the leader
+	Term     uint64 // version of the leader key that the sender knows
+	SentAt   Micros
+	Revision uint64 // this node's replica holds all changes up to this revision
+	Acks     []HeartbeatAck
+}
+
+// StopServing reports that this node cannot serve, because the stored format is newer than it reads.
+type StopServing struct{}
+
+// Log writes a log line for the operators.
+type Log struct {
+	Debug   bool
+	Message string
+	Args    []any // alternating keys and values
+}
+
+func (Commit) effect()         {}
+func (Read) effect()           {}
+func (GrantLease) effect()     {}
+func (RenewLease) effect()     {}
+func (ReleaseLease) effect()   {}
+func (PollWatchFast) effect()  {}
+func (Relist) effect()         {}
+func (Respond) effect()        {}
+func (Command) effect()        {}
+func (FetchCatalog) effect()   {}
+func (ListMachines) effect()   {}
+func (ScaleOut) effect()       {}
+func (ScaleIn) effect()        {}
+func (SendPeerUpdate) effect() {}
+func (Forward) effect()        {}
+func (HeartbeatBatch) effect() {}
+func (StopServing) effect()    {}
+func (Log) effect()            {}
--- a/internal/core/msg/purpose.go
+++ b/internal/core/msg/purpose.go
@@ -1,35 +1,47 @@
 package msg
 
-// Purpose says what a transaction is for. It is counted, and decides nothing: how a
-// transaction is paced is its Turn.
+// Purpose is what a transaction is for. It appears in logs and metrics only; its WritePriority
+// determines how it is paced.
 type Purpose int
 
-// The purposes of transactions.
+// Purposes of transactions.
 const (
-	PurposeOther         Purpose = iota // formats, machine types
-	PurposeElection                     // a claim is made or its token raised
-	PurposeAdmission                    // a job is accepted
-	PurposeCancellation                 // a job is marked as to be cancelled, or settled as cancelled
-	PurposePlacement                    // tasks are placed
-	PurposeCompletion                   // placements are closed in a job's record, and the job goes on
-	PurposeJobEnd                       // a job becomes done or cancelled
-	PurposeCompletionLog                // attempts that have ended go into their log
-	PurposeCleanup                      // what is out of date is deleted
-	PurposePreemption                   // work is set aside for other work
-	PurposeMachineCache                 // machines' addresses and images are kept for later leaders
-	PurposeRelay                        // reports are passed on by way of the state service
-	PurposeEstimates                    // learnt run times are kept
-	PurposeReadCheck                    // a copy is held against the records, nothing is changed
-	Purposes                            // how many there are
+	PurposeOther         Purpose = iota // format and machine types
+	PurposeElection                     // creates the leader key, or replaces the fencing token
+	PurposeAdmission                    // admits a job
+	PurposeCancellation                 // records that a job is to be cancelled, or is cancelled
+	PurposePlacement                    // places tasks
+	PurposeCompletion                   // closes placements in the record of a job that goes on
+	PurposeJobEnd                       // makes a job done or cancelled
+	PurposeCompletionLog                // adds ended attempts to the completion log
+	PurposeCleanup                      // deletes what is out of date
+	PurposePreemption                   // commits a preemption decision
+	PurposeMachineCache                 // stores machines' addresses and images for later leaders
+	PurposeRelay                        // relays heartbeats through the key-value store
+	PurposeEstimates                    // stores estimates of run times
+	PurposeReadCheck                    // checks that the replica is current, without any change
+	Purposes                            // number of purposes
 )
 
+// purposeNames are the labels of metrics, which dashboards depend on.
 var purposeNames = [Purposes]string{
-	PurposeOther: "other", PurposeElection: "claim", PurposeAdmission: "accept", PurposeCancellation: "mark", PurposePlacement: "placement",
-	PurposeCompletion: "closing", PurposeJobEnd: "job_end", PurposeCompletionLog: "ended_page", PurposeCleanup: "cleanup",
-	PurposePreemption: "decision", PurposeMachineCache: "hint", PurposeRelay: "mail", PurposeEstimates: "learnt", PurposeReadCheck: "confirm",
+	PurposeOther:         "other",
+	PurposeElection:      "claim",
+	PurposeAdmission:     "accept",
+	PurposeCancellation:  "mark",
+	PurposePlacement:     "placement",
+	PurposeCompletion:    "closing",
+	PurposeJobEnd:        "job_end",
+	PurposeCompletionLog: "ended_page",
+	PurposeCleanup:       "cleanup",
+	PurposePreemption:    "decision",
+	PurposeMachineCache:  "hint",
+	PurposeRelay:         "mail",
+	PurposeEstimates:     "learnt",
+	PurposeReadCheck:     "confirm",
 }
 
-// String is the purpose's name in logs and metrics.
+// String returns the purpose's name in logs and metrics.
 func (p Purpose) String() string {
 	if p < 0 || p >= Purposes {
 		return "unknown"
