--- /dev/null
+++ b/internal/core/relay/redirect.go
@@ -0,0 +1,71 @@
+package relay
+
+import (
+	"hash/fnv"
+	"net/http"
+	"sort"
+
+	"coralhub/internal/config"
+	"coralhub/internal/core/msg"
+	"coralhub/wire"
+)
+
+const (
+	// redirectMemory is how long a redirect is remembered: a worker that comes back within this
+	// time cannot reach the node that it was sent to.
+	redirectMemory = 3 * peerTimeout
+	// servedHereDuration is how long such a worker is served here before it is redirected again.
+	servedHereDuration = 20 * config.Second
+)
+
+// redirect records that a worker was redirected to another node.
+type redirect struct {
+	sentAt          Micros
+	servedHereUntil Micros // set if the worker came back
+}
+
+// Redirect redirects a worker to the node that it should report to, and reports whether it did. It
+// does not if that is this node, or if the worker cannot reach the other one.
+func (r *Relay) Redirect(in msg.HeartbeatIn) bool {
+	node := r.preferredNode(&in.Heartbeat)
+	if node == "" || node == r.cfg.Node {
+		return false
+	}
+	now := r.outbox.Now()
+	machine := in.Heartbeat.Machine
+	last := r.redirects[machine]
+	if now < last.servedHereUntil {
+		return false
+	}
+	cameBack := last.sentAt != 0 && now-last.sentAt < redirectMemory
+	if cameBack {
+		r.redirects[machine] = redirect{servedHereUntil: now + servedHereDuration}
+		return false
+	}
+	r.redirects[machine] = redirect{sentAt: now}
+	r.outbox.Respond(in.RequestID, http.StatusMisdirectedRequest, wire.Redirect{Node: node})
+	return true
+}
+
+// preferredNode returns the node that a worker should report to: the leader if it is in the worker's
+// zone, or else a node there that is chosen by the machine's name. It is empty if no node in the
+// zone is alive.
+func (r *Relay) preferredNode(hb *wire.Heartbeat) string {
+	leader := r.elector.Holder().Node
+	if r.location[leader] == hb.Zone && r.alive(leader) {
+		return leader
+	}
+	var candidates []string
+	for node, location := range r.location {
+		if location == hb.Zone && r.alive(node) {
+			candidates = append(candidates, node)
+		}
+	}
+	if len(candidates) == 0 {
+		return ""
+	}
+	sort.Strings(candidates)
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(hb.Machine)) // never fails
+	return candidates[int(hash.Sum32()%uint32(len(candidates)))]
+}
--- a/internal/core/relay/relay_test.go
+++ b/internal/core/relay/relay_test.go
@@ -12,7 +12,7 @@
 	"coralhub/wire"
 )
 
-// noopListener listens to the records or to the claim.
+// noopListener is a Listener of records and of elections that ignores everything.
 type noopListener struct{}
 
 func (noopListener) JobAdded(*records.Job)                                  {}
@@ -27,123 +27,123 @@
 func (noopListener) OnDeposed(string, uint64)                               {}
 func (noopListener) OnHolderChanged(string, string)                         {}
 
-// newHome returns the home that n2 is in zone b, and the value of a claim of n1, in zone a, to lead.
-// A lease has 4 s here, a cancellation 20.
-func newHome(t *testing.T) (*Relay, []byte) {
+// newRelay returns the Relay of node n2 in zone b, and the value of the leader key if n1 in zone a is
+// the leader. A worker's lease is 4 s here, and a cancellation may take 20 s.
+func newRelay(t *testing.T) (*Relay, []byte) {
 	t.Helper()
 	cfg := &config.Config{Platform: config.Platform{Node: "n2", Location: "b", Peers: []config.Peer{{Node: "n1", Location: "a"}},
 		Cluster: config.Cluster{Workers: config.Workers{ReportS: 1, LeaseS: 4, CancelS: 20}}}}
-	box := outbox.New(func(*wire.Transaction) {})
+	out := outbox.New(func(*wire.Transaction) {})
 	replica := records.New(noopListener{})
-	leader := election.New(box, "leader", "n2", config.Second, 1, noopListener{})
-	h := New(cfg, box, replica, records.NewEncoding(&cfg.Cluster.State), leader)
-	raw, err := job.Encode(election.LeaseRecord{Node: "n1", Nonce: 1})
+	elector := election.New(out, "leader", "n2", config.Second, 1, noopListener{})
+	r := New(cfg, out, replica, records.NewEncoding(&cfg.Cluster.State), elector)
+	leaderValue, err := job.Encode(election.LeaseRecord{Node: "n1", Nonce: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return h, raw
+	return r, leaderValue
 }
 
-// A home answers for a leader that it reaches only as long as its copy of the records is
-// recent enough, or the leader has given its word: what it doesn't know may be that a job was
-// cancelled. A cancellation has 20 s here, a lease 4: the copy may be 12 s old.
-func TestQuietNeedsAFreshCopy(t *testing.T) {
-	h, raw := newHome(t)
-	h.elector.Apply(&wire.Change{Put: "leader", Value: raw, Version: 5}, true)
-	// relayed has a worker without tasks report after so many seconds, and tells how: answered
-	// here, or handed on.
-	relayed := func(s float64) string {
-		h.outbox.Begin(config.FromSeconds(s))
-		h.PeerAlive(msg.PeerAlive{Node: "n1"})
-		h.HandleHeartbeat(msg.HeartbeatIn{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Zone: "b", Incarnation: 1, FencingToken: 5}})
-		for _, e := range h.outbox.End() {
+// A node answers on behalf of a leader that it reaches only as long as its replica is recent enough,
+// or it has a delegation: what the replica lacks may be a cancellation. A cancellation may take 20 s
+// here, and a worker's lease is 4 s, so the replica may be 12 s old.
+func TestAnsweringNeedsAFreshReplica(t *testing.T) {
+	r, leaderValue := newRelay(t)
+	r.elector.Apply(&wire.Change{Put: "leader", Value: leaderValue, Version: 5}, true)
+	// heartbeatAt sends a worker's heartbeat without tasks after the given seconds, and returns how
+	// it was handled.
+	heartbeatAt := func(seconds float64) string {
+		r.outbox.Begin(config.FromSeconds(seconds))
+		r.PeerAlive(msg.PeerAlive{Node: "n1"})
+		r.HandleHeartbeat(msg.HeartbeatIn{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Zone: "b", Incarnation: 1, FencingToken: 5}})
+		for _, e := range r.outbox.End() {
 			switch e.(type) {
 			case msg.Respond:
 				return "answered"
 			case msg.Forward:
-				h.ForwardDone(msg.ForwardDone{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Zone: "b", Incarnation: 1, FencingToken: 5},
+				r.ForwardDone(msg.ForwardDone{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Zone: "b", Incarnation: 1, FencingToken: 5},
 					Response: &wire.HeartbeatResponse{FencingToken: 5}})
-				return "handed on"
+				return "forwarded"
 			}
 		}
 		return "nothing"
 	}
-	h.replica.NoteCurrent(config.FromSeconds(1))
+	r.replica.NoteCurrent(config.FromSeconds(1))
 	for _, c := range []struct {
 		at   float64
 		want string
-	}{{2, "handed on"}, {3, "answered"}, {11, "answered"}, {12.5, "handed on"}, {12.9, "answered"}, {13, "handed on"}, {14, "handed on"}} {
-		if got := relayed(c.at); got != c.want {
+	}{{2, "forwarded"}, {3, "answered"}, {11, "answered"}, {12.5, "forwarded"}, {12.9, "answered"}, {13, "forwarded"}, {14, "forwarded"}} {
+		if got := heartbeatAt(c.at); got != c.want {
 			t.Errorf("at %v s: %s, want %s", c.at, got, c.want)
 		}
 	}
-	h.HeartbeatBatchDone(msg.HeartbeatBatchDone{Batch: msg.HeartbeatBatch{Term: 4, SentAt: config.FromSeconds(14)}, HeartbeatBatchResponse: msg.HeartbeatBatchResponse{Delegation: 60 * config.Second}})
-	if got := relayed(15); got != "handed on" {
-		t.Errorf("with the word of an earlier claim: %s", got)
+	r.HeartbeatBatchDone(msg.HeartbeatBatchDone{Batch: msg.HeartbeatBatch{Term: 4, SentAt: config.FromSeconds(14)}, HeartbeatBatchResponse: msg.HeartbeatBatchResponse{Delegation: 60 * config.Second}})
+	if got := heartbeatAt(15); got != "forwarded" {
+		t.Errorf("with a delegation of an earlier leader: %s", got)
 	}
-	h.HeartbeatBatchDone(msg.HeartbeatBatchDone{Batch: msg.HeartbeatBatch{Term: 5, SentAt: config.FromSeconds(14)}, HeartbeatBatchResponse: msg.HeartbeatBatchResponse{Delegation: 60 * config.Second}})
-	if got := relayed(16); got != "answered" {
-		t.Errorf("with the leader's word: %s", got)
+	r.HeartbeatBatchDone(msg.HeartbeatBatchDone{Batch: msg.HeartbeatBatch{Term: 5, SentAt: config.FromSeconds(14)}, HeartbeatBatchResponse: msg.HeartbeatBatchResponse{Delegation: 60 * config.Second}})
+	if got := heartbeatAt(16); got != "answered" {
+		t.Errorf("with a delegation: %s", got)
 	}
 }
 
-// A worker that has seen no token of the present reign is kept alive by the one that it has, at
-// whatever age of the copy, if that copy goes up to the reign's first claim.
-func TestKeepsAlive(t *testing.T) {
+// A worker that has seen no token of the present term is kept alive under the one that it has seen,
+// however old the replica is, if the replica goes up to the start of the term.
+func TestKeepAlive(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		token          uint64
-		revision       uint64
-		listed, raised bool
-		want           bool
+		name             string
+		token            uint64
+		revision         uint64
+		listed, replaced bool
+		want             bool
 	}{
-		{"of the reign before", 5, 9, false, false, true},
-		{"and the present claim was rewritten", 5, 11, false, true, true},
-		{"of this reign", 9, 9, false, false, false},
-		{"of this reign, before the claim was rewritten", 9, 11, false, true, false},
-		{"the copy doesn't go up to the claim", 5, 8, false, false, false},
-		{"a claim that may have been rewritten", 5, 9, true, false, false},
-		{"a worker that has seen no token", 0, 9, false, false, false},
+		{"token of the term before", 5, 9, false, false, true},
+		{"token of the term before, and the present token was replaced", 5, 11, false, true, true},
+		{"token of this term", 9, 9, false, false, false},
+		{"token of this term that was replaced", 9, 11, false, true, false},
+		{"replica does not go up to the start of the term", 5, 8, false, false, false},
+		{"start of the term is unknown", 5, 9, true, false, false},
+		{"worker has seen no token", 0, 9, false, false, false},
 	} {
-		h, raw := newHome(t)
-		h.elector.ApplyListingWithoutHolder(1)
-		h.elector.Apply(&wire.Change{Put: "leader", Value: raw, Version: 9}, !c.listed)
-		if c.raised {
-			h.elector.Apply(&wire.Change{Put: "leader", Value: raw, Version: 11}, true)
+		r, leaderValue := newRelay(t)
+		r.elector.ApplyListingWithoutHolder(1)
+		r.elector.Apply(&wire.Change{Put: "leader", Value: leaderValue, Version: 9}, !c.listed)
+		if c.replaced {
+			r.elector.Apply(&wire.Change{Put: "leader", Value: leaderValue, Version: 11}, true)
 		}
-		h.replica.NoteRevision(c.revision)
-		h.outbox.Begin(1000 * config.Second)
-		got := h.KeepAlive(msg.HeartbeatIn{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Incarnation: 1, FencingToken: c.token}})
+		r.replica.NoteRevision(c.revision)
+		r.outbox.Begin(1000 * config.Second)
+		got := r.KeepAlive(msg.HeartbeatIn{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Incarnation: 1, FencingToken: c.token}})
 		if got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 		if !got {
 			continue
 		}
-		a, _ := h.outbox.End()[0].(msg.Respond)
-		if body, ok := a.Body.(wire.HeartbeatResponse); !ok || body.FencingToken != c.token {
-			t.Errorf("%s: answered with %+v", c.name, a)
+		response, _ := r.outbox.End()[0].(msg.Respond)
+		if body, ok := response.Body.(wire.HeartbeatResponse); !ok || body.FencingToken != c.token {
+			t.Errorf("%s: answered with %+v", c.name, response)
 		}
 	}
 }
 
-// Nobody shows a worker that has seen no token that of a leader which can't have read the records yet:
-// it would take it to the leader before, which resigns when it sees it.
+// A worker that has seen no token is not shown that of a leader which cannot have read the records yet:
+// the worker would show it to the previous leader, which resigns when it sees it.
 func TestNewWorkersWaitForTheLeader(t *testing.T) {
-	h, raw := newHome(t)
-	h.outbox.Begin(config.FromSeconds(10))
-	h.elector.Apply(&wire.Change{Put: "leader", Value: raw, Version: 9}, true)
-	h.OnHolderChanged("", "n1")
-	h.replica.NoteRevision(9)
+	r, leaderValue := newRelay(t)
+	r.outbox.Begin(config.FromSeconds(10))
+	r.elector.Apply(&wire.Change{Put: "leader", Value: leaderValue, Version: 9}, true)
+	r.OnHolderChanged("", "n1")
+	r.replica.NoteRevision(9)
 	for _, c := range []struct {
 		current float64
 		want    int
 	}{{10, 503}, {11.9, 503}, {12, 200}} {
-		h.replica.NoteCurrent(config.FromSeconds(c.current))
-		h.outbox.Begin(config.FromSeconds(15))
-		h.actAsDelegate(msg.HeartbeatIn{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Incarnation: 1}}, false)
-		if a, _ := h.outbox.End()[0].(msg.Respond); a.Status != c.want {
-			t.Errorf("current at %v s: %d, want %d", c.current, a.Status, c.want)
+		r.replica.NoteCurrent(config.FromSeconds(c.current))
+		r.outbox.Begin(config.FromSeconds(15))
+		r.actAsDelegate(msg.HeartbeatIn{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Incarnation: 1}}, false)
+		if response, _ := r.outbox.End()[0].(msg.Respond); response.Status != c.want {
+			t.Errorf("current at %v s: %d, want %d", c.current, response.Status, c.want)
 		}
 	}
 }
