--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -8,69 +8,74 @@
 	"coralhub/wire"
 )
 
-// The format of the records is raised once, while nodes of both versions serve.
-// Each node announces for good which format it reads; a node without an
-// announcement reads the first. When all in the settings read a later one, the
-// leader raises the format in a transaction guarded by its claim. It never goes
-// back. Until then everything is written as the older version reads it, and
-// nothing is accepted that the older version would lose.
+// The format of stored values is raised once, while nodes of both versions serve. Each node announces
+// permanently which format it reads; a node without an announcement reads the first one. When all
+// configured nodes read a newer one, the leader raises the format in a transaction that is
+// conditional on its leadership. The format never goes back. Until it is raised, everything is
+// written as the older version reads it, and nothing is admitted that the older version would lose.
 
 const (
 	formatKey      = records.FormatKey
 	announcePrefix = job.KeyRoot + "nodes/"
-	// formatRetryInterval is between tries to announce or raise.
+	// formatRetryInterval is the time between attempts to announce or raise the format.
 	formatRetryInterval = config.Second
 )
 
-// formatMark is the value of the format's key and of the announcements.
+// formatMark is the value of the format key and of the announcements.
 type formatMark struct {
 	Format job.Format `msgpack:"format"`
 }
 
+// formatState is what a core knows about the upgrade of the format.
 type formatState struct {
 	announcedFormats    map[string]job.Format // by node
-	nextFormatAttemptAt Micros                // when to try again
-	formatUnknown       bool                  // the format is one that this node can't read
+	nextFormatAttemptAt Micros
+	formatUnknown       bool // the format in force is newer than this node reads
 }
 
-func (c *Core) applyFormat(ev *wire.Change) {
-	var m formatMark
-	if ev.Put == "" || ev.Version <= c.encoding.Version || job.Decode(ev.Value, &m) != nil {
+// applyFormat applies a change of the format in force.
+func (c *Core) applyFormat(change *wire.Change) {
+	var mark formatMark
+	if change.Put == "" || change.Version <= c.encoding.Version || job.Decode(change.Value, &mark) != nil {
 		return
 	}
-	c.encoding.Format, c.encoding.Version = m.Format, ev.Version
+	c.encoding.Format = mark.Format
+	c.encoding.Version = change.Version
 	c.leader.RequestCycle()
-	if m.Format > job.NewestFormat && !c.formatUnknown {
+	if mark.Format > job.NewestFormat && !c.formatUnknown {
 		c.formatUnknown = true
-		c.outbox.Log("not serving: stored format is newer than this version", "format", int(m.Format), "newest_known", int(job.NewestFormat))
+		c.outbox.Log("not serving: stored format is newer than this version", "format", int(mark.Format), "newest_known", int(job.NewestFormat))
 		c.outbox.Emit(msg.StopServing{})
 		c.elector.Resign("stored format is newer than this version")
 	}
 }
 
-func (c *Core) applyAnnouncement(node string, ev *wire.Change) {
-	var m formatMark
-	if ev.Put != "" && job.Decode(ev.Value, &m) == nil {
-		c.announcedFormats[node] = max(c.announcedFormats[node], m.Format)
+// applyAnnouncement applies a change of a node's announcement.
+func (c *Core) applyAnnouncement(node string, change *wire.Change) {
+	var mark formatMark
+	if change.Put != "" && job.Decode(change.Value, &mark) == nil {
+		c.announcedFormats[node] = max(c.announcedFormats[node], mark.Format)
 	}
 }
 
-// writeFormat writes a format under a key of the upgrade.
-func (c *Core) writeFormat(key string, f job.Format, guards []wire.Condition, then func(msg.CommitDone)) {
-	value, err := job.Encode(formatMark{f})
+// writeFormat writes a format under a key, and calls then if it was committed.
+func (c *Core) writeFormat(key string, format job.Format, conditions []wire.Condition, then func()) {
+	value, err := job.Encode(formatMark{format})
 	if err != nil {
 		panic(err) // a struct of a number always encodes
 	}
 	c.nextFormatAttemptAt = c.outbox.Now() + formatRetryInterval
-	c.outbox.Commit(wire.Transaction{Conditions: guards, Changes: []wire.Change{{Put: key, Value: value}}}, msg.PurposeOther, func(d msg.CommitDone) {
-		if d.Outcome == msg.OK {
-			c.apply(&wire.Change{Put: key, Value: value, Version: d.Revision})
-			then(d)
+	transaction := wire.Transaction{Conditions: conditions, Changes: []wire.Change{{Put: key, Value: value}}}
+	c.outbox.Commit(transaction, msg.PurposeOther, func(done msg.CommitDone) {
+		if done.Outcome == msg.OK {
+			c.apply(&wire.Change{Put: key, Value: value, Version: done.Revision})
+			then()
 		}
 	})
 }
 
-// targetFormat is the format that this node would have: the newest that it reads, unless that is switched off.
+// targetFormat returns the format that this node is to announce: the newest one, unless placement
+// pages are switched off.
 func (c *Core) targetFormat() job.Format {
 	if !c.cfg.Settings.PlacementPages {
 		return job.FormatPlacementPages - 1
@@ -78,33 +83,37 @@
 	return job.NewestFormat
 }
 
-// announceFormat tells for good that this node reads the format that it would have.
+// announceFormat announces permanently that this node reads its target format.
 func (c *Core) announceFormat() {
-	if !c.canServe() || c.cfg.Settings.HoldFormat || c.announcedFormats[c.cfg.Node] >= c.targetFormat() || c.outbox.Now() < c.nextFormatAttemptAt {
+	announced := c.announcedFormats[c.cfg.Node] >= c.targetFormat()
+	if announced || c.cfg.Settings.HoldFormat || !c.canServe() || c.outbox.Now() < c.nextFormatAttemptAt {
 		return
 	}
-	c.writeFormat(announcePrefix+c.cfg.Node, c.targetFormat(), nil, func(msg.CommitDone) {
+	c.writeFormat(announcePrefix+c.cfg.Node, c.targetFormat(), nil, func() {
 		c.outbox.Log("format announced", "format", int(c.targetFormat()))
 	})
 }
 
-// raiseFormat raises the format if every node reads a later one.
+// raiseFormat raises the format if every node has announced that it reads a newer one.
 func (c *Core) raiseFormat() {
-	if c.encoding.Format >= job.NewestFormat || c.elector.TokenChangePending() || c.outbox.Now() < c.nextFormatAttemptAt {
+	if !c.encoding.UpgradePending() || c.elector.TokenChangePending() || c.outbox.Now() < c.nextFormatAttemptAt {
 		return
 	}
-	least := c.announcedFormats[c.cfg.Node]
-	for _, p := range c.cfg.Peers {
-		least = min(least, c.announcedFormats[p.Node])
-	}
-	if least = min(least, job.NewestFormat); least <= c.encoding.Format {
+	format := c.commonFormat()
+	if format <= c.encoding.Format {
 		return
 	}
-	guards := []wire.Condition{c.elector.Condition(), {Key: formatKey, Version: c.encoding.Version}}
-	c.writeFormat(formatKey, least, guards, func(msg.CommitDone) {
-		c.outbox.Log("format raised: older versions can no longer serve", "format", int(least))
+	conditions := []wire.Condition{c.elector.Condition(), c.encoding.Condition()}
+	c.writeFormat(formatKey, format, conditions, func() {
+		c.outbox.Log("format raised: older versions can no longer serve", "format", int(format))
 	})
 }
 
-// canServe tells whether this node may answer users and workers.
-func (c *Core) canServe() bool { return c.notServingReason() == "" }
+// commonFormat returns the newest format that all nodes read according to their announcements.
+func (c *Core) commonFormat() job.Format {
+	format := min(c.announcedFormats[c.cfg.Node], job.NewestFormat)
+	for _, peer := range c.cfg.Peers {
+		format = min(format, c.announcedFormats[peer.Node])
+	}
+	return format
+}
