--- a/internal/core/election_test.go
+++ b/internal/core/election_test.go
@@ -10,20 +10,20 @@
 	"coralhub/wire"
 )
 
-// claimant is a node alone with a state service that is played by hand.
-type claimant struct {
+// candidate is a core without peers, and with a key-value store whose responses the test gives.
+type candidate struct {
 	t    *testing.T
 	core *core.Core
 	now  core.Micros
 }
 
-func (c *claimant) step(in msg.Input) []msg.Effect {
+func (c *candidate) step(in msg.Input) []msg.Effect {
 	c.now += 100 * 1000
 	return c.core.Step(c.now, in)
 }
 
-// claim returns the transaction among the effects that puts the leader's key.
-func claim(effects []msg.Effect) *msg.Commit {
+// campaign returns the transaction among the effects that puts the leader key, or nil.
+func campaign(effects []msg.Effect) *msg.Commit {
 	for _, e := range effects {
 		if x, ok := e.(msg.Commit); ok && len(x.Transaction.Changes) == 1 && x.Transaction.Changes[0].Put == job.KeyRoot+"leader" {
 			return &x
@@ -32,7 +32,8 @@
 	return nil
 }
 
-func (c *claimant) mustClaim(in msg.Input) *msg.Commit {
+// mustCampaign handles an input, and goes on with ticks until the node campaigns.
+func (c *candidate) mustCampaign(in msg.Input) *msg.Commit {
 	c.t.Helper()
 	for range 5 {
 		effects := c.step(in)
@@ -41,27 +42,27 @@
 				effects = append(effects, c.step(msg.LeaseDone{Outcome: msg.OK, Lease: 7})...)
 			}
 		}
-		if x := claim(effects); x != nil {
+		if x := campaign(effects); x != nil {
 			return x
 		}
 		in = msg.Tick{WallClock: c.now}
 	}
-	c.t.Fatal("no claim was made")
+	c.t.Fatal("the node did not campaign")
 	return nil
 }
 
-// A claim whose answer was lost, and which the watch tells of while the next try is on
-// its way, is this node's all the same. Once, nobody led for the rest of a day: the node
-// took the claim for that of an earlier process, and went on renewing its lease.
-func TestClaimWithoutAnAnswer(t *testing.T) {
-	c := &claimant{t: t, core: core.New(fleetConfig(10), 5), now: config.Second}
+// A leader key whose write had no response, and which the watch reports while the next attempt is in
+// flight, is this node's all the same. Once, there was no leader for the rest of a day: the node took
+// the key for that of an earlier process, and went on renewing its lease.
+func TestCampaignWithoutResponse(t *testing.T) {
+	c := &candidate{t: t, core: core.New(fleetConfig(10), 5), now: config.Second}
 	c.step(msg.Snapshot{Revision: 3})
-	first := c.mustClaim(msg.Tick{WallClock: c.now})
-	c.step(msg.CommitDone{ID: first.ID, Outcome: msg.Unknown}) // it is applied, as revision 9
-	second := c.mustClaim(msg.Tick{WallClock: c.now})
-	told := wire.Change{Put: first.Transaction.Changes[0].Put, Value: first.Transaction.Changes[0].Value, Version: 9}
-	effects := c.step(msg.Changed{Events: []wire.Change{told}})
-	effects = append(effects, c.step(msg.CommitDone{ID: second.ID, Outcome: msg.Conflict, Failed: []string{told.Put}})...)
+	first := c.mustCampaign(msg.Tick{WallClock: c.now})
+	c.step(msg.CommitDone{ID: first.ID, Outcome: msg.Unknown}) // it was executed, as revision 9
+	second := c.mustCampaign(msg.Tick{WallClock: c.now})
+	watched := wire.Change{Put: first.Transaction.Changes[0].Put, Value: first.Transaction.Changes[0].Value, Version: 9}
+	effects := c.step(msg.Changed{Events: []wire.Change{watched}})
+	effects = append(effects, c.step(msg.CommitDone{ID: second.ID, Outcome: msg.Conflict, Failed: []string{watched.Put}})...)
 	leads := false
 	for range 50 {
 		var next []msg.Effect
@@ -70,7 +71,7 @@
 			case msg.Log:
 				leads = leads || x.Message == "elected leader"
 			case msg.Relist:
-				next = append(next, c.step(msg.Snapshot{Items: []wire.KeyValue{{Key: told.Put, Value: told.Value, Version: 9, Lease: 7}}, Revision: 9})...)
+				next = append(next, c.step(msg.Snapshot{Items: []wire.KeyValue{{Key: watched.Put, Value: watched.Value, Version: 9, Lease: 7}}, Revision: 9})...)
 			case msg.RenewLease:
 				next = append(next, c.step(msg.LeaseDone{Outcome: msg.OK, Lease: x.Lease, IsRenewal: true})...)
 			}
@@ -78,16 +79,16 @@
 		effects = append(next, c.step(msg.Tick{WallClock: c.now})...)
 	}
 	if !leads {
-		t.Error("nobody leads, though the claim is this node's")
+		t.Error("there is no leader, though the leader key is this node's")
 	}
 }
 
-// A node that holds a lease for a claim which it doesn't lead by lets that end: a claim
-// of an earlier process of the same node, say.
-func TestLeaseWithoutLeadingEnds(t *testing.T) {
-	c := &claimant{t: t, core: core.New(fleetConfig(10), 5), now: config.Second}
+// A node that has a lease and does not lead lets the lease expire if the leader key has a holder, for
+// instance an earlier process of the same node.
+func TestLeaseOfNonLeaderExpires(t *testing.T) {
+	c := &candidate{t: t, core: core.New(fleetConfig(10), 5), now: config.Second}
 	c.step(msg.Snapshot{Revision: 3})
-	x := c.mustClaim(msg.Tick{WallClock: c.now})
+	x := c.mustCampaign(msg.Tick{WallClock: c.now})
 	value, err := job.Encode(map[string]any{"node": "n1", "nonce": uint64(1)})
 	if err != nil {
 		t.Fatal(err)
@@ -104,6 +105,6 @@
 		}
 	}
 	if renewals > 1 {
-		t.Errorf("the lease of a claim that nobody leads by was renewed %d times in 10 s", renewals)
+		t.Errorf("the lease of a leader key by which nobody leads was renewed %d times in 10 s", renewals)
 	}
 }
--- a/internal/core/flood_test.go
+++ b/internal/core/flood_test.go
@@ -11,56 +11,59 @@
 	"coralhub/wire"
 )
 
-// newFlood returns a fleet whose machines are all full, and so many arrays that may
-// run by their team's limit and find no room.
-func newFlood(tb testing.TB, machines, waiting int) *fleet {
-	f := newQueue(tb, machines, 0)
-	for i := range waiting {
-		f.put(tb, waitingName(i), &job.Record{Spec: &wire.Job{ID: waitingName(i), Class: "flood", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 1 + i*7%50,
+// newFlood returns a fleet whose machines are all full, with pending arrays that are within their
+// team's limit and find no free capacity.
+func newFlood(tb testing.TB, machines, pending int) *fleet {
+	tb.Helper()
+	f := newFleetWithPending(tb, machines, 0)
+	for i := range pending {
+		f.put(tb, pendingName(i), &job.Record{Spec: &wire.Job{ID: pendingName(i), Class: "flood", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 1 + i*7%50,
 			CPUs: 5, GPUs: 1, MemoryGB: 36, Image: fmt.Sprint("image-", i%5), ImageGB: 3.5, EstimateS: 40, CheckpointS: 30, Spot: true}, CreatedAt: int64(machines + i + 1)})
 	}
 	return f
 }
 
-// late has a change of the last job that waits come, and a pass after it.
-func (f *fleet) late() {
-	it := f.records[len(f.records)-1]
+// changeLastJob has a change of the last pending job come, and a scheduling cycle after it.
+func (f *fleet) changeLastJob() {
+	item := f.records[len(f.records)-1]
 	f.version++
-	f.step(10*config.Second, msg.PeerUpdate{Change: wire.Change{Put: it.Key, Value: it.Value, Version: f.version + 1<<40}})
+	f.step(10*config.Second, msg.PeerUpdate{Change: wire.Change{Put: item.Key, Value: item.Value, Version: f.version + 1<<40}})
 }
 
-// A pass bids for one job of each kind that finds no room. Ten times the jobs only make its
-// lists longer: memory reserved is counted, for it needs no clock.
-func TestPassCostsByKindNotByJob(t *testing.T) {
+// A scheduling cycle tries to place one job of each equivalence class that finds no free capacity. Ten
+// times the jobs only make its lists longer. The test counts allocations, which needs no clock.
+func TestCycleCostsByEquivalenceClass(t *testing.T) {
 	var allocs [2]float64
-	for i, waiting := range []int{300, 3000} {
-		f := newFlood(t, 500, waiting)
+	for i, pending := range []int{300, 3000} {
+		f := newFlood(t, 500, pending)
 		f.takeOver(t)
-		f.hear()
+		f.heartbeatAll()
 		f.step(config.Second, msg.Tick{WallClock: f.now})
-		f.late()
+		f.changeLastJob()
 		before := f.core.CycleStatistics().Cycles
-		allocs[i] = testing.AllocsPerRun(3, f.late)
+		allocs[i] = testing.AllocsPerRun(3, f.changeLastJob)
 		if f.core.CycleStatistics().Cycles-before < 3 {
-			t.Fatal("no passes")
+			t.Fatal("no cycles")
 		}
 		if err := f.core.Audit(); err != nil {
 			t.Error(err)
 		}
 	}
 	if allocs[1] > allocs[0]+60 {
-		t.Errorf("a pass takes %v allocations with 300 jobs that wait and %v with 3,000", allocs[0], allocs[1])
+		t.Errorf("a cycle takes %v allocations with 300 pending jobs and %v with 3,000", allocs[0], allocs[1])
 	}
 }
 
+// BenchmarkFlood measures scheduling cycles with many pending jobs: the first one after a takeover, and
+// later ones.
 func BenchmarkFlood(b *testing.B) {
-	for _, waiting := range []int{300, 1000, 3000, 10000} {
-		b.Run(fmt.Sprintf("heir/%d", waiting), func(b *testing.B) { // the first pass of one that has heard no worker
-			f := newFlood(b, 1250, waiting)
+	for _, pending := range []int{300, 1000, 3000, 10000} {
+		b.Run(fmt.Sprintf("takeover/%d", pending), func(b *testing.B) { // the first cycle, before any heartbeat
+			f := newFlood(b, 1250, pending)
 			for b.Loop() {
 				b.StopTimer()
 				f.takeOver(b)
-				// the machines are listed, and none has spoken yet
+				// the machines are listed, and none has sent a heartbeat yet
 				list := msg.ListDone{Outcome: msg.OK}
 				for i := range f.machines {
 					list.Machines = append(list.Machines, wire.Machine{Name: machineName(i), Addr: "10.0.0.1:9000", Type: "t4", Zone: machineZone(i), State: "running", AgeS: 600})
@@ -70,22 +73,22 @@
 				f.step(11*config.Second, msg.Tick{WallClock: f.now})
 			}
 		})
-		b.Run(fmt.Sprintf("pass/%d", waiting), func(b *testing.B) {
-			f := newFlood(b, 1250, waiting)
+		b.Run(fmt.Sprintf("cycle/%d", pending), func(b *testing.B) {
+			f := newFlood(b, 1250, pending)
 			f.takeOver(b)
-			f.hear()
+			f.heartbeatAll()
 			f.step(config.Second, msg.Tick{WallClock: f.now})
 			rounds := 0
-			var spent time.Duration
+			var total time.Duration
 			for b.Loop() {
 				f.change(rounds)
-				f.hear()
-				began := time.Now()
-				f.late()
-				spent += time.Since(began)
+				f.heartbeatAll()
+				start := time.Now()
+				f.changeLastJob()
+				total += time.Since(start)
 				rounds++
 			}
-			b.ReportMetric(float64(spent.Nanoseconds())/float64(rounds), "ns/pass")
+			b.ReportMetric(float64(total.Nanoseconds())/float64(rounds), "ns/cycle")
 		})
 	}
 }
--- a/internal/core/placing_test.go
+++ b/internal/core/placing_test.go
@@ -14,8 +14,8 @@
 	"coralhub/wire"
 )
 
-// placer is a leader of two full machines and five free ones. Team red may use eight GPUs more than it does.
-// Transactions on pages wait for the test's answer; everything else is carried out.
+// placer is a leader of two full machines and five free ones. Team red may use eight GPUs more than it
+// does. Transactions on placement pages and reads wait for the test's response; everything else is executed.
 type placer struct {
 	*roundTrip
 	t       *testing.T
@@ -32,29 +32,30 @@
 	}
 	p.submit("j-1", wire.Normal, 1)
 	p.run(200_000)
-	p.ok(p.only()) // so there is a page
-	p.exited()
-	p.reportAll()
-	p.forgotten()
+	p.succeed(p.onlyPending()) // so there is a page
+	p.exitTasks()
+	p.reportTasks()
+	p.forgetTasks()
 	p.run(3 * config.Second)
 	p.pending = nil
 	return p
 }
 
-// run lets time pass.
-func (p *placer) run(d config.Micros) {
+// run sends a heartbeat of every worker, advances the clock and ticks.
+func (p *placer) run(duration config.Micros) {
 	p.t.Helper()
-	for i := range p.machines + p.free { // nobody falls silent
-		in := p.reportOf(i)
+	for i := range p.machines + p.free {
+		in := p.freeHeartbeat(i)
 		if i < p.machines {
-			in = p.report(i, nil)
+			in = p.heartbeat(i, nil)
 		}
-		p.take(p.step(1, in))
+		p.handle(p.step(1, in))
 	}
-	p.take(p.step(d, msg.Tick{WallClock: p.now}))
+	p.handle(p.step(duration, msg.Tick{WallClock: p.now}))
 }
 
-func (p *placer) take(effects []msg.Effect) {
+// handle executes effects, except for transactions on placement pages and reads.
+func (p *placer) handle(effects []msg.Effect) {
 	for _, e := range effects {
 		switch x := e.(type) {
 		case msg.Commit:
@@ -66,7 +67,7 @@
 			p.reads = append(p.reads, x)
 			continue
 		}
-		p.answer([]msg.Effect{e})
+		p.execute([]msg.Effect{e})
 	}
 }
 
@@ -78,146 +79,152 @@
 		p.t.Fatal(err)
 	}
 	p.version++
-	p.take(p.step(1, msg.Changed{Events: []wire.Change{{Put: job.RecordKey(id), Value: value, Version: p.version + 1<<40}}}))
+	p.handle(p.step(1, msg.Changed{Events: []wire.Change{{Put: job.RecordKey(id), Value: value, Version: p.version + 1<<40}}}))
 }
 
-// only returns the one transaction that waits for an answer.
-func (p *placer) only() msg.Commit {
+// onlyPending returns the only transaction that waits for a response.
+func (p *placer) onlyPending() msg.Commit {
 	p.t.Helper()
 	if len(p.pending) != 1 {
-		p.t.Fatalf("%d transactions on pages wait: %v", len(p.pending), p.placedBy())
+		p.t.Fatalf("%d transactions on pages are pending: %v", len(p.pending), p.pendingJobs())
 	}
 	x := p.pending[0]
 	p.pending = nil
 	return x
 }
 
-// placedBy lists the jobs that the waiting transactions place.
-func (p *placer) placedBy() (out []string) {
+// pendingJobs returns the jobs that the pending transactions place.
+func (p *placer) pendingJobs() (ids []string) {
 	for _, x := range p.pending {
-		for _, g := range x.Transaction.Conditions {
-			if id, _, ok := job.ParseKey(g.Key); ok {
-				out = append(out, id)
+		for _, condition := range x.Transaction.Conditions {
+			if id, _, ok := job.ParseKey(condition.Key); ok {
+				ids = append(ids, id)
 			}
 		}
 	}
-	return out
+	return ids
 }
 
-func (p *placer) ok(x msg.Commit) {
+// succeed responds to a transaction that it was committed.
+func (p *placer) succeed(x msg.Commit) {
 	p.version++
-	p.done(x, msg.CommitDone{Outcome: msg.OK, Revision: p.version + 1<<40})
+	p.respond(x, msg.CommitDone{Outcome: msg.OK, Revision: p.version + 1<<40})
 }
 
-func (p *placer) done(x msg.Commit, d msg.CommitDone) {
-	d.ID = x.ID
-	p.take(p.step(1, d))
+// respond responds to a transaction with a result.
+func (p *placer) respond(x msg.Commit, done msg.CommitDone) {
+	done.ID = x.ID
+	p.handle(p.step(1, done))
 }
 
-// What a transaction without an answer places is counted until it is settled, and it is sent again as it was.
-func TestUnansweredPlacementCounts(t *testing.T) {
+// The placements of a transaction without a response count until its outcome is known, and it is sent
+// again unchanged.
+func TestPlacementWithoutResponseCounts(t *testing.T) {
 	p := newPlacer(t)
 	p.submit("j-2", wire.Normal, 8)
 	p.run(200_000)
-	first := p.only()
-	p.done(first, msg.CommitDone{Outcome: msg.Unknown})
+	first := p.onlyPending()
+	p.respond(first, msg.CommitDone{Outcome: msg.Unknown})
 	p.submit("j-3", wire.Production, 1)
 	for range 2 {
 		p.run(200_000)
 		p.run(200_000)
-		again := p.only() // and nothing of j-3: the limit is reached by what may have been placed
+		again := p.onlyPending() // without j-3: what may have been placed reaches the limit
 		if !reflect.DeepEqual(again.Transaction, first.Transaction) {
-			t.Fatalf("sent again %+v, before %+v", again.Transaction, first.Transaction)
+			t.Fatalf("retried %+v, before %+v", again.Transaction, first.Transaction)
 		}
-		p.done(again, msg.CommitDone{Outcome: msg.Refused})
+		p.respond(again, msg.CommitDone{Outcome: msg.Refused})
 	}
 	p.run(500_000)
-	again := p.only()
-	p.done(again, msg.CommitDone{Outcome: msg.Conflict, Failed: []string{again.Transaction.Changes[0].Put}})
+	again := p.onlyPending()
+	p.respond(again, msg.CommitDone{Outcome: msg.Conflict, Failed: []string{again.Transaction.Changes[0].Put}})
 	p.run(200_000)
 	if len(p.pending) > 0 || len(p.reads) != 1 || p.reads[0].Key != again.Transaction.Changes[0].Put {
-		t.Fatalf("before the page was read: %v, reads %v", p.placedBy(), p.reads)
+		t.Fatalf("before the page was read: %v, reads %v", p.pendingJobs(), p.reads)
 	}
 	p.version++
-	p.take(p.step(1, msg.ReadDone{ID: p.reads[0].ID, Outcome: msg.OK, Key: p.reads[0].Key,
+	p.handle(p.step(1, msg.ReadDone{ID: p.reads[0].ID, Outcome: msg.OK, Key: p.reads[0].Key,
 		Item: wire.KeyValue{Key: p.reads[0].Key, Value: again.Transaction.Changes[0].Value, Version: p.version + 1<<40}}))
 	p.run(300_000)
 	if len(p.pending) > 0 {
-		t.Errorf("placed beyond the limit: %v", p.placedBy())
+		t.Errorf("placed beyond the limit: %v", p.pendingJobs())
 	}
-	if n := len(p.tasksOnFree()); n != 8 {
+	if n := len(p.startedTasks()); n != 8 {
 		t.Errorf("%d tasks were started", n)
 	}
 }
 
-func (p *placer) tasksOnFree() (out []string) {
+// startedTasks returns the tasks that were started on the free machines.
+func (p *placer) startedTasks() (names []string) {
 	for _, tasks := range p.tasks {
 		for _, x := range tasks {
-			out = append(out, x.Task)
+			names = append(names, x.Task)
 		}
 	}
-	return out
+	return names
 }
 
-// Of jobs that are placed together, those whose records have changed are read; the others go again at once.
-func TestOneOfManyHasChanged(t *testing.T) {
+// Of jobs that are placed together, those whose records have changed are read; the others are placed
+// again at once.
+func TestOneOfManyRecordsHasChanged(t *testing.T) {
 	p := newPlacer(t)
 	for n := range 6 {
 		p.submit(fmt.Sprintf("j-%d", 10+n), wire.Normal, 1)
 	}
 	p.run(200_000)
-	first := p.only()
-	p.done(first, msg.CommitDone{Outcome: msg.Conflict, Failed: []string{job.RecordKey("j-12")}})
+	first := p.onlyPending()
+	p.respond(first, msg.CommitDone{Outcome: msg.Conflict, Failed: []string{job.RecordKey("j-12")}})
 	if len(p.reads) != 1 || p.reads[0].Key != job.RecordKey("j-12") {
 		t.Errorf("reads %v", p.reads)
 	}
-	got := p.placedBy()
+	got := p.pendingJobs()
 	slices.Sort(got)
 	if want := []string{"j-10", "j-11", "j-13", "j-14", "j-15"}; !slices.Equal(got, want) {
-		t.Errorf("sent again %v, want %v", got, want)
+		t.Errorf("placed again %v, want %v", got, want)
 	}
-	p.ok(p.only())
-	if n := len(p.tasksOnFree()); n != 5 {
+	p.succeed(p.onlyPending())
+	if n := len(p.startedTasks()); n != 5 {
 		t.Errorf("%d tasks were started", n)
 	}
 }
 
-// While a transaction is under way what is planned waits, and then goes together.
-func TestPlacementsGather(t *testing.T) {
+// While a transaction is in flight, further placements wait, and are then committed together.
+func TestPlacementsAreBatched(t *testing.T) {
 	p := newPlacer(t)
 	p.submit("j-20", wire.Normal, 1)
 	p.run(200_000)
-	first := p.only()
+	first := p.onlyPending()
 	for n := range 4 {
 		p.submit(fmt.Sprintf("j-%d", 21+n), wire.Normal, 1)
 		p.run(200_000)
 	}
 	if len(p.pending) > 0 {
-		t.Fatalf("sent while another is under way: %v", p.placedBy())
+		t.Fatalf("sent while another is in flight: %v", p.pendingJobs())
 	}
-	p.ok(first)
-	if got := p.placedBy(); len(p.pending) != 1 || len(got) != 4 {
+	p.succeed(first)
+	if got := p.pendingJobs(); len(p.pending) != 1 || len(got) != 4 {
 		t.Errorf("%d transactions, of %v", len(p.pending), got)
 	}
-	if pages := p.only().Transaction.Changes; len(pages) != 1 {
+	if pages := p.onlyPending().Transaction.Changes; len(pages) != 1 {
 		t.Errorf("%d pages", len(pages))
 	}
 }
 
-// A gang of 512 tasks on machines of its own is placed by one transaction within the limits of today's large sites.
+// A gang of 512 tasks, each on a machine of its own, is placed by one transaction within the limits of
+// the large sites of today.
 func TestGangOf512FitsATransaction(t *testing.T) {
 	for _, limits := range []struct{ kb, ops int }{{8, 12}, {4, 8}} {
-		var parts []records.PlacementEntry
+		var entries []records.PlacementEntry
 		for n := range 512 {
 			if n%job.TasksPerShard == 0 {
-				parts = append(parts, records.PlacementEntry{Job: "j-123456", Index: n / job.TasksPerShard, LastAttempt: 3})
+				entries = append(entries, records.PlacementEntry{Job: "j-123456", Index: n / job.TasksPerShard, LastAttempt: 3})
 			}
-			last := &parts[len(parts)-1]
-			last.Open = append(last.Open, job.Placement{Task: n, Attempt: 3, Machine: fmt.Sprintf("m-%06d", 200000+n), Session: 12, Zone: "portland-rack", PlacedAt: 123456})
+			entry := &entries[len(entries)-1]
+			entry.Open = append(entry.Open, job.Placement{Task: n, Attempt: 3, Machine: fmt.Sprintf("m-%06d", 200000+n), Session: 12, Zone: "portland-rack", PlacedAt: 123456})
 		}
 		pages, size := 0, 0
-		for i := range parts {
-			value, err := records.EncodePlacementPage(parts[i : i+1])
+		for i := range entries {
+			value, err := records.EncodePlacementPage(entries[i : i+1])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -234,21 +241,21 @@
 	}
 }
 
-// A refusal may name only one of the guards that have failed. After a sending without an answer the page is read
-// whatever the refusal names: the earlier sending may have placed everything.
-func TestRefusalAfterNoAnswerReadsPages(t *testing.T) {
+// A conflict may name only one of the conditions that have failed. After an attempt without a response
+// the page is read whatever the conflict names: the earlier attempt may have placed everything.
+func TestConflictAfterNoResponseReadsPages(t *testing.T) {
 	p := newPlacer(t)
 	p.submit("j-2", wire.Normal, 2)
 	p.submit("j-3", wire.Normal, 2)
 	p.run(200_000)
-	first := p.only()
-	p.done(first, msg.CommitDone{Outcome: msg.Unknown})
+	first := p.onlyPending()
+	p.respond(first, msg.CommitDone{Outcome: msg.Unknown})
 	p.run(500_000)
-	again := p.only()
-	p.done(again, msg.CommitDone{Outcome: msg.Conflict, Failed: []string{job.RecordKey("j-2")}})
+	again := p.onlyPending()
+	p.respond(again, msg.CommitDone{Outcome: msg.Conflict, Failed: []string{job.RecordKey("j-2")}})
 	p.run(300_000)
 	if len(p.pending) > 0 {
-		t.Fatalf("placed again before the page was read: %v", p.placedBy())
+		t.Fatalf("placed again before the page was read: %v", p.pendingJobs())
 	}
 	key := again.Transaction.Changes[0].Put
 	i := slices.IndexFunc(p.reads, func(r msg.Read) bool { return r.Key == key })
@@ -256,46 +263,46 @@
 		t.Fatalf("reads %v, not %s", p.reads, key)
 	}
 	p.version++
-	p.take(p.step(1, msg.ReadDone{ID: p.reads[i].ID, Outcome: msg.OK, Key: key, Item: wire.KeyValue{Key: key, Value: again.Transaction.Changes[0].Value, Version: p.version + 1<<40}}))
+	p.handle(p.step(1, msg.ReadDone{ID: p.reads[i].ID, Outcome: msg.OK, Key: key, Item: wire.KeyValue{Key: key, Value: again.Transaction.Changes[0].Value, Version: p.version + 1<<40}}))
 	p.run(300_000)
-	if n := len(p.tasksOnFree()); len(p.pending) > 0 || n != 4 {
-		t.Errorf("%d tasks were started, placed again %v", n, p.placedBy())
+	if n := len(p.startedTasks()); len(p.pending) > 0 || n != 4 {
+		t.Errorf("%d tasks were started, placed again %v", n, p.pendingJobs())
 	}
 }
 
-// Pages are begun in the order of their numbers and by one transaction at a time, and no page is in two
-// transactions: who guards all pages there are and the next one guards against any.
-func TestPagesAreBegunInOrder(t *testing.T) {
+// Pages are created in the order of their numbers and by one transaction at a time, and no page is in
+// two transactions: conditions on all existing pages and the next one exclude any other write.
+func TestPagesAreCreatedInOrder(t *testing.T) {
 	p := newPlacer(t)
 	p.free, p.gpus = 40, 0 // for more than two full batches, and no limit
 	for i := p.machines; i < p.machines+p.free; i++ {
-		p.take(p.step(1, p.reportOf(i)))
+		p.handle(p.step(1, p.freeHeartbeat(i)))
 	}
 	p.submit("j-2", wire.Normal, 1)
 	p.run(200_000)
-	first := p.only()
-	for n := range 60 { // more than one transaction can place: the next goes though one is under way
+	first := p.onlyPending()
+	for n := range 60 { // more than one transaction can place: the next is sent while one is in flight
 		p.submit(fmt.Sprintf("j-%d", 100+n), wire.Normal, 1)
 	}
 	p.run(200_000)
 	p.run(200_000)
-	second := p.only()
+	second := p.onlyPending()
 	if second.Transaction.Changes[0].Put == first.Transaction.Changes[0].Put {
 		t.Errorf("two transactions write %s", first.Transaction.Changes[0].Put)
 	}
 	if want := records.PlacementPageKey(2); second.Transaction.Changes[0].Put != want || len(second.Transaction.Changes) != 1 {
-		t.Errorf("%s is begun, not %s", second.Transaction.Changes[0].Put, want)
+		t.Errorf("%s is created, not %s", second.Transaction.Changes[0].Put, want)
 	}
 	for n := range 60 {
 		p.submit(fmt.Sprintf("j-%d", 200+n), wire.Normal, 1)
 	}
 	p.run(200_000)
 	p.run(200_000)
-	if len(p.pending) > 0 { // page 1 is being written, page 2 begun: page 3 has to wait
-		t.Errorf("%s is begun before page 2 is known to exist", p.pending[0].Transaction.Changes[0].Put)
+	if len(p.pending) > 0 { // page 1 is being written and page 2 created, so page 3 has to wait
+		t.Errorf("%s is created before page 2 is known to exist", p.pending[0].Transaction.Changes[0].Put)
 	}
-	p.ok(second)
+	p.succeed(second)
 	if len(p.pending) == 0 {
-		t.Error("nothing follows once page 2 exists")
+		t.Error("no transaction follows once page 2 exists")
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -14,64 +14,67 @@
 	"coralhub/wire"
 )
 
-// fleet is a leader of so many machines, all of them full with replicas, eight of a
-// job on two machines, and with jobs that wait for their team's limit.
+// fleet is a leader with machines that are all full of services, of which each has eight tasks on two
+// machines, and with pending jobs that wait for their team's limit.
 type fleet struct {
 	core     *core.Core
 	now      core.Micros
 	machines int
 	records  []wire.KeyValue
-	seq      uint64
+	sequence uint64 // of the last heartbeat
 	token    uint64
 	version  uint64
 }
 
 const (
-	pendingJobs = 50
-	tasksOn     = 4 // a machine
+	defaultPending  = 50
+	tasksPerMachine = 4
 )
 
 func fleetConfig(machines int) *config.Config {
-	c := &config.Config{Settings: config.Defaults()}
-	c.Node, c.Location = "n1", "a"
-	c.Cluster = config.Cluster{
+	cfg := &config.Config{Settings: config.Defaults()}
+	cfg.Node, cfg.Location = "n1", "a"
+	cfg.Cluster = config.Cluster{
 		Zones:   []string{"a", "b"},
 		Teams:   []config.Team{{Name: "red", GPUs: float64(machines), GPUsMax: float64(8 * machines)}, {Name: "blue", CPUsMax: 1}},
 		Workers: config.Workers{ReportS: 5, LeaseS: 26, GangWaitS: 40, GangPeerS: 6, CancelS: 56},
 		State:   config.State{RPS: 400, WriteRPS: 150, ValueKB: 8, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 8, ListLagS: 8},
 	}
-	return c
+	return cfg
 }
 
 func machineName(i int) string { return fmt.Sprintf("m-%06d", i) }
 
 func machineZone(i int) string { return []string{"a", "b"}[i%2] }
 
-func newFleet(tb testing.TB, machines int) *fleet { return newQueue(tb, machines, pendingJobs) }
+func newFleet(tb testing.TB, machines int) *fleet {
+	tb.Helper()
+	return newFleetWithPending(tb, machines, defaultPending)
+}
 
-// newQueue returns a fleet with so many jobs that wait.
-func newQueue(tb testing.TB, machines, waiting int) *fleet {
+// newFleetWithPending returns a fleet with the given number of pending jobs.
+func newFleetWithPending(tb testing.TB, machines, pending int) *fleet {
+	tb.Helper()
 	f := &fleet{machines: machines, now: config.Second, version: 1000}
-	put := func(id string, rec *job.Record) { f.put(tb, id, rec) }
 	spec := func(id, team string, tasks int) *wire.Job {
 		return &wire.Job{ID: id, Class: "c", Team: team, Shape: wire.Service, Priority: wire.Normal, Tasks: tasks, CPUs: 1, GPUs: 1,
 			MemoryGB: 1, Image: "i", ImageGB: 1}
 	}
 	for i := 0; i < machines; i += 2 {
-		rec := &job.Record{Spec: spec(jobName(i), "red", 2*tasksOn), CreatedAt: int64(i + 1), LastAttempt: 1}
-		for task := range 2 * tasksOn {
-			m := i + task/tasksOn
-			rec.Open = append(rec.Open, job.Placement{Task: task, Attempt: 1, Machine: machineName(m), Session: 1, Zone: machineZone(m)})
+		record := &job.Record{Spec: spec(jobName(i), "red", 2*tasksPerMachine), CreatedAt: int64(i + 1), LastAttempt: 1}
+		for task := range 2 * tasksPerMachine {
+			machine := i + task/tasksPerMachine
+			record.Open = append(record.Open, job.Placement{Task: task, Attempt: 1, Machine: machineName(machine), Session: 1, Zone: machineZone(machine)})
 		}
-		put(jobName(i), rec)
+		f.put(tb, jobName(i), record)
 	}
-	full := &job.Record{Spec: spec("j-800000", "blue", 1), CreatedAt: 1, LastAttempt: 1}
-	full.Spec.GPUs = 0
-	full.Open = []job.Placement{{Attempt: 1, Machine: machineName(0), Session: 1, Zone: machineZone(0)}}
-	put("j-800000", full)
-	for i := range waiting {
-		put(waitingName(i), &job.Record{Spec: spec(waitingName(i), "blue", 2), CreatedAt: int64(i + 1)})
+	atLimit := &job.Record{Spec: spec("j-800000", "blue", 1), CreatedAt: 1, LastAttempt: 1}
+	atLimit.Spec.GPUs = 0
+	atLimit.Open = []job.Placement{{Attempt: 1, Machine: machineName(0), Session: 1, Zone: machineZone(0)}}
+	f.put(tb, "j-800000", atLimit)
+	for i := range pending {
+		f.put(tb, pendingName(i), &job.Record{Spec: spec(pendingName(i), "blue", 2), CreatedAt: int64(i + 1)})
 	}
 	catalog, err := job.Encode(&wire.Catalog{Types: []wire.MachineType{{Name: "t4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 100,
 		FetchGBs: 1, Price: 4, SpotPrice: 2, BootS: 50, Zones: []string{"a", "b"}}}})
@@ -82,15 +85,16 @@
 	f.records = append(f.records, wire.KeyValue{Key: job.KeyRoot + "catalog", Value: catalog, Version: f.version})
 	f.takeOver(tb)
 	for i := range machines {
-		f.step(1, f.report(i, nil))
+		f.step(1, f.heartbeat(i, nil))
 	}
 	f.step(config.Second, msg.Tick{WallClock: f.now})
 	return f
 }
 
-// put adds a job's record to those that a node reads.
-func (f *fleet) put(tb testing.TB, id string, rec *job.Record) {
-	value, err := job.EncodeRecord(rec, job.NewestFormat)
+// put adds a job's record to the stored ones.
+func (f *fleet) put(tb testing.TB, id string, record *job.Record) {
+	tb.Helper()
+	value, err := job.EncodeRecord(record, job.NewestFormat)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -100,25 +104,28 @@
 
 func jobName(i int) string { return fmt.Sprintf("j-%06d", i) }
 
-// takeOver has a new node read all records, claim and read them again.
-func (f *fleet) takeOver(tb testing.TB) { f.startAs(tb, fleetConfig(f.machines)) }
+// takeOver has a new node read all records, become the leader and read them again.
+func (f *fleet) takeOver(tb testing.TB) {
+	tb.Helper()
+	f.takeOverWith(tb, fleetConfig(f.machines))
+}
 
-// startAs does so with settings of its own.
-func (f *fleet) startAs(tb testing.TB, cfg *config.Config) {
+// takeOverWith is takeOver with another configuration.
+func (f *fleet) takeOverWith(tb testing.TB, cfg *config.Config) {
 	tb.Helper()
 	f.core = core.New(cfg, 0)
 	f.step(1, msg.Snapshot{Items: f.records, Revision: f.version})
 	f.step(config.Second, msg.Tick{WallClock: f.now})
 	for _, e := range f.step(1, msg.LeaseDone{Outcome: msg.OK, Lease: 9}) {
-		if claim, ok := e.(msg.Commit); ok {
+		if campaign, ok := e.(msg.Commit); ok {
 			f.version++
 			f.token = f.version
-			f.step(1, msg.CommitDone{ID: claim.ID, Outcome: msg.OK, Revision: f.version})
+			f.step(1, msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: f.version})
 			f.step(1, msg.Snapshot{Items: f.records, Revision: f.version})
 			return
 		}
 	}
-	tb.Fatal("no claim was made")
+	tb.Fatal("the node did not campaign")
 }
 
 func (f *fleet) step(after core.Micros, in msg.Input) []msg.Effect {
@@ -126,21 +133,21 @@
 	return f.core.Step(f.now, in)
 }
 
-// report is what a machine's worker says.
-func (f *fleet) report(i int, notice *float64) msg.Input {
-	f.seq++
-	r := wire.Heartbeat{Machine: machineName(i), Addr: "10.0.0.1:9000", Type: "t4", Zone: machineZone(i), Incarnation: 1, Sequence: f.seq,
+// heartbeat returns the heartbeat of a machine's worker, with a termination notice in seconds unless it is nil.
+func (f *fleet) heartbeat(i int, notice *float64) msg.Input {
+	f.sequence++
+	hb := wire.Heartbeat{Machine: machineName(i), Addr: "10.0.0.1:9000", Type: "t4", Zone: machineZone(i), Incarnation: 1, Sequence: f.sequence,
 		FencingToken: f.token, NoticeS: notice}
 	if i == 0 {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName("j-800000", 0), Attempt: 1, State: wire.Running})
+		hb.Tasks = append(hb.Tasks, wire.TaskStatus{Task: wire.TaskName("j-800000", 0), Attempt: 1, State: wire.Running})
 	}
-	for k := range tasksOn {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(jobName(i-i%2), (i%2)*tasksOn+k), Attempt: 1, State: wire.Running})
+	for k := range tasksPerMachine {
+		hb.Tasks = append(hb.Tasks, wire.TaskStatus{Task: wire.TaskName(jobName(i-i%2), (i%2)*tasksPerMachine+k), Attempt: 1, State: wire.Running})
 	}
-	return msg.HeartbeatIn{RequestID: 1, Heartbeat: r, Forwarded: true}
+	return msg.HeartbeatIn{RequestID: 1, Heartbeat: hb, Forwarded: true}
 }
 
-// change has a hundredth of the machines change what they offer, all over the fleet.
+// change changes the termination notice of one in a hundred machines, all over the fleet. It returns their number.
 func (f *fleet) change(round int) (changed int) {
 	notice := new(float64)
 	*notice = 30
@@ -148,46 +155,46 @@
 		notice = nil
 	}
 	for i := 0; i < f.machines; i += 100 {
-		f.step(1, f.report(i, notice))
+		f.step(1, f.heartbeat(i, notice))
 		changed++
 	}
 	return changed
 }
 
-// hear has every worker heard, so that none is silent by now.
-func (f *fleet) hear() {
+// heartbeatAll sends a heartbeat of every worker, so that none is overdue.
+func (f *fleet) heartbeatAll() {
 	for i := range f.machines {
-		f.step(1, f.report(i, nil))
+		f.step(1, f.heartbeat(i, nil))
 	}
 }
 
-// pass asks for a pass with a change of a waiting job.
-func (f *fleet) pass() []msg.Effect {
-	it := f.records[f.machines/2+1] // of a job that waits
+// runCycle triggers a scheduling cycle by a change of a pending job.
+func (f *fleet) runCycle() {
+	item := f.records[f.machines/2+1] // of a pending job
 	f.version++
-	return f.step(150*1000, msg.PeerUpdate{Change: wire.Change{Put: it.Key, Value: it.Value, Version: f.version + 1<<40}})
+	f.step(150*1000, msg.PeerUpdate{Change: wire.Change{Put: item.Key, Value: item.Value, Version: f.version + 1<<40}})
 }
 
-// A pass looks at what has changed, not at the fleet: the count of machines and jobs
-// looked at is that of the changes, whatever the number of machines.
-func TestPassLooksAtWhatHasChanged(t *testing.T) {
+// A scheduling cycle examines what has changed, not the whole fleet: the number of machines and jobs
+// that it examines is that of the changes, whatever the number of machines.
+func TestCycleExaminesWhatHasChanged(t *testing.T) {
 	for _, machines := range []int{500, 2000} {
 		f := newFleet(t, machines)
-		f.hear()
-		f.pass()
+		f.heartbeatAll()
+		f.runCycle()
 		before := f.core.CycleStatistics()
 		changed := f.change(0)
-		f.pass()
+		f.runCycle()
 		after := f.core.CycleStatistics()
-		passes := after.Cycles - before.Cycles
-		if passes == 0 {
-			t.Fatal("no pass")
+		cycles := after.Cycles - before.Cycles
+		if cycles == 0 {
+			t.Fatal("no cycle")
 		}
 		if got := after.Machines - before.Machines; got < changed || got > changed+2 {
-			t.Errorf("%d machines: looked at %d in %d passes, %d have changed", machines, got, passes, changed)
+			t.Errorf("%d machines: examined %d in %d cycles, %d have changed", machines, got, cycles, changed)
 		}
 		if got := after.Jobs - before.Jobs; got < 1 || got > 2 {
-			t.Errorf("%d machines: looked at %d jobs, one has changed", machines, got)
+			t.Errorf("%d machines: examined %d jobs, one has changed", machines, got)
 		}
 		if err := f.core.Audit(); err != nil {
 			t.Error(err)
@@ -195,13 +202,13 @@
 	}
 }
 
-// A tick with nothing to do reserves as little memory at any size.
-func TestTickDoesNotGrowWithTheFleet(t *testing.T) {
+// A tick with nothing to do makes as few allocations at any size of the fleet.
+func TestIdleTickDoesNotGrowWithTheFleet(t *testing.T) {
 	var allocs [2]float64
 	for i, machines := range []int{500, 2000} {
 		f := newFleet(t, machines)
-		f.hear()
-		f.pass()
+		f.heartbeatAll()
+		f.runCycle()
 		allocs[i] = testing.AllocsPerRun(5, func() { f.step(1000, msg.Tick{WallClock: f.now}) })
 	}
 	if allocs[1] > allocs[0]+2 {
@@ -211,22 +218,22 @@
 
 var fleetSizes = []int{1250, 2500, 5000, 10000}
 
-// BenchmarkFleet measures, at four sizes, a report that says nothing new, a change of
-// a record, a tick, a pass after a hundredth of the machines have changed and a
-// takeover; and what a machine and a job hold. Its ratios are what to look at.
+// BenchmarkFleet measures, at four sizes, an unchanged heartbeat, a change of a record, a tick, a
+// scheduling cycle after one in a hundred machines has changed, a takeover, and the memory for a
+// machine and a job. What matters is the ratios between sizes.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range fleetSizes {
-		b.Run(fmt.Sprintf("report/%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("heartbeat/%d", n), func(b *testing.B) {
 			f := newFleet(b, n)
 			for b.Loop() {
-				f.step(1, f.report(0, nil))
+				f.step(1, f.heartbeat(0, nil))
 			}
 		})
 	}
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("tick/%d", n), func(b *testing.B) {
 			f := newFleet(b, n)
-			f.hear()
+			f.heartbeatAll()
 			for b.Loop() {
 				f.step(1, msg.Tick{WallClock: f.now})
 			}
@@ -237,38 +244,38 @@
 			f := newFleet(b, n)
 			for b.Loop() {
 				f.version++
-				it := f.records[0]
-				f.step(1, msg.Changed{Events: []wire.Change{{Put: it.Key, Value: it.Value, Version: f.version + 1<<40}}})
+				item := f.records[0]
+				f.step(1, msg.Changed{Events: []wire.Change{{Put: item.Key, Value: item.Value, Version: f.version + 1<<40}}})
 			}
 		})
 	}
 	for _, n := range fleetSizes {
-		b.Run(fmt.Sprintf("pass/%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("cycle/%d", n), func(b *testing.B) {
 			f := newFleet(b, n)
-			var spent []time.Duration
+			var durations []time.Duration
 			rounds := 0
 			for b.Loop() {
 				if rounds%20 == 0 {
-					f.hear() // and the pass that looks at everything is due now and then
+					f.heartbeatAll() // so that a full cycle is due now and then
 				}
 				f.change(rounds)
-				began := time.Now()
-				f.pass()
-				spent = append(spent, time.Since(began))
+				start := time.Now()
+				f.runCycle()
+				durations = append(durations, time.Since(start))
 				rounds++
 			}
-			slices.Sort(spent)
-			b.ReportMetric(float64(spent[len(spent)/2].Nanoseconds()), "ns/pass")
-			b.ReportMetric(float64(spent[len(spent)-1].Nanoseconds()), "ns/whole-pass") // one that looks at everything
+			slices.Sort(durations)
+			b.ReportMetric(float64(durations[len(durations)/2].Nanoseconds()), "ns/cycle")
+			b.ReportMetric(float64(durations[len(durations)-1].Nanoseconds()), "ns/full-cycle") // the slowest, which examines everything
 		})
 	}
-	for _, waiting := range []int{100, 1000, 10000} { // all ranked, none with room under its team's limit
-		b.Run(fmt.Sprintf("queue/%d", waiting), func(b *testing.B) {
-			f := newQueue(b, fleetSizes[2], waiting)
+	for _, pending := range []int{100, 1000, 10000} { // all in the queue, none within its team's limit
+		b.Run(fmt.Sprintf("queue/%d", pending), func(b *testing.B) {
+			f := newFleetWithPending(b, fleetSizes[2], pending)
 			rounds := 0
 			for b.Loop() {
 				f.change(rounds)
-				f.pass()
+				f.runCycle()
 				rounds++
 			}
 		})
@@ -285,10 +292,10 @@
 		b.Run(fmt.Sprintf("memory/%d", n), func(b *testing.B) {
 			var bytes uint64
 			for b.Loop() {
-				before := held()
+				before := heapBytes()
 				f := newFleet(b, n)
 				f.records = f.records[:1]
-				bytes = held() - before
+				bytes = heapBytes() - before
 				runtime.KeepAlive(f)
 			}
 			b.ReportMetric(float64(bytes)/float64(n), "B/machine+half-job")
@@ -296,12 +303,13 @@
 	}
 }
 
-func held() uint64 {
+// heapBytes returns the size of live objects on the heap.
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
 
-func waitingName(i int) string { return fmt.Sprintf("j-9%05d", i) }
+func pendingName(i int) string { return fmt.Sprintf("j-9%05d", i) }
--- a/internal/core/stored_values_test.go
+++ b/internal/core/stored_values_test.go
@@ -16,18 +16,18 @@
 	"coralhub/wire"
 )
 
-// Nodes of several versions share what is stored, and it outlives all of them: the bytes and the
-// keys recorded in testdata/stored must not change. Every field has a value of its own, so that
-// neither a renamed field nor two fields in each other's place go unnoticed.
+// Nodes of several versions share the stored values, which outlive all of them: the bytes and the keys
+// recorded in testdata/stored must not change. Every field has a different value, so that neither a
+// renamed field nor two swapped fields go unnoticed.
 
 func storedSpec() *wire.Job {
-	due := 900.5
+	deadline := 900.5
 	return &wire.Job{ID: "j-000412", Class: "train", Team: "red", Shape: wire.Gang, Priority: wire.High, Tasks: 40, CPUs: 8, GPUs: 1,
 		MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g4"}, Zone: "a", OneZone: true, Spread: true, Spot: true, EstimateS: 240,
-		CheckpointS: 30, SaveS: 4, DeadlineS: &due, Needs: []string{"j-1", "j-2"}}
+		CheckpointS: 30, SaveS: 4, DeadlineS: &deadline, Needs: []string{"j-1", "j-2"}}
 }
 
-func storedPart(first int) job.Shard {
+func storedShard(first int) job.Shard {
 	return job.Shard{DoneSet: "5", Usage: &job.Usage{Time: 7_000_000, Spot: 5_000_000, Lost: 3_000_000}, Open: []job.Placement{
 		{Task: first + 1, Attempt: 2, Machine: "m-000231", Session: 3, Zone: "a", PlacedAt: 17, Spot: true},
 		{Task: first + 4, Attempt: 2, Machine: "m-000231", Session: 3, Zone: "a", PlacedAt: 17, Spot: true},
@@ -38,23 +38,24 @@
 	return job.Record{Spec: storedSpec(), Phase: job.Done, CancelRequested: true, CreatedAt: 1764600000000000, LastAttempt: 11, DoneTasks: 13, ShardsOnly: true,
 		Account: &job.UsageAccount{Team: "red", Class: "train", Service: true, End: 1764600099,
 			Usage: job.ResourceUsage{CPU: 21, GPU: 22, Memory: 23, Time: 24, Spot: 25, Lost: 26}},
-		Shard: storedPart(0)}
+		Shard: storedShard(0)}
 }
 
-// withFormat is what a reader finds in a part that was written in a format: what the format
-// doesn't know is missing.
-func withFormat(p job.Shard, f job.Format) job.Shard {
-	p = p.Clone()
-	if f >= job.FormatPreemption {
-		return p
+// asDecoded returns what is decoded from a shard that was encoded in a format: without what the
+// format lacks.
+func asDecoded(shard job.Shard, format job.Format) job.Shard {
+	shard = shard.Clone()
+	if format >= job.FormatPreemption {
+		return shard
 	}
-	p.Usage = nil
-	for i := range p.Open {
-		p.Open[i].PlacedAt, p.Open[i].Spot = 0, false
+	shard.Usage = nil
+	for i := range shard.Open {
+		shard.Open[i].PlacedAt, shard.Open[i].Spot = 0, false
 	}
-	return p
+	return shard
 }
 
+// check compares an encoded value with the recorded bytes, and returns those.
 func check(t *testing.T, name string, value []byte, err error) []byte {
 	t.Helper()
 	if err != nil {
@@ -64,39 +65,39 @@
 	return golden.Bytes(t, "stored/"+name+".hex")
 }
 
-func TestStoredRecordsAndParts(t *testing.T) {
+func TestStoredRecordsAndShards(t *testing.T) {
 	for f := job.FormatPlacements; f <= job.NewestFormat; f++ {
-		rec, part := storedRecord(), storedPart(32)
-		value, err := job.EncodeRecord(&rec, f)
+		record, shard := storedRecord(), storedShard(32)
+		value, err := job.EncodeRecord(&record, f)
 		var gotRecord job.Record
 		if err := job.DecodeRecord(check(t, fmt.Sprintf("record-%d", f), value, err), &gotRecord); err != nil {
 			t.Error(err)
 		}
-		rec.Shard = withFormat(rec.Shard, f)
-		if !reflect.DeepEqual(gotRecord, rec) {
-			t.Errorf("format %d: read %+v, stored %+v", f, gotRecord, rec)
+		record.Shard = asDecoded(record.Shard, f)
+		if !reflect.DeepEqual(gotRecord, record) {
+			t.Errorf("format %d: read %+v, stored %+v", f, gotRecord, record)
 		}
-		value, err = job.EncodeShard(&part, f)
-		var gotPart job.Shard
-		if err := job.DecodeShard(check(t, fmt.Sprintf("part-%d", f), value, err), &gotPart); err != nil {
+		value, err = job.EncodeShard(&shard, f)
+		var gotShard job.Shard
+		if err := job.DecodeShard(check(t, fmt.Sprintf("part-%d", f), value, err), &gotShard); err != nil {
 			t.Error(err)
 		}
-		if want := withFormat(part, f); !reflect.DeepEqual(gotPart, want) {
-			t.Errorf("format %d: read %+v, stored %+v", f, gotPart, want)
+		if want := asDecoded(shard, f); !reflect.DeepEqual(gotShard, want) {
+			t.Errorf("format %d: read %+v, stored %+v", f, gotShard, want)
 		}
 	}
 }
 
-func TestStoredEndedAttempts(t *testing.T) {
-	lines := []records.CompletionEntry{{Job: "j-000412", Task: 33, Attempt: 3, Machine: "m-000240", Done: true, Occupancy: job.Occupancy{End: 41, Lost: 42}},
+func TestStoredCompletionPages(t *testing.T) {
+	entries := []records.CompletionEntry{{Job: "j-000412", Task: 33, Attempt: 3, Machine: "m-000240", Done: true, Occupancy: job.Occupancy{End: 41, Lost: 42}},
 		{Job: "j-7", Task: 2, Attempt: 1, Machine: "m-1", Occupancy: job.Occupancy{End: 43}}}
 	for f := job.FormatPlacements; f <= job.NewestFormat; f++ {
-		value, err := records.EncodeCompletionPage(lines, f)
+		value, err := records.EncodeCompletionPage(entries, f)
 		got, err := records.DecodeCompletionPage(check(t, fmt.Sprintf("ended-%d", f), value, err))
 		if err != nil {
 			t.Error(err)
 		}
-		want := append([]records.CompletionEntry(nil), lines...)
+		want := append([]records.CompletionEntry(nil), entries...)
 		for i := range want {
 			if f < job.FormatPreemption {
 				want[i].Occupancy = job.Occupancy{}
@@ -109,15 +110,15 @@
 }
 
 func TestStoredPlacementPages(t *testing.T) {
-	parts := []records.PlacementEntry{{Job: "j-000412", Index: 2, LastAttempt: 9, Shard: storedPart(64)}, {Job: "j-7", Index: 0, LastAttempt: 1, Shard: job.Shard{DoneSet: "f"}}}
-	value, err := records.EncodePlacementPage(parts)
+	entries := []records.PlacementEntry{{Job: "j-000412", Index: 2, LastAttempt: 9, Shard: storedShard(64)}, {Job: "j-7", Index: 0, LastAttempt: 1, Shard: job.Shard{DoneSet: "f"}}}
+	value, err := records.EncodePlacementPage(entries)
 	got, err := records.DecodePlacementPage(check(t, "placements", value, err))
-	if err != nil || !reflect.DeepEqual(got, parts) {
+	if err != nil || !reflect.DeepEqual(got, entries) {
 		t.Errorf("read %+v, %v", got, err)
 	}
 }
 
-func TestStoredDecisions(t *testing.T) {
+func TestStoredPreemptions(t *testing.T) {
 	decisions := []preemption.Decision{{Preemptor: "j-1", Reason: preemption.ReasonGuarantee, Level: 3, Order: 4, Until: 1764600000000000,
 		ReservedMachines: []string{"m-1", "m-2"}, Victims: []preemption.Victim{{Job: "j-2", Task: 5, Attempt: 6}, {Job: "j-3", Task: preemption.WholeGang, Attempt: 7}}}}
 	value, err := job.Encode(decisions)
@@ -125,24 +126,24 @@
 	if err := job.Decode(check(t, "decisions", value, err), &got); err != nil || !reflect.DeepEqual(got, decisions) {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	var tally, read preemption.Counts
-	tally.Add(preemption.Pair{Preemptor: "live", Victim: "batch", Reason: preemption.ReasonPriority}, 7)
-	tally.Add(preemption.Pair{Preemptor: "train", Victim: "lab", Reason: preemption.ReasonDefragmentation}, 3)
-	raw := check(t, "tally", tally.Value(func([]byte) bool { return true }), nil)
-	if err := read.Apply(1, raw); err != nil || !bytes.Equal(read.Value(func([]byte) bool { return true }), raw) {
-		t.Errorf("read %+v, %v", read, err)
+	var counts, decoded preemption.Counts
+	counts.Add(preemption.Pair{Preemptor: "live", Victim: "batch", Reason: preemption.ReasonPriority}, 7)
+	counts.Add(preemption.Pair{Preemptor: "train", Victim: "lab", Reason: preemption.ReasonDefragmentation}, 3)
+	raw := check(t, "tally", counts.Value(func([]byte) bool { return true }), nil)
+	if err := decoded.Apply(1, raw); err != nil || !bytes.Equal(decoded.Value(func([]byte) bool { return true }), raw) {
+		t.Errorf("read %+v, %v", decoded, err)
 	}
-	for _, w := range [][2]int{{int(preemption.ReasonPriority), 1}, {int(preemption.ReasonGuarantee), 2}, {int(preemption.ReasonDefragmentation), 3}} {
-		if w[0] != w[1] {
-			t.Errorf("a reason is stored as %d, was %d", w[0], w[1])
+	for _, reason := range [][2]int{{int(preemption.ReasonPriority), 1}, {int(preemption.ReasonGuarantee), 2}, {int(preemption.ReasonDefragmentation), 3}} {
+		if reason[0] != reason[1] {
+			t.Errorf("a reason is stored as %d, was %d", reason[0], reason[1])
 		}
 	}
 }
 
-func TestStoredByNodes(t *testing.T) {
+func TestOtherStoredValues(t *testing.T) {
 	notice := 7.5
-	hints := []leader.CachedMachine{{Name: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Images: []string{"img-07", "img-08"}}}
-	mail := []relay.RelayedHeartbeat{{Machine: "m-000231", Incarnation: 2, Sequence: 88, FencingToken: 41, NoticeS: &notice,
+	machines := []leader.CachedMachine{{Name: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Images: []string{"img-07", "img-08"}}}
+	heartbeats := []relay.RelayedHeartbeat{{Machine: "m-000231", Incarnation: 2, Sequence: 88, FencingToken: 41, NoticeS: &notice,
 		Tasks: []relay.RelayedTask{{Task: "j-000412/3", Attempt: 5, State: wire.Exited, Cause: wire.CauseStopped, Saved: true}}}}
 	catalog := wire.Catalog{Types: []wire.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 200, FetchGBs: 1, Price: 12, SpotPrice: 4.5,
 		BootS: 45, Zones: []string{"a", "b"}}}}
@@ -150,8 +151,8 @@
 		name       string
 		value, got any
 	}{
-		{"machines", &hints, &[]leader.CachedMachine{}},
-		{"mail", &mail, &[]relay.RelayedHeartbeat{}},
+		{"machines", &machines, &[]leader.CachedMachine{}},
+		{"mail", &heartbeats, &[]relay.RelayedHeartbeat{}},
 		{"catalog", &catalog, &wire.Catalog{}},
 		{"claim", &election.LeaseRecord{Node: "n1", Nonce: 7}, &election.LeaseRecord{}},
 		{"format", &formatMark{Format: 3}, &formatMark{}},
--- a/internal/core/term_test.go
+++ b/internal/core/term_test.go
@@ -13,97 +13,98 @@
 	"coralhub/wire"
 )
 
-// status is that of the answer among effects; 0: there is none.
-func status(effects []msg.Effect) int {
+// responseStatus returns the status of the response among the effects, 0 if there is none.
+func responseStatus(effects []msg.Effect) int {
 	for _, e := range effects {
-		if a, ok := e.(msg.Respond); ok {
-			return a.Status
+		if response, ok := e.(msg.Respond); ok {
+			return response.Status
 		}
 	}
 	return 0
 }
 
-// A listing that was asked for before the claim was made lacks what predecessors have placed since: a
-// leader that went by it would start tasks twice.
-func TestLeadsByNothingOlderThanItsClaim(t *testing.T) {
+// A listing that was requested before the election lacks what predecessors have placed since: a leader
+// that relied on it would start tasks twice.
+func TestLeaderNeedsListingFromItsTerm(t *testing.T) {
 	f := newFleet(t, 2)
 	f.core = core.New(fleetConfig(2), 0)
 	f.step(1, msg.Snapshot{Items: f.records, Revision: f.version})
 	f.step(config.Second, msg.Tick{WallClock: f.now})
-	var claim msg.Commit
+	var campaign msg.Commit
 	for _, e := range f.step(1, msg.LeaseDone{Outcome: msg.OK, Lease: 9}) {
-		if x, ok := e.(msg.Commit); ok {
-			claim = x
+		if commit, ok := e.(msg.Commit); ok {
+			campaign = commit
 		}
 	}
-	f.version += 3 // two records that others have written, and the claim
+	f.version += 3 // two records that others have written, and the leader key
 	f.token = f.version
-	f.step(1, msg.CommitDone{ID: claim.ID, Outcome: msg.OK, Revision: f.version})
+	f.step(1, msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: f.version})
 	f.step(1, msg.Snapshot{Items: f.records, Revision: f.version - 1})
-	if got := status(f.step(1, f.report(1, nil))); got == http.StatusOK {
-		t.Error("a worker is answered by records from before the claim")
+	if got := responseStatus(f.step(1, f.heartbeat(1, nil))); got == http.StatusOK {
+		t.Error("a worker is answered from records that are older than the term")
 	}
 	f.step(1, msg.Snapshot{Items: f.records, Revision: f.version})
-	if got := status(f.step(1, f.report(1, nil))); got != http.StatusOK {
+	if got := responseStatus(f.step(1, f.heartbeat(1, nil))); got != http.StatusOK {
 		t.Errorf("once the records have been read: %d", got)
 	}
 }
 
-// A worker that has seen a higher token drops every answer of this node: it resigns, whichever way it
-// hears of that, and lets its workers look for the other one before their leases end.
-func TestHigherTokenEndsAReign(t *testing.T) {
-	for name, hear := range map[string]func(f *fleet) msg.Input{
-		"by a report": func(f *fleet) msg.Input {
-			in := f.report(1, nil).(msg.HeartbeatIn)
+// A worker that has seen a higher fencing token ignores every answer of this node. So the node resigns,
+// whichever way it learns of that, and its workers look for the other leader before their leases expire.
+func TestHigherTokenEndsTheTerm(t *testing.T) {
+	for name, input := range map[string]func(f *fleet) msg.Input{
+		"in a heartbeat": func(f *fleet) msg.Input {
+			in := f.heartbeat(1, nil).(msg.HeartbeatIn)
 			in.Heartbeat.FencingToken = f.token + 7
 			return in
 		},
-		"by the answer to a call": func(f *fleet) msg.Input {
-			r := f.report(1, nil).(msg.HeartbeatIn).Heartbeat
-			r.FencingToken = f.token + 7
-			return msg.CommandDone{Machine: r.Machine, Outcome: msg.Refused, Heartbeat: &r}
+		"in the response to a command": func(f *fleet) msg.Input {
+			hb := f.heartbeat(1, nil).(msg.HeartbeatIn).Heartbeat
+			hb.FencingToken = f.token + 7
+			return msg.CommandDone{Machine: hb.Machine, Outcome: msg.Refused, Heartbeat: &hb}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2)
-			if got := status(f.step(1, f.report(0, nil))); got != http.StatusOK {
+			if got := responseStatus(f.step(1, f.heartbeat(0, nil))); got != http.StatusOK {
 				t.Fatalf("before: %d", got)
 			}
-			f.step(1, hear(f))
-			if got := status(f.step(1, f.report(0, nil))); got == http.StatusOK {
-				t.Error("it goes on answering workers")
+			f.step(1, input(f))
+			if got := responseStatus(f.step(1, f.heartbeat(0, nil))); got == http.StatusOK {
+				t.Error("the node goes on answering workers")
 			}
 		})
 	}
 }
 
-// A call of a predecessor may reach a worker that has not seen this leader's token yet, however late. So it proves
-// nothing that such a worker doesn't report the tasks of a cancelled job.
-func TestPredecessorsCallsMayArrive(t *testing.T) {
-	// closed counts how often the record or the log is written once the worker has said that it has none of the tasks.
-	closed := func(followed bool) (n int) {
+// A command of a predecessor may reach a worker that has not seen this leader's token yet, however late.
+// So it proves nothing if such a worker doesn't report the tasks of a cancelled job.
+func TestPredecessorsCommandsMayArriveLate(t *testing.T) {
+	// closingWrites counts the writes of the record and the completion log after the worker has
+	// reported none of the tasks.
+	closingWrites := func(tokenSeen bool) (n int) {
 		f := newFleet(t, 2)
 		token := f.token
-		var rec job.Record
-		if err := job.DecodeRecord(f.records[0].Value, &rec); err != nil {
+		var record job.Record
+		if err := job.DecodeRecord(f.records[0].Value, &record); err != nil {
 			t.Fatal(err)
 		}
-		rec.CancelRequested = true
+		record.CancelRequested = true
 		f.records = f.records[1:]
-		f.put(t, jobName(0), &rec)
+		f.put(t, jobName(0), &record)
 		f.takeOver(t)
-		if followed {
+		if tokenSeen {
 			token = f.token
 		}
-		in := f.report(1, nil).(msg.HeartbeatIn)
+		in := f.heartbeat(1, nil).(msg.HeartbeatIn)
 		in.Heartbeat.FencingToken, in.Heartbeat.Tasks = token, nil
 		effects := f.step(1, in)
 		for range 3 {
 			effects = append(effects, f.step(config.Second, msg.Tick{WallClock: f.now})...)
 		}
 		for _, e := range effects {
-			x, ok := e.(msg.Commit)
-			if ok && slices.ContainsFunc(x.Transaction.Changes, func(c wire.Change) bool {
+			commit, ok := e.(msg.Commit)
+			if ok && slices.ContainsFunc(commit.Transaction.Changes, func(c wire.Change) bool {
 				return c.Put == job.RecordKey(jobName(0)) || strings.HasPrefix(c.Put, job.KeyRoot+"ended/")
 			}) {
 				n++
@@ -111,30 +112,30 @@
 		}
 		return n
 	}
-	if closed(false) > 0 {
-		t.Error("what it doesn't report before it has seen our token is taken for gone")
+	if closingWrites(false) > 0 {
+		t.Error("tasks that a worker doesn't report before it has seen the token are taken to have ended")
 	}
-	if closed(true) == 0 {
-		t.Error("nothing is closed though the worker has seen our token")
+	if closingWrites(true) == 0 {
+		t.Error("no placement is closed though the worker has seen the token")
 	}
 }
 
-// A task that no record places on its machine is never let run, whatever has started it there.
-func TestWhatIsNotPlacedIsStopped(t *testing.T) {
+// A task that no record places on its machine is stopped, whatever has started it there.
+func TestUnplacedTaskIsStopped(t *testing.T) {
 	f := newFleet(t, 2)
-	in := f.report(1, nil).(msg.HeartbeatIn)
-	stray := wire.TaskName(waitingName(0), 0)
+	in := f.heartbeat(1, nil).(msg.HeartbeatIn)
+	stray := wire.TaskName(pendingName(0), 0)
 	in.Heartbeat.Tasks = append(in.Heartbeat.Tasks, wire.TaskStatus{Task: stray, Attempt: 1, State: wire.Running})
 	for _, e := range f.step(1, in) {
-		a, ok := e.(msg.Respond)
+		response, ok := e.(msg.Respond)
 		if !ok {
 			continue
 		}
-		orders := a.Body.(wire.HeartbeatResponse).Commands
-		if len(orders) != 1 || orders[0].Verb != wire.CommandStop || orders[0].Task != stray || orders[0].GraceS == nil || *orders[0].GraceS != 0 {
-			t.Errorf("it is told %+v", orders)
+		commands := response.Body.(wire.HeartbeatResponse).Commands
+		if len(commands) != 1 || commands[0].Verb != wire.CommandStop || commands[0].Task != stray || commands[0].GraceS == nil || *commands[0].GraceS != 0 {
+			t.Errorf("the worker gets commands %+v", commands)
 		}
 		return
 	}
-	t.Error("no answer")
+	t.Error("no response")
 }
--- a/internal/core/units_test.go
+++ b/internal/core/units_test.go
@@ -8,7 +8,7 @@
 
 	"coralhub/internal/config"
 	"coralhub/internal/core"
-	leaderclaim "coralhub/internal/core/election"
+	"coralhub/internal/core/election"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
 	"coralhub/wire"
@@ -17,52 +17,54 @@
 // unitJobs is how many one-task jobs a round of a benchmark goes through.
 const unitJobs = 40
 
-// roundTrip is a leader of a fleet with free machines, a state service that takes everything
-// at once and workers that do what they are told.
+// roundTrip is a leader of a fleet with free machines, with a key-value store that commits everything
+// at once and workers that execute their commands.
 type roundTrip struct {
 	*fleet
-	free    int // machines beyond the full ones
+	free    int // number of machines beyond the full ones
 	tasks   map[string][]wire.TaskStatus
 	nextJob int
 }
 
-func newRoundTrip(tb testing.TB, machines, free, waiting, teams int) *roundTrip {
-	r := &roundTrip{fleet: newQueue(tb, machines, waiting), free: free, tasks: map[string][]wire.TaskStatus{}}
+func newRoundTrip(tb testing.TB, machines, free, pending, teams int) *roundTrip {
+	tb.Helper()
+	r := &roundTrip{fleet: newFleetWithPending(tb, machines, pending), free: free, tasks: map[string][]wire.TaskStatus{}}
 	if teams > 0 {
 		r.withTeams(tb, teams)
 	}
 	for i := machines; i < machines+free; i++ {
-		r.answer(r.step(1, r.reportOf(i)))
+		r.execute(r.step(1, r.freeHeartbeat(i)))
 	}
-	r.answer(r.step(config.Second, msg.Tick{WallClock: r.now}))
+	r.execute(r.step(config.Second, msg.Tick{WallClock: r.now}))
 	return r
 }
 
-// withTeams begins anew with more teams, each with a running job.
+// withTeams takes over with more teams in the configuration.
 func (r *roundTrip) withTeams(tb testing.TB, teams int) {
+	tb.Helper()
 	cfg := fleetConfig(r.machines)
 	for i := range teams {
 		cfg.Cluster.Teams = append(cfg.Cluster.Teams, config.Team{Name: fmt.Sprint("team-", i), GPUs: 1, GPUsMax: float64(8 * r.machines)})
 	}
-	r.startAs(tb, cfg)
+	r.takeOverWith(tb, cfg)
 	for i := range r.machines {
-		r.step(1, r.report(i, nil))
+		r.step(1, r.heartbeat(i, nil))
 	}
 }
 
-// reportOf is what the worker of a free machine says.
-func (r *roundTrip) reportOf(i int) msg.Input {
-	in, ok := r.report(i, nil).(msg.HeartbeatIn)
+// freeHeartbeat returns the heartbeat of the worker of a free machine.
+func (r *roundTrip) freeHeartbeat(i int) msg.Input {
+	in, ok := r.heartbeat(i, nil).(msg.HeartbeatIn)
 	if !ok {
-		panic("not a report")
+		panic("not a heartbeat")
 	}
 	in.Heartbeat.Tasks = r.tasks[machineName(i)]
 	return in
 }
 
-// answer carries out what the core asks for, and what it asks for then. It returns the
+// execute executes effects, and those that follow from their results. It returns the number of
 // changes that were committed.
-func (r *roundTrip) answer(effects []msg.Effect) (changes int) {
+func (r *roundTrip) execute(effects []msg.Effect) (changes int) {
 	for len(effects) > 0 {
 		e := effects[0]
 		effects = effects[1:]
@@ -72,22 +74,23 @@
 			r.version++
 			effects = append(effects, r.step(1, msg.CommitDone{ID: x.ID, Outcome: msg.OK, Revision: r.version + 1<<40})...)
 		case msg.Command:
-			r.seq++
-			report := wire.Heartbeat{Machine: x.Machine, Addr: x.Addr, Type: "t4", Zone: "a", Incarnation: 1, Sequence: r.seq, FencingToken: r.token}
-			for _, o := range x.Commands.Commands {
-				if o.Verb == wire.CommandStart {
-					r.tasks[x.Machine] = append(r.tasks[x.Machine], wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: wire.Running})
+			r.sequence++
+			hb := wire.Heartbeat{Machine: x.Machine, Addr: x.Addr, Type: "t4", Zone: "a", Incarnation: 1, Sequence: r.sequence, FencingToken: r.token}
+			for _, command := range x.Commands.Commands {
+				if command.Verb == wire.CommandStart {
+					r.tasks[x.Machine] = append(r.tasks[x.Machine], wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.Running})
 				}
 			}
-			report.Tasks = r.tasks[x.Machine]
-			effects = append(effects, r.step(1, msg.CommandDone{ID: x.ID, Machine: x.Machine, Outcome: msg.OK, Heartbeat: &report})...)
+			hb.Tasks = r.tasks[x.Machine]
+			effects = append(effects, r.step(1, msg.CommandDone{ID: x.ID, Machine: x.Machine, Outcome: msg.OK, Heartbeat: &hb})...)
 		}
 	}
 	return changes
 }
 
-// submitted has other nodes accept unitJobs jobs of one task each.
-func (r *roundTrip) submitted(tb testing.TB) {
+// submitJobs applies the records of unitJobs jobs of one task each that other nodes have admitted.
+func (r *roundTrip) submitJobs(tb testing.TB) {
+	tb.Helper()
 	for range unitJobs {
 		r.nextJob++
 		id := fmt.Sprintf("j-7%07d", r.nextJob)
@@ -101,8 +104,8 @@
 	}
 }
 
-// exited has every task on the free machines end.
-func (r *roundTrip) exited() (ended int) {
+// exitTasks ends every task on the free machines, and returns their number.
+func (r *roundTrip) exitTasks() (ended int) {
 	for i := r.machines; i < r.machines+r.free; i++ {
 		tasks := r.tasks[machineName(i)]
 		for k := range tasks {
@@ -113,66 +116,69 @@
 	return ended
 }
 
-// forgotten has the workers drop the tasks that have exited.
-func (r *roundTrip) forgotten() { clear(r.tasks) }
+// forgetTasks has the workers forget the tasks that have exited.
+func (r *roundTrip) forgetTasks() { clear(r.tasks) }
 
-func (r *roundTrip) reportAll() (changes int) {
+// reportTasks sends the heartbeats of the free machines that have tasks, and returns the number of
+// changes that were committed.
+func (r *roundTrip) reportTasks() (changes int) {
 	for i := r.machines; i < r.machines+r.free; i++ {
 		if len(r.tasks[machineName(i)]) > 0 {
-			changes += r.answer(r.step(1, r.reportOf(i)))
+			changes += r.execute(r.step(1, r.freeHeartbeat(i)))
 		}
 	}
 	return changes
 }
 
-// BenchmarkUnits measures what the leader's core takes for one unit of each of its drivers, at
-// several sizes: a job that another node accepted, a task placed and started, a report that
-// tells of an end, with everything that follows from it.
+// BenchmarkUnits measures the time of the leader's core for one unit of each of its drivers, at several
+// sizes: a job that another node has admitted, a task that is placed and started, and a heartbeat that
+// reports the end of a task, with everything that follows from it.
 func BenchmarkUnits(b *testing.B) {
-	type size struct{ machines, waiting, teams int }
+	type size struct{ machines, pending, teams int }
 	sizes := []size{{1250, 50, 0}, {2500, 50, 0}, {5000, 50, 0}, {1250, 1000, 0}, {1250, 4000, 0}, {1250, 50, 110}, {1250, 50, 220}, {1250, 50, 1100}}
 	for _, s := range sizes {
-		b.Run(fmt.Sprintf("machines=%d/waiting=%d/teams=%d", s.machines, s.waiting, s.teams), func(b *testing.B) {
-			r := newRoundTrip(b, s.machines, unitJobs, s.waiting, s.teams)
-			var learnt, placed, ended time.Duration
+		b.Run(fmt.Sprintf("machines=%d/pending=%d/teams=%d", s.machines, s.pending, s.teams), func(b *testing.B) {
+			r := newRoundTrip(b, s.machines, unitJobs, s.pending, s.teams)
+			var reading, placing, ending time.Duration
 			placeChanges, endChanges, starts, ends := 0, 0, 0, 0
 			for b.Loop() {
-				began := time.Now()
-				r.submitted(b)
-				learnt += time.Since(began)
-				began = time.Now()
-				placeChanges += r.answer(r.step(150_000, msg.Tick{WallClock: r.now}))
-				placeChanges += r.answer(r.step(150_000, msg.Tick{WallClock: r.now}))
-				placed += time.Since(began)
-				n := r.exited()
+				start := time.Now()
+				r.submitJobs(b)
+				reading += time.Since(start)
+				start = time.Now()
+				placeChanges += r.execute(r.step(150_000, msg.Tick{WallClock: r.now}))
+				placeChanges += r.execute(r.step(150_000, msg.Tick{WallClock: r.now}))
+				placing += time.Since(start)
+				n := r.exitTasks()
 				starts += n
 				ends += n
-				began = time.Now()
-				endChanges += r.reportAll()
-				ended += time.Since(began)
-				r.forgotten()
-				r.hear()
+				start = time.Now()
+				endChanges += r.reportTasks()
+				ending += time.Since(start)
+				r.forgetTasks()
+				r.heartbeatAll()
 				for i := r.machines; i < r.machines+r.free; i++ {
-					r.answer(r.step(1, r.reportOf(i)))
+					r.execute(r.step(1, r.freeHeartbeat(i)))
 				}
 			}
 			if starts == 0 {
 				b.Fatal("nothing was started")
 			}
 			jobs := float64(b.N * unitJobs)
-			b.ReportMetric(float64(learnt.Nanoseconds())/jobs, "ns/job-learnt")
-			b.ReportMetric(float64(placed.Nanoseconds())/float64(starts), "ns/start")
-			b.ReportMetric(float64(ended.Nanoseconds())/float64(ends), "ns/end")
+			b.ReportMetric(float64(reading.Nanoseconds())/jobs, "ns/job-read")
+			b.ReportMetric(float64(placing.Nanoseconds())/float64(starts), "ns/start")
+			b.ReportMetric(float64(ending.Nanoseconds())/float64(ends), "ns/end")
 			b.ReportMetric(float64(placeChanges)/float64(starts), "changes/start")
 			b.ReportMetric(float64(endChanges)/float64(ends), "changes/end")
 		})
 	}
 }
 
-// newFollower returns a node whose leader is elsewhere.
+// newFollower returns a fleet whose core is not the leader.
 func newFollower(tb testing.TB, machines int) *fleet {
+	tb.Helper()
 	f := newFleet(tb, machines)
-	raw, err := job.Encode(leaderclaim.LeaseRecord{Node: "n2", Nonce: 7})
+	leaderValue, err := job.Encode(election.LeaseRecord{Node: "n2", Nonce: 7})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -181,25 +187,25 @@
 	cfg := fleetConfig(machines)
 	cfg.Peers = []config.Peer{{Node: "n2", Location: "b", Address: "10.0.0.9:1"}}
 	f.core = core.New(cfg, 0)
-	items := append([]wire.KeyValue{{Key: job.KeyRoot + "leader", Value: raw, Version: f.token, Lease: 5}}, f.records...)
+	items := append([]wire.KeyValue{{Key: job.KeyRoot + "leader", Value: leaderValue, Version: f.token, Lease: 5}}, f.records...)
 	f.step(1, msg.Snapshot{Items: items, Revision: f.version})
 	f.step(1, msg.PeerAlive{Node: "n2"})
 	return f
 }
 
-// BenchmarkFollower measures what a node's core takes that doesn't lead: a report that says
-// nothing new, answered for the leader; a job accepted; a poll.
+// BenchmarkFollower measures the time of the core of a node that does not lead: for an unchanged
+// heartbeat that is answered on behalf of the leader, the admission of a job, and a poll.
 func BenchmarkFollower(b *testing.B) {
 	for _, n := range []int{1250, 2500, 5000} {
 		b.Run(fmt.Sprintf("relay/%d", n), func(b *testing.B) {
 			f := newFollower(b, n)
-			relayed := f.relayed(b)
+			nextHeartbeat := f.acknowledged(b)
 			for b.Loop() {
 				f.step(1, msg.PeerAlive{Node: "n2"})
-				f.step(1, relayed())
+				f.step(1, nextHeartbeat())
 			}
 		})
-		b.Run(fmt.Sprintf("accept/%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("admission/%d", n), func(b *testing.B) {
 			f := newFollower(b, n)
 			i := 0
 			for b.Loop() {
@@ -209,67 +215,67 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				f.accepted(f.step(1, msg.SubmitIn{RequestID: uint64(i), WallClock: f.now, Body: body}))
+				f.commit(f.step(1, msg.SubmitIn{RequestID: uint64(i), WallClock: f.now, Body: body}))
 			}
 		})
 		b.Run(fmt.Sprintf("poll/%d", n), func(b *testing.B) {
 			f := newFollower(b, n)
 			for b.Loop() {
-				f.accepted(f.step(config.Second, msg.PollIn{RequestID: 1, JobID: jobName(0)}))
+				f.commit(f.step(config.Second, msg.PollIn{RequestID: 1, JobID: jobName(0)}))
 			}
 		})
 	}
 }
 
-// accepted confirms what a follower commits.
-func (f *fleet) accepted(effects []msg.Effect) {
+// commit executes the transactions among the effects, and those that follow from their results.
+func (f *fleet) commit(effects []msg.Effect) {
 	for _, e := range effects {
 		if x, ok := e.(msg.Commit); ok {
 			f.version++
-			f.accepted(f.step(1, msg.CommitDone{ID: x.ID, Outcome: msg.OK, Revision: f.version + 1<<40}))
+			f.commit(f.step(1, msg.CommitDone{ID: x.ID, Outcome: msg.OK, Revision: f.version + 1<<40}))
 		}
 	}
 }
 
-// relayed has a report taken by the leader, and returns what makes others that repeat it.
-func (f *fleet) relayed(tb testing.TB) func() msg.Input {
+// acknowledged has the leader acknowledge a heartbeat, and returns a function that makes heartbeats
+// with the same content.
+func (f *fleet) acknowledged(tb testing.TB) func() msg.Input {
 	tb.Helper()
-	first, ok := f.report(2, nil).(msg.HeartbeatIn)
+	first, ok := f.heartbeat(2, nil).(msg.HeartbeatIn)
 	if !ok {
-		tb.Fatal("not a report")
+		tb.Fatal("not a heartbeat")
 	}
 	first.Forwarded = false
 	f.step(1, first)
 	f.step(1, msg.ForwardDone{RequestID: 1, Heartbeat: first.Heartbeat, Response: &wire.HeartbeatResponse{FencingToken: f.token}})
 	return func() msg.Input {
-		f.seq++
+		f.sequence++
 		in := first
-		in.Heartbeat.Sequence = f.seq
+		in.Heartbeat.Sequence = f.sequence
 		return in
 	}
 }
 
-// BenchmarkJobMemory measures what a copy of the records holds for a job that waits and for
-// one that is over.
+// BenchmarkJobMemory measures the memory of the replica for a pending job and for a finished one.
 func BenchmarkJobMemory(b *testing.B) {
 	for _, n := range []int{10_000, 20_000, 40_000} {
-		for _, over := range []bool{false, true} {
-			b.Run(fmt.Sprintf("jobs=%d/over=%v", n, over), func(b *testing.B) {
+		for _, finished := range []bool{false, true} {
+			b.Run(fmt.Sprintf("jobs=%d/finished=%v", n, finished), func(b *testing.B) {
 				var bytes uint64
 				for b.Loop() {
 					f := &fleet{machines: 10, now: config.Second, version: 1000}
 					for i := range n {
-						rec := &job.Record{Phase: job.Done, DoneTasks: 1}
-						if !over {
-							rec = &job.Record{CreatedAt: int64(i + 1), Spec: &wire.Job{ID: waitingName(i), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal,
+						record := &job.Record{Phase: job.Done, DoneTasks: 1}
+						if !finished {
+							record = &job.Record{CreatedAt: int64(i + 1), Spec: &wire.Job{ID: pendingName(i), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal,
 								Tasks: 2, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1}}
 						}
-						f.put(b, fmt.Sprintf("j-5%07d", i), rec)
+						f.put(b, fmt.Sprintf("j-5%07d", i), record)
 					}
-					before := held()
+					before := heapBytes()
 					f.core = core.New(fleetConfig(10), 0)
 					f.step(1, msg.Snapshot{Items: f.records, Revision: f.version})
-					bytes = held() - before
+					bytes = heapBytes() - before
 					runtime.KeepAlive(f)
 				}
 				b.ReportMetric(float64(bytes)/float64(n), "B/job")
