--- a/internal/core/job/usage_test.go
+++ b/internal/core/job/usage_test.go
@@ -13,18 +13,18 @@
 func TestPlacementsAreChargedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shard := Shard{}
-		type closing struct {
+		type endedPlacement struct {
 			Placement
 			Occupancy
 		}
-		var closings []closing
+		var ended []endedPlacement
 		var want Usage
 		for i := range rapid.IntRange(1, 12).Draw(t, "placements") {
 			placement := Placement{Task: rapid.IntRange(0, 3).Draw(t, "task"), Attempt: uint64(i + 1), Machine: "m", Session: 1, Zone: "a",
 				PlacedAt: int64(rapid.IntRange(0, 50).Draw(t, "at")), Spot: rapid.Bool().Draw(t, "spot")}
 			occupancy := Occupancy{End: int64(rapid.IntRange(0, 90).Draw(t, "end")), Lost: int64(rapid.IntRange(0, 60).Draw(t, "lost"))}
 			shard.Open = append(shard.Open, placement)
-			closings = append(closings, closing{placement, occupancy})
+			ended = append(ended, endedPlacement{placement, occupancy})
 			if placement.PlacedAt == 0 || occupancy.End <= placement.PlacedAt {
 				continue // unknown, or the clock went back
 			}
@@ -35,7 +35,7 @@
 				want.Spot += duration
 			}
 		}
-		for _, c := range rapid.Permutation(append(closings, closings...)).Draw(t, "order") {
+		for _, c := range rapid.Permutation(append(ended, ended...)).Draw(t, "order") {
 			shard.Close(c.Task, c.Attempt, c.Machine, c.Occupancy)
 			raw, err := EncodeShard(&shard, FormatPreemption)
 			if err != nil {
--- a/internal/core/records/placement_encoding.go
+++ b/internal/core/records/placement_encoding.go
@@ -36,7 +36,7 @@
 	Index       int
 	LastAttempt uint64
 	Done        string
-	Spent       *job.Usage
+	Usage       *job.Usage
 	Attempts    []storedAttempt
 }
 
@@ -73,7 +73,7 @@
 			Index:       e.Index,
 			LastAttempt: e.LastAttempt,
 			Done:        e.DoneSet,
-			Spent:       e.Usage,
+			Usage:       e.Usage,
 			Attempts:    encoder.attempts(e.Open),
 		})
 	}
@@ -154,7 +154,7 @@
 			Job:         stored.Job,
 			Index:       stored.Index,
 			LastAttempt: stored.LastAttempt,
-			Shard:       job.Shard{DoneSet: stored.Done, Usage: stored.Spent},
+			Shard:       job.Shard{DoneSet: stored.Done, Usage: stored.Usage},
 		}
 		for k := range stored.Attempts {
 			if err := entry.addPlacements(&stored.Attempts[k], page.Zones); err != nil {
--- a/internal/core/relay/relayed_heartbeats.go
+++ b/internal/core/relay/relayed_heartbeats.go
@@ -11,7 +11,7 @@
 )
 
 // KeyPrefix is the prefix of the keys under which nodes write heartbeats for the leader, each under
-// its own name.
+// its own name. The name of the prefix is that of earlier versions, which share the key-value store.
 const KeyPrefix = job.KeyRoot + "mail/"
 
 // relayWriteShare is the share of the write rate that one node's relayed heartbeats may take.
