--- a/internal/core/election/elector_test.go
+++ b/internal/core/election/elector_test.go
@@ -80,27 +80,27 @@
 }
 
 // elect has an elector obtain a lease and create its leader key at a revision.
-func (pair *electorPair) elect(c *Elector, lease, revision uint64) {
+func (pair *electorPair) elect(elector *Elector, lease, revision uint64) {
 	pair.t.Helper()
-	pair.step(c.Tick)
-	t := pair.transaction(pair.step(func() { c.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: lease}) }))
-	if t.Transaction.Conditions[0] != (wire.Condition{Key: c.Key()}) || t.Transaction.Changes[0].Lease != lease {
-		pair.t.Fatalf("%+v", t.Transaction)
+	pair.step(elector.Tick)
+	campaign := pair.transaction(pair.step(func() { elector.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: lease}) }))
+	if campaign.Transaction.Conditions[0] != (wire.Condition{Key: elector.Key()}) || campaign.Transaction.Changes[0].Lease != lease {
+		pair.t.Fatalf("%+v", campaign.Transaction)
 	}
-	pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: t.ID, Outcome: msg.OK, Revision: revision}) })
-	if !c.IsLeader() || c.FencingToken() != revision || c.TermStart() != revision || c.Condition() != (wire.Condition{Key: c.Key(), Version: revision}) {
-		pair.t.Fatalf("leading %v, token %d", c.IsLeader(), c.FencingToken())
+	pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: revision}) })
+	if !elector.IsLeader() || elector.FencingToken() != revision || elector.TermStart() != revision || elector.Condition() != (wire.Condition{Key: elector.Key(), Version: revision}) {
+		pair.t.Fatalf("leading %v, token %d", elector.IsLeader(), elector.FencingToken())
 	}
 }
 
 // put applies a watched value of the leader key.
-func (pair *electorPair) put(c *Elector, node string, nonce, revision uint64) {
+func (pair *electorPair) put(elector *Elector, node string, nonce, revision uint64) {
 	pair.t.Helper()
-	raw, err := job.Encode(LeaseRecord{node, nonce})
+	value, err := job.Encode(LeaseRecord{Node: node, Nonce: nonce})
 	if err != nil {
 		pair.t.Fatal(err)
 	}
-	pair.step(func() { c.Apply(&wire.Change{Put: c.Key(), Value: raw, Version: revision}, true) })
+	pair.step(func() { elector.Apply(&wire.Change{Put: elector.Key(), Value: value, Version: revision}, true) })
 }
 
 func TestElectorsAreIndependent(t *testing.T) {
