--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -30,6 +30,38 @@
 	jc.pendingCommits, jc.deferredCommits, jc.inFlightChanges = map[string]bool{}, map[string]bool{}, 0
 }
 
+// commitState is what is known or decided about a job and is still to be committed. The committer owns
+// it; other components add to it through the committer or the snapshot.
+type commitState struct {
+	completions    []completion    // ended attempts that its records still hold open
+	plan           []job.Placement // planned placements that are not committed
+	transaction    *jobTransaction // in flight; nil: none
+	retryAt        Micros          // backoff: nothing is committed before
+	mergeRequested bool            // its record is to be written so that a page of the completion log can be deleted
+	cancelling     bool            // its cancellation may be confirmed to the user
+	tooLarge       bool            // its record was found too large once; this is logged only the first time
+	movingToShards bool            // its tasks are to be moved from its record into shards
+	ownRecordOnly  bool            // placed by its own record: one transaction on placement pages can't hold its whole plan
+}
+
+// resetCommits drops what is valid for one term only.
+func (s *commitState) resetCommits() {
+	s.completions = nil
+	s.plan = nil
+	s.transaction = nil
+	s.mergeRequested = false
+	s.ownRecordOnly = false
+}
+
+// completion is an attempt that is proven to have ended on a machine.
+type completion struct {
+	key       job.AttemptKey
+	machine   string
+	done      bool // the task succeeded
+	occupancy job.Occupancy
+	logged    bool // handed to the completion log
+}
+
 // jobTransaction is a transaction on a job's record that has no answer yet.
 type jobTransaction struct {
 	transaction     wire.Transaction
--- a/internal/core/leader/environment.go
+++ b/internal/core/leader/environment.go
@@ -1,6 +1,9 @@
 package leader
 
 import (
+	"cmp"
+	"slices"
+
 	"coralhub/internal/config"
 	"coralhub/internal/core/autoscaler"
 	"coralhub/internal/core/election"
@@ -50,3 +53,23 @@
 		e.outbox.Log("stored value unreadable", "error", err.Error())
 	}
 }
+
+// setUnfinished adds a job to the list of unfinished jobs or removes it. The list is sorted by creation
+// time and ID.
+func (e *environment) setUnfinished(j *Job, unfinished bool) {
+	if unfinished == j.unfinished {
+		return
+	}
+	if unfinished {
+		j.orderedBy = j.Record.CreatedAt
+	}
+	i, _ := slices.BinarySearchFunc(e.unfinished, j, func(a, b *Job) int {
+		return cmp.Or(cmp.Compare(a.orderedBy, b.orderedBy), cmp.Compare(a.ID, b.ID))
+	})
+	j.unfinished = unfinished
+	if unfinished {
+		e.unfinished = slices.Insert(e.unfinished, i, j)
+	} else {
+		e.unfinished = slices.Delete(e.unfinished, i, i+1)
+	}
+}
--- a/internal/core/leader/preemption.go
+++ b/internal/core/leader/preemption.go
@@ -33,6 +33,12 @@
 	countsInterval = 10 * config.Second
 )
 
+// preemptionState is what is reserved for a job for which others are preempted.
+type preemptionState struct {
+	preemptingUntil  Micros          // the reservation lasts until then
+	reservedMachines map[string]bool // machines that its victims leave
+}
+
 // preemptionDecisions is what a leader has decided and not committed yet. The books are every node's.
 type preemptionDecisions struct {
 	*environment
--- a/internal/core/leader/record_events.go
+++ b/internal/core/leader/record_events.go
@@ -64,7 +64,9 @@
 // What follows hears of the records.
 
 // JobAdded hears of a job that nothing was known of.
-func (l *Leader) JobAdded(r *records.Job) { l.jobs[r.ID] = &Job{Job: r, arrivedAt: l.outbox.Now()} }
+func (l *Leader) JobAdded(r *records.Job) {
+	l.jobs[r.ID] = &Job{Job: r, runState: runState{arrivedAt: l.outbox.Now()}}
+}
 
 // PlacementsChanged hears what is open of one part of a job.
 func (l *Leader) PlacementsChanged(r *records.Job, old, now []job.Placement) {
--- a/internal/core/leader/task_events.go
+++ b/internal/core/leader/task_events.go
@@ -15,6 +15,20 @@
 	snapshot  *clusterSnapshot
 }
 
+// failureState is how a job's tasks have failed lately, and the backoff that follows.
+type failureState struct {
+	failures  int               // consecutive failures that are not blamed on a machine
+	failedOn  map[string]Micros // by machine: the job avoids it until then
+	holdUntil Micros            // backoff: nothing of the job is placed before
+}
+
+// gangState is what is known of a gang's attempts.
+type gangState struct {
+	leftMachines      map[string]uint64 // by machine: highest attempt that has left it
+	failedGangAttempt uint64            // attempts up to this one can't be completed
+	ranGangAttempt    uint64            // highest attempt that ran
+}
+
 func (te *taskEvents) onTaskRunning(j *Job, key job.AttemptKey) {
 	if j.startedAt == nil {
 		j.startedAt = map[int]Micros{}
