--- /dev/null
+++ b/internal/core/leader/completions.go
@@ -0,0 +1,109 @@
+package leader
+
+import (
+	"slices"
+
+	"coralhub/internal/core/job"
+	"coralhub/wire"
+)
+
+// completion is an attempt that is proven to have ended on a machine.
+type completion struct {
+	key       job.AttemptKey
+	machine   string
+	done      bool // the task succeeded
+	occupancy job.Occupancy
+	logged    bool // handed to the completion log
+}
+
+// isClosing reports whether a placement's end is known and not committed yet.
+func (j *Job) isClosing(key job.AttemptKey, machine string) bool {
+	return slices.ContainsFunc(j.completions, func(c completion) bool { return c.key == key && c.machine == machine })
+}
+
+// dropCompletions drops the given completions, which are committed or stored already.
+func (j *Job) dropCompletions(dropped []completion) {
+	j.completions = slices.DeleteFunc(j.completions, func(c completion) bool {
+		return slices.ContainsFunc(dropped, func(d completion) bool { return d.key == c.key && d.machine == c.machine })
+	})
+}
+
+// countWithCompletions counts a job's done tasks and open placements with its completions that are not committed yet.
+func (j *Job) countWithCompletions() (done, open int) {
+	done, open = j.DoneTasks, j.OpenTasks
+	for _, c := range j.completions {
+		if j.IsOpen(c.key.Task, c.key.Attempt, c.machine) {
+			open--
+		}
+		if c.done && !j.IsDone(c.key.Task) {
+			done++
+		}
+	}
+	return done, open
+}
+
+// closePlacement records the proof that a placement is over.
+func (jc *jobCommitter) closePlacement(key job.AttemptKey, machine string, done bool) {
+	jc.closeWithProgress(key, machine, done, false)
+}
+
+// closeWithProgress does so for a task that may have saved a checkpoint.
+func (jc *jobCommitter) closeWithProgress(key job.AttemptKey, machine string, done, saved bool) {
+	j := jc.jobs[key.Job]
+	if j == nil || j.isClosing(key, machine) {
+		return
+	}
+	jc.estimates.observeRun(j, key, machine, done)
+	j.completions = append(j.completions, completion{
+		key:       key,
+		machine:   machine,
+		done:      done,
+		occupancy: jc.occupancyOf(j, key, machine, done || saved),
+	})
+	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang {
+		j.noteLeft(machine, key.Attempt)
+	}
+	jc.reconciler.TerminationDone(key)
+	jc.pendingCommits[key.Job] = true
+}
+
+// confirmCancellation decides whether the user may be told that a job is cancelled. If so, the delegates are
+// to know of it before they are delegated to again.
+func (jc *jobCommitter) confirmCancellation(j *Job) {
+	if !j.Record.CancelRequested || j.Record.Final() {
+		j.cancelling = false
+		return
+	}
+	if !jc.cancellationCertain(j) {
+		return
+	}
+	j.cancelling = true
+	if j.OpenTasks > 0 {
+		jc.delegations.acknowledgedCancel = max(jc.delegations.acknowledgedCancel, j.Version)
+	}
+}
+
+// cancellationCertain reports whether a cancelled job is certain to stop: every
+// open placement must be on a worker that follows this leader, so that the leader will stop the
+// task or the worker's lease ends, and no start may still be in flight that
+// could take effect after that. Where a lease may outlast the time allowed for a cancellation, only
+// proof that all of the job is over will do: a worker that receives nothing keeps its tasks until then.
+// So does a delegate that doesn't know of the cancellation: it could keep a task alive.
+func (jc *jobCommitter) cancellationCertain(j *Job) bool {
+	certain := j.OpenTasks == 0 || jc.cfg.Cluster.Workers.LeaseEndsInTime() && jc.delegations.cancelKnown(j.Version)
+	j.EachPlacement(func(p job.Placement) {
+		m := jc.reconciler.Registry().Get(p.Machine)
+		if m == nil || m.FencingToken < jc.elector.TermStart() {
+			certain = false
+			return
+		}
+		if _, reported := m.Tasks[p.AttemptKey(j.ID)]; reported || !m.StartMayArrive(jc.outbox.Now()) {
+			return
+		}
+		certain = false
+		if !m.StartInFlight && m.StartUncertain() {
+			jc.elector.RequestNewToken()
+		}
+	})
+	return certain
+}
--- a/internal/core/leader/task_events.go
+++ b/internal/core/leader/task_events.go
@@ -24,11 +24,19 @@
 
 // gangState is what is known of a gang's attempts.
 type gangState struct {
-	leftMachines      map[string]uint64 // by machine: highest attempt that has left it
+	leftMachines      map[string]uint64 // by machine: the attempt that left it last; it must not return there
 	failedGangAttempt uint64            // attempts up to this one can't be completed
 	ranGangAttempt    uint64            // highest attempt that ran
 }
 
+// noteLeft notes that an attempt of the gang has left a machine, to which it must not return.
+func (s *gangState) noteLeft(machine string, attempt uint64) {
+	if s.leftMachines == nil {
+		s.leftMachines = map[string]uint64{}
+	}
+	s.leftMachines[machine] = attempt
+}
+
 func (te *taskEvents) onTaskRunning(j *Job, key job.AttemptKey) {
 	if j.startedAt == nil {
 		j.startedAt = map[int]Micros{}
