--- a/internal/core/leader/page_builder.go
+++ b/internal/core/leader/page_builder.go
@@ -8,112 +8,123 @@
 	"coralhub/wire"
 )
 
-// Pages of shared parts as they are put together, before a transaction is made of them.
+const (
+	// emptyPageSize bounds the bytes that a page takes without entries.
+	emptyPageSize = 16
+	// entryOverhead estimates the bytes that an entry takes without placements.
+	entryOverhead = 60
+	// placementSize estimates the bytes that a placement takes in an entry.
+	placementSize = 30
+)
 
-// pageBuilder is a page as it is to be written.
+// pageBuilder is a placement page as it is to be written, while a transaction is put together.
 type pageBuilder struct {
 	number  uint64
-	version uint64
+	version uint64 // that it replaces; 0: the page is new
 	entries []records.PlacementEntry
-	size    int // bounds what it takes of the value's room
+	size    int // upper bound of its value's size in bytes
+}
+
+// add adds an entry of the given size to the page. Entries of the same tasks are merged when the page is encoded.
+func (b *pageBuilder) add(entry records.PlacementEntry, size int) {
+	b.size += size
+	b.entries = append(b.entries, entry)
+}
+
+// truncate drops the entries after the first ones, whose size was the given one.
+func (b *pageBuilder) truncate(entries, size int) {
+	b.entries = b.entries[:entries]
+	b.size = size
 }
 
-// newPageBuilder begins to rewrite a page of the copy.
+// newPageBuilder begins to rewrite a page of the replica.
 func (pc *placementCommits) newPageBuilder(n uint64) *pageBuilder {
-	d := &pageBuilder{number: n, version: pc.replica.PlacementPage(n).Version, entries: pc.replica.Compacted(n)}
-	value, err := records.EncodePlacementPage(d.entries)
-	if err != nil {
-		panic(err) // a struct of numbers and text always encodes
-	}
-	d.size = wire.JSONSize(value)
-	return d
+	b := &pageBuilder{number: n, version: pc.replica.PlacementPage(n).Version, entries: pc.replica.Compacted(n)}
+	b.size = encodedSize(b.entries)
+	return b
 }
 
-// addToPages puts a job's plan into drafts, which may be begun for it, up to a number of them. It returns
-// false, and leaves the drafts as they were, if the transaction has no room for all of it.
-func (pc *placementCommits) addToPages(j *Job, drafts []*pageBuilder, most int) ([]*pageBuilder, bool) {
-	type mark struct {
-		d     *pageBuilder
-		parts int
-		size  int
-	}
-	var undo []mark
-	for _, d := range drafts {
-		undo = append(undo, mark{d, len(d.entries), d.size})
-	}
-	if len(drafts) > most {
+// addToPages adds a job's plan to pages, and begins further ones for it as long as there are at most limit. It
+// returns the pages, or false, with the given pages unchanged, if the transaction can't hold the whole plan.
+func (pc *placementCommits) addToPages(j *Job, pages []*pageBuilder, limit int) ([]*pageBuilder, bool) {
+	type savedPage struct {
+		page    *pageBuilder
+		entries int
+		size    int
+	}
+	var saved []savedPage
+	for _, page := range pages {
+		saved = append(saved, savedPage{page, len(page.entries), page.size})
+	}
+	if len(pages) > limit {
 		return nil, false
 	}
-	out := slices.Clone(drafts)
-	for _, part := range entriesOf(j) {
-		size := entrySize(&part)
-		i := slices.IndexFunc(out, func(d *pageBuilder) bool { return d.size+size <= pc.encoding.MaxValueBytes() })
+	extended := slices.Clone(pages)
+	for _, entry := range planEntries(j) {
+		size := encodedSize([]records.PlacementEntry{entry})
+		i := slices.IndexFunc(extended, func(page *pageBuilder) bool { return page.size+size <= pc.encoding.MaxValueBytes() })
 		if i < 0 {
-			d := pc.pageWithRoom(out, most)
-			if d == nil || d.size+size > pc.encoding.MaxValueBytes() {
-				for _, m := range undo {
-					m.d.entries, m.d.size = m.d.entries[:m.parts], m.size
+			page := pc.beginPage(extended, limit)
+			if page == nil || page.size+size > pc.encoding.MaxValueBytes() {
+				for _, s := range saved {
+					s.page.truncate(s.entries, s.size)
 				}
 				return nil, false
 			}
-			i = len(out)
-			out = append(out, d)
+			i = len(extended)
+			extended = append(extended, page)
 		}
-		out[i].add(part, size)
+		extended[i].add(entry, size)
 	}
-	return out, true
+	return extended, true
 }
 
-// add puts a part into a page. One that the page has of the same tasks is joined with it in the end.
-func (d *pageBuilder) add(part records.PlacementEntry, size int) {
-	d.size += size
-	d.entries = append(d.entries, part)
-}
-
-// pageWithRoom begins another page: the one of the copy with the most room, or a new one; nil: the
-// transaction can't have more.
-func (pc *placementCommits) pageWithRoom(drafts []*pageBuilder, most int) *pageBuilder {
-	if len(drafts) >= min(most, pc.encoding.MaxOps()) {
+// beginPage begins another page besides those begun: the one of the replica with the most free space, or a new one;
+// nil: the transaction can't have more.
+func (pc *placementCommits) beginPage(begun []*pageBuilder, limit int) *pageBuilder {
+	if len(begun) >= min(limit, pc.encoding.MaxOps()) {
 		return nil
 	}
-	p := pc
-	best, least := uint64(0), int(maxPageFill*float64(pc.encoding.MaxValueBytes()))
-	for _, n := range pc.replica.PlacementPages() {
-		if !p.pageFree(n) || slices.ContainsFunc(drafts, func(d *pageBuilder) bool { return d.number == n }) {
-			continue
-		}
-		if size := pc.liveSize(n); size < least {
-			best, least = n, size
-		}
-	}
-	if best != 0 {
-		if d := pc.newPageBuilder(best); d.size <= int(maxPageFill*float64(pc.encoding.MaxValueBytes())) {
-			return d
-		}
+	if page := pc.rewriteEmptiestPage(begun); page != nil {
+		return page
 	}
-	// Pages are begun in the order of their numbers, and by one transaction at a time: who guards
-	// all pages there are and the next one guards against any.
+	// Pages are begun in the order of their numbers, and by one transaction at a time: whoever has
+	// all existing pages and the next one as conditions has a condition against any placement.
 	number := pc.replica.NextPlacementPage()
-	if _, begun := p.busyPages[number]; begun {
+	if _, busy := pc.busyPages[number]; busy {
 		return nil
 	}
-	for _, d := range drafts {
-		if d.version == 0 {
-			number = d.number + 1
+	for _, page := range begun {
+		if page.version == 0 {
+			number = page.number + 1
 		}
 	}
 	return &pageBuilder{number: number, size: emptyPageSize}
 }
 
-const (
-	// emptyPageSize bounds what a page takes that holds nothing.
-	emptyPageSize = 16
-	// entryOverhead and placeSize estimate what a part and a place in it take.
-	entryOverhead, placementSize = 60, 30
-)
+// rewriteEmptiestPage begins to rewrite the idle page of the replica with the most free space; nil: none has enough.
+func (pc *placementCommits) rewriteEmptiestPage(begun []*pageBuilder) *pageBuilder {
+	maxSize := int(maxPageFill * float64(pc.encoding.MaxValueBytes()))
+	emptiest, smallest := uint64(0), maxSize
+	for _, n := range pc.replica.PlacementPages() {
+		if !pc.pageIdle(n) || slices.ContainsFunc(begun, func(page *pageBuilder) bool { return page.number == n }) {
+			continue
+		}
+		if size := pc.estimateLiveSize(n); size < smallest {
+			emptiest, smallest = n, size
+		}
+	}
+	if emptiest == 0 {
+		return nil
+	}
+	if page := pc.newPageBuilder(emptiest); page.size <= maxSize {
+		return page
+	}
+	return nil
+}
 
-// liveSize estimates what a page would take without the jobs that are over.
-func (pc *placementCommits) liveSize(n uint64) int {
+// estimateLiveSize estimates the size in bytes that a page would have without the jobs that are over.
+func (pc *placementCommits) estimateLiveSize(n uint64) int {
 	size := emptyPageSize
 	page := pc.replica.PlacementPage(n)
 	for i := range page.Entries {
@@ -124,52 +135,53 @@
 	return size
 }
 
-// entriesOf are a job's planned placements as parts of pages.
-func entriesOf(j *Job) []records.PlacementEntry {
-	var out []records.PlacementEntry
-	for _, pl := range j.plan {
-		index := pl.Task / job.TasksPerShard
-		i := slices.IndexFunc(out, func(p records.PlacementEntry) bool { return p.Index == index })
+// planEntries returns a job's planned placements as entries of placement pages.
+func planEntries(j *Job) []records.PlacementEntry {
+	var entries []records.PlacementEntry
+	for _, placement := range j.plan {
+		index := placement.Task / job.TasksPerShard
+		i := slices.IndexFunc(entries, func(e records.PlacementEntry) bool { return e.Index == index })
 		if i < 0 {
-			i = len(out)
-			out = append(out, records.PlacementEntry{Job: j.ID, Index: index})
+			i = len(entries)
+			entries = append(entries, records.PlacementEntry{Job: j.ID, Index: index})
 		}
-		out[i].Open = append(out[i].Open, pl)
-		out[i].LastAttempt = max(out[i].LastAttempt, pl.Attempt)
+		entries[i].Open = append(entries[i].Open, placement)
+		entries[i].LastAttempt = max(entries[i].LastAttempt, placement.Attempt)
 	}
-	return out
+	return entries
 }
 
-// entrySize bounds what a part adds to a page.
-func entrySize(p *records.PlacementEntry) int {
-	value, err := records.EncodePlacementPage([]records.PlacementEntry{*p})
+// encodedSize returns the size in bytes of a page with the given entries. For one entry it bounds what the
+// entry adds to a page.
+func encodedSize(entries []records.PlacementEntry) int {
+	value, err := records.EncodePlacementPage(entries)
 	if err != nil {
 		panic(err) // a struct of numbers and text always encodes
 	}
 	return wire.JSONSize(value)
 }
 
-// mergeEntries joins the parts of a page that are of the same tasks.
-func mergeEntries(parts []records.PlacementEntry) []records.PlacementEntry {
-	type tasks struct {
+// mergeEntries merges the entries of a page that are of the same tasks, in the order of their first ones.
+func mergeEntries(entries []records.PlacementEntry) []records.PlacementEntry {
+	type taskRange struct {
 		job   string
 		index int
 	}
-	at := map[tasks]int{}
-	out := make([]records.PlacementEntry, 0, len(parts))
-	for _, p := range parts {
-		key := tasks{p.Job, p.Index}
-		i, known := at[key]
+	positions := map[taskRange]int{}
+	merged := make([]records.PlacementEntry, 0, len(entries))
+	for _, entry := range entries {
+		key := taskRange{entry.Job, entry.Index}
+		i, known := positions[key]
 		if !known {
-			at[key] = len(out)
-			out = append(out, p)
+			positions[key] = len(merged)
+			merged = append(merged, entry)
 			continue
 		}
-		same := &out[i]
-		same.Open = append(slices.Clip(same.Open), p.Open...)
-		same.LastAttempt = max(same.LastAttempt, p.LastAttempt)
-		same.DoneSet = job.UnionDoneSets(same.DoneSet, p.DoneSet)
-		same.Usage = same.Usage.Plus(p.Usage)
+		same := &merged[i]
+		same.Open = append(slices.Clip(same.Open), entry.Open...)
+		same.LastAttempt = max(same.LastAttempt, entry.LastAttempt)
+		same.DoneSet = job.UnionDoneSets(same.DoneSet, entry.DoneSet)
+		same.Usage = same.Usage.Plus(entry.Usage)
 	}
-	return out
+	return merged
 }
