--- a/internal/core/leader/completion_log.go
+++ b/internal/core/leader/completion_log.go
@@ -9,30 +9,30 @@
 	"coralhub/wire"
 )
 
-// The log of ended attempts. A change of the state service is dear and large
-// arrays end task by task; so an end that neither finishes its job nor comes
-// with new places is not written into the job's record but, with those of all
+// The completion log. A change of the key-value store is expensive, and large
+// arrays complete task by task; so a completion that neither ends its job nor comes
+// with new placements is not written into the job's record but, with those of all
 // other jobs, into a page of this log. What a page says of an attempt on a
-// machine is true for ever, whichever record it is held against, so it can be
-// applied any number of times. The record takes it over when it is written
-// next; a page whose every line has been taken over is deleted.
+// machine stays true whichever version of the record it is compared with, so it can be
+// applied any number of times. The record merges it when it is written
+// next; a page whose entries have all been merged is deleted.
 
 const (
-	// completionShare is the part of all changes that the log may take while any job waits for the room or
-	// the part of a limit that an end gives back, and calmShare the part while none does.
+	// completionShare is the share of all changes that the log may take while any job waits for the capacity or
+	// the part of a limit that a completion frees, and idleCompletionShare the share while none does.
 	completionShare, idleCompletionShare = 0.2, 0.03
-	// maxCompletionDelay is the longest that the log waits for more ends.
+	// maxCompletionDelay is the longest that the log waits for more completions.
 	maxCompletionDelay = config.Second / 2
-	// pageNumberBits is how many bits of a page's number count the pages of a leader. The
-	// others are its first token: a number that came back after its page was
-	// deleted could be taken for the old page grown longer.
+	// pageNumberBits is how many low bits of a page's number count the pages of a term. The
+	// others are the term's first fencing token: a number that was used again after its page was
+	// deleted could be taken for the old page with more entries.
 	pageNumberBits = 20
-	// maxCompletionLogBytes is how much the pages may hold before the jobs in the oldest are
-	// written for its sake.
+	// maxCompletionLogBytes is how much the pages may hold before the jobs in the oldest page are
+	// written so that it can be deleted.
 	maxCompletionLogBytes = 64 << 10
 )
 
-// completionLog is what the leader is to write into the log.
+// completionLog writes completions into the completion log and deletes its merged pages. One page is in flight at a time.
 type completionLog struct {
 	*environment
 	commits    *jobCommitter
@@ -40,201 +40,237 @@
 	scheduler  *scheduler
 	snapshot   *clusterSnapshot
 
-	pagesBegun    uint64 // how many pages this leader has begun
-	currentPage   uint64 // the page that the leader fills; 0: none
+	pagesBegun    uint64 // pages begun in this term
+	currentPage   uint64 // number of the page that this leader fills; 0: none
 	unwritten     []records.CompletionEntry
-	transaction   *wire.Transaction // has not been settled
-	inFlight      bool              // and its answer may still come
-	deletingPages map[uint64]bool   // pages whose deletion is under way
+	transaction   *wire.Transaction // not settled; nil: none
+	inFlight      bool              // the answer to transaction is still expected
+	deletingPages map[uint64]bool   // pages whose deletion is in flight
 	nextWriteAt   Micros
 }
 
-// reset begins new pages. When the next may be written stays: it spares the state service's quota.
-func (lg *completionLog) reset() {
-	lg.pagesBegun, lg.currentPage = 0, 0
-	lg.unwritten, lg.transaction, lg.inFlight = nil, nil, false
-	lg.deletingPages = map[uint64]bool{}
+// reset has the next term begin new pages. The time of the next write is kept: it saves the key-value store's quota.
+func (cl *completionLog) reset() {
+	cl.pagesBegun = 0
+	cl.currentPage = 0
+	cl.unwritten = nil
+	cl.transaction = nil
+	cl.inFlight = false
+	cl.deletingPages = map[uint64]bool{}
 }
 
-// logCompletions hands closings to the log.
-func (lg *completionLog) logCompletions(j *Job, closes []completion) {
-	for _, cl := range closes {
+// logCompletions hands completions of a job to the log, unless it has them already.
+func (cl *completionLog) logCompletions(j *Job, completions []completion) {
+	for _, c := range completions {
 		for i := range j.completions {
-			if o := &j.completions[i]; o.key == cl.key && o.machine == cl.machine && !o.logged {
-				o.logged = true
-				lg.unwritten = append(lg.unwritten, records.CompletionEntry{Job: cl.key.Job, Task: cl.key.Task, Attempt: cl.key.Attempt,
-					Machine: cl.machine, Done: cl.done, Occupancy: cl.occupancy})
+			known := &j.completions[i]
+			if known.key != c.key || known.machine != c.machine || known.logged {
+				continue
 			}
+			known.logged = true
+			cl.unwritten = append(cl.unwritten, records.CompletionEntry{
+				Job:       c.key.Job,
+				Task:      c.key.Task,
+				Attempt:   c.key.Attempt,
+				Machine:   c.machine,
+				Done:      c.done,
+				Occupancy: c.occupancy,
+			})
 		}
 	}
 }
 
-// writeCompletionLog commits what has been noted, a page at a time.
-func (lg *completionLog) writeCompletionLog() {
-	e := lg
-	if lg.elector.TokenChangePending() || e.inFlight || lg.outbox.Now() < e.nextWriteAt {
+// writeCompletionLog commits unwritten entries, a page at a time.
+func (cl *completionLog) writeCompletionLog() {
+	if cl.elector.TokenChangePending() || cl.inFlight || cl.outbox.Now() < cl.nextWriteAt {
 		return
 	}
-	if e.transaction != nil { // without an answer: it may be applied later, so the same again
-		lg.sendCompletionPage(e.transaction)
+	if cl.transaction != nil { // had no answer: it may be applied later, so the same is sent again
+		cl.sendCompletionPage(cl.transaction)
 		return
 	}
-	if len(e.unwritten) == 0 {
+	if len(cl.unwritten) == 0 {
 		return
 	}
-	var lines []records.CompletionEntry
-	version := uint64(0)
-	if p := lg.replica.CompletionPage(e.currentPage); p != nil {
-		version = p.Version
-		for _, f := range p.Completions {
-			lines = append(lines, f.CompletionEntry)
-		}
+	value, version := cl.nextPageValue()
+	if value == nil {
+		return
 	}
-	value := lg.encodeCompletions(lines)
-	if version == 0 || value == nil { // the first page, or the next
-		e.pagesBegun++
-		e.currentPage, version = lg.elector.TermStart()<<pageNumberBits|e.pagesBegun, 0
-		if value = lg.encodeCompletions(nil); value == nil {
-			return
+	cl.nextWriteAt = cl.outbox.Now() + cl.completionLogInterval()
+	key := records.CompletionPageKey(cl.currentPage)
+	cl.transaction = &wire.Transaction{
+		Conditions: []wire.Condition{cl.elector.Condition(), {Key: key, Version: version}},
+		Changes:    []wire.Change{{Put: key, Value: value}},
+	}
+	cl.sendCompletionPage(cl.transaction)
+}
+
+// nextPageValue returns the value of the current page with unwritten entries added, and the version that it replaces.
+// If there is no current page or it is full, it begins another one. nil: no entry fits.
+func (cl *completionLog) nextPageValue() (value []byte, version uint64) {
+	var entries []records.CompletionEntry
+	if page := cl.replica.CompletionPage(cl.currentPage); page != nil {
+		version = page.Version
+		for _, c := range page.Completions {
+			entries = append(entries, c.CompletionEntry)
 		}
 	}
-	e.nextWriteAt = lg.outbox.Now() + lg.completionLogInterval()
-	key := records.CompletionPageKey(e.currentPage)
-	e.transaction = &wire.Transaction{
-		Conditions: []wire.Condition{lg.elector.Condition(), {Key: key, Version: version}},
-		Changes:    []wire.Change{{Put: key, Value: value}},
+	value = cl.encodeCompletions(entries)
+	if version != 0 && value != nil {
+		return value, version
 	}
-	lg.sendCompletionPage(e.transaction)
+	cl.pagesBegun++
+	cl.currentPage = cl.elector.TermStart()<<pageNumberBits | cl.pagesBegun
+	return cl.encodeCompletions(nil), 0
 }
 
-// completionLogInterval is the time between two pages. While nothing waits for what ends give back, they are
-// collected for a moment: each page costs a change, however few ends it holds.
-func (lg *completionLog) completionLogInterval() Micros {
-	short := lg.encoding.IntervalForShare(completionShare)
-	if !lg.usesPlacementPages() || lg.snapshot.capacityShort {
-		return short
+// completionLogInterval is the time between two writes. While no job waits for what completions free, they are
+// collected for a moment: each page costs a change, however few entries it holds.
+func (cl *completionLog) completionLogInterval() Micros {
+	shortest := cl.encoding.IntervalForShare(completionShare)
+	if !cl.usesPlacementPages() || cl.snapshot.capacityShort {
+		return shortest
 	}
-	return max(short, min(maxCompletionDelay, lg.encoding.IntervalForShare(idleCompletionShare)))
+	return max(shortest, min(maxCompletionDelay, cl.encoding.IntervalForShare(idleCompletionShare)))
 }
 
-// encodeCompletions adds as many fresh lines to a page as it has room for; nil: none.
-func (lg *completionLog) encodeCompletions(lines []records.CompletionEntry) []byte {
-	for n := len(lg.unwritten); n > 0; n /= 2 {
-		value, err := records.EncodeCompletionPage(append(lines[:len(lines):len(lines)], lg.unwritten[:n]...), lg.encoding.Format)
-		if err == nil && lg.encoding.Fits(value) {
+// encodeCompletions adds unwritten entries to those of a page, about as many as fit; nil: none fits.
+func (cl *completionLog) encodeCompletions(entries []records.CompletionEntry) []byte {
+	for n := len(cl.unwritten); n > 0; n /= 2 {
+		value, err := records.EncodeCompletionPage(append(slices.Clip(entries), cl.unwritten[:n]...), cl.encoding.Format)
+		if err == nil && cl.encoding.Fits(value) {
 			return value
 		}
 	}
 	return nil
 }
 
-func (lg *completionLog) sendCompletionPage(t *wire.Transaction) {
-	lg.inFlight = true
-	lg.outbox.CommitDeferrable(*t, msg.PurposeCompletionLog, func(d msg.CommitDone) {
-		e := lg
-		if !lg.elector.IsLeader() || e.transaction != t {
+func (cl *completionLog) sendCompletionPage(t *wire.Transaction) {
+	cl.inFlight = true
+	cl.outbox.CommitDeferrable(*t, msg.PurposeCompletionLog, func(d msg.CommitDone) {
+		if !cl.elector.IsLeader() || cl.transaction != t {
 			return
 		}
-		e.inFlight = false
-		key := t.Changes[0].Put
-		switch d.Outcome {
-		case msg.Unknown:
-			e.nextWriteAt = lg.outbox.Now() + commitRetryInterval
+		cl.inFlight = false
+		cl.onLogAnswer(t, &d)
+	})
+}
+
+// onLogAnswer handles the answer to the transaction on the current page.
+func (cl *completionLog) onLogAnswer(t *wire.Transaction, d *msg.CommitDone) {
+	key := t.Changes[0].Put
+	switch d.Outcome {
+	case msg.Unknown:
+		cl.nextWriteAt = cl.outbox.Now() + commitRetryInterval
+		return
+	case msg.OK:
+		cl.applyRecord(&wire.Change{Put: key, Value: t.Changes[0].Value, Version: d.Revision})
+	case msg.Conflict:
+		if cl.elector.DeposedBy(t.Conditions[0].Version, d.Failed) {
 			return
-		case msg.OK:
-			lg.applyRecord(&wire.Change{Put: key, Value: t.Changes[0].Value, Version: d.Revision})
-		case msg.Conflict:
-			if lg.elector.DeposedBy(t.Conditions[0].Version, d.Failed) {
-				return
-			}
-			if slices.Contains(d.Failed, key) { // an earlier sending has been applied after all
-				e.nextWriteAt = lg.outbox.Now() + commitRetryInterval
-				lg.outbox.Read(key, func(d msg.ReadDone) {
-					if d.Outcome == msg.OK && d.Item.Version != 0 {
-						lg.applyRecord(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
-						lg.dropLogged()
-					}
-				})
-			}
-		case msg.Invalid:
-			// An earlier sending may have been applied: the watch tells. What isn't in
-			// the log by then goes into a new page.
-			e.currentPage = 0
-			e.nextWriteAt = lg.outbox.Now() + config.Second
-		default:
-			e.nextWriteAt = lg.outbox.Now() + commitRetryInterval
-		}
-		e.transaction = nil
-		lg.dropLogged()
+		}
+		if slices.Contains(d.Failed, key) { // an earlier sending has been applied after all
+			cl.nextWriteAt = cl.outbox.Now() + commitRetryInterval
+			cl.readPage(key)
+		}
+	case msg.Invalid:
+		// An earlier sending may have been applied: the watch will show it. What isn't in
+		// the log by then goes into a new page.
+		cl.currentPage = 0
+		cl.nextWriteAt = cl.outbox.Now() + config.Second
+	default:
+		cl.nextWriteAt = cl.outbox.Now() + commitRetryInterval
+	}
+	cl.transaction = nil
+	cl.dropLogged()
+}
+
+// readPage updates the replica to what a page of the log holds now.
+func (cl *completionLog) readPage(key string) {
+	cl.outbox.Read(key, func(d msg.ReadDone) {
+		if d.Outcome == msg.OK && d.Item.Version != 0 {
+			cl.applyRecord(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
+			cl.dropLogged()
+		}
 	})
 }
 
-// dropLogged drops what pages or records say by now from what is to be written.
-func (lg *completionLog) dropLogged() {
-	e := lg
-	left := e.unwritten[:0]
-	for _, line := range e.unwritten {
-		j := lg.jobs[line.Job]
-		if j != nil && j.Record.Spec != nil {
-			if j.IsOpen(line.Task, line.Attempt, line.Machine) {
-				left = append(left, line)
-				continue
-			}
+// dropLogged drops the unwritten entries, and the completions they came from, that pages or records hold by now.
+func (cl *completionLog) dropLogged() {
+	kept := cl.unwritten[:0]
+	for _, entry := range cl.unwritten {
+		j := cl.jobs[entry.Job]
+		if j == nil {
+			continue
 		}
-		if j != nil {
-			j.completions = slices.DeleteFunc(j.completions, func(cl completion) bool {
-				return cl.logged && cl.key.Task == line.Task && cl.key.Attempt == line.Attempt && cl.machine == line.Machine
-			})
-			lg.commits.pendingCommits[j.ID] = true
-			lg.scheduler.cycleDue = true
+		if j.Record.Spec != nil && j.IsOpen(entry.Task, entry.Attempt, entry.Machine) {
+			kept = append(kept, entry)
+			continue
 		}
+		j.completions = slices.DeleteFunc(j.completions, func(c completion) bool {
+			return c.logged && c.key.Task == entry.Task && c.key.Attempt == entry.Attempt && c.machine == entry.Machine
+		})
+		cl.commits.pendingCommits[j.ID] = true
+		cl.scheduler.cycleDue = true
 	}
-	e.unwritten = left
+	cl.unwritten = kept
 }
 
-// deleteMergedPages deletes pages that no record needs any more, and has jobs written
-// for the sake of the oldest page when there are many.
-func (lg *completionLog) deleteMergedPages() {
-	pages := lg.replica.CompletionPages()
+// deleteMergedPages deletes the first page that no record needs any more, and has jobs written
+// so that the oldest page can be deleted when there are many.
+func (cl *completionLog) deleteMergedPages() {
+	pages := cl.replica.CompletionPages()
+	tooMany := len(pages)*cl.encoding.MaxValueBytes() > maxCompletionLogBytes
 	for i, n := range pages {
-		p := lg.replica.CompletionPage(n)
-		if n == lg.currentPage || lg.deletingPages[n] {
+		if n == cl.currentPage || cl.deletingPages[n] {
 			continue
 		}
-		needed := false
-		for _, f := range p.Completions {
-			j := lg.jobs[f.Job]
-			if f.Merged || j == nil || j.Record.Spec == nil {
-				continue
-			}
-			needed = true
-			if i > 0 || len(pages)*lg.encoding.MaxValueBytes() <= maxCompletionLogBytes {
-				continue
-			}
-			if shared, ok := f.PlacementPage(); ok {
-				lg.placements.pagesToCompact[shared] = true
-				continue
-			}
-			if !j.mergeRequested {
-				j.mergeRequested = true
-				lg.commits.pendingCommits[j.ID] = true
-			}
-		}
-		if needed {
+		page := cl.replica.CompletionPage(n)
+		oldest := i == 0
+		if cl.pageNeeded(page, oldest && tooMany) {
 			continue
 		}
-		leaving := lg.deletingPages
-		leaving[n] = true
-		key := records.CompletionPageKey(n)
-		lg.outbox.CommitDeferrable(wire.Transaction{
-			Conditions: []wire.Condition{lg.elector.Condition(), {Key: key, Version: p.Version}},
-			Changes:    []wire.Change{{Delete: key}},
-		}, msg.PurposeCleanup, func(d msg.CommitDone) {
-			delete(leaving, n)
-			if d.Outcome == msg.OK && lg.replica.CompletionPage(n) == p {
-				lg.replica.DropCompletionPage(n)
-			}
-		})
+		cl.deletePage(n, page)
 		return // one at a time
 	}
 }
+
+// pageNeeded reports whether a page has entries that are not merged. If merge is set, it has them merged.
+func (cl *completionLog) pageNeeded(page *records.CompletionPage, merge bool) bool {
+	needed := false
+	for _, c := range page.Completions {
+		j := cl.jobs[c.Job]
+		if c.Merged || j == nil || j.Record.Spec == nil {
+			continue
+		}
+		needed = true
+		if !merge {
+			continue
+		}
+		if placementPage, ok := c.PlacementPage(); ok {
+			cl.placements.pagesToCompact[placementPage] = true
+			continue
+		}
+		if !j.mergeRequested {
+			j.mergeRequested = true
+			cl.commits.pendingCommits[j.ID] = true
+		}
+	}
+	return needed
+}
+
+// deletePage deletes a page whose entries are all merged.
+func (cl *completionLog) deletePage(n uint64, page *records.CompletionPage) {
+	deleting := cl.deletingPages // of this term: reset replaces it
+	deleting[n] = true
+	key := records.CompletionPageKey(n)
+	cl.outbox.CommitDeferrable(wire.Transaction{
+		Conditions: []wire.Condition{cl.elector.Condition(), {Key: key, Version: page.Version}},
+		Changes:    []wire.Change{{Delete: key}},
+	}, msg.PurposeCleanup, func(d msg.CommitDone) {
+		delete(deleting, n)
+		if d.Outcome == msg.OK && cl.replica.CompletionPage(n) == page {
+			cl.replica.DropCompletionPage(n)
+		}
+	})
+}
