--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -131,6 +131,14 @@
 	return len(j.plan) > 0 || j.Record.CancelRequested || j.DependencyCancelled() || j.DependentCount() > 0
 }
 
+// markForReview has the next scheduling cycle and, if this node leads, the next commit consider a job.
+func (jc *jobCommitter) markForReview(j *Job) {
+	jc.scheduler.cycleDue = true
+	if jc.ready {
+		jc.pendingCommits[j.ID] = true
+	}
+}
+
 // placedInPages reports whether a job's placements go into pages with those of other jobs.
 func (jc *jobCommitter) placedInPages(j *Job) bool {
 	return jc.usesPlacementPages() && !j.ownRecordOnly
--- a/internal/core/leader/delegations.go
+++ b/internal/core/leader/delegations.go
@@ -7,98 +7,119 @@
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
 	"coralhub/internal/core/relay"
+	"coralhub/internal/core/zone"
 	"coralhub/wire"
 )
 
-// delegations TODO
+// delegations lets other nodes answer workers for this leader for a limited time, and takes what workers report
+// through those nodes.
 type delegations struct {
 	*environment
 	snapshot *clusterSnapshot
 
-	delegates          map[string]delegate
-	acknowledgedCancel uint64
+	delegates          map[string]delegate // by node
+	acknowledgedCancel uint64              // highest version of a record whose cancellation was confirmed to a user
 }
 
-func (dg *delegations) reset() { dg.delegates, dg.acknowledgedCancel = map[string]delegate{}, 0 }
+func (dg *delegations) reset() {
+	dg.delegates = map[string]delegate{}
+	dg.acknowledgedCancel = 0
+}
 
-// delegate is what another node may do for this leader.
+// delegate is another node to which this leader has delegated.
 type delegate struct {
-	until    Micros // it may stand in, however old its copy of the records gets
-	revision uint64 // up to which that copy is known to go
+	until    Micros // the delegation ends; until then it holds however old the node's replica gets
+	revision uint64 // that the node's replica is known to have reached
 }
 
-// grantDelegation has a node stand in for this one for a while from now on, and notes what it knows.
-// It counts from when it sent the beat, which was earlier. One that doesn't know of every
-// cancellation that was told gets no such word.
+// grantDelegation delegates to a node from now on, records the revision it has reached, and returns the duration of
+// the delegation; 0: none. The node counts the duration from when it sent its heartbeat batch, which was earlier. A
+// node that doesn't know of every cancellation that was confirmed gets no delegation.
 func (dg *delegations) grantDelegation(x msg.HeartbeatBatchIn) Micros {
-	length := config.FromSeconds(dg.cfg.Settings.DelegationS)
-	if length <= 0 || x.Node == "" || x.Revision < dg.acknowledgedCancel {
+	duration := config.FromSeconds(dg.cfg.Settings.DelegationS)
+	if duration <= 0 || x.Node == "" || x.Revision < dg.acknowledgedCancel {
 		return 0
 	}
-	s := dg.delegates[x.Node]
-	dg.delegates[x.Node] = delegate{dg.outbox.Now() + length, max(s.revision, x.Revision)}
-	return length
+	known := dg.delegates[x.Node].revision
+	dg.delegates[x.Node] = delegate{until: dg.outbox.Now() + duration, revision: max(known, x.Revision)}
+	return duration
 }
 
-// cancelKnown tells whether every node that may stand in for this one knows of a change.
+// cancelKnown reports whether every node whose delegation has not ended has reached a revision.
 func (dg *delegations) cancelKnown(revision uint64) bool {
-	for _, s := range dg.delegates {
-		if dg.outbox.Now() < s.until && s.revision < revision {
+	for _, d := range dg.delegates {
+		if dg.outbox.Now() < d.until && d.revision < revision {
 			return false
 		}
 	}
 	return true
 }
 
-// onHeartbeatBatch hears, as the leader, of workers that their homes have answered. It
-// answers with those whose next report it wants to see.
+// onHeartbeatBatch applies the heartbeats that a relay has acknowledged for the leader. The response names the
+// machines whose next heartbeat the relay is to forward in full, and renews the relay's delegation.
 func (dg *delegations) onHeartbeatBatch(x msg.HeartbeatBatchIn) {
 	if !dg.ready {
 		dg.outbox.RetryLater(x.RequestID, "not the leader")
 		return
 	}
-	var wanted []string
-	for _, h := range x.Acks {
-		m := dg.reconciler.Registry().Get(h.Machine)
-		if m == nil || m.Incarnation != h.Incarnation || m.FencingToken < dg.elector.TermStart() || m.WantsFullHeartbeat {
-			wanted = append(wanted, h.Machine)
+	var resend []string
+	for _, ack := range x.Acks {
+		m := dg.reconciler.Registry().Get(ack.Machine)
+		if m == nil || m.Incarnation != ack.Incarnation || m.FencingToken < dg.elector.TermStart() || m.WantsFullHeartbeat {
+			resend = append(resend, ack.Machine)
 		}
-		if m != nil && m.ApplyAck(dg.outbox.Now(), h.Incarnation, h.Sequence) {
+		if m != nil && m.ApplyAck(dg.outbox.Now(), ack.Incarnation, ack.Sequence) {
 			m.Reachability.NoteAnswered(dg.outbox.Now())
 			dg.reconciler.Registry().NoteContact(m, dg.outbox.Now())
 			dg.snapshot.checkAvailability(m)
 		}
 	}
-	dg.outbox.Respond(x.RequestID, http.StatusOK, msg.HeartbeatBatchResponse{ResendMachines: wanted, Delegation: dg.grantDelegation(x)})
+	dg.outbox.Respond(x.RequestID, http.StatusOK, msg.HeartbeatBatchResponse{ResendMachines: resend, Delegation: dg.grantDelegation(x)})
 }
 
-// applyRelayedHeartbeats takes a deputy's mail.
-func (dg *delegations) applyRelayedHeartbeats(ev *wire.Change) {
-	if !dg.ready || ev.Put == "" || ev.Version <= dg.elector.TermStart() {
+// applyRelayedHeartbeats applies heartbeats that a relay has stored for the leader, unless they were stored before
+// its term.
+func (dg *delegations) applyRelayedHeartbeats(change *wire.Change) {
+	if !dg.ready || change.Put == "" || change.Version <= dg.elector.TermStart() {
 		return
 	}
-	var lines []relay.RelayedHeartbeat
-	if job.Decode(ev.Value, &lines) != nil {
+	var heartbeats []relay.RelayedHeartbeat
+	if job.Decode(change.Value, &heartbeats) != nil {
 		return
 	}
-	for i := range lines {
-		line := &lines[i]
-		m := dg.reconciler.Registry().Get(line.Machine)
-		if m == nil || line.FencingToken > dg.elector.FencingToken() {
+	for i := range heartbeats {
+		relayed := &heartbeats[i]
+		m := dg.reconciler.Registry().Get(relayed.Machine)
+		if m == nil || relayed.FencingToken > dg.elector.FencingToken() {
 			continue
 		}
 		if !m.Relayed {
 			dg.outbox.Debug("heartbeat relayed through the state service", "machine", m.Name)
 		}
-		r := wire.Heartbeat{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			Incarnation: line.Incarnation, Sequence: line.Sequence, FencingToken: line.FencingToken, NoticeS: line.NoticeS}
-		for _, t := range line.Tasks {
-			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.Task, Attempt: t.Attempt, State: t.State, Cause: t.Cause, Saved: t.Saved})
-		}
-		if dg.reconciler.Observe(m, &r, false) {
-			m.Relayed, m.SilentSince = true, 0 // a home has heard its report
+		if dg.reconciler.Observe(m, heartbeatOf(m, relayed), false) {
+			m.Relayed = true
+			m.SilentSince = 0 // a relay has received its heartbeat
 			dg.reconciler.Registry().Introduce(m)
 			dg.snapshot.checkAvailability(m)
 		}
 	}
 }
+
+// heartbeatOf returns the heartbeat that a relay has stored in short, with what is known of the machine.
+func heartbeatOf(m *zone.Machine, relayed *relay.RelayedHeartbeat) *wire.Heartbeat {
+	heartbeat := &wire.Heartbeat{
+		Machine:      m.Name,
+		Addr:         m.Addr,
+		Type:         m.Type,
+		Zone:         m.Zone,
+		Spot:         m.Spot,
+		Incarnation:  relayed.Incarnation,
+		Sequence:     relayed.Sequence,
+		FencingToken: relayed.FencingToken,
+		NoticeS:      relayed.NoticeS,
+	}
+	for _, t := range relayed.Tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: t.Task, Attempt: t.Attempt, State: t.State, Cause: t.Cause, Saved: t.Saved})
+	}
+	return heartbeat
+}
--- a/internal/core/leader/machine_cache.go
+++ b/internal/core/leader/machine_cache.go
@@ -10,33 +10,34 @@
 	"coralhub/wire"
 )
 
-// machineCache TODO
-type machineCache struct {
-	*environment
-
-	machinePages     [32]cachePage
-	nextCachePage    int
-	nextCacheWriteAt Micros
-}
-
-// Hints are what a leader knows of machines and a later one would have to learn
-// anew: where they are and which images they have. They are proof of nothing.
-// Many machines share a key, and a page that has changed is written when its
-// turn comes: hints get a small part of the changes that the state service
+// The machine cache stores what a leader knows of machines and a successor would have to learn
+// anew: where they are and which images they have. It proves nothing about their state.
+// Many machines share a key, and the pages that have changed are written round-robin:
+// the cache gets a small share of the changes that the key-value store
 // allows, whatever the size of the fleet.
 
 const (
 	machineCachePrefix    = job.KeyRoot + "machines/"
 	machineCachePageCount = 32
-	// machineCacheWriteShare is the part of all changes that hints may take.
+	// machineCacheWriteShare is the share of all changes that the cache may take.
 	machineCacheWriteShare = 0.05
-	// maxCachedImages bounds the images in a machine's hint.
+	// maxCachedImages bounds the images that are stored of a machine.
 	maxCachedImages = 16
 )
 
-// CachedMachine is what is stored of a machine, a format that live clusters share.
+// machineCache writes the pages of the machine cache while this node leads, and restores machines from
+// them before that.
+type machineCache struct {
+	*environment
+
+	machinePages     [machineCachePageCount]cachePage
+	nextCachePage    int // at which the search for a changed page begins
+	nextCacheWriteAt Micros
+}
+
+// CachedMachine is what is stored of a machine, in a format that nodes of different versions share.
 type CachedMachine struct {
-	//lint:ignore U1000 read by the encoder: a hint is a list, to be short
+	//lint:ignore U1000 read by the encoder: a machine is stored as an array, to be short
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	Addr     string
@@ -46,10 +47,11 @@
 	Images   []string
 }
 
+// cachePage is a page of the cache as this node knows it.
 type cachePage struct {
-	version uint64
-	names   []string
-	changed bool // since it was written last
+	version uint64   // that was applied last
+	names   []string // the machines in that version
+	changed bool     // since this node wrote it last
 }
 
 func cachePageOf(machine string) int {
@@ -58,87 +60,110 @@
 	return int(h.Sum32() % machineCachePageCount)
 }
 
-// markCacheStale has a machine's hint written in its turn.
+// markCacheStale has the page of a machine written when it is due.
 func (mc *machineCache) markCacheStale(name string) {
 	mc.machinePages[cachePageOf(name)].changed = true
 }
 
-// writeMachineCache writes one page, now and then.
+// writeMachineCache writes the next changed page, if the cache's share of changes allows it.
 func (mc *machineCache) writeMachineCache() {
 	if mc.outbox.Now() < mc.nextCacheWriteAt {
 		return
 	}
-	n := -1
-	for i := range machineCachePageCount {
-		if k := (mc.nextCachePage + i) % machineCachePageCount; mc.machinePages[k].changed {
-			n = k
-			break
-		}
-	}
-	if n < 0 {
+	n, ok := mc.nextChangedPage()
+	if !ok {
 		return
 	}
-	var hints []CachedMachine
-	for _, m := range mc.reconciler.Registry().All() {
-		if cachePageOf(m.Name) == n && !m.Releasing {
-			hints = append(hints, CachedMachine{Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-				Images: m.Images.Names()})
-		}
-	}
-	p := &mc.machinePages[n]
-	p.changed, mc.nextCachePage, mc.nextCacheWriteAt = false, n+1, mc.outbox.Now()+mc.encoding.IntervalForShare(machineCacheWriteShare)
-	value := mc.fitCachePage(hints)
+	machines := mc.machinesOfPage(n)
+	page := &mc.machinePages[n]
+	page.changed = false
+	mc.nextCachePage = n + 1
+	mc.nextCacheWriteAt = mc.outbox.Now() + mc.encoding.IntervalForShare(machineCacheWriteShare)
+	value := mc.fitCachePage(machines)
 	if value == nil {
 		return
 	}
 	mc.outbox.CommitDeferrable(wire.Transaction{
 		Conditions: []wire.Condition{mc.elector.Condition()},
 		Changes:    []wire.Change{{Put: machineCachePrefix + strconv.Itoa(n), Value: value}},
-	}, msg.PurposeMachineCache, func(d msg.CommitDone) { p.changed = p.changed || d.Outcome != msg.OK })
+	}, msg.PurposeMachineCache, func(d msg.CommitDone) { page.changed = page.changed || d.Outcome != msg.OK })
 }
 
-// fitCachePage encodes hints so that they fit a value: images go first, then the
-// youngest machines.
-func (mc *machineCache) fitCachePage(hints []CachedMachine) []byte {
-	for most := maxCachedImages; ; most /= 2 {
-		for i := range hints {
-			hints[i].Images = hints[i].Images[:min(len(hints[i].Images), most)]
+func (mc *machineCache) nextChangedPage() (n int, ok bool) {
+	for i := range machineCachePageCount {
+		n = (mc.nextCachePage + i) % machineCachePageCount
+		if mc.machinePages[n].changed {
+			return n, true
 		}
-		value, err := job.Encode(hints)
+	}
+	return 0, false
+}
+
+// machinesOfPage returns what is to be stored in a page. Machines that are being released are left out.
+func (mc *machineCache) machinesOfPage(n int) []CachedMachine {
+	var machines []CachedMachine
+	for _, m := range mc.reconciler.Registry().All() {
+		if cachePageOf(m.Name) != n || m.Releasing {
+			continue
+		}
+		machines = append(machines, CachedMachine{
+			Name:   m.Name,
+			Addr:   m.Addr,
+			Type:   m.Type,
+			Zone:   m.Zone,
+			Spot:   m.Spot,
+			Images: m.Images.Names(),
+		})
+	}
+	return machines
+}
+
+// fitCachePage encodes machines so that they fit a value: images are dropped first, then the
+// youngest machines. It returns nil if they can't be encoded.
+func (mc *machineCache) fitCachePage(machines []CachedMachine) []byte {
+	for maxImages := maxCachedImages; ; maxImages /= 2 {
+		for i := range machines {
+			machines[i].Images = machines[i].Images[:min(len(machines[i].Images), maxImages)]
+		}
+		value, err := job.Encode(machines)
 		switch {
 		case err != nil:
 			return nil
 		case mc.encoding.Fits(value):
 			return value
-		case most == 0:
-			hints = hints[:len(hints)*7/8]
+		case maxImages == 0:
+			machines = machines[:len(machines)*7/8]
 		}
 	}
 }
 
-// applyCachePage takes a page. A leader that has begun knows better than what was
-// written before.
-func (mc *machineCache) applyCachePage(name string, ev *wire.Change) {
+// applyCachePage restores the machines of a stored page. A leader that is ready ignores it: it knows more than
+// what was written before.
+func (mc *machineCache) applyCachePage(name string, change *wire.Change) {
 	n, err := strconv.Atoi(name)
-	if err != nil || n < 0 || n >= machineCachePageCount || mc.ready || ev.Version <= mc.machinePages[n].version {
+	if err != nil || n < 0 || n >= machineCachePageCount {
+		return
+	}
+	page := &mc.machinePages[n]
+	if mc.ready || change.Version <= page.version {
 		return
 	}
-	p := &mc.machinePages[n]
-	var hints []CachedMachine
-	if ev.Put != "" && job.Decode(ev.Value, &hints) != nil {
+	var machines []CachedMachine
+	if change.Put != "" && job.Decode(change.Value, &machines) != nil {
 		return
 	}
-	old := p.names
-	p.version, p.names = ev.Version, nil
-	for i := range hints {
-		h := &hints[i]
-		p.names = append(p.names, h.Name)
-		m := mc.reconciler.EnsureMachine(h.Name)
-		m.Images.Restore(h.Images)
-		m.Describe(h.Addr, h.Type, h.Zone, h.Spot)
+	previous := page.names
+	page.version = change.Version
+	page.names = nil
+	for i := range machines {
+		cached := &machines[i]
+		page.names = append(page.names, cached.Name)
+		m := mc.reconciler.EnsureMachine(cached.Name)
+		m.Images.Restore(cached.Images)
+		m.Describe(cached.Addr, cached.Type, cached.Zone, cached.Spot)
 	}
-	for _, gone := range old {
-		if !slices.Contains(p.names, gone) {
+	for _, gone := range previous {
+		if !slices.Contains(page.names, gone) {
 			mc.reconciler.Registry().Remove(gone)
 		}
 	}
--- a/internal/core/leader/task_events.go
+++ b/internal/core/leader/task_events.go
@@ -7,7 +7,21 @@
 	"coralhub/wire"
 )
 
-// taskEvents TODO
+const (
+	// failureBackoff is how long a job avoids a machine on which a task of it failed. The machine may be sound again
+	// and have the only free capacity, which must not be idle for 90 s while the job waits.
+	failureBackoff = 60 * config.Second
+	// noCapacityBackoff is how long a machine gets no more tasks after it refused one for lack of capacity.
+	noCapacityBackoff = config.Second
+	// retryBackoff is how long a job is held after a worker could not say what became of a start, or was busy.
+	retryBackoff = 2 * config.Second
+	// maxMachineFailures is how many consecutive failures of a job count against machines.
+	maxMachineFailures = 3
+	// maxHoldShift bounds the exponential backoff of a job that keeps failing: 1 s shifted left by it.
+	maxHoldShift = 6
+)
+
+// taskEvents draws the conclusions from the states of tasks that workers report.
 type taskEvents struct {
 	*environment
 	commits   *jobCommitter
@@ -30,13 +44,14 @@
 }
 
 // noteLeft notes that an attempt of the gang has left a machine, to which it must not return.
-func (s *gangState) noteLeft(machine string, attempt uint64) {
-	if s.leftMachines == nil {
-		s.leftMachines = map[string]uint64{}
+func (g *gangState) noteLeft(machine string, attempt uint64) {
+	if g.leftMachines == nil {
+		g.leftMachines = map[string]uint64{}
 	}
-	s.leftMachines[machine] = attempt
+	g.leftMachines[machine] = attempt
 }
 
+// onTaskRunning notes when a task was first reported as running, and the attempt of a gang.
 func (te *taskEvents) onTaskRunning(j *Job, key job.AttemptKey) {
 	if j.startedAt == nil {
 		j.startedAt = map[int]Micros{}
@@ -52,7 +67,7 @@
 	}
 }
 
-// onTaskExited closes a placement whose task has ended, by the worker's word.
+// onTaskExited closes a placement whose task has ended according to the worker.
 func (te *taskEvents) onTaskExited(m *zone.Machine, j *Job, key job.AttemptKey, t *zone.Task) {
 	if j.isClosing(key, m.Name) {
 		return
@@ -68,27 +83,25 @@
 	case wire.CauseError:
 		te.onTaskFailed(m, j)
 	case wire.CauseNoCapacity:
-		m.FullUntil = te.outbox.Now() + config.Second
+		m.FullUntil = te.outbox.Now() + noCapacityBackoff
 	case wire.CauseUnknown, wire.CauseBusy:
-		j.holdUntil = te.outbox.Now() + 2*config.Second
+		j.holdUntil = te.outbox.Now() + retryBackoff
 	}
-	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang && t.Cause != wire.CauseNoCapacity && t.Cause != wire.CauseBusy {
+	refused := t.Cause == wire.CauseNoCapacity || t.Cause == wire.CauseBusy
+	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang && !refused {
 		j.failedGangAttempt = max(j.failedGangAttempt, key.Attempt)
 	}
 	te.commits.closeWithProgress(key, m.Name, t.Cause == wire.Done, t.Saved)
 }
 
-// failureBackoff is how long a task that failed on a machine is tried elsewhere. The machine may be sound again and
-// have the only room, and that may not lie idle for 90 s while the job waits.
-const failureBackoff = 60 * config.Second
-
-// onTaskFailed tells machines that fail everything from jobs that fail everywhere.
-// The task is tried elsewhere first; a job that keeps failing waits longer and
-// longer, and a machine on which different jobs fail gets no more work.
+// onTaskFailed distinguishes machines that fail every job from jobs that fail on every machine.
+// The task is tried on other machines first; a job that keeps failing is held with exponential
+// backoff, and a machine on which different jobs fail is quarantined.
 func (te *taskEvents) onTaskFailed(m *zone.Machine, j *Job) {
-	wasSick := m.Quarantined()
-	if j.failures < 3 { // a job that fails everywhere says nothing about machines
-		m.FailedJobs[j.ID], m.OnProbation = te.outbox.Now(), false
+	wasQuarantined := m.Quarantined()
+	if j.failures < maxMachineFailures { // a job that fails everywhere says nothing about machines
+		m.FailedJobs[j.ID] = te.outbox.Now()
+		m.OnProbation = false
 		te.snapshot.checkAvailability(m)
 	}
 	if j.failedOn == nil {
@@ -96,14 +109,14 @@
 	}
 	j.failedOn[m.Name] = te.outbox.Now() + failureBackoff
 	if m.Quarantined() {
-		if !wasSick {
+		if !wasQuarantined {
 			te.outbox.Log("machine quarantined", "machine", m.Name)
 		}
 		return
 	}
 	j.failures++
-	if j.failures > 2 {
-		j.holdUntil = te.outbox.Now() + config.Second<<min(j.failures, 6)
+	if j.failures >= maxMachineFailures {
+		j.holdUntil = te.outbox.Now() + config.Second<<min(j.failures, maxHoldShift)
 		j.failedOn = nil
 	}
 }
