--- a/internal/core/leader/environment.go
+++ b/internal/core/leader/environment.go
@@ -15,7 +15,7 @@
 )
 
 // environment is what the components of a leader share: the node's other components, the jobs, and
-// which term it is. Only the Leader changes it, but for jobs' own fields.
+// the term. Only the Leader changes it, except for the fields of jobs.
 type environment struct {
 	cfg        *config.Config
 	outbox     *outbox.Outbox
@@ -26,20 +26,20 @@
 	reconciler *reconciler.Reconciler
 	autoscaler *autoscaler.Autoscaler
 
-	// wallClockOffset is the time of day less the monotonic clock's, for the age of jobs that were
+	// wallClockOffset is the time of day minus the monotonic time, for the age of jobs that were
 	// submitted before this node started. Only the order of jobs depends on it.
 	wallClockOffset Micros
 
 	teams      map[string]*config.Team
-	jobs       map[string]*Job // those of the replica
-	unfinished []*Job          // the oldest first: a cycle must not cost more with every finished job
+	jobs       map[string]*Job // by ID: the jobs of the replica
+	unfinished []*Job          // oldest first: the cost of a scheduling cycle must not grow with the finished jobs
 
 	ready     bool   // this node leads, and has read the records since it was elected
-	term      uint64 // counts resets: answers that belong to an earlier term are told by it
+	term      uint64 // counts resets: tells answers that belong to an earlier term
 	failovers uint64 // how often this node was elected
 }
 
-// wallClock is the time of day; 0: not known yet.
+// wallClock returns the time of day; 0: not known yet.
 func (e *environment) wallClock() Micros {
 	if e.wallClockOffset == 0 {
 		return 0
@@ -47,9 +47,9 @@
 	return e.outbox.Now() + e.wallClockOffset
 }
 
-// applyRecord takes a change of a job's record or of the log.
-func (e *environment) applyRecord(ev *wire.Change) {
-	if _, err := e.replica.Apply(ev); err != nil {
+// applyRecord applies a change of a job's record, a placement page or a page of the completion log to the replica.
+func (e *environment) applyRecord(change *wire.Change) {
+	if _, err := e.replica.Apply(change); err != nil {
 		e.outbox.Log("stored value unreadable", "error", err.Error())
 	}
 }
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -1,6 +1,9 @@
-// Package leader ranks the queue, holds the auction, has the records written and draws the
-// conclusions from what workers say. The records are the truth: a start leaves only after its
-// placement is committed, and a placement is closed only on proof.
+// Package leader is the part of a node that schedules while the node is the elected leader: it orders the
+// queue, places and preempts jobs in scheduling cycles, commits its decisions to the records in the
+// key-value store, and draws the conclusions from what workers report. The records are the truth: a task is started
+// only after its placement is committed, and a placement is closed only on proof that the task has ended.
+//
+// The components of the package run in the node's single event loop and are not safe for concurrent use.
 package leader
 
 import (
@@ -28,13 +31,13 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
-// Leader is a node's part in scheduling. It coordinates: it follows the election and the records,
-// and has its components act in the order that a step needs. What it knows of jobs is kept while
-// another node leads, so that a failover begins with it.
+// Leader coordinates scheduling on a node: it follows the election and the records,
+// and has its components act in the order that a step needs. What it knows of jobs is kept up to date while
+// another node leads, so that a failover starts from it.
 type Leader struct {
 	*environment
 
-	electedAt Micros
+	electedAt Micros // when the current term began
 
 	commits       *jobCommitter
 	placements    *placementCommits
@@ -54,11 +57,19 @@
 	auditor       *auditor
 }
 
-// New returns the leader that a node may become. Attach completes it.
-func New(cfg *config.Config, box *outbox.Outbox, encoding *records.Encoding, catalog *zone.Catalog, elector *election.Elector) *Leader {
-	env := &environment{cfg: cfg, outbox: box, encoding: encoding, catalog: catalog, elector: elector,
-		jobs: map[string]*Job{}, teams: cfg.Cluster.TeamsByName()}
-	l := &Leader{environment: env,
+// New returns a leader component whose node may be elected. Attach completes it.
+func New(cfg *config.Config, out *outbox.Outbox, encoding *records.Encoding, catalog *zone.Catalog, elector *election.Elector) *Leader {
+	env := &environment{
+		cfg:      cfg,
+		outbox:   out,
+		encoding: encoding,
+		catalog:  catalog,
+		elector:  elector,
+		jobs:     map[string]*Job{},
+		teams:    cfg.Cluster.TeamsByName(),
+	}
+	l := &Leader{
+		environment:   env,
 		commits:       &jobCommitter{environment: env},
 		placements:    &placementCommits{environment: env},
 		completionLog: &completionLog{environment: env},
@@ -76,59 +87,109 @@
 		diagnostics:   &diagnostics{environment: env},
 		auditor:       &auditor{environment: env},
 	}
-	l.connect()
+	l.connectCommits()
+	l.connectScheduling()
+	l.connectQueries()
 	return l
 }
 
-// connect gives each component those that it calls.
-func (l *Leader) connect() {
-	l.commits.completionLog, l.commits.delegations, l.commits.estimates = l.completionLog, l.delegations, l.estimates
-	l.commits.placements, l.commits.scheduler, l.commits.snapshot = l.placements, l.scheduler, l.snapshot
-	l.placements.commits, l.placements.estimates = l.commits, l.estimates
-	l.placements.scheduler, l.placements.snapshot = l.scheduler, l.snapshot
-	l.completionLog.commits, l.completionLog.placements = l.commits, l.placements
-	l.completionLog.scheduler, l.completionLog.snapshot = l.scheduler, l.snapshot
-	l.scheduler.commits, l.scheduler.diagnostics, l.scheduler.estimates = l.commits, l.diagnostics, l.estimates
-	l.scheduler.preemptions, l.scheduler.snapshot, l.scheduler.startOrder = l.preemptions, l.snapshot, l.startOrder
-	l.snapshot.scheduler, l.snapshot.startOrder = l.scheduler, l.startOrder
-	l.startOrder.slo, l.startOrder.snapshot = l.slo, l.snapshot
+// connectCommits gives the components that write records and follow workers those that they call.
+func (l *Leader) connectCommits() {
+	l.commits.completionLog = l.completionLog
+	l.commits.delegations = l.delegations
+	l.commits.estimates = l.estimates
+	l.commits.placements = l.placements
+	l.commits.scheduler = l.scheduler
+	l.commits.snapshot = l.snapshot
+
+	l.placements.commits = l.commits
+	l.placements.estimates = l.estimates
+	l.placements.scheduler = l.scheduler
+	l.placements.snapshot = l.snapshot
+
+	l.completionLog.commits = l.commits
+	l.completionLog.placements = l.placements
+	l.completionLog.scheduler = l.scheduler
+	l.completionLog.snapshot = l.snapshot
+
+	l.delegations.snapshot = l.snapshot
+
+	l.taskEvents.commits = l.commits
+	l.taskEvents.scheduler = l.scheduler
+	l.taskEvents.snapshot = l.snapshot
+}
+
+// connectScheduling gives the components that schedule those that they call.
+func (l *Leader) connectScheduling() {
+	l.scheduler.commits = l.commits
+	l.scheduler.diagnostics = l.diagnostics
+	l.scheduler.estimates = l.estimates
+	l.scheduler.preemptions = l.preemptions
+	l.scheduler.snapshot = l.snapshot
+	l.scheduler.startOrder = l.startOrder
+
+	l.snapshot.scheduler = l.scheduler
+	l.snapshot.startOrder = l.startOrder
+
+	l.startOrder.slo = l.slo
+	l.startOrder.snapshot = l.snapshot
+
 	l.preemptions.scheduler = l.scheduler
-	l.estimates.commits, l.estimates.completionLog, l.estimates.diagnostics = l.commits, l.completionLog, l.diagnostics
+
+	l.estimates.commits = l.commits
+	l.estimates.completionLog = l.completionLog
+	l.estimates.diagnostics = l.diagnostics
+
 	l.usageAccounts.scheduler = l.scheduler
-	l.delegations.snapshot = l.snapshot
-	l.taskEvents.commits, l.taskEvents.scheduler, l.taskEvents.snapshot = l.commits, l.scheduler, l.snapshot
-	l.queries.commits, l.queries.diagnostics, l.queries.estimates = l.commits, l.diagnostics, l.estimates
-	l.queries.preemptions, l.queries.scheduler, l.queries.slo = l.preemptions, l.scheduler, l.slo
-	l.queries.snapshot, l.queries.startOrder, l.queries.usageAccounts = l.snapshot, l.startOrder, l.usageAccounts
-	l.diagnostics.commits, l.diagnostics.completionLog = l.commits, l.completionLog
-	l.auditor.snapshot, l.auditor.usageAccounts = l.snapshot, l.usageAccounts
 }
 
-// Attach gives the leader the rooms that it commands and goes by.
-func (l *Leader) Attach(replica *records.Replica, owner *reconciler.Reconciler, keeper *autoscaler.Autoscaler) {
-	l.replica, l.reconciler, l.autoscaler = replica, owner, keeper
+// connectQueries gives the components that answer and audit those that they read.
+func (l *Leader) connectQueries() {
+	l.queries.commits = l.commits
+	l.queries.diagnostics = l.diagnostics
+	l.queries.estimates = l.estimates
+	l.queries.preemptions = l.preemptions
+	l.queries.scheduler = l.scheduler
+	l.queries.slo = l.slo
+	l.queries.snapshot = l.snapshot
+	l.queries.startOrder = l.startOrder
+	l.queries.usageAccounts = l.usageAccounts
+
+	l.diagnostics.commits = l.commits
+	l.diagnostics.completionLog = l.completionLog
+
+	l.auditor.snapshot = l.snapshot
+	l.auditor.usageAccounts = l.usageAccounts
+}
+
+// Attach gives the leader the replica of the records, the reconciler and the autoscaler. It must be called once,
+// before any other method.
+func (l *Leader) Attach(replica *records.Replica, reconciler *reconciler.Reconciler, autoscaler *autoscaler.Autoscaler) {
+	l.replica = replica
+	l.reconciler = reconciler
+	l.autoscaler = autoscaler
 	l.reset()
 }
 
-// Ready tells whether this node leads and has read the records since its claim.
+// Ready reports whether this node leads and has read the records since it was elected.
 func (l *Leader) Ready() bool { return l.ready }
 
-// SetWallClock tells the time of day.
+// SetWallClock sets the time of day, in microseconds since 1970.
 func (l *Leader) SetWallClock(wall Micros) {
 	known := l.wallClockOffset != 0
 	l.wallClockOffset = wall - l.outbox.Now()
-	if !known { // what was read before has its age now
+	if !known { // the age of jobs that were read before is known only now
 		for _, j := range l.unfinished {
 			l.setArrival(j)
 		}
 	}
 	if l.slo.since == 0 && l.replica.Revision() > 0 {
-		l.slo.since = wall // what comes from now on is known from its beginning
+		l.slo.since = wall // jobs that arrive from now on are tracked from their beginning
 	}
 }
 
-// OnElected begins a reign. Nothing is commanded before the records have been read
-// after the claim: only then are all placements of predecessors known.
+// OnElected begins a term. Workers get no commands before the records have been read
+// after the election: only then are all placements of predecessors known.
 func (l *Leader) OnElected() {
 	l.reset()
 	l.electedAt = l.outbox.Now()
@@ -137,18 +198,18 @@
 	l.outbox.Emit(msg.Relist{})
 }
 
-// OnDeposed ends a reign. The leader forgets what it needs no more; a later
-// reign starts from the records.
-func (l *Leader) OnDeposed(why string, token uint64) {
-	l.outbox.Log("deposed", "reason", why, "fencing_token", token)
+// OnDeposed ends a term, for the given reason. What is valid for one term only is dropped; a later
+// term starts from the records.
+func (l *Leader) OnDeposed(reason string, token uint64) {
+	l.outbox.Log("deposed", "reason", reason, "fencing_token", token)
 	l.reset()
 	l.outbox.Emit(msg.Relist{})
 }
 
-// RequestCycle has a pass come soon.
+// RequestCycle has a scheduling cycle run soon.
 func (l *Leader) RequestCycle() { l.scheduler.cycleDue = true }
 
-// CatalogChanged has everything looked at again by the new machine types.
+// CatalogChanged rebuilds what depends on the machine types, which have changed.
 func (l *Leader) CatalogChanged() {
 	l.snapshot.rebuildDue = true
 	for _, j := range l.unfinished {
@@ -157,28 +218,28 @@
 	l.scheduler.cycleDue = true
 }
 
-// Apply takes a change of a key that only leaders read, or of the records.
-func (l *Leader) Apply(key string, ev *wire.Change) {
-	if name, ok := strings.CutPrefix(key, machineCachePrefix); ok {
-		l.machineCache.applyCachePage(name, ev)
+// Apply applies a change of a key that only leaders read, or of the records.
+func (l *Leader) Apply(key string, change *wire.Change) {
+	if page, ok := strings.CutPrefix(key, machineCachePrefix); ok {
+		l.machineCache.applyCachePage(page, change)
 		return
 	}
-	if num, ok := strings.CutPrefix(key, estimatesPrefix); ok {
-		l.estimates.applyStoredEstimates(num, ev)
+	if chunk, ok := strings.CutPrefix(key, estimatesPrefix); ok {
+		l.estimates.applyStoredEstimates(chunk, change)
 		return
 	}
 	if strings.HasPrefix(key, preemption.KeyPrefix) {
-		l.preemptions.applyDecisions(ev)
+		l.preemptions.applyDecisions(change)
 		return
 	}
 	if strings.HasPrefix(key, relay.KeyPrefix) {
-		l.delegations.applyRelayedHeartbeats(ev)
+		l.delegations.applyRelayedHeartbeats(change)
 		return
 	}
-	l.applyRecord(ev)
+	l.applyRecord(change)
 }
 
-// Tick does what the leader does by time alone.
+// Tick does what is due by time alone. It is called periodically while this node leads and is ready.
 func (l *Leader) Tick() {
 	l.commits.retryDeferredCommits()
 	l.placements.resendPlacements()
@@ -193,12 +254,14 @@
 	l.reconciler.ProbeUnreachable()
 	l.elector.ReplaceTokenIfRequested()
 	l.autoscaler.Tick()
-	if l.outbox.Now()-l.scheduler.lastCycleAt >= config.FromSeconds(l.cfg.Settings.ScanPeriodS) || l.scheduler.nextCycleAt != 0 && l.outbox.Now() >= l.scheduler.nextCycleAt {
+	periodOver := l.outbox.Now()-l.scheduler.lastCycleAt >= config.FromSeconds(l.cfg.Settings.ScanPeriodS)
+	timerOver := l.scheduler.nextCycleAt != 0 && l.outbox.Now() >= l.scheduler.nextCycleAt
+	if periodOver || timerOver {
 		l.scheduler.cycleDue = true
 	}
 }
 
-// AfterStep does what follows from a step: it writes, passes and commands.
+// AfterStep does what follows from a step of the node: it commits, runs a scheduling cycle and sends commands to workers.
 func (l *Leader) AfterStep() {
 	l.commits.commitPendingJobs()
 	l.completionLog.writeCompletionLog()
@@ -212,7 +275,8 @@
 	l.reconciler.SendUrgent()
 }
 
-// OnRecordsRead completes a takeover: all records as of a revision have been read.
+// OnRecordsRead completes a failover: all records as of a revision have been read. Reads that were
+// begun before the election are ignored.
 func (l *Leader) OnRecordsRead(revision uint64) {
 	if !l.elector.IsLeader() || l.ready || revision < l.elector.FencingToken() {
 		return
@@ -221,20 +285,8 @@
 	open := 0
 	ids := slices.Sorted(maps.Keys(l.jobs))
 	for _, id := range ids {
-		j := l.jobs[id]
-		j.completions, j.plan, j.transaction = nil, nil, nil
-		var all []job.Placement
-		j.EachPlacement(func(p job.Placement) { all = append(all, p) })
-		l.updatePlacements(j, nil, all)
-		open += j.OpenTasks
-		if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang && j.OpenTasks > 0 && j.OpenTasks < j.Record.Spec.Tasks {
-			// Where the missing tasks were is not known any more, and an attempt
-			// must not come to the same machine twice: the gang starts anew.
-			j.failedGangAttempt = max(j.failedGangAttempt, j.Record.LastAttempt)
-		}
-		if !j.Archived() || len(j.Shards) > 0 {
-			l.commits.pendingCommits[id] = true
-		}
+		l.takeOverJob(l.jobs[id])
+		open += l.jobs[id].OpenTasks
 	}
 	l.autoscaler.Activate()
 	l.reconciler.Activate()
@@ -247,7 +299,25 @@
 	l.outbox.Log("records read", "open_placements", open, "machines", l.reconciler.Registry().Len(), "after_ms", (l.outbox.Now()-l.electedAt)/1000)
 }
 
-// reset forgets what is only of use in one term, as leader or not.
+// takeOverJob begins a term for a job from its records.
+func (l *Leader) takeOverJob(j *Job) {
+	j.completions = nil
+	j.plan = nil
+	j.transaction = nil
+	var placements []job.Placement
+	j.EachPlacement(func(p job.Placement) { placements = append(placements, p) })
+	l.updatePlacements(j, nil, placements)
+	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang && j.OpenTasks > 0 && j.OpenTasks < j.Record.Spec.Tasks {
+		// Where the missing tasks were is not known any more, and an attempt
+		// must not run on the same machine twice: the gang starts a new attempt.
+		j.failedGangAttempt = max(j.failedGangAttempt, j.Record.LastAttempt)
+	}
+	if !j.Archived() || len(j.Shards) > 0 {
+		l.commits.pendingCommits[j.ID] = true
+	}
+}
+
+// reset drops what is valid for one term only, at the beginning and at the end of a term.
 func (l *Leader) reset() {
 	for _, j := range l.jobs {
 		j.resetTerm()
@@ -267,18 +337,18 @@
 	l.estimates.reset()
 }
 
-// HeartbeatBatchIn takes the heartbeats that a relay has acknowledged for this leader.
+// HeartbeatBatchIn applies and answers a batch of heartbeats that a relay has acknowledged for this leader.
 func (l *Leader) HeartbeatBatchIn(x msg.HeartbeatBatchIn) { l.delegations.onHeartbeatBatch(x) }
 
-// AnswerQuery answers an operator's query.
+// AnswerQuery answers an operator's query, through the outbox.
 func (l *Leader) AnswerQuery(x msg.AdminIn) { l.queries.answerQuery(x) }
 
-// CycleStatistics counts what scheduling cycles of this process have examined.
+// CycleStatistics returns what the scheduling cycles of this process have examined.
 func (l *Leader) CycleStatistics() CycleStatistics { return l.snapshot.cycleStatistics() }
 
 // UsageLedger returns the resource usage by team and class that the records account for.
 func (l *Leader) UsageLedger() *accounting.Ledger { return l.usageAccounts.usageLedger() }
 
-// Audit compares the scheduler's snapshot with the records and returns the first difference. It is
+// Audit compares the scheduler's snapshot with the records and returns the first difference; nil: there is none. It is
 // for tests.
 func (l *Leader) Audit() error { return l.auditor.audit() }
