--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -163,7 +163,7 @@
 }
 
 // Attach gives the leader the replica of the records, the reconciler and the autoscaler. It must be called once,
-// before any other method.
+// before the node handles its first input.
 func (l *Leader) Attach(replica *records.Replica, reconciler *reconciler.Reconciler, autoscaler *autoscaler.Autoscaler) {
 	l.replica = replica
 	l.reconciler = reconciler
--- a/internal/core/leader/placement_commits_model_test.go
+++ b/internal/core/leader/placement_commits_model_test.go
@@ -2,223 +2,224 @@
 
 import "testing"
 
-// A model of one job of one task, two pages of shared parts, two leaders and a node that may settle a
-// cancellation alone, with transactions that are sent twice and carried out at any later time. All states
+// A model of one job of one task, two placement pages, two leaders and a frontend that may cancel the job without a
+// leader, with transactions that are sent twice and applied at any later time. All states
 // that can be reached are explored. What it leaves out: proofs that a task is over, and workers.
 
 const (
 	modelPages   = 2
 	modelLeaders = 2
-	modelClaims  = 2 // versions of the claim
+	modelTerms   = 2 // versions of the leader key
 	modelWrites  = 2 // versions of a page, and of the record
 )
 
-// modelTxn is a transaction on its way: the versions that it is guarded by.
-type modelTxn struct {
-	out    bool
-	claim  int8
-	page   int8 // which it writes; -1: it settles the cancellation
-	pages  [modelPages]int8
-	record int8
+// modelTransaction is a transaction in flight, with the versions that are its conditions.
+type modelTransaction struct {
+	inFlight bool
+	term     int8
+	page     int8 // that it writes; -1: it cancels the job
+	pages    [modelPages]int8
+	record   int8
 }
 
-// modelCopy is what a node knows.
-type modelCopy struct {
-	record int8
-	cancel bool
-	pages  [modelPages]int8
-	open   [modelPages]bool
+// modelRecords is what is stored, or what a node's replica holds of it.
+type modelRecords struct {
+	record          int8
+	cancelRequested bool
+	pages           [modelPages]int8
+	open            [modelPages]bool
 }
 
 type modelLeader struct {
-	claim int8 // that it believes to hold; 0: none
-	modelCopy
-	waits bool // for the answer to a transaction
-	txn   modelTxn
+	term int8 // in which it believes to lead; 0: none
+	modelRecords
+	waiting     bool // for the answer to transaction
+	transaction modelTransaction
 }
 
-// modelState is everything; states are compared.
+// modelState is a state of the whole system; states are compared.
 type modelState struct {
-	claim, claims int8 // the one in force, 0: none; how many there were
-	modelCopy
-	settled bool
-	leaders [modelLeaders]modelLeader
-	front   modelCopy
-	late    [2]modelTxn // copies that may still be carried out
+	term, terms int8 // the current one, 0: no leader; how many there were
+	modelRecords
+	cancelled bool
+	leaders   [modelLeaders]modelLeader
+	frontend  modelRecords
+	late      [2]modelTransaction // copies that may still be applied
 }
 
-// modelGuards are what transactions are guarded by; a model without one shows what it is for.
-type modelGuards struct{ claim, page, record, settle, reread bool }
+// modelConditions are the conditions of transactions, and the reread after a conflict; a model without one of them
+// shows what it is for.
+type modelConditions struct{ term, page, record, cancellation, reread bool }
 
-var allModelGuards = modelGuards{true, true, true, true, true}
+var allModelConditions = modelConditions{true, true, true, true, true}
 
-// sent puts a copy of a transaction on its way; false: there are too many.
-func (s *modelState) sent(t modelTxn) bool {
+// send puts a copy of a transaction in flight; false: there are too many.
+func (s *modelState) send(t modelTransaction) bool {
 	for i := range s.late {
-		if !s.late[i].out {
+		if !s.late[i].inFlight {
 			s.late[i] = t
-			s.late[i].out = true
+			s.late[i].inFlight = true
 			return true
 		}
 	}
 	return false
 }
 
-// holds tells whether a transaction's guards hold.
-func (s *modelState) holds(t *modelTxn, g modelGuards) bool {
+// holds reports whether a transaction's conditions hold.
+func (s *modelState) holds(t *modelTransaction, c modelConditions) bool {
 	switch {
-	case g.record && t.record != s.record:
+	case c.record && t.record != s.record:
 		return false
 	case t.page < 0:
-		return !g.settle || t.pages == s.pages
-	case g.claim && t.claim != s.claim:
+		return !c.cancellation || t.pages == s.pages
+	case c.term && t.term != s.term:
 		return false
 	}
-	return !g.page || t.pages[t.page] == s.pages[t.page]
+	return !c.page || t.pages[t.page] == s.pages[t.page]
 }
 
-// apply carries a transaction out if its guards hold. It returns what goes wrong by that; "": nothing.
-func (s *modelState) apply(t *modelTxn, g modelGuards) (done bool, wrong string) {
-	if !s.holds(t, g) {
+// apply applies a transaction if its conditions hold. It returns the violation that this causes; "": none.
+func (s *modelState) apply(t *modelTransaction, c modelConditions) (applied bool, violation string) {
+	if !s.holds(t, c) {
 		return false, ""
 	}
 	open := s.open[0] || s.open[1]
 	if t.page < 0 {
-		s.settled, s.cancel = true, true
+		s.cancelled, s.cancelRequested = true, true
 		s.record++
 		if open {
-			return true, "settled alone while it has a place"
+			return true, "cancelled by the frontend while it has a placement"
 		}
 		return true, ""
 	}
 	s.pages[t.page]++
 	s.open[t.page] = true
 	switch {
-	case s.settled:
-		return true, "placed after it was settled as cancelled"
+	case s.cancelled:
+		return true, "placed after it was cancelled"
 	case open:
-		return true, "placed while it has a place"
+		return true, "placed while it has a placement"
 	}
 	return true, ""
 }
 
-// next lists what may happen in a state.
-func (s *modelState) next(g modelGuards) (out []modelState, wrong []string) {
+// next lists the states that may follow a state, each with the violation that the step causes.
+func (s *modelState) next(c modelConditions) (states []modelState, violations []string) {
 	add := func(change func(n *modelState) (bool, string)) {
 		n := *s
-		if ok, why := change(&n); ok {
-			out, wrong = append(out, n), append(wrong, why)
+		if possible, violation := change(&n); possible {
+			states, violations = append(states, n), append(violations, violation)
 		}
 	}
-	add(func(n *modelState) (bool, string) { n.claim = 0; return s.claim != 0, "" }) // its lease ends
-	add(func(n *modelState) (bool, string) { n.front = n.modelCopy; return true, "" })
-	add(func(n *modelState) (bool, string) { // a mark by any node
-		n.cancel = true
+	add(func(n *modelState) (bool, string) { n.term = 0; return s.term != 0, "" }) // the leader's lease ends
+	add(func(n *modelState) (bool, string) { n.frontend = n.modelRecords; return true, "" })
+	add(func(n *modelState) (bool, string) { // any node requests the cancellation in the record
+		n.cancelRequested = true
 		n.record++
-		return !s.cancel && s.record < modelWrites, ""
+		return !s.cancelRequested && s.record < modelWrites, ""
 	})
-	add(func(n *modelState) (bool, string) { // the front settles alone, by what it knows
-		free := !s.front.cancel && !s.front.open[0] && !s.front.open[1]
-		return free && n.sent(modelTxn{page: -1, pages: s.front.pages, record: s.front.record}), ""
+	add(func(n *modelState) (bool, string) { // the frontend cancels the job without a leader, by its replica
+		unplaced := !s.frontend.cancelRequested && !s.frontend.open[0] && !s.frontend.open[1]
+		return unplaced && n.send(modelTransaction{page: -1, pages: s.frontend.pages, record: s.frontend.record}), ""
 	})
-	for i := range s.late { // a copy is carried out, or never is
+	for i := range s.late { // a copy is applied, or never is
 		add(func(n *modelState) (bool, string) {
-			n.late[i] = modelTxn{}
-			_, why := n.apply(&s.late[i], g)
-			return s.late[i].out, why
+			n.late[i] = modelTransaction{}
+			_, violation := n.apply(&s.late[i], c)
+			return s.late[i].inFlight, violation
 		})
-		add(func(n *modelState) (bool, string) { n.late[i] = modelTxn{}; return s.late[i].out, "" })
+		add(func(n *modelState) (bool, string) { n.late[i] = modelTransaction{}; return s.late[i].inFlight, "" })
 	}
 	for i := range s.leaders {
-		s.lead(i, g, add)
+		s.addLeaderSteps(i, c, add)
 	}
-	return out, wrong
+	return states, violations
 }
 
-// lead adds what a leader may do.
-func (s *modelState) lead(i int, g modelGuards, add func(func(*modelState) (bool, string))) {
+// addLeaderSteps adds what a leader may do.
+func (s *modelState) addLeaderSteps(i int, c modelConditions, add func(func(*modelState) (bool, string))) {
 	l := &s.leaders[i]
-	add(func(n *modelState) (bool, string) { // it claims, and reads everything after that
-		if s.claim != 0 || s.claims == modelClaims {
+	add(func(n *modelState) (bool, string) { // it is elected, and reads everything after that
+		if s.term != 0 || s.terms == modelTerms {
 			return false, ""
 		}
-		n.claims++
-		n.claim = n.claims
-		n.leaders[i] = modelLeader{claim: n.claim, modelCopy: n.modelCopy}
+		n.terms++
+		n.term = n.terms
+		n.leaders[i] = modelLeader{term: n.term, modelRecords: n.modelRecords}
 		return true, ""
 	})
-	if l.claim == 0 {
+	if l.term == 0 {
 		return
 	}
-	add(func(n *modelState) (bool, string) { n.leaders[i].modelCopy = n.modelCopy; return !l.waits, "" }) // its watch
+	add(func(n *modelState) (bool, string) { n.leaders[i].modelRecords = n.modelRecords; return !l.waiting, "" }) // its watch
 	for page := range int8(modelPages) {
-		add(func(n *modelState) (bool, string) { // it places the job; a copy stays on its way
-			if l.waits || l.cancel || l.open[0] || l.open[1] || l.pages[page] == modelWrites {
+		add(func(n *modelState) (bool, string) { // it places the job; a copy stays in flight
+			if l.waiting || l.cancelRequested || l.open[0] || l.open[1] || l.pages[page] == modelWrites {
 				return false, ""
 			}
-			t := modelTxn{claim: l.claim, page: page, pages: l.pages, record: l.record}
-			n.leaders[i].waits, n.leaders[i].txn = true, t
-			return n.sent(t), ""
+			t := modelTransaction{term: l.term, page: page, pages: l.pages, record: l.record}
+			n.leaders[i].waiting, n.leaders[i].transaction = true, t
+			return n.send(t), ""
 		})
 	}
-	if !l.waits {
+	if !l.waiting {
 		return
 	}
-	add(func(n *modelState) (bool, string) { return n.sent(l.txn), "" }) // no answer: the same again
-	add(func(n *modelState) (bool, string) {                             // a sending is carried out and answered
-		done, why := n.apply(&l.txn, g)
-		n.leaders[i].waits = false
-		if done || g.reread { // what was refused may be an earlier sending that was carried out
-			n.leaders[i].modelCopy = n.modelCopy
+	add(func(n *modelState) (bool, string) { return n.send(l.transaction), "" }) // no answer: it is resent
+	add(func(n *modelState) (bool, string) {                                     // a sending is applied and answered
+		applied, violation := n.apply(&l.transaction, c)
+		n.leaders[i].waiting = false
+		if applied || c.reread { // after a conflict: an earlier sending may have been applied
+			n.leaders[i].modelRecords = n.modelRecords
 		}
-		return true, why
+		return true, violation
 	})
 }
 
-// explore returns how many states there are, and the first thing that goes wrong in one.
-func explore(g modelGuards) (states int, wrong string) {
+// explore returns how many states can be reached, and the first violation that was found.
+func explore(c modelConditions) (states int, violation string) {
 	first := modelState{}
 	first.record = 1
-	first.front = first.modelCopy
+	first.frontend = first.modelRecords
 	seen := map[modelState]bool{first: true}
 	for todo := []modelState{first}; len(todo) > 0; {
 		s := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		states, whys := s.next(g)
-		for i := range states {
-			if whys[i] != "" {
-				return len(seen), whys[i]
+		following, violations := s.next(c)
+		for i := range following {
+			if violations[i] != "" {
+				return len(seen), violations[i]
 			}
-			if !seen[states[i]] {
-				seen[states[i]] = true
-				todo = append(todo, states[i])
+			if !seen[following[i]] {
+				seen[following[i]] = true
+				todo = append(todo, following[i])
 			}
 		}
 	}
 	return len(seen), ""
 }
 
-// No task is placed twice, none after its job was settled as cancelled, and none is settled alone that has a place;
-// and each guard is needed for that.
-func TestPlacingModel(t *testing.T) {
-	states, wrong := explore(allModelGuards)
-	if wrong != "" {
-		t.Errorf("after %d states: %s", states, wrong)
+// No task is placed twice, none after its job was cancelled, and no job is cancelled without a leader that has a
+// placement; and each condition is needed for that.
+func TestPlacementCommitsModel(t *testing.T) {
+	states, violation := explore(allModelConditions)
+	if violation != "" {
+		t.Errorf("after %d states: %s", states, violation)
 	}
 	t.Logf("%d states", states)
-	for name, drop := range map[string]func(*modelGuards){
-		"claim":  func(g *modelGuards) { g.claim = false },
-		"page":   func(g *modelGuards) { g.page = false },
-		"record": func(g *modelGuards) { g.record = false },
-		"settle": func(g *modelGuards) { g.settle = false },
-		"reread": func(g *modelGuards) { g.reread = false },
+	for name, drop := range map[string]func(*modelConditions){
+		"term":         func(c *modelConditions) { c.term = false },
+		"page":         func(c *modelConditions) { c.page = false },
+		"record":       func(c *modelConditions) { c.record = false },
+		"cancellation": func(c *modelConditions) { c.cancellation = false },
+		"reread":       func(c *modelConditions) { c.reread = false },
 	} {
-		g := allModelGuards
-		drop(&g)
-		states, wrong := explore(g)
-		if wrong == "" {
-			t.Errorf("without the guard on %s nothing goes wrong in %d states", name, states)
+		c := allModelConditions
+		drop(&c)
+		states, violation := explore(c)
+		if violation == "" {
+			t.Errorf("without the condition on %s nothing goes wrong in %d states", name, states)
 		}
-		t.Logf("without the guard on %s: %s", name, wrong)
+		t.Logf("without the condition on %s: %s", name, violation)
 	}
 }
