--- a/internal/core/leader/commit_answers.go
+++ b/internal/core/leader/commit_answers.go
@@ -30,7 +30,7 @@
 		if !jc.elector.IsLeader() || j.transaction != t {
 			return
 		}
-		jc.pendingCommits[j.ID] = true
+		jc.requestCommit(j.ID)
 		jc.onAnswer(j, t, &d)
 	})
 }
@@ -153,7 +153,7 @@
 				jc.replica.SetShard(j.Job, n, job.Shard{}, 0)
 			}
 		}
-		jc.pendingCommits[j.ID] = true
+		jc.requestCommit(j.ID)
 		then(d.Outcome == msg.OK)
 	})
 }
--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -65,6 +65,9 @@
 	tooLargeBackoff = 10 * config.Second
 )
 
+// requestCommit has a job committed in this step, or as soon as it can be.
+func (jc *jobCommitter) requestCommit(id string) { jc.pendingCommits[id] = true }
+
 // commitPendingJobs commits what is known or decided about the pending jobs, in the order of their IDs.
 func (jc *jobCommitter) commitPendingJobs() {
 	if len(jc.pendingCommits) == 0 {
@@ -135,7 +138,7 @@
 func (jc *jobCommitter) markForReview(j *Job) {
 	jc.scheduler.cycleDue = true
 	if jc.ready {
-		jc.pendingCommits[j.ID] = true
+		jc.requestCommit(j.ID)
 	}
 }
 
--- a/internal/core/leader/completion_log.go
+++ b/internal/core/leader/completion_log.go
@@ -210,7 +210,7 @@
 		j.completions = slices.DeleteFunc(j.completions, func(c completion) bool {
 			return c.logged && c.key.Task == entry.Task && c.key.Attempt == entry.Attempt && c.machine == entry.Machine
 		})
-		cl.commits.pendingCommits[j.ID] = true
+		cl.commits.requestCommit(j.ID)
 		cl.scheduler.cycleDue = true
 	}
 	cl.unwritten = kept
@@ -248,12 +248,12 @@
 			continue
 		}
 		if placementPage, ok := c.PlacementPage(); ok {
-			cl.placements.pagesToCompact[placementPage] = true
+			cl.placements.requestCompaction(placementPage)
 			continue
 		}
 		if !j.mergeRequested {
 			j.mergeRequested = true
-			cl.commits.pendingCommits[j.ID] = true
+			cl.commits.requestCommit(j.ID)
 		}
 	}
 	return needed
--- a/internal/core/leader/completions.go
+++ b/internal/core/leader/completions.go
@@ -64,11 +64,11 @@
 		j.noteLeft(machine, key.Attempt)
 	}
 	jc.reconciler.TerminationDone(key)
-	jc.pendingCommits[key.Job] = true
+	jc.requestCommit(key.Job)
 }
 
-// confirmCancellation decides whether the user may be told that a job is cancelled. If so, the delegates are
-// to know of it before they are delegated to again.
+// confirmCancellation decides whether the cancellation of a job may be confirmed to the user. If so, nodes get
+// no further delegation before they know of it.
 func (jc *jobCommitter) confirmCancellation(j *Job) {
 	if !j.Record.CancelRequested || j.Record.Final() {
 		j.cancelling = false
@@ -79,18 +79,19 @@
 	}
 	j.cancelling = true
 	if j.OpenTasks > 0 {
-		jc.delegations.acknowledgedCancel = max(jc.delegations.acknowledgedCancel, j.Version)
+		jc.delegations.acknowledgeCancel(j.Version)
 	}
 }
 
 // cancellationCertain reports whether a cancelled job is certain to stop: every
 // open placement must be on a worker that follows this leader, so that the leader will stop the
 // task or the worker's lease ends, and no start may still be in flight that
-// could take effect after that. Where a lease may outlast the time allowed for a cancellation, only
-// proof that all of the job is over will do: a worker that receives nothing keeps its tasks until then.
-// So does a delegate that doesn't know of the cancellation: it could keep a task alive.
+// could take effect after that. Where a lease may outlast the time allowed for a cancellation, or a delegate that
+// doesn't know of the cancellation could keep a task alive, only proof that all of the job is over
+// will do: a worker that receives nothing keeps its tasks until its lease ends.
 func (jc *jobCommitter) cancellationCertain(j *Job) bool {
-	certain := j.OpenTasks == 0 || jc.cfg.Cluster.Workers.LeaseEndsInTime() && jc.delegations.cancelKnown(j.Version)
+	stopsWithLease := jc.cfg.Cluster.Workers.LeaseEndsInTime() && jc.delegations.cancelKnown(j.Version)
+	certain := j.OpenTasks == 0 || stopsWithLease
 	j.EachPlacement(func(p job.Placement) {
 		m := jc.reconciler.Registry().Get(p.Machine)
 		if m == nil || m.FencingToken < jc.elector.TermStart() {
--- a/internal/core/leader/delegations.go
+++ b/internal/core/leader/delegations.go
@@ -15,10 +15,10 @@
 // through those nodes.
 type delegations struct {
 	*environment
-	snapshot *clusterSnapshot
+	availability availabilityChecker
 
 	delegates          map[string]delegate // by node
-	acknowledgedCancel uint64              // highest version of a record whose cancellation was confirmed to a user
+	acknowledgedCancel uint64              // highest revision of a cancellation that was confirmed to a user
 }
 
 func (dg *delegations) reset() {
@@ -26,6 +26,11 @@
 	dg.acknowledgedCancel = 0
 }
 
+// availabilityChecker updates whether a machine gets tasks.
+type availabilityChecker interface {
+	checkAvailability(m *zone.Machine)
+}
+
 // delegate is another node to which this leader has delegated.
 type delegate struct {
 	until    Micros // the delegation ends; until then it holds however old the node's replica gets
@@ -55,6 +60,11 @@
 	return true
 }
 
+// acknowledgeCancel notes that a cancellation is confirmed that was committed at a revision.
+func (dg *delegations) acknowledgeCancel(revision uint64) {
+	dg.acknowledgedCancel = max(dg.acknowledgedCancel, revision)
+}
+
 // onHeartbeatBatch applies the heartbeats that a relay has acknowledged for the leader. The response names the
 // machines whose next heartbeat the relay is to forward in full, and renews the relay's delegation.
 func (dg *delegations) onHeartbeatBatch(x msg.HeartbeatBatchIn) {
@@ -71,7 +81,7 @@
 		if m != nil && m.ApplyAck(dg.outbox.Now(), ack.Incarnation, ack.Sequence) {
 			m.Reachability.NoteAnswered(dg.outbox.Now())
 			dg.reconciler.Registry().NoteContact(m, dg.outbox.Now())
-			dg.snapshot.checkAvailability(m)
+			dg.availability.checkAvailability(m)
 		}
 	}
 	dg.outbox.Respond(x.RequestID, http.StatusOK, msg.HeartbeatBatchResponse{ResendMachines: resend, Delegation: dg.grantDelegation(x)})
@@ -100,7 +110,7 @@
 			m.Relayed = true
 			m.SilentSince = 0 // a relay has received its heartbeat
 			dg.reconciler.Registry().Introduce(m)
-			dg.snapshot.checkAvailability(m)
+			dg.availability.checkAvailability(m)
 		}
 	}
 }
--- a/internal/core/leader/environment.go
+++ b/internal/core/leader/environment.go
@@ -30,12 +30,12 @@
 	// submitted before this node started. Only the order of jobs depends on it.
 	wallClockOffset Micros
 
-	teams      map[string]*config.Team
-	jobs       map[string]*Job // by ID: the jobs of the replica
-	unfinished []*Job          // oldest first: the cost of a scheduling cycle must not grow with the finished jobs
+	teams      map[string]*config.Team // by name
+	jobs       map[string]*Job         // by ID: the jobs of the replica
+	unfinished []*Job                  // oldest first: the cost of a scheduling cycle must not grow with the finished jobs
 
 	ready     bool   // this node leads, and has read the records since it was elected
-	term      uint64 // counts resets: tells answers that belong to an earlier term
+	term      uint64 // counts resets, to recognize answers that belong to an earlier term
 	failovers uint64 // how often this node was elected
 }
 
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -112,11 +112,11 @@
 	l.completionLog.scheduler = l.scheduler
 	l.completionLog.snapshot = l.snapshot
 
-	l.delegations.snapshot = l.snapshot
+	l.delegations.availability = l.snapshot
 
 	l.taskEvents.commits = l.commits
 	l.taskEvents.scheduler = l.scheduler
-	l.taskEvents.snapshot = l.snapshot
+	l.taskEvents.availability = l.snapshot
 }
 
 // connectScheduling gives the components that schedule those that they call.
@@ -276,7 +276,7 @@
 }
 
 // OnRecordsRead completes a failover: all records as of a revision have been read. Reads that were
-// begun before the election are ignored.
+// started before the election are ignored.
 func (l *Leader) OnRecordsRead(revision uint64) {
 	if !l.elector.IsLeader() || l.ready || revision < l.elector.FencingToken() {
 		return
@@ -313,7 +313,7 @@
 		j.failedGangAttempt = max(j.failedGangAttempt, j.Record.LastAttempt)
 	}
 	if !j.Archived() || len(j.Shards) > 0 {
-		l.commits.pendingCommits[j.ID] = true
+		l.commits.requestCommit(j.ID)
 	}
 }
 
--- a/internal/core/leader/page_builder.go
+++ b/internal/core/leader/page_builder.go
@@ -79,13 +79,13 @@
 	return extended, true
 }
 
-// beginPage begins another page besides those begun: the one of the replica with the most free space, or a new one;
+// beginPage begins another page besides the given ones: the one of the replica with the most free space, or a new one;
 // nil: the transaction can't have more.
-func (pc *placementCommits) beginPage(begun []*pageBuilder, limit int) *pageBuilder {
-	if len(begun) >= min(limit, pc.encoding.MaxOps()) {
+func (pc *placementCommits) beginPage(others []*pageBuilder, limit int) *pageBuilder {
+	if len(others) >= min(limit, pc.encoding.MaxOps()) {
 		return nil
 	}
-	if page := pc.rewriteEmptiestPage(begun); page != nil {
+	if page := pc.rewriteEmptiestPage(others); page != nil {
 		return page
 	}
 	// Pages are begun in the order of their numbers, and by one transaction at a time: whoever has
@@ -94,7 +94,7 @@
 	if _, busy := pc.busyPages[number]; busy {
 		return nil
 	}
-	for _, page := range begun {
+	for _, page := range others {
 		if page.version == 0 {
 			number = page.number + 1
 		}
@@ -103,11 +103,11 @@
 }
 
 // rewriteEmptiestPage begins to rewrite the idle page of the replica with the most free space; nil: none has enough.
-func (pc *placementCommits) rewriteEmptiestPage(begun []*pageBuilder) *pageBuilder {
+func (pc *placementCommits) rewriteEmptiestPage(others []*pageBuilder) *pageBuilder {
 	maxSize := int(maxPageFill * float64(pc.encoding.MaxValueBytes()))
 	emptiest, smallest := uint64(0), maxSize
 	for _, n := range pc.replica.PlacementPages() {
-		if !pc.pageIdle(n) || slices.ContainsFunc(begun, func(page *pageBuilder) bool { return page.number == n }) {
+		if !pc.pageIdle(n) || slices.ContainsFunc(others, func(page *pageBuilder) bool { return page.number == n }) {
 			continue
 		}
 		if size := pc.estimateLiveSize(n); size < smallest {
--- a/internal/core/leader/placement_answers.go
+++ b/internal/core/leader/placement_answers.go
@@ -107,7 +107,7 @@
 	}
 	for _, j := range t.jobs {
 		pc.commits.settle(j)
-		pc.commits.pendingCommits[j.ID] = true
+		pc.commits.requestCommit(j.ID)
 	}
 	pc.scheduler.cycleDue = true
 }
--- a/internal/core/leader/placement_commits.go
+++ b/internal/core/leader/placement_commits.go
@@ -197,12 +197,15 @@
 	return !busy
 }
 
+// requestCompaction has a page rewritten without what is over, with the next transaction.
+func (pc *placementCommits) requestCompaction(n uint64) { pc.pagesToCompact[n] = true }
+
 // reducePlan has less of a job planned because one transaction can't hold all of it. A gang needs
 // all of its placements, and gets them by its own record, in several transactions.
 func (pc *placementCommits) reducePlan(j *Job) {
 	if j.Record.Spec.Shape == wire.Gang {
 		j.ownRecordOnly = true
-		pc.commits.pendingCommits[j.ID] = true
+		pc.commits.requestCommit(j.ID)
 		return
 	}
 	pc.snapshot.setPlan(j, j.plan[:len(j.plan)/2])
--- a/internal/core/leader/record_events.go
+++ b/internal/core/leader/record_events.go
@@ -66,7 +66,7 @@
 func (l *Leader) DependencyCancelled(r *records.Job) {
 	l.snapshot.markJobStale(l.jobs[r.ID])
 	if l.ready {
-		l.commits.pendingCommits[r.ID] = true
+		l.commits.requestCommit(r.ID)
 	}
 }
 
--- a/internal/core/leader/task_events.go
+++ b/internal/core/leader/task_events.go
@@ -24,9 +24,9 @@
 // taskEvents draws the conclusions from the states of tasks that workers report.
 type taskEvents struct {
 	*environment
-	commits   *jobCommitter
-	scheduler *scheduler
-	snapshot  *clusterSnapshot
+	commits      *jobCommitter
+	scheduler    *scheduler
+	availability availabilityChecker
 }
 
 // failureState is how a job's tasks have failed lately, and the backoff that follows.
@@ -77,7 +77,7 @@
 	case wire.Done:
 		if m.ClearedBySuccess(j.startedAt[key.Task]) {
 			clear(m.FailedJobs)
-			te.snapshot.checkAvailability(m)
+			te.availability.checkAvailability(m)
 		}
 		j.failures = 0
 	case wire.CauseError:
@@ -102,7 +102,7 @@
 	if j.failures < maxMachineFailures { // a job that fails everywhere says nothing about machines
 		m.FailedJobs[j.ID] = te.outbox.Now()
 		m.OnProbation = false
-		te.snapshot.checkAvailability(m)
+		te.availability.checkAvailability(m)
 	}
 	if j.failedOn == nil {
 		j.failedOn = map[string]Micros{}
