--- a/internal/core/leader/job_state.go
+++ b/internal/core/leader/job_state.go
@@ -7,13 +7,13 @@
 	"coralhub/internal/core/slo"
 )
 
-// Job is a job as the scheduler of this node knows it: its records, and what each component of the
-// leader keeps about it. Every part belongs to one component, which alone changes it unless the
-// part says otherwise.
+// Job is a job as the scheduler of this node knows it: its records, and what the components of the
+// leader keep about it. Each part is declared beside the component that owns it, or here if several
+// components share it.
 type Job struct {
 	*records.Job
 
-	activeListState
+	unfinishedState
 	commitState
 	schedulingState
 	cachedJobState
@@ -25,8 +25,8 @@
 	accountingState
 }
 
-// activeListState is the place of a job in environment.unfinished.
-type activeListState struct {
+// unfinishedState is the place of a job in environment.unfinished.
+type unfinishedState struct {
 	unfinished bool   // the job is in the list
 	orderedBy  Micros // creation time by which it was inserted
 }
--- a/internal/core/leader/preemption_commits.go
+++ b/internal/core/leader/preemption_commits.go
@@ -12,7 +12,7 @@
 const (
 	// decisionInterval and maxDecisionInterval are how long the next write of decisions
 	// waits, for each decision in the last one and at most: a single one is written at
-	// once, and those of a burst share changes.
+	// once, and those of a burst share changes. In microseconds.
 	decisionInterval    = 50 * 1000
 	maxDecisionInterval = config.Second
 	// countsInterval is how often the counts of preempted tasks are written together with decisions.
