--- a/internal/core/leader/anti_affinity.go
+++ b/internal/core/leader/anti_affinity.go
@@ -8,61 +8,70 @@
 	"coralhub/wire"
 )
 
-// replicaSpread keeps the replicas of a service on more than one machine: most-room packing and images
-// draw them all to the same one, and its loss would take the whole service. No machine gets more
-// than half of them, rounded up, as long as there is room elsewhere.
+// replicaSpread is the anti-affinity of a service's replicas: bin packing and cached images draw
+// them all to the same machine, and losing it would take down the whole service. No machine gets more
+// than half of the replicas, rounded up, as long as there is free capacity elsewhere.
 type replicaSpread struct {
-	maxPerMachine int            // on one machine
+	maxPerMachine int
 	on            map[string]int // replicas by machine
 }
 
-// newReplicaSpread tells where a service's replicas are; nil: a job whose tasks may be anywhere.
+// newReplicaSpread returns where the replicas of a service are; nil: a job whose tasks may run
+// anywhere.
 func (sc *scheduler) newReplicaSpread(j *Job) *replicaSpread {
 	spec := j.Record.Spec
 	if spec.Shape != wire.Service || spec.Tasks < 2 {
 		return nil
 	}
-	a := &replicaSpread{maxPerMachine: (spec.Tasks + 1) / 2, on: map[string]int{}}
-	j.EachPlacement(func(p job.Placement) { a.on[p.Machine]++ })
-	return a
+	rs := &replicaSpread{maxPerMachine: (spec.Tasks + 1) / 2, on: map[string]int{}}
+	j.EachPlacement(func(p job.Placement) { rs.on[p.Machine]++ })
+	return rs
 }
 
-func (a *replicaSpread) place(machine string) {
-	if a != nil {
-		a.on[machine]++
+// place counts a replica that is placed on a machine.
+func (rs *replicaSpread) place(machine string) {
+	if rs != nil {
+		rs.on[machine]++
 	}
 }
 
-// bid asks for a bid without the machines that have enough of the replicas, and if there is none that
-// needs no victims, with them.
-func (a *replicaSpread) bid(q *zone.Request, ask func() *zone.Bid) *zone.Bid {
-	if a == nil {
+// bid asks for a bid that avoids the machines with enough of the replicas and, if there is none
+// without victims, for one that may use them.
+func (rs *replicaSpread) bid(q *zone.Request, ask func() *zone.Bid) *zone.Bid {
+	if rs == nil {
 		return ask()
 	}
 	avoid := q.Avoid
-	full := false
-	for name, n := range a.on {
-		if n < a.maxPerMachine {
+	if !rs.avoidFullMachines(q) {
+		return ask()
+	}
+	bid := ask()
+	q.Avoid = avoid
+	if bid != nil && len(bid.Victims) == 0 {
+		return bid
+	}
+	return ask()
+}
+
+// avoidFullMachines adds the machines with enough of the replicas to those that a request avoids. It
+// reports whether there are any.
+func (rs *replicaSpread) avoidFullMachines(q *zone.Request) bool {
+	anyFull := false
+	for name, n := range rs.on {
+		if n < rs.maxPerMachine {
 			continue
 		}
-		if !full {
-			full, q.Avoid = true, maps.Clone(q.Avoid)
+		if !anyFull {
+			anyFull = true
+			q.Avoid = maps.Clone(q.Avoid)
 			if q.Avoid == nil {
 				q.Avoid = map[string]Micros{}
 			}
 		}
-		q.Avoid[name] = longRunLevel
-	}
-	if !full {
-		return ask()
+		q.Avoid[name] = farFuture
 	}
-	b := ask()
-	q.Avoid = avoid
-	if b != nil && len(b.Victims) == 0 {
-		return b
-	}
-	return ask()
+	return anyFull
 }
 
-// longRunLevel is beyond any time that a pass has.
-const longRunLevel = Micros(1) << 62
+// farFuture is later than the time of any cycle.
+const farFuture = Micros(1) << 62
--- /dev/null
+++ b/internal/core/leader/bidding.go
@@ -0,0 +1,169 @@
+package leader
+
+import (
+	"coralhub/internal/core/queue"
+	"coralhub/internal/core/zone"
+	"coralhub/wire"
+)
+
+// failedRequest is an entry of the negative cache of a cycle: the same or a larger request fails
+// until the cycle ends, because free capacity only shrinks within a cycle.
+type failedRequest struct {
+	zone  string
+	needs zone.Resources
+	spot  bool
+	types string
+	level int
+	count int
+}
+
+// minTasks is the least number of tasks of which the placement counts as a success.
+func minTasks(q *zone.Request) int {
+	if q.AllOrNothing {
+		return q.Count
+	}
+	return 1
+}
+
+// knownToFail looks a request up in the negative cache.
+func (c *cycle) knownToFail(zoneName string, q *zone.Request, level int) bool {
+	if len(q.ReservedMachines) > 0 {
+		return false
+	}
+	for i := range c.failedRequests {
+		f := &c.failedRequests[i]
+		if f.zone == zoneName && f.needs.Fits(q.Needs) && (f.spot || !q.Spot) && f.types == q.TypeKey &&
+			f.level == level && f.count <= minTasks(q) {
+			return true
+		}
+	}
+	return false
+}
+
+// isOpenTo reports whether a job may be placed in a zone: it asks for no other, and the zone is not
+// reserved.
+func (c *cycle) isOpenTo(spec *wire.Job, zoneName string) bool {
+	wantsOther := spec.Zone != "" && spec.Zone != zoneName
+	return !wantsOther && !c.reservedZones[zoneName]
+}
+
+// zoneWithMostCapacity returns the zone with the most free capacity of those that a job may use.
+func (sc *scheduler) zoneWithMostCapacity(c *cycle, spec *wire.Job) string {
+	best, most := "", -1.0
+	for _, z := range c.zones {
+		if spec.Zone != "" && spec.Zone != z.Name {
+			continue
+		}
+		if free := z.FreeCapacity(); free > most {
+			best, most = z.Name, free
+		}
+	}
+	return best
+}
+
+// zoneRequest describes to the zones what each task of a job needs and what may be preempted for it.
+func (sc *scheduler) zoneRequest(c *cycle, j *Job, e *queue.Entry) *zone.Request {
+	spec := j.Record.Spec
+	q := &zone.Request{Job: j.ID, Needs: taskResources(spec), AllOrNothing: spec.Shape == wire.Gang, Spot: spec.Spot,
+		Types: j.types.set, TypeKey: j.types.text, Image: spec.Image, Avoid: j.failedOn, ShareFetches: sc.cfg.Settings.ShareFetches}
+	if sc.outbox.Now() < j.preemptingUntil {
+		q.ReservedMachines = j.reservedMachines
+		return q
+	}
+	ownLevel := queue.Level(j.Priority(), true)
+	claimsGuarantee := sc.snapshot.withinGuarantee(j) && queue.HasGuarantee(sc.teams[spec.Team]) &&
+		(!j.queuedBehind || sc.startOrder.mayClaimGuarantee(j, c.used))
+	mayPreemptAny := sc.anyRunsBelow(c, ownLevel) || claimsGuarantee && sc.anyTeamBorrows(c, spec.Team)
+	if !mayPreemptAny {
+		return q // victims need not be listed
+	}
+	q.MayPreempt = func(v *zone.Victim) bool {
+		victim := sc.jobs[v.Job]
+		if claimsGuarantee && victim.Record.Spec.Team != spec.Team && !sc.snapshot.withinGuarantee(victim) {
+			return true // another team's use beyond its guarantee
+		}
+		return queue.Level(victim.Priority(), true) < ownLevel && v.Level < e.Level
+	}
+	return q
+}
+
+// bestBid asks every zone for a bid on the missing tasks of an attempt and returns the best one;
+// nil: there is none.
+func (sc *scheduler) bestBid(a *placementAttempt) *zone.Bid {
+	spec := a.job.Record.Spec
+	service := spec.Shape == wire.Service
+	var best *zone.Bid
+	fewest := -1 // tasks of the job in the zone of the best bid
+	for _, z := range a.cycle.zones {
+		bid := sc.zoneBid(a, z)
+		if bid == nil {
+			continue
+		}
+		placed := a.inZone[z.Name]
+		// The replicas of a service are balanced over the zones unless that costs more victims.
+		noMoreVictims := best == nil || len(bid.Victims) <= len(best.Victims)
+		balancesReplicas := service && noMoreVictims && (fewest < 0 || placed < fewest)
+		if balancesReplicas || (!service || placed == fewest) && bid.Better(best) {
+			best, fewest = bid, placed
+		}
+	}
+	if best == nil && a.request.AllOrNothing && !spec.OneZone && len(sc.cfg.Cluster.Zones) > 1 {
+		return sc.bidAcrossZones(a)
+	}
+	return best
+}
+
+// zoneBid asks one zone for a bid; nil: the job may not be placed there, or the zone has no
+// capacity for it.
+func (sc *scheduler) zoneBid(a *placementAttempt, z *zone.Zone) *zone.Bid {
+	spec := a.job.Record.Spec
+	if !a.cycle.isOpenTo(spec, z.Name) {
+		return nil
+	}
+	if spec.OneZone && len(a.inZone) > 0 && a.inZone[z.Name] == 0 {
+		return nil
+	}
+	count := a.maxInZone(z.Name, len(a.tasks))
+	if spec.Shape == wire.Service {
+		count = min(count, 1)
+	}
+	if count <= 0 || a.request.AllOrNothing && count < len(a.tasks) && spec.OneZone {
+		return nil
+	}
+	q := *a.request
+	q.Count = count
+	if a.cycle.knownToFail(z.Name, &q, a.level) {
+		return nil
+	}
+	bid := z.Plan(sc.outbox.Now(), &q)
+	if bid == nil && len(a.request.Avoid) == 0 { // otherwise the failure says little about other jobs
+		a.cycle.failedRequests = append(a.cycle.failedRequests, failedRequest{z.Name, q.Needs, q.Spot, q.TypeKey, a.level, minTasks(&q)})
+	}
+	return bid
+}
+
+// bidAcrossZones places a gang that fits into no single zone but may be split; nil: it doesn't fit
+// into all of them together.
+func (sc *scheduler) bidAcrossZones(a *placementAttempt) *zone.Bid {
+	combined := &zone.Bid{}
+	for _, z := range a.cycle.zones {
+		if !a.cycle.isOpenTo(a.job.Record.Spec, z.Name) {
+			continue
+		}
+		count := a.maxInZone(z.Name, len(a.tasks)-len(combined.Offers))
+		if count <= 0 {
+			continue
+		}
+		q := *a.request
+		q.AllOrNothing = false
+		q.MayPreempt = nil
+		q.Count = count
+		if bid := z.Plan(sc.outbox.Now(), &q); bid != nil {
+			combined.Offers = append(combined.Offers, bid.Offers...)
+		}
+	}
+	if len(combined.Offers) < len(a.tasks) {
+		return nil
+	}
+	return combined
+}
--- a/internal/core/leader/counters.go
+++ b/internal/core/leader/counters.go
@@ -5,7 +5,7 @@
 	"coralhub/internal/core/zone"
 )
 
-// diagnostics counts what the leader does and lacks, for the debug log and the metrics.
+// diagnostics counts what the leader does and what it lacks, for the debug log and the metrics.
 type diagnostics struct {
 	*environment
 	commits       *jobCommitter
@@ -17,20 +17,28 @@
 // statisticsInterval is the time between two lines of the debug log.
 const statisticsInterval = 5 * config.Second
 
-// counters tell, in one line of the debug log, what a leader is short of: a day
-// that goes badly without a broken rule is then explained by its log.
+// counters tell, in one line of the debug log, what a leader is short of: its log then explains a
+// day that goes badly although no invariant is violated.
 type counters struct {
-	at      Micros
-	cycles  int
-	placed  int // tasks
-	pending int // jobs that wanted places in the last pass
-	without int // of them, jobs that found none for some task
-	held    int // of them, jobs that had to wait for the state service
-	moved   int // replicas, so that machines become whole
+	at       Micros
+	cycles   int
+	placed   int // tasks
+	pending  int // jobs in the queue of the last cycle
+	unplaced int // of them, jobs that could not be placed as a whole
+	deferred int // of them, jobs that wait for the key-value store
+	moved    int // replicas that were moved by defragmentation
 }
 
-// States of machines, as the metric coralhub_machines is labelled. stateKeys are their keys in the
-// log; metric labels stay as they were first released.
+// startCycle begins the count of a cycle.
+func (n *counters) startCycle(pending int) {
+	n.cycles++
+	n.pending = pending
+	n.unplaced = 0
+	n.deferred = 0
+}
+
+// States of machines: the labels of the metric coralhub_machines. Labels stay as they were first
+// released.
 const (
 	stateUsable              = "usable"
 	stateLate                = "quiet"
@@ -42,6 +50,7 @@
 	stateLeaving             = "leaving"
 )
 
+// stateKeys are the states in the order of the log line, with their keys there.
 var stateKeys = []struct{ state, key string }{
 	{stateUsable, "usable"},
 	{stateLate, "late"},
@@ -53,6 +62,7 @@
 	{stateLeaving, "leaving"},
 }
 
+// stateOf returns the state of a machine. The first one that applies counts.
 func (dx *diagnostics) stateOf(m *zone.Machine) string {
 	switch {
 	case m.Releasing || m.Failed || m.ReclaimedAt != 0:
@@ -73,7 +83,7 @@
 	return stateUsable
 }
 
-// states counts the machines.
+// states counts the machines by state.
 func (dx *diagnostics) states() map[string]int {
 	out := map[string]int{}
 	for _, m := range dx.reconciler.Registry().All() {
@@ -92,7 +102,7 @@
 		completions += len(j.completions)
 	}
 	n := &dx.counters
-	fields := []any{"cycles", n.cycles, "placed", n.placed, "pending", n.pending, "unplaced", n.without, "deferred", n.held, "moved", n.moved,
+	fields := []any{"cycles", n.cycles, "placed", n.placed, "pending", n.pending, "unplaced", n.unplaced, "deferred", n.deferred, "moved", n.moved,
 		"changes_in_flight", dx.commits.inFlightChanges, "commits_waiting", len(dx.commits.pendingCommits) + len(dx.commits.deferredCommits),
 		"completions_pending", completions, "completion_log_pending", len(dx.completionLog.unwritten)}
 	states := dx.states()
--- a/internal/core/leader/defragmentation.go
+++ b/internal/core/leader/defragmentation.go
@@ -18,111 +18,149 @@
 )
 
 const (
-	// defragAfter is how long a gang waits before machines are cleared for it: what ends by
-	// itself makes room sooner, and moving costs a service a few seconds of a replica.
+	// defragAfter is how long a gang waits before machines are cleared for it: tasks that end make
+	// capacity free sooner, and each move leaves a service without a replica for a few seconds.
 	defragAfter = 20 * config.Second
-	// defragInterval is the least time between two looks for machines to clear.
+	// defragInterval is the least time between two searches for machines to clear.
 	defragInterval = config.Second
-	// defragReservation is how long cleared machines are kept for the gang.
+	// defragReservation is how long cleared machines are reserved for the gang.
 	defragReservation = 10 * config.Second
-	// moveCooldown is how long a replica that was moved stays where it is.
+	// moveCooldown is how long a replica that was moved is not moved again.
 	moveCooldown = 2 * 60 * config.Second
-	// defragBurstSeconds is how many seconds' moves may be made at once: a gang is of use whole.
+	// defragBurstSeconds is the number of seconds whose moves may be made at once: a gang is placed
+	// as a whole or not at all.
 	defragBurstSeconds = 12
 )
 
-// defragState is what is left of the moves that the settings allow.
+// defragState limits the rate of defragmentation.
 type defragState struct {
-	moves  *rate.Limiter // told the time of the step
-	nextAt Micros        // no look before then
+	moves  *rate.Limiter // uses the time of the node's clock
+	nextAt Micros        // no search before then
 }
 
-// defragment clears machines of replicas for a gang that has found no room, if it has waited for
-// long, the cloud has no more of what would do, and what it lacks is only that free room is in
-// pieces. The replicas go elsewhere in their zone; nothing else is stopped.
-func (sc *scheduler) defragment(s *cycle, j *Job, q *zone.Request, lacks *autoscaler.Demand, level int) {
-	perS, g := sc.cfg.Settings.DefragMovesPerS, &sc.defragmentation
-	if perS <= 0 || !q.AllOrNothing || sc.outbox.Now() < g.nextAt || sc.outbox.Now()-j.arrivedAt < defragAfter || sc.outbox.Now() < j.preemptingUntil || !sc.preemptions.canAddDecision() ||
-		!sc.autoscaler.CapacityExhausted(lacks) {
+// defragment clears machines of replicas for a gang that could not be placed, if it has waited for
+// long, the cloud has no more machines that suit it, and the free capacity would do if it were not
+// fragmented. The replicas are started on other machines of their zone; nothing else is stopped.
+func (sc *scheduler) defragment(c *cycle, j *Job, q *zone.Request, demand *autoscaler.Demand, level int) {
+	if !sc.mayDefragment(j, q, demand) {
 		return
 	}
-	g.nextAt = sc.outbox.Now() + defragInterval
-	if g.moves == nil {
-		g.moves = rate.NewLimiter(rate.Limit(perS), int(perS*defragBurstSeconds))
+	state := &sc.defragmentation
+	state.nextAt = sc.outbox.Now() + defragInterval
+	if state.moves == nil {
+		perSecond := sc.cfg.Settings.DefragMovesPerS
+		state.moves = rate.NewLimiter(rate.Limit(perSecond), int(perSecond*defragBurstSeconds))
 	}
 	now := time.UnixMicro(sc.outbox.Now())
+	plan := sc.bestDefragPlan(c, j, q, demand, int(state.moves.TokensAt(now)))
+	if plan == nil {
+		return
+	}
+	state.moves.AllowN(now, plan.MovedReplicas)
+	machines := sc.reserveForDefrag(plan)
+	victims := sc.moveReplicas(plan)
+	sc.preemptions.addDecision(j, preemption.ReasonDefragmentation, level, machines, victims, defragReservation)
+	sc.diagnostics.counters.moved += plan.MovedReplicas
+	sc.outbox.Debug("defragmenting", "job", j.ID, "class", j.Record.Spec.Class, "machines", len(plan.Clear), "whole", len(plan.Whole), "replicas", plan.MovedReplicas)
+}
+
+// mayDefragment reports whether machines may be cleared now for a job that could not be placed.
+func (sc *scheduler) mayDefragment(j *Job, q *zone.Request, demand *autoscaler.Demand) bool {
+	if sc.cfg.Settings.DefragMovesPerS <= 0 || !q.AllOrNothing {
+		return false
+	}
+	now := sc.outbox.Now()
+	tooEarly := now < sc.defragmentation.nextAt || now-j.arrivedAt < defragAfter || now < j.preemptingUntil
+	return !tooEarly && sc.preemptions.canAddDecision() && sc.autoscaler.CapacityExhausted(demand)
+}
+
+// bestDefragPlan returns the plan that moves the fewest replicas, and no more than maxMoves; nil:
+// there is none.
+func (sc *scheduler) bestDefragPlan(c *cycle, j *Job, q *zone.Request, demand *autoscaler.Demand, maxMoves int) *defrag.Plan {
 	var best *defrag.Plan
-	for _, z := range s.zones {
-		if zone := j.Record.Spec.Zone; zone != "" && zone != z.Name || s.reservedZones[z.Name] {
+	for _, z := range c.zones {
+		if !c.isOpenTo(j.Record.Spec, z.Name) {
 			continue
 		}
-		p := defrag.NewPlan(lacks.Task, lacks.Count, int(g.moves.TokensAt(now)), sc.defragMachines(z, q, queue.Level(j.Priority(), true)))
-		if p != nil && (best == nil || p.MovedReplicas < best.MovedReplicas) {
-			best = p
+		plan := defrag.NewPlan(demand.Task, demand.Count, maxMoves, sc.defragMachines(z, q, queue.Level(j.Priority(), true)))
+		if plan != nil && (best == nil || plan.MovedReplicas < best.MovedReplicas) {
+			best = plan
 		}
 	}
-	if best == nil {
-		return
-	}
-	g.moves.AllowN(now, best.MovedReplicas)
-	var keep []string
-	for _, m := range slices.Concat(best.Clear, best.Whole) {
-		keep = append(keep, m.Name)
-		of := sc.reconciler.Registry().Get(m.Name)
-		of.Offer.Reserved = true
-		sc.snapshot.markMachineStale(of)
+	return best
+}
+
+// reserveForDefrag reserves the machines of a plan and returns their names.
+func (sc *scheduler) reserveForDefrag(plan *defrag.Plan) []string {
+	var names []string
+	for _, planned := range slices.Concat(plan.Clear, plan.Whole) {
+		names = append(names, planned.Name)
+		m := sc.reconciler.Registry().Get(planned.Name)
+		m.Offer.Reserved = true
+		sc.snapshot.markMachineStale(m)
 	}
+	return names
+}
+
+// moveReplicas returns the replicas that a plan moves, as victims, and records that they were moved.
+func (sc *scheduler) moveReplicas(plan *defrag.Plan) []preemption.Victim {
 	var victims []preemption.Victim
-	for _, m := range best.Clear {
+	for _, m := range plan.Clear {
 		for _, r := range m.Replicas {
-			of := sc.jobs[r.Job]
-			if of.movedAt == nil {
-				of.movedAt = map[int]Micros{}
+			service := sc.jobs[r.Job]
+			if service.movedAt == nil {
+				service.movedAt = map[int]Micros{}
 			}
-			of.movedAt[r.Task] = sc.outbox.Now()
-			victims = append(victims, sc.preemptions.victimOf(of, r.Task))
+			service.movedAt[r.Task] = sc.outbox.Now()
+			victims = append(victims, sc.preemptions.victimOf(service, r.Task))
 		}
 	}
-	sc.preemptions.addDecision(j, preemption.ReasonDefragmentation, level, keep, victims, defragReservation)
-	sc.diagnostics.counters.moved += best.MovedReplicas
-	sc.outbox.Debug("defragmenting", "job", j.ID, "class", j.Record.Spec.Class, "machines", len(best.Clear), "whole", len(best.Whole), "replicas", best.MovedReplicas)
+	return victims
 }
 
-// defragMachines describes the machines of a zone, for a request of a gang of a level. What ranks
-// lower could be preempted; moved, it might not come back before others take its place or its
-// team's limit.
+// defragMachines describes the machines of a zone for the request of a gang of a level. Work that
+// ranks lower could be preempted instead; if it were moved, others might take its new place, or its
+// team's limit, before it has started again.
 func (sc *scheduler) defragMachines(z *zone.Zone, q *zone.Request, level int) []*defrag.Machine {
 	var out []*defrag.Machine
 	for _, m := range sc.reconciler.Registry().All() {
 		if m.Zone != z.Name || m.Offer == nil || m.Offer.Reserved {
 			continue
 		}
-		x := &defrag.Machine{Name: m.Name, Type: m.Type, Spot: m.Spot, Free: m.Offer.Free, Movable: len(sc.snapshot.planned[m.Name]) == 0,
+		described := &defrag.Machine{Name: m.Name, Type: m.Type, Spot: m.Spot, Free: m.Offer.Free, Movable: len(sc.snapshot.planned[m.Name]) == 0,
 			Suitable: q.Types[m.Type] && (q.Spot || !m.Spot) && q.Avoid[m.Name] <= sc.outbox.Now()}
 		open := sc.replica.PlacementsOn(m.Name)
 		for _, key := range job.SortedAttemptKeys(open) {
-			of := sc.jobs[key.Job]
-			if of == nil || !sc.mayMoveReplica(of, key.Task) || queue.Level(of.Priority(), true) < level {
-				x.Movable = false
+			j := sc.jobs[key.Job]
+			if j == nil || !sc.mayMoveReplica(j, key.Task) || queue.Level(j.Priority(), true) < level {
+				described.Movable = false
 				continue
 			}
-			sc.classify(of)
-			x.Replicas = append(x.Replicas, defrag.Replica{Job: key.Job, Task: key.Task, Needs: taskResources(of.Record.Spec), Types: of.types.set, Spot: of.Record.Spec.Spot})
+			sc.classify(j)
+			described.Replicas = append(described.Replicas, defrag.Replica{Job: key.Job, Task: key.Task, Needs: taskResources(j.Record.Spec), Types: j.types.set, Spot: j.Record.Spec.Spot})
 		}
-		out = append(out, x)
+		out = append(out, described)
 	}
 	return out
 }
 
-// mayMoveReplica tells whether a task may be stopped to be started elsewhere: a replica of a service
-// that has all of them up, and none of it on the move or just moved.
+// mayMoveReplica reports whether a task may be stopped to be started on another machine: a replica of
+// a service that has all of its replicas up, of which none is being moved, and which was not moved
+// lately itself.
 func (sc *scheduler) mayMoveReplica(j *Job, task int) bool {
 	spec := j.Record.Spec
-	if spec == nil || spec.Shape != wire.Service || j.Record.CancelRequested || j.Record.Final() || j.OpenTasks < spec.Tasks || j.transaction != nil || len(j.plan) > 0 || len(j.completions) > 0 ||
-		sc.reconciler.IsTerminatingAny(j.ID) || len(sc.preemptions.preempted[j.ID]) > 0 || len(j.startedAt) < spec.Tasks || !queue.UnderLimit(sc.teams[spec.Team], sc.snapshot.used[spec.Team]) {
+	if spec == nil || spec.Shape != wire.Service || j.Record.CancelRequested || j.Record.Final() {
+		return false
+	}
+	allUp := j.OpenTasks >= spec.Tasks && len(j.startedAt) >= spec.Tasks
+	committing := j.transaction != nil || len(j.plan) > 0 || len(j.completions) > 0
+	if !allUp || committing || sc.reconciler.IsTerminatingAny(j.ID) || len(sc.preemptions.preempted[j.ID]) > 0 {
+		return false
+	}
+	if !queue.UnderLimit(sc.teams[spec.Team], sc.snapshot.used[spec.Team]) {
 		return false
 	}
 	maps.DeleteFunc(j.movedAt, func(_ int, at Micros) bool { return sc.outbox.Now()-at > moveCooldown })
-	_, lately := j.movedAt[task]
-	return !lately
+	_, movedLately := j.movedAt[task]
+	return !movedLately
 }
--- a/internal/core/leader/equivalence.go
+++ b/internal/core/leader/equivalence.go
@@ -9,13 +9,13 @@
 	"coralhub/wire"
 )
 
-// A flood's jobs are alike: thousands that ask for the same. Within a pass room only gets
-// less, so once one of them has found none, none of the others will, and a pass needs to
-// say so only once. What it costs goes with how much it places and with how many kinds of
-// jobs there are; of each of the others it does no more than count it.
+// The jobs of a flood are equivalent: thousands of them ask for the same. Within a cycle free
+// capacity only shrinks, so once one of them could not be placed none of the others can be, and a
+// cycle needs to find that out only once. The cost of a cycle is therefore proportional to the number
+// of tasks that it places and of equivalence classes; each of the other jobs is only counted.
 
-// equivalenceKey is all that decides, beside its level, whether a job that has no places yet
-// finds any.
+// equivalenceKey is everything that decides, beside its level, whether a job without placements can
+// be placed.
 type equivalenceKey struct {
 	needs           zone.Resources
 	types           string
@@ -24,74 +24,75 @@
 	spot            bool
 	oneZone, spread bool
 	tasks           int    // of a gang
-	team            string // whose room it may take from others
-	priority        string // of its own; its level doesn't tell it for what is beyond a guarantee
+	team            string // whose guarantee it may claim
+	priority        string // its own: beyond a guarantee the level doesn't imply it
 }
 
-// maxEquivalenceClasses is how many likenesses are kept before all are numbered anew: users choose the
-// sizes of their jobs, and most of what was numbered is over by then.
+// maxEquivalenceClasses is the number of classes from which on all are numbered anew: users choose
+// the sizes of their jobs, and most jobs of the numbered classes have ended by then.
 const maxEquivalenceClasses = 4096
 
-// equivalenceClasses numbers the likenesses of the jobs of a reign.
+// equivalenceClasses numbers the equivalence classes of the jobs of a term.
 type equivalenceClasses map[equivalenceKey]int
 
-// classOf returns the number of a job's likeness, from 1 on.
-func (a equivalenceClasses) classOf(j *Job, priority string) int {
+// classOf returns the number of a job's class, from 1 on.
+func (ec equivalenceClasses) classOf(j *Job, priority string) int {
 	spec := j.Record.Spec
-	k := equivalenceKey{needs: taskResources(spec), types: j.types.text, zone: spec.Zone, shape: spec.Shape, spot: spec.Spot,
+	key := equivalenceKey{needs: taskResources(spec), types: j.types.text, zone: spec.Zone, shape: spec.Shape, spot: spec.Spot,
 		oneZone: spec.OneZone, spread: spec.Spread, team: spec.Team, priority: priority}
 	if spec.Shape == wire.Gang {
-		k.tasks = spec.Tasks
+		key.tasks = spec.Tasks
 	}
-	n := a[k]
+	n := ec[key]
 	if n == 0 {
-		n = len(a) + 1
-		a[k] = n
+		n = len(ec) + 1
+		ec[key] = n
 	}
 	return n
 }
 
-// unschedulableCache tells of which likenesses a pass has found that no job of a level finds room:
-// a bit for each level.
+// unschedulableCache holds the equivalence classes of which a cycle could not place a job, with a bit
+// for each level.
 type unschedulableCache []uint32
 
-func (x unschedulableCache) has(like, level int) bool {
-	return like < len(x) && x[like]&(1<<level) != 0
+func (uc unschedulableCache) has(class, level int) bool {
+	return class < len(uc) && uc[class]&(1<<level) != 0
 }
 
-func (x *unschedulableCache) add(like, level int) {
-	for len(*x) <= like {
-		*x = append(*x, 0)
+func (uc *unschedulableCache) add(class, level int) {
+	for len(*uc) <= class {
+		*uc = append(*uc, 0)
 	}
-	(*x)[like] |= 1 << level
+	(*uc)[class] |= 1 << level
 }
 
-// isOrdinary tells whether nothing about a job but its likeness and its level decides whether it
-// finds room now: it has failed nowhere, nothing is kept for it, and what it has already
-// doesn't bind the rest.
+// isOrdinary reports whether nothing about a job but its equivalence class and its level decides
+// whether it can be placed now: it has failed on no machine, nothing is reserved for it, and the
+// tasks that are placed don't constrain the others.
 func (sc *scheduler) isOrdinary(j *Job) bool {
 	spec := j.Record.Spec
-	return len(j.failedOn) == 0 && sc.outbox.Now() >= j.preemptingUntil && (j.OpenTasks == 0 || spec.Shape != wire.Gang && !spec.OneZone && !spec.Spread)
+	unconstrained := j.OpenTasks == 0 || spec.Shape != wire.Gang && !spec.OneZone && !spec.Spread
+	return len(j.failedOn) == 0 && sc.outbox.Now() >= j.preemptingUntil && unconstrained
 }
 
-// knownUnschedulable tells whether one like a job has found no room in this pass. Then it counts it
-// among those without, and what it lacks among what machines are rented for.
-func (sc *scheduler) knownUnschedulable(s *cycle, j *Job, level int) bool {
-	if !s.unschedulable.has(j.equivalenceClass, level) || !sc.isOrdinary(j) {
+// knownUnschedulable reports whether an equivalent job could not be placed in this cycle. It then
+// counts the job as unplaced and adds its missing tasks to the demand for machines.
+func (sc *scheduler) knownUnschedulable(c *cycle, j *Job, level int) bool {
+	if !c.unschedulable.has(j.equivalenceClass, level) || !sc.isOrdinary(j) {
 		return false
 	}
 	spec := j.Record.Spec
-	lacks := min(spec.Tasks-j.DoneTasks-j.OpenTasks, sc.maxTasksAtOnce(j))
-	if !queue.UnderLimit(sc.teams[spec.Team], s.used[spec.Team].Plus(taskAmount(spec), float64(lacks))) {
-		return false // its team's limit has a say as well
+	missing := min(spec.Tasks-j.DoneTasks-j.OpenTasks, sc.maxTasksAtOnce(j))
+	if !queue.UnderLimit(sc.teams[spec.Team], c.used[spec.Team].Plus(taskAmount(spec), float64(missing))) {
+		return false // the team's limit matters as well
 	}
 	j.reservedMachines = nil
-	sc.addDemand(s, j, sc.demandOf(j, lacks))
+	sc.addDemand(c, j, sc.demandOf(j, missing))
 	return true
 }
 
-// maxTasksAtOnce is how many tasks of a job are placed at a time: as many as one transaction
-// can hold. A gang needs room for all.
+// maxTasksAtOnce is the number of tasks of a job that are placed at a time: as many as one
+// transaction can hold. A gang is placed as a whole.
 func (sc *scheduler) maxTasksAtOnce(j *Job) int {
 	switch {
 	case j.Record.Spec.Shape == wire.Gang:
@@ -102,58 +103,41 @@
 	return job.TasksPerShard
 }
 
-// demandOf is what so many tasks of a job, which has been described, call for.
+// demandOf returns the demand for machines of some tasks of a job that has been classified.
 func (sc *scheduler) demandOf(j *Job, count int) autoscaler.Demand {
 	spec := j.Record.Spec
 	return autoscaler.Demand{Task: taskResources(spec), Count: count, Types: j.types.set, Zone: spec.Zone, Spot: spec.Spot}
 }
 
-// addDemand notes that some of a job found no room.
-func (sc *scheduler) addDemand(s *cycle, j *Job, n autoscaler.Demand) {
-	sc.diagnostics.counters.without++
-	s.demands = append(s.demands, n)
-	if sc.outbox.Now()-j.arrivedAt > config.FromSeconds(sc.cfg.Settings.AgeCapS) && len(s.reservedZones) == 0 && sc.mayReserveZone() {
-		if z := sc.zoneWithMostCapacity(s, j.Record.Spec); z != "" {
-			s.reservedZones[z] = true
+// addDemand records that some tasks of a job could not be placed. For a job that is older than the
+// age cap it reserves a zone for the rest of the cycle.
+func (sc *scheduler) addDemand(c *cycle, j *Job, demand autoscaler.Demand) {
+	sc.diagnostics.counters.unplaced++
+	c.demands = append(c.demands, demand)
+	pastAgeCap := sc.outbox.Now()-j.arrivedAt > config.FromSeconds(sc.cfg.Settings.AgeCapS)
+	if pastAgeCap && len(c.reservedZones) == 0 && sc.mayReserveZone() {
+		if name := sc.zoneWithMostCapacity(c, j.Record.Spec); name != "" {
+			c.reservedZones[name] = true
 		}
 	}
 }
 
-// zoneReservationTime is how long a zone is barred at a time for jobs past the age cap; for as long the others have
-// their turn then, whichever job asks. What is in such a job's way may never end, and room that fits may not
-// lie idle for 90 s while a job waits.
+// zoneReservationTime is how long a zone is reserved at a time for jobs that are older than the age
+// cap; for as long after that it is not, whichever job asks. What such a job waits for may never end,
+// and capacity that fits a job may not lie idle for 90 s while the job waits.
 const zoneReservationTime = 45 * config.Second
 
-// mayReserveZone tells whether it is the turn of those past the age cap.
+// mayReserveZone reports whether a zone may be reserved now for jobs that are older than the age cap.
 func (sc *scheduler) mayReserveZone() bool {
 	return alternate(&sc.snapshot.reservedSince, sc.outbox.Now(), zoneReservationTime)
 }
 
-// alternate tells whether it is the turn of what asks for it: for so long from when it first asks, and then not for as
-// long, however often it does. It notes when the turn began.
+// alternate reports whether a reservation is allowed now: it is for a length of time from the first
+// request on, and then is not for the same length, however often it is requested. It stores when the
+// allowed time began.
 func alternate(since *Micros, now, length Micros) bool {
 	if *since == 0 || now-*since > 2*length {
 		*since = now
 	}
 	return now-*since <= length
 }
-
-const (
-	// entryTime is about what a pass takes for a job that waits, on a whole core
-	// (BenchmarkFlood).
-	entryTime = 2 // microseconds
-	// cycleShare is the part of its share of the processor that a node may spend on that.
-	cycleShare = 0.4
-)
-
-// cycleInterval is the least time between two passes. It grows with the line, so that a
-// flood leaves the leader time for its workers: a line of 100,000 jobs is gone over every
-// 2.5 s by a node with a fifth of a core.
-func (sc *scheduler) cycleInterval() Micros {
-	least := config.FromMillis(sc.cfg.Settings.CycleIntervalMS)
-	cores := sc.cfg.Cluster.Limits.Cores
-	if cores <= 0 || cores > 1 {
-		cores = 1 // one loop uses no more
-	}
-	return max(least, Micros(float64(len(sc.snapshot.wanting))*entryTime/(cores*cycleShare)))
-}
--- a/internal/core/leader/estimates.go
+++ b/internal/core/leader/estimates.go
@@ -128,7 +128,7 @@
 // writeEstimates writes a value of what was learnt, when nothing else wants changes.
 func (es *runTimeEstimates) writeEstimates() {
 	learnt := es
-	if learnt.model == nil || es.elector.TokenChangePending() || es.outbox.Now() < learnt.nextWriteAt || es.commits.inFlightChanges > 0 || len(es.completionLog.unwritten) > 0 || es.diagnostics.counters.held > 0 {
+	if learnt.model == nil || es.elector.TokenChangePending() || es.outbox.Now() < learnt.nextWriteAt || es.commits.inFlightChanges > 0 || len(es.completionLog.unwritten) > 0 || es.diagnostics.counters.deferred > 0 {
 		return
 	}
 	for i := range estimate.Chunks {
--- /dev/null
+++ b/internal/core/leader/placement_attempt.go
@@ -0,0 +1,274 @@
+package leader
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"coralhub/internal/config"
+	"coralhub/internal/core/job"
+	"coralhub/internal/core/queue"
+	"coralhub/internal/core/zone"
+	"coralhub/wire"
+)
+
+// placementAttempt is the state of finding machines for the missing tasks of one job in a cycle.
+type placementAttempt struct {
+	cycle   *cycle
+	job     *Job
+	level   int
+	request *zone.Request
+	tasks   []int  // those that still lack a machine
+	attempt uint64 // number of the attempt under which they are started
+	inZone  map[string]int
+	spread  *replicaSpread
+	// commit is false when the key-value store accepts no more changes for now: the jobs that rank
+	// highest have been committed. The others only take their capacity for this cycle, so that
+	// nothing that ranks lower gets it and machines are requested for what is missing then.
+	commit bool
+}
+
+// maxInZone bounds the number of tasks that a zone may get of those that are wanted: no more than
+// half of the tasks, rounded up, of a job that is to be spread.
+func (a *placementAttempt) maxInZone(zoneName string, wanted int) int {
+	spec := a.job.Record.Spec
+	if !spec.Spread {
+		return wanted
+	}
+	return min(wanted, (spec.Tasks+1)/2-a.inZone[zoneName])
+}
+
+// placeJob finds machines for the missing tasks of a job.
+func (sc *scheduler) placeJob(c *cycle, e *queue.Entry) {
+	j := sc.jobs[e.ID]
+	if sc.quotaExhausted(c, j) {
+		c.quotaLimited = true
+		j.stopWaitingForVictims()
+		return // as most of a long queue may
+	}
+	sc.classify(j)
+	if sc.knownUnschedulable(c, j, e.Level) {
+		return
+	}
+	ordinary := sc.isOrdinary(j)
+	missing := sc.startOrder.initialTasks(j, sc.missingTasks(j))
+	attempt, ok := sc.nextAttempt(j)
+	if !ok {
+		return
+	}
+	tasks, ok := sc.tasksWithinQuota(c, j, missing)
+	if !ok {
+		return
+	}
+	a := placementAttempt{
+		cycle:   c,
+		job:     j,
+		level:   e.Level,
+		request: sc.zoneRequest(c, j, e),
+		tasks:   tasks,
+		attempt: attempt,
+		inZone:  map[string]int{},
+		spread:  sc.newReplicaSpread(j),
+		commit:  c.changeBudget > 0,
+	}
+	sc.avoidMachinesForGang(&a)
+	j.EachPlacement(func(p job.Placement) { a.inZone[p.Zone]++ })
+	if preempts := sc.placeTasks(&a); preempts {
+		return
+	}
+	if len(a.tasks) == 0 {
+		j.stopWaitingForVictims()
+		return
+	}
+	sc.recordUnplaced(&a, ordinary)
+}
+
+// stopWaitingForVictims ends the reservation of the machines that victims leave for a job.
+func (j *Job) stopWaitingForVictims() {
+	j.preemptingUntil, j.reservedMachines = 0, nil
+}
+
+// quotaExhausted reports whether a job's team may not use one more of its tasks. Gangs are checked
+// as a whole, see tasksWithinQuota.
+func (sc *scheduler) quotaExhausted(c *cycle, j *Job) bool {
+	spec := j.Record.Spec
+	return spec.Shape != wire.Gang && !queue.UnderLimit(sc.teams[spec.Team], c.used[spec.Team].Plus(taskAmount(spec), 1))
+}
+
+// missingTasks lists the tasks that have no placement, at most as many as one transaction can hold.
+// A gang needs capacity for all of them: what its transaction can't hold is placed in the next
+// cycle, under the same attempt.
+func (sc *scheduler) missingTasks(j *Job) []int {
+	most := sc.maxTasksAtOnce(j)
+	tasks := j.Record.Spec.Tasks
+	var out []int
+	for n, end := j.Record.ShardRange(tasks); n < end; n++ {
+		shard := j.CombinedShard(n)
+		first, count := j.Record.ShardSpan(n, tasks)
+		for _, i := range shard.Missing(count) {
+			if out = append(out, first+i); len(out) == most {
+				return out
+			}
+		}
+	}
+	return out
+}
+
+// nextAttempt returns the number of the attempt under which the missing tasks of a job are started;
+// false: they can't be started now.
+func (sc *scheduler) nextAttempt(j *Job) (uint64, bool) {
+	last := j.Record.LastAttempt
+	if j.Record.Spec.Shape != wire.Gang || j.OpenTasks == 0 {
+		return last + 1, true
+	}
+	// A gang that hasn't started takes a replacement under the same number; one that has started, or
+	// that is terminating, starts again once all of its tasks have ended.
+	if last <= j.failedGangAttempt || last <= j.ranGangAttempt || sc.reconciler.IsTerminatingAny(j.ID) {
+		return 0, false
+	}
+	return last, true
+}
+
+// tasksWithinQuota returns the tasks for which the team's limit has capacity; false: a gang doesn't
+// fit as a whole and waits.
+func (sc *scheduler) tasksWithinQuota(c *cycle, j *Job, tasks []int) ([]int, bool) {
+	spec := j.Record.Spec
+	team := sc.teams[spec.Team]
+	for n := range tasks {
+		if queue.UnderLimit(team, c.used[spec.Team].Plus(taskAmount(spec), float64(n+1))) {
+			continue
+		}
+		c.quotaLimited = true
+		if spec.Shape != wire.Gang {
+			return tasks[:n], true
+		}
+		if sc.startOrder.reservesFreedMachines(j) {
+			c.used[spec.Team] = c.used[spec.Team].Plus(taskAmount(spec), float64(len(tasks)))
+		}
+		return nil, false
+	}
+	return tasks, true
+}
+
+// avoidMachinesForGang adds the machines that a gang must not use, or should not, to its request.
+func (sc *scheduler) avoidMachinesForGang(a *placementAttempt) {
+	j, q := a.job, a.request
+	if j.Record.Spec.Shape != wire.Gang {
+		return
+	}
+	if sc.cfg.Settings.GangsAvoidSlow {
+		q.Avoid = sc.estimates.addSlowMachines(q.Avoid)
+	}
+	if j.OpenTasks == 0 {
+		return
+	}
+	// An attempt must not return to a machine that it has left: the worker's messages about the
+	// former task could not be told from those about the new one.
+	q.Avoid = maps.Clone(q.Avoid)
+	if q.Avoid == nil {
+		q.Avoid = map[string]Micros{}
+	}
+	for name, left := range j.leftMachines {
+		if left == a.attempt {
+			q.Avoid[name] = sc.outbox.Now() + config.Second
+		}
+	}
+}
+
+// placeTasks accepts bids until all tasks are placed or no zone bids. It reports whether it stopped
+// because the best bid has victims: the tasks are placed when these have ended.
+func (sc *scheduler) placeTasks(a *placementAttempt) (preempts bool) {
+	for len(a.tasks) > 0 {
+		bid := a.spread.bid(a.request, func() *zone.Bid { return sc.bestBid(a) })
+		if bid == nil {
+			return false
+		}
+		if len(bid.Victims) > 0 {
+			if a.commit {
+				sc.preempt(a.job, bid, a.level)
+			}
+			return true
+		}
+		sc.acceptBid(a, bid)
+	}
+	return false
+}
+
+// acceptBid allocates the offers of a bid to the next tasks and plans their placements.
+func (sc *scheduler) acceptBid(a *placementAttempt, bid *zone.Bid) {
+	j, spec := a.job, a.job.Record.Spec
+	if a.commit && len(j.plan) == 0 {
+		a.cycle.changeBudget -= sc.commits.placementCost(j) // its record is written, or a part of a page
+	}
+	for i, offer := range bid.Offers {
+		sc.allocate(a, offer)
+		a.inZone[bid.Zone]++
+		if a.commit {
+			sc.planPlacement(a, a.tasks[i], offer.Machine)
+		}
+	}
+	if a.commit {
+		sc.outbox.Debug("placing", "job", j.ID, "class", spec.Class, "tasks", len(bid.Offers), "images_cached", bid.CachedImages, "zone", bid.Zone,
+			"age_ms", (sc.outbox.Now()-j.arrivedAt)/1000, "level", a.level)
+		sc.commits.pendingCommits[j.ID] = true
+		sc.diagnostics.counters.placed += len(bid.Offers)
+	} else {
+		sc.diagnostics.counters.deferred++
+	}
+	a.cycle.used[spec.Team] = a.cycle.used[spec.Team].Plus(taskAmount(spec), float64(len(bid.Offers)))
+	a.tasks = a.tasks[len(bid.Offers):]
+}
+
+// allocate takes the capacity of one task from an offer for the rest of the cycle.
+func (sc *scheduler) allocate(a *placementAttempt, offer *zone.Offer) {
+	image := ""
+	if a.request.ShareFetches {
+		image = a.request.Image
+	}
+	sc.snapshot.byName[offer.Zone].Allocate(offer, a.request.Needs, image)
+	sc.snapshot.markMachineStale(offer.Machine)
+	a.spread.place(offer.Machine.Name)
+}
+
+// planPlacement plans the placement of a task, which is then committed.
+func (sc *scheduler) planPlacement(a *placementAttempt, task int, m *zone.Machine) {
+	j := a.job
+	if task >= job.TasksPerShard && task%job.TasksPerShard == 0 {
+		a.cycle.changeBudget -= sc.commits.placementCost(j) // another value is written
+	}
+	sc.snapshot.addPlan(j, job.Placement{Task: task, Attempt: a.attempt, Machine: m.Name, Session: m.Incarnation, Zone: m.Zone,
+		PlacedAt: job.EncodeTime(j.Record.CreatedAt, sc.wallClock()), Spot: m.Spot})
+}
+
+// recordUnplaced records that there is no free capacity for the remaining tasks of a job: in the
+// cache of unschedulable classes if the job is ordinary, and as a demand for machines. It tries to
+// make or keep capacity for it.
+func (sc *scheduler) recordUnplaced(a *placementAttempt, ordinary bool) {
+	c, j := a.cycle, a.job
+	spec := j.Record.Spec
+	boundByPlaced := len(a.inZone) > 0 && (spec.OneZone || spec.Spread)
+	if ordinary && !boundByPlaced {
+		c.unschedulable.add(j.equivalenceClass, a.level)
+	}
+	demand := sc.demandOf(j, len(a.tasks))
+	sc.defragment(c, j, a.request, &demand, a.level)
+	sc.startOrder.reserveFreedMachines(c, j, a.request)
+	sc.addDemand(c, j, demand)
+}
+
+// classify brings the machine types that suit a job and its equivalence class up to date.
+func (sc *scheduler) classify(j *Job) {
+	if j.types.set == nil {
+		j.types.set = map[string]bool{}
+		for name, t := range sc.catalog.Types {
+			if zone.Allows(j.Record.Spec, t) {
+				j.types.set[name] = true
+			}
+		}
+		j.types.text = strings.Join(slices.Sorted(maps.Keys(j.types.set)), " ")
+		j.equivalenceClass = 0
+	}
+	if p := j.Priority(); j.equivalenceClass == 0 || j.classifiedAs != p {
+		j.equivalenceClass, j.classifiedAs = sc.snapshot.classes.classOf(j, p), p
+	}
+}
--- a/internal/core/leader/start_order.go
+++ b/internal/core/leader/start_order.go
@@ -451,7 +451,7 @@
 	var best []*zone.Offer
 	where := ""
 	for _, z := range s.zones {
-		if of := j.Record.Spec.Zone; of != "" && of != z.Name || s.reservedZones[z.Name] || s.drainedZones[z.Name] {
+		if of := j.Record.Spec.Zone; of != "" && of != z.Name || s.reservedZones[z.Name] || s.gangReservedZones[z.Name] {
 			continue
 		}
 		r := *q
@@ -463,7 +463,7 @@
 	if where == "" {
 		return
 	}
-	s.drainedZones[where] = true
+	s.gangReservedZones[where] = true
 	for _, r := range best {
 		r.Reserved = true
 		so.snapshot.markMachineStale(r.Machine)
--- /dev/null
+++ b/internal/core/leader/victims.go
@@ -0,0 +1,125 @@
+package leader
+
+import (
+	"math"
+
+	"coralhub/internal/core/job"
+	"coralhub/internal/core/queue"
+	"coralhub/internal/core/zone"
+	"coralhub/wire"
+)
+
+// wholeGang is the task number of a victim that is a whole gang.
+const wholeGang = -1
+
+// victims returns the running work of a zone that could be preempted. Most cycles find free
+// capacity without preemption, so it is listed only when a job asks.
+func (sc *scheduler) victims(c *cycle, zoneName string) []*zone.Victim {
+	if c.victims == nil {
+		c.victims = map[string][]*zone.Victim{}
+		for _, j := range sc.unfinished {
+			if !j.Record.Final() && !j.Record.CancelRequested {
+				sc.addVictims(c, j)
+			}
+		}
+		for _, vs := range c.victims {
+			zone.SortByLoss(vs)
+		}
+	}
+	return c.victims[zoneName]
+}
+
+// addVictims lists what could be preempted of a job: each task, or a gang as a whole.
+func (sc *scheduler) addVictims(c *cycle, j *Job) {
+	spec := j.Record.Spec
+	needs := taskResources(spec)
+	level := queue.Level(j.Priority(), sc.snapshot.withinGuarantee(j))
+	var gang *zone.Victim // the same one in each of its zones
+	listed := map[string]bool{}
+	j.EachPlacement(func(p job.Placement) {
+		m := sc.reconciler.Registry().Get(p.Machine)
+		if sc.reconciler.IsTerminating(p.AttemptKey(j.ID)) || sc.preemptions.isPreempted(j.ID, p.Task) || m == nil || m.Offer == nil {
+			return
+		}
+		reclaim := zone.Reclaim{Offer: m.Offer, Resources: needs}
+		described := sc.describeVictim(j, &p, level)
+		if spec.Shape != wire.Gang {
+			task := described
+			task.Reclaims = []zone.Reclaim{reclaim}
+			c.victims[m.Zone] = append(c.victims[m.Zone], &task)
+			return
+		}
+		if gang == nil {
+			whole := described
+			whole.Task = wholeGang
+			gang = &whole
+		}
+		gang.Reclaims = append(gang.Reclaims, reclaim)
+		if !listed[m.Zone] {
+			listed[m.Zone] = true
+			c.victims[m.Zone] = append(c.victims[m.Zone], gang)
+		}
+	})
+}
+
+// describeVictim returns what preempting a placed task would cost, without the resources that it
+// would free.
+func (sc *scheduler) describeVictim(j *Job, p *job.Placement, level int) zone.Victim {
+	spec := j.Record.Spec
+	v := zone.Victim{Job: j.ID, Task: p.Task, Level: level}
+	startedAt, started := j.startedAt[p.Task]
+	if !started {
+		startedAt = sc.outbox.Now()
+	}
+	v.Since = startedAt
+	if sc.cfg.Settings.VictimsByRemaining && spec.Shape != wire.Service {
+		if remaining, ok := sc.estimates.remainingTime(j, p); ok {
+			v.Left = remaining.Median
+		}
+	}
+	if spec.Shape != wire.Service && spec.CheckpointS == 0 {
+		v.Loss = sc.outbox.Now() - startedAt
+	}
+	return v
+}
+
+// runningSummary is a short description of what is placed during a cycle. Listing all of it in
+// the order in which it would be preempted costs more than the rest of a cycle; in a flood of a
+// class below which nothing runs, every cycle would do so only to find that nothing may be
+// preempted.
+type runningSummary struct {
+	lowestLevel    int             // by priority alone
+	borrowingTeams map[string]bool // teams that use more than their guarantee
+}
+
+// summarizeRunning returns the summary of a cycle. It is computed when it is first asked for.
+func (sc *scheduler) summarizeRunning(c *cycle) *runningSummary {
+	if c.running == nil {
+		c.running = &runningSummary{lowestLevel: math.MaxInt, borrowingTeams: map[string]bool{}}
+		for _, j := range sc.unfinished {
+			if j.OpenTasks == 0 || j.Record.Final() || j.Record.CancelRequested {
+				continue
+			}
+			c.running.lowestLevel = min(c.running.lowestLevel, queue.Level(j.Priority(), true))
+			if !sc.snapshot.withinGuarantee(j) {
+				c.running.borrowingTeams[j.Record.Spec.Team] = true
+			}
+		}
+	}
+	return c.running
+}
+
+// anyRunsBelow reports whether anything of a priority below a level is placed.
+func (sc *scheduler) anyRunsBelow(c *cycle, level int) bool {
+	return level > queue.Level(wire.Low, true) && sc.summarizeRunning(c).lowestLevel < level
+}
+
+// anyTeamBorrows reports whether any other team uses more than its guarantee.
+func (sc *scheduler) anyTeamBorrows(c *cycle, team string) bool {
+	for other := range sc.summarizeRunning(c).borrowingTeams {
+		if other != team {
+			return true
+		}
+	}
+	return false
+}
