--- /dev/null
+++ b/internal/core/leader/class_statistics.go
@@ -0,0 +1,245 @@
+package leader
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"coralhub/internal/config"
+	"coralhub/internal/core/queue"
+	"coralhub/internal/core/slo"
+)
+
+const (
+	// startLeadDivisor is the part of the time that a job has to start which passes between its
+	// placement and its start: its image has to be fetched, too.
+	startLeadDivisor = 8
+	// lateTolerance is the number of jobs of a class that may be late without the class being short of
+	// capacity: a single job may need what no other one needs.
+	lateTolerance = 2
+	// longQueueDivisor is the part of the time to start in which the queue of a class may be worked
+	// off; when it takes longer, the class is short of capacity before any job is late.
+	longQueueDivisor = 2
+	// shortageMinWaiting and shortageMinAge are the number of jobs that have to wait, and for how long
+	// the first of them, before the queue indicates a shortage: jobs that have just arrived may be
+	// placed at once.
+	shortageMinWaiting = 10
+	shortageMinAge     = 10 * config.Second
+	// shortageCooldown is how long a class counts as short of capacity after the last sign of it.
+	shortageCooldown = 30 * config.Second
+	// maxClassStats bounds the number of classes with statistics of their own: users choose the names.
+	maxClassStats = 1000
+)
+
+// Size bands of the jobs of a class.
+const (
+	otherBand = iota
+	largestBand
+	sizeBands
+)
+
+// classStats is what a leader knows about a class of which jobs wait.
+type classStats struct {
+	name            string
+	short           bool   // of capacity
+	shortageSeenAt  Micros // time of the last sign of a shortage; 0: none yet
+	startRate       startRate
+	waiting         int         // jobs that have not started, as of the current cycle
+	pendingWork     pendingWork // of these
+	oldestArrival   Micros      // when the first of them arrived
+	late            int         // of them, those that can't start in time any more
+	firstLate       *Job        // the late one that has waited longest
+	startsSinceLate int         // jobs that have started since the last late one did
+	lateStartAt     Micros      // when that was
+	largestFrom     int         // size bucket from which on a job is among the largest
+	tiers           [sizeBands]int
+}
+
+// sizeBand returns the size band of a job of the class.
+func (cs *classStats) sizeBand(j *Job) int {
+	if slo.SizeBucket(j.Record.Spec.Tasks) >= cs.largestFrom {
+		return largestBand
+	}
+	return otherBand
+}
+
+// resetWaiting empties the counts of waiting jobs at the beginning of a cycle.
+func (cs *classStats) resetWaiting() {
+	cs.waiting, cs.pendingWork = 0, pendingWork{}
+	cs.late, cs.firstLate = 0, nil
+}
+
+// addWaiting counts a job that has not started.
+func (cs *classStats) addWaiting(j *Job, late bool) {
+	cs.waiting++
+	if cs.waiting == 1 || j.arrivedAt < cs.oldestArrival {
+		cs.oldestArrival = j.arrivedAt
+	}
+	cs.pendingWork.add(j.Record.Spec)
+	if !late {
+		return
+	}
+	cs.late++
+	if cs.firstLate == nil || j.waitsLonger(cs.firstLate) {
+		cs.firstLate = j
+	}
+}
+
+// waitsLonger reports whether a job has waited longer than another one.
+func (j *Job) waitsLonger(other *Job) bool {
+	return cmp.Or(cmp.Compare(j.arrivedAt, other.arrivedAt), cmp.Compare(j.ID, other.ID)) < 0
+}
+
+// hasStarted reports whether a job has ever had a placement.
+func (j *Job) hasStarted() bool {
+	return j.OpenTasks > 0 || j.DoneTasks > 0 || j.Record.LastAttempt > 0 || j.Record.Final()
+}
+
+// noteStarted counts a job whose first placement is committed.
+func (so *startOrder) noteStarted(j *Job) {
+	if j.startCounted || !j.hasStarted() {
+		return
+	}
+	j.startCounted = true
+	if !so.ready || j.Record.Spec == nil || !so.cfg.Settings.StartDeadlineFirst {
+		return
+	}
+	cs := so.classStatsOf(j)
+	cs.startRate.add(so.outbox.Now())
+	cs.startsSinceLate++
+	if so.isLate(j) {
+		cs.startsSinceLate, cs.lateStartAt = 0, so.outbox.Now()
+	}
+}
+
+// classStatsOf returns the statistics of a job's class.
+func (so *startOrder) classStatsOf(j *Job) *classStats {
+	if j.classStats == nil {
+		j.classStats = so.classStatsNamed(j.Record.Spec.Class)
+	}
+	return j.classStats
+}
+
+// classStatsNamed returns the statistics of a class. Classes beyond maxClassStats share one entry.
+func (so *startOrder) classStatsNamed(class string) *classStats {
+	cs := so.byClass[class]
+	if cs == nil && len(so.byClass) >= maxClassStats {
+		class = ""
+		cs = so.byClass[class]
+	}
+	if cs == nil {
+		cs = &classStats{name: class}
+		so.byClass[class] = cs
+	}
+	return cs
+}
+
+// startDeadline is the age from which on a job without a placement can't start in time.
+func (so *startOrder) startDeadline() Micros {
+	within := config.FromSeconds(so.cfg.Settings.StartWithinS)
+	return within - within/startLeadDivisor
+}
+
+// isLate reports whether a job that has no placement yet can't start in time any more.
+func (so *startOrder) isLate(j *Job) bool { return so.outbox.Now()-j.arrivedAt >= so.startDeadline() }
+
+// shortClass returns the class of a job that has not started, if that class is short of capacity.
+func (so *startOrder) shortClass(j *Job) *classStats {
+	if cs := j.classStats; cs != nil && cs.short && !j.hasStarted() {
+		return cs
+	}
+	return nil
+}
+
+// updateShortages determines which classes are short of capacity among the jobs that lack
+// placements, and the tiers of the jobs of these classes.
+func (so *startOrder) updateShortages() {
+	if !so.cfg.Settings.StartDeadlineFirst {
+		return
+	}
+	for _, cs := range so.byClass {
+		cs.resetWaiting()
+	}
+	so.sumClaims(so.countWaiting())
+	anyShort, anyChanged := false, false
+	for _, cs := range so.byClass {
+		short := so.isShort(cs)
+		anyChanged = anyChanged || short != cs.short
+		anyShort = anyShort || short
+		cs.short = short
+	}
+	if anyChanged {
+		so.reorderTeamQueues()
+	}
+	if anyShort {
+		so.assignTiers()
+	}
+}
+
+// countWaiting counts the jobs that have not started, by class. It returns those that wait for their
+// victims to end, whose claims on a guarantee count.
+func (so *startOrder) countWaiting() (claiming []*Job) {
+	for j := range so.snapshot.wanting { // in any order: counted, and the first is chosen by a total order
+		if j.hasStarted() {
+			continue
+		}
+		if j.queuedBehind && so.outbox.Now() < j.preemptingUntil {
+			claiming = append(claiming, j)
+		}
+		so.classStatsOf(j).addWaiting(j, so.isLate(j))
+	}
+	return claiming
+}
+
+// isShort reports whether a class is short of capacity: jobs are late, or its queue is too long to be
+// worked off in time, or one of these was so a short time ago.
+func (so *startOrder) isShort(cs *classStats) bool {
+	now := so.outbox.Now()
+	queueTime, known := cs.startRate.timeToStart(now, cs.waiting)
+	if !known {
+		queueTime = 0
+	}
+	if cs.waiting >= shortageMinWaiting && !so.autoscaler.Growing() {
+		queueTime = max(queueTime, cs.pendingWork.drainTime(so.autoscaler.TotalCapacity(cs.pendingWork.spot)))
+	}
+	queueSettled := cs.waiting >= shortageMinWaiting && now-cs.oldestArrival >= shortageMinAge
+	queueTooLong := queueSettled && queueTime > so.startDeadline()/longQueueDivisor
+	if cs.late > lateTolerance || queueTooLong {
+		cs.shortageSeenAt = now
+	}
+	return cs.shortageSeenAt != 0 && now-cs.shortageSeenAt <= shortageCooldown
+}
+
+// reorderTeamQueues brings the queues of the teams up to date at once when classes have become short
+// of capacity or are so no longer: with only a part of the new order, running tasks could be preempted
+// needlessly.
+func (so *startOrder) reorderTeamQueues() {
+	for _, name := range slices.Sorted(maps.Keys(so.byClass)) {
+		cs := so.byClass[name]
+		so.outbox.Debug("class capacity", "class", cs.name, "short", cs.short, "waiting", cs.waiting, "late", cs.late)
+	}
+	anyMoved := false
+	for j := range so.snapshot.wanting {
+		if behind := so.shortClass(j) != nil; behind != j.queuedBehind {
+			j.queuedBehind, anyMoved = behind, true
+		}
+	}
+	if !anyMoved {
+		return
+	}
+	// Thousands of jobs may have to move: the queues are built anew, from the front on.
+	clear(so.snapshot.teamQueues)
+	ordered := slices.Clone(so.unfinished)
+	slices.SortFunc(ordered, (*Job).compareQueuePosition)
+	for _, j := range ordered {
+		j.queued, j.queueTeam = queue.QueuedJob{}, ""
+		so.snapshot.refreshTeamQueue(j)
+	}
+}
+
+// compareQueuePosition orders jobs as they are in the queues of their teams.
+func (j *Job) compareQueuePosition(other *Job) int {
+	return cmp.Or(cmp.Compare(j.queuePosition(), other.queuePosition()), cmp.Compare(j.ID, other.ID))
+}
+
+func compareByID(a, b *Job) int { return cmp.Compare(a.ID, b.ID) }
--- /dev/null
+++ b/internal/core/leader/pending_work.go
@@ -0,0 +1,45 @@
+package leader
+
+import (
+	"math"
+
+	"coralhub/internal/config"
+	"coralhub/internal/core/zone"
+	"coralhub/wire"
+)
+
+// maxEstimateS bounds the estimates and times that are added up, in seconds.
+const maxEstimateS = 1e6
+
+// pendingWork is the machine time that waiting jobs need by their users' estimates, in thousandths of
+// a resource times seconds. Sums of whole numbers don't depend on the order.
+type pendingWork struct {
+	cpus, gpus, memory int64
+	spot               bool // some of it may use spot instances
+}
+
+// add adds the work of a job.
+func (pw *pendingWork) add(spec *wire.Job) {
+	pw.spot = pw.spot || spec.Spot
+	if spec.Shape == wire.Service {
+		return // it is not known for how long it runs
+	}
+	taskSeconds := int64(spec.Tasks) * int64(min(math.Ceil(spec.EstimateS), maxEstimateS))
+	pw.cpus += int64(spec.CPUs*1000) * taskSeconds
+	pw.gpus += int64(spec.GPUs*1000) * taskSeconds
+	pw.memory += int64(spec.MemoryGB*1000) * taskSeconds
+}
+
+// drainTime is how long the work takes if it has all of a capacity for itself.
+func (pw *pendingWork) drainTime(capacity zone.Resources) Micros {
+	longest := 0.0
+	for _, resource := range [...]struct {
+		work     int64
+		capacity float64
+	}{{pw.cpus, capacity.CPUs}, {pw.gpus, capacity.GPUs}, {pw.memory, capacity.MemoryGB}} {
+		if resource.capacity > 0 {
+			longest = max(longest, float64(resource.work)/1000/resource.capacity)
+		}
+	}
+	return config.FromSeconds(min(longest, maxEstimateS))
+}
