--- a/internal/core/leader/admin.go
+++ b/internal/core/leader/admin.go
@@ -7,13 +7,18 @@
 	"coralhub/internal/core/frontend"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
-	"coralhub/internal/core/slo"
 	"coralhub/internal/estimate"
 	"coralhub/internal/history"
 	"coralhub/wire"
 )
 
-// operatorQueries TODO
+const (
+	maxListed  = 500 // rows of an answer
+	maxClasses = 100 // classes, or teams, that are listed by name
+)
+
+// operatorQueries answers the queries of operators. It only reads; ranking the queue for an answer may bring
+// queue positions and the time of the next cycle up to date, as a cycle does.
 type operatorQueries struct {
 	*environment
 	commits       *jobCommitter
@@ -27,13 +32,8 @@
 	usageAccounts *usageAccounts
 }
 
-const (
-	maxListed  = 500 // rows of an answer
-	maxClasses = 100 // counted apart
-)
-
-// AdminError answers a question that can't be answered, and names the leader if that is
-// another node.
+// AdminError is the body of the answer to a query that can't be answered. It names the leader if that
+// is another node.
 type AdminError struct {
 	Error  string `json:"error"`
 	Leader string `json:"leader,omitempty"`
@@ -41,147 +41,122 @@
 
 // Estimates lists what is known of run times.
 type Estimates struct {
-	Runs     uint64        `json:"runs"` // learnt from since this leader began
-	Changes  int           `json:"sudden_changes"`
+	Runs     uint64        `json:"runs"`           // observed, those of earlier leaders included
+	Changes  int           `json:"sudden_changes"` // of run times, that the model has detected
 	Kinds    []EstimateRow `json:"kinds"`
-	More     bool          `json:"more"`
+	More     bool          `json:"more"` // there are more kinds than are listed
 	Machines []SlowMachine `json:"slow_machines"`
 }
 
-// EstimateRow is an estimate as an operator reads it: seconds, and null for what can't
-// be said.
+// EstimateRow is an estimate as an operator reads it, with times in seconds.
 type EstimateRow struct {
 	Class     string      `json:"class,omitempty"`
 	Shape     string      `json:"shape,omitempty"`
 	Image     string      `json:"image,omitempty"`
-	Level     string      `json:"from"`
+	Level     string      `json:"from"` // of the jobs that it is derived from
 	Samples   float64     `json:"samples"`
 	MedianS   float64     `json:"median_s"`
-	Intervals [][]float64 `json:"intervals_s"` // 0.5, 0.8, 0.95
-	Trust     []*float64  `json:"trust"`       // of each interval: the part of recent outcomes inside
+	Intervals [][]float64 `json:"intervals_s"` // for probabilities of 0.5, 0.8 and 0.95: low and high
+	Trust     []*float64  `json:"trust"`       // share of recent outcomes in each interval; null: not known
 }
 
-// SlowMachine is a machine whose runs take longer than elsewhere.
+// SlowMachine is a machine on which runs take longer than elsewhere.
 type SlowMachine struct {
 	Machine string  `json:"machine"`
-	Times   float64 `json:"times"`
+	Times   float64 `json:"times"` // as long as elsewhere
 }
 
-// JobOutlook is what can be said of a job's end.
+// JobOutlook is what can be said of the end of a job.
 type JobOutlook struct {
 	Job            JobState     `json:"job"`
 	Class          string       `json:"class,omitempty"`
 	Estimate       *EstimateRow `json:"estimate,omitempty"` // of one task, or of a gang
-	LeftS          *float64     `json:"left_s,omitempty"`   // until the job is done, with what it needs
-	DueInS         *float64     `json:"due_in_s,omitempty"`
+	LeftS          *float64     `json:"left_s,omitempty"`   // seconds until the job is done, dependencies included
+	DueInS         *float64     `json:"due_in_s,omitempty"` // seconds until its deadline
 	Verdict        string       `json:"deadline,omitempty"`
-	DeadlineChance *float64     `json:"chance,omitempty"`
+	DeadlineChance *float64     `json:"chance,omitempty"`        // probability that it meets its deadline
 	Overdue        []string     `json:"overdue_tasks,omitempty"` // running for longer than the widest interval
 }
 
-// JobState is a job's state, as users are told it.
+// JobState is the state of a job, as users see it.
 type JobState struct {
 	ID      string `json:"id"`
 	Status  string `json:"status"`
-	Done    int    `json:"done"`
-	Running int    `json:"running"`
+	Done    int    `json:"done"`    // tasks
+	Running int    `json:"running"` // tasks
 }
 
 // Runs is a page of runs that have ended.
 type Runs struct {
-	Next   uint64         `json:"next"`
-	Missed uint64         `json:"missed"` // asked for and not kept any more
+	Next   uint64         `json:"next"`   // number to continue from
+	Missed uint64         `json:"missed"` // requested runs that are not kept any more
 	Runs   []history.Line `json:"runs"`
 }
 
-// Gauges are what a node can count of itself at a moment, and since it began.
-type Gauges struct {
-	Leading         bool
-	Records         int            // jobs known, finished ones too
-	Unfinished      int            // jobs
-	Waiting         map[string]int // jobs that want places, by class; of a leader
-	Machines        map[string]int // by state; of a leader
-	Placements      int            // open
-	InFlightChanges int            // changes of jobs on their way
-	Failovers       uint64
-	Statistics      CycleStatistics
-	EstimateRuns    uint64
-
-	CompletedInTime, StartedInTime slo.Attainment // of a leader
-	Usage                          []UsageRow
-}
-
-// gauges counts.
-func (oq *operatorQueries) gauges() Gauges {
-	g := Gauges{Leading: oq.ready, Records: len(oq.jobs), Unfinished: len(oq.unfinished), InFlightChanges: oq.commits.inFlightChanges, Failovers: oq.failovers, Statistics: oq.snapshot.statistics,
-		Waiting: map[string]int{}, Machines: map[string]int{}}
-	for _, j := range oq.unfinished {
-		g.Placements += j.OpenTasks
-	}
-	if !oq.ready {
-		return g
-	}
-	for j := range oq.snapshot.wanting {
-		class := j.Record.Spec.Class
-		if _, had := g.Waiting[class]; !had && len(g.Waiting) >= maxClasses {
-			class = "" // users choose the names: whoever reads this must not drown in them
-		}
-		g.Waiting[class]++
-	}
-	g.Machines = oq.diagnostics.states()
-	g.Usage = oq.listUsage(maxClasses)
-	g.CompletedInTime, g.StartedInTime = oq.slo.tracker.CompletedInTime(oq.wallClock()), oq.slo.tracker.StartedInTime(oq.wallClock())
-	if oq.estimates.model != nil {
-		g.EstimateRuns = oq.estimates.model.Observed()
-	}
-	return g
-}
-
-// answerQuery answers an operator.
+// answerQuery answers a query. Gauges and accounts are answered by any node, the rest by the leader.
 func (oq *operatorQueries) answerQuery(x msg.AdminIn) {
-	if x.Query == msg.QueryGauges {
-		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.gauges())
-		return
-	}
-	most := maxListed
+	limit := maxListed
 	if x.Limit > 0 {
-		most = min(most, x.Limit)
+		limit = min(limit, x.Limit)
 	}
-	if x.Query == msg.QueryAccounts {
-		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listUsage(most))
+	switch x.Query {
+	case msg.QueryGauges:
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.gauges())
+		return
+	case msg.QueryAccounts:
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listUsage(limit))
 		return
 	}
 	if !oq.ready {
 		oq.outbox.RetryLaterWith(x.RequestID, AdminError{"not the leader", oq.elector.Holder().Node})
 		return
 	}
-	if oq.answerWithoutEstimates(x, most) {
-		return
+	switch x.Query {
+	case msg.QueryPreemptions:
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listPreemptions(limit))
+	case msg.QueryWaitReason:
+		if j := oq.findJob(x); j != nil {
+			oq.outbox.Respond(x.RequestID, http.StatusOK, oq.waitReason(j))
+		}
+	default:
+		oq.answerFromEstimates(x, limit)
 	}
+}
+
+// answerFromEstimates answers the queries that need the model of run times.
+func (oq *operatorQueries) answerFromEstimates(x msg.AdminIn, limit int) {
 	if oq.estimates.model == nil {
 		oq.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "run times are not learnt: see the setting estimates"})
 		return
 	}
 	switch x.Query {
 	case msg.QueryEstimates:
-		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listEstimates(most))
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listEstimates(limit))
 	case msg.QueryRuns:
-		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listRuns(x.From, most))
+		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.listRuns(x.From, limit))
 	case msg.QueryJob:
-		j := oq.jobs[x.JobID]
-		if j == nil || j.Version == 0 {
-			oq.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "no such job"})
-			return
+		if j := oq.findJob(x); j != nil {
+			oq.outbox.Respond(x.RequestID, http.StatusOK, oq.jobOutlook(j))
 		}
-		oq.outbox.Respond(x.RequestID, http.StatusOK, oq.jobOutlook(j))
 	}
 }
 
-func (oq *operatorQueries) listEstimates(most int) Estimates {
+// findJob returns the job that a query names. If there is none it answers so and returns nil.
+func (oq *operatorQueries) findJob(x msg.AdminIn) *Job {
+	j := oq.jobs[x.JobID]
+	if j == nil || j.Version == 0 {
+		oq.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "no such job"})
+		return nil
+	}
+	return j
+}
+
+// listEstimates lists the estimates of at most limit kinds of jobs, and as many slow machines.
+func (oq *operatorQueries) listEstimates(limit int) Estimates {
 	m := oq.estimates.model
 	out := Estimates{Runs: m.Observed(), Changes: m.Changes(), Kinds: []EstimateRow{}, Machines: []SlowMachine{}}
 	m.Kinds(func(f estimate.Features) bool {
-		if out.More = len(out.Kinds) == most; out.More {
+		if out.More = len(out.Kinds) == limit; out.More {
 			return false
 		}
 		a := m.Estimate(&f)
@@ -191,51 +166,59 @@
 		return true
 	})
 	m.Slow(oq.cfg.Settings.SlowFactor, func(machine string) {
-		if len(out.Machines) < most {
+		if len(out.Machines) < limit {
 			out.Machines = append(out.Machines, SlowMachine{machine, round(m.Slowness(machine))})
 		}
 	})
 	return out
 }
 
+// round rounds to thousandths.
 func round(v float64) float64 { return math.Round(v*1000) / 1000 }
 
+// roundedSeconds converts a time in microseconds to seconds, rounded to thousandths.
+func roundedSeconds(micros Micros) float64 { return round(inSeconds(micros)) }
+
+// rowOf returns an estimate as an operator reads it.
 func rowOf(a *estimate.Answer) EstimateRow {
-	row := EstimateRow{Level: a.Level.String(), Samples: round(a.Samples), MedianS: round(float64(a.Median) / 1e6)}
+	row := EstimateRow{Level: a.Level.String(), Samples: round(a.Samples), MedianS: roundedSeconds(a.Median)}
 	for i := range estimate.Intervals {
-		row.Intervals = append(row.Intervals, []float64{round(float64(a.Low[i]) / 1e6), round(float64(a.High[i]) / 1e6)})
-		var t *float64
+		row.Intervals = append(row.Intervals, []float64{roundedSeconds(a.Low[i]), roundedSeconds(a.High[i])})
+		var trust *float64
 		if a.Trust[i] >= 0 {
 			v := round(a.Trust[i])
-			t = &v
+			trust = &v
 		}
-		row.Trust = append(row.Trust, t)
+		row.Trust = append(row.Trust, trust)
 	}
 	return row
 }
 
-func (oq *operatorQueries) listRuns(from uint64, most int) Runs {
-	learnt := oq.estimates
-	first := learnt.runsEnd - uint64(len(learnt.recentRuns))
+// listRuns lists at most limit runs from a number on.
+func (oq *operatorQueries) listRuns(from uint64, limit int) Runs {
+	es := oq.estimates
+	oldest := es.runsEnd - uint64(len(es.recentRuns))
 	out := Runs{Runs: []history.Line{}}
-	if from > learnt.runsEnd { // another leader's count
+	if from > es.runsEnd { // a number of another leader
 		from = 0
 	}
-	if from < first {
-		out.Missed, from = first-from, first
+	if from < oldest {
+		out.Missed, from = oldest-from, oldest
 	}
-	for ; from < learnt.runsEnd && len(out.Runs) < most; from++ {
-		out.Runs = append(out.Runs, learnt.recentRuns[from%keptRuns])
+	for ; from < es.runsEnd && len(out.Runs) < limit; from++ {
+		out.Runs = append(out.Runs, es.recentRuns[from%keptRuns])
 	}
 	out.Next = from
 	return out
 }
 
+// stateOfJob returns the state of a job as users see it.
 func (oq *operatorQueries) stateOfJob(j *Job) JobState {
-	st := frontend.Status(j.Job)
-	return JobState{ID: st.ID, Status: st.Status, Done: *st.Done, Running: *st.Running}
+	status := frontend.Status(j.Job)
+	return JobState{ID: status.ID, Status: status.Status, Done: *status.Done, Running: *status.Running}
 }
 
+// jobOutlook returns what can be said of the end of a job.
 func (oq *operatorQueries) jobOutlook(j *Job) JobOutlook {
 	out := JobOutlook{Job: oq.stateOfJob(j)}
 	spec := j.Record.Spec
@@ -247,28 +230,28 @@
 		return out
 	}
 	f := oq.estimates.features(j, "")
-	a := oq.estimates.model.Estimate(&f)
-	if a.Level != estimate.Unknown {
-		row := rowOf(&a)
+	perTask := oq.estimates.model.Estimate(&f)
+	if perTask.Level != estimate.Unknown {
+		row := rowOf(&perTask)
 		out.Estimate = &row
 	}
-	if s, ok := oq.estimates.completionEstimate(j, 0); ok && !j.Record.Final() {
-		left := round(s.mean)
+	if duration, ok := oq.estimates.completionEstimate(j, 0); ok && !j.Record.Final() {
+		left := round(duration.mean)
 		out.LeftS = &left
 	}
 	if spec.DeadlineS != nil {
-		due := round(float64(j.Record.CreatedAt-oq.wallClockOffset-oq.outbox.Now())/1e6 + *spec.DeadlineS)
+		due := round(oq.estimates.dueInSeconds(j))
 		out.DueInS = &due
 	}
-	if v, chance := oq.estimates.deadlineVerdict(j); v != "" {
-		out.Verdict = v
+	if verdict, chance := oq.estimates.deadlineVerdict(j); verdict != "" {
+		out.Verdict = verdict
 		if chance >= 0 {
 			chance = round(chance)
 			out.DeadlineChance = &chance
 		}
 	}
 	j.EachPlacement(func(p job.Placement) {
-		if _, runs := j.startedAt[p.Task]; runs && len(out.Overdue) < maxListed && a.Overdue(oq.estimates.workedTime(j, &p)) {
+		if _, runs := j.startedAt[p.Task]; runs && len(out.Overdue) < maxListed && perTask.Overdue(oq.estimates.workedTime(j, &p)) {
 			out.Overdue = append(out.Overdue, wire.TaskName(j.ID, p.Task))
 		}
 	})
--- /dev/null
+++ b/internal/core/leader/observed_runs.go
@@ -0,0 +1,131 @@
+package leader
+
+import (
+	"coralhub/internal/config"
+	"coralhub/internal/core/job"
+	"coralhub/internal/estimate"
+	"coralhub/internal/history"
+	"coralhub/wire"
+)
+
+// keptRuns is the number of runs that are kept for operators who record them.
+const keptRuns = 2000
+
+// noteFirstPlacement observes how long a job has waited for its first placement.
+func (es *runTimeEstimates) noteFirstPlacement(j *Job) {
+	if es.model == nil || j.Record.Spec == nil {
+		return
+	}
+	ws := es.waits[j.Record.Spec.Class]
+	if ws == nil {
+		if len(es.waits) >= es.cfg.Settings.EstimateGroups {
+			return
+		}
+		ws = &waitStats{}
+		es.waits[j.Record.Spec.Class] = ws
+	}
+	ws.add(es.outbox.Now() - j.arrivedAt)
+}
+
+// noteOwnPlacements remembers the placements that this leader has made itself.
+func (es *runTimeEstimates) noteOwnPlacements(j *Job, placed []job.Placement) {
+	if es.model == nil || len(placed) == 0 {
+		return
+	}
+	if j.ownAttempts == nil {
+		j.ownAttempts = map[int]uint64{}
+		if !j.inherited {
+			es.noteFirstPlacement(j)
+		}
+	}
+	for _, p := range placed {
+		j.ownAttempts[p.Task] = p.Attempt
+	}
+}
+
+// observeRun adds a run that has ended to the model, whatever the proof of its end. It has to be
+// called before the placement is closed.
+func (es *runTimeEstimates) observeRun(j *Job, key job.AttemptKey, machine string, done bool) {
+	spec := j.Record.Spec
+	if es.model == nil || spec == nil || spec.Shape == wire.Service {
+		return
+	}
+	startedAt, started := j.startedAt[key.Task]
+	if !started {
+		return
+	}
+	task, observedMachine := key.Task, machine
+	if spec.Shape == wire.Gang {
+		if j.observedGangAttempt >= key.Attempt || key.Attempt > j.ranGangAttempt {
+			return // observed already, or it never ran as a whole
+		}
+		j.observedGangAttempt, task = key.Attempt, wholeGang
+		if spec.Tasks > 1 {
+			observedMachine = ""
+		}
+	}
+	worked := j.savedProgress[task] + es.outbox.Now() - startedAt
+	sawWholeRun := done && j.ownAttempts[key.Task] == key.Attempt && (!j.inherited || spec.CheckpointS == 0)
+	es.model.Observe(&estimate.Evidence{Features: es.features(j, observedMachine), Ran: worked, Done: sawWholeRun})
+	es.recordRun(j, key, observedMachine, startedAt, done)
+	if !done && spec.CheckpointS != 0 {
+		es.noteSavedProgress(j, key, task, machine, worked)
+	}
+}
+
+// noteSavedProgress remembers which part of the work of a task that has not finished is saved: up to
+// the last checkpoint or, if its worker had it save its progress, all of it.
+func (es *runTimeEstimates) noteSavedProgress(j *Job, key job.AttemptKey, task int, machine string, worked Micros) {
+	if j.savedProgress == nil {
+		j.savedProgress = map[int]Micros{}
+	}
+	interval := config.FromSeconds(j.Record.Spec.CheckpointS)
+	j.savedProgress[task] = max(j.savedProgress[task], worked/interval*interval)
+	if m := es.reconciler.Registry().Get(machine); m != nil && m.Tasks[key].Saved {
+		j.savedProgress[task] = worked
+	}
+}
+
+// recordRun keeps a run for operators who record histories. The machine is empty for a gang of more
+// than one task.
+func (es *runTimeEstimates) recordRun(j *Job, key job.AttemptKey, machine string, startedAt Micros, done bool) {
+	if !es.cfg.Settings.Admin {
+		return
+	}
+	spec := j.Record.Spec
+	wallSeconds := func(at Micros) float64 { return inSeconds(at + es.wallClockOffset) }
+	line := history.Line{Ref: j.ID, Class: spec.Class, Team: spec.Team, Shape: wire.ShapeName(spec.Shape), Tasks: spec.Tasks, CPUs: spec.CPUs, GPUs: spec.GPUs,
+		MemoryGB: spec.MemoryGB, Image: spec.Image, ExpectS: spec.EstimateS, Submitted: inSeconds(j.Record.CreatedAt),
+		Started: wallSeconds(startedAt), Ended: wallSeconds(es.outbox.Now()), Outcome: es.runOutcome(j, key, machine, done), Machine: machine}
+	if spec.Shape == wire.Array {
+		line.Ref, line.Tasks = wire.TaskName(j.ID, key.Task), 1
+	}
+	if m := es.reconciler.Registry().Get(machine); m != nil {
+		line.Type = m.Type
+	}
+	if len(es.recentRuns) < keptRuns {
+		es.recentRuns = append(es.recentRuns, line)
+	} else {
+		es.recentRuns[es.runsEnd%keptRuns] = line
+	}
+	es.runsEnd++
+}
+
+// runOutcome returns how a run has ended, as histories name it.
+func (es *runTimeEstimates) runOutcome(j *Job, key job.AttemptKey, machine string, done bool) string {
+	if done {
+		return history.Done
+	}
+	if j.Record.CancelRequested {
+		return history.Cancelled
+	}
+	if m := es.reconciler.Registry().Get(machine); m != nil {
+		switch m.Tasks[key].Cause {
+		case wire.CauseStopped:
+			return history.Preempted
+		case wire.CauseError:
+			return history.Error
+		}
+	}
+	return history.Lost
+}
--- a/internal/core/leader/slo.go
+++ b/internal/core/leader/slo.go
@@ -14,24 +14,24 @@
 	"coralhub/wire"
 )
 
-// attainmentLogInterval is how often the log tells what was served.
+// attainmentLogInterval is the time between two log lines on the SLO attainment.
 const attainmentLogInterval = 60 * config.Second
 
-// sloTracker is what a node knows of what was served. Every node counts, by the records that
-// come, so that an heir goes on where the leader before it was. A node that has just started
-// knows nothing of jobs that are over: it counts those alone that were accepted since.
+// sloTracker is what a node knows of the SLO attainment. Every node counts, by the records that it
+// reads, so that a successor continues the counts of the leader before it. A node that has just started
+// knows nothing of jobs that have ended: it only counts those that were accepted since.
 type sloTracker struct {
 	*environment
 
 	tracker  *slo.Tracker
-	since    Micros // time of day; 0: not begun
+	since    Micros // time of day from which on jobs are counted; 0: not yet known
 	loggedAt Micros
 }
 
-// trackJob takes what a record says of a job.
+// trackJob counts what the record of a job says about its objectives.
 func (st *sloTracker) trackJob(j *Job) {
 	now, rec := st.wallClock(), &j.Record
-	if st.since == 0 || now == 0 || rec.CreatedAt == 0 && rec.Spec != nil || rec.CreatedAt != 0 && rec.CreatedAt < st.since {
+	if st.since == 0 || now == 0 || st.acceptedBefore(rec) {
 		return
 	}
 	if j.tracked == nil && rec.Spec != nil && !rec.Final() {
@@ -45,7 +45,7 @@
 		if j.hasStarted() {
 			st.tracker.JobStarted(now, j.tracked)
 		}
-		if rec.Phase == job.Done || rec.Spec != nil && rec.Spec.Shape == wire.Service && j.OpenTasks >= rec.Spec.Tasks {
+		if j.meetsObjective() {
 			st.tracker.JobCompleted(now, j.tracked)
 		}
 	}
@@ -54,32 +54,51 @@
 	}
 }
 
-// logAttainment writes the line when it is due.
+// acceptedBefore reports whether a job was accepted before this node began to count, or at a time
+// that is not known.
+func (st *sloTracker) acceptedBefore(rec *job.Record) bool {
+	if rec.CreatedAt == 0 {
+		return rec.Spec != nil
+	}
+	return rec.CreatedAt < st.since
+}
+
+// meetsObjective reports whether a job is done or, for a service, has all its replicas placed.
+func (j *Job) meetsObjective() bool {
+	rec := &j.Record
+	if rec.Phase == job.Done {
+		return true
+	}
+	return rec.Spec != nil && rec.Spec.Shape == wire.Service && j.OpenTasks >= rec.Spec.Tasks
+}
+
+// logAttainment writes the log lines when they are due.
 func (st *sloTracker) logAttainment() {
-	s := st
-	if st.outbox.Now()-s.loggedAt < attainmentLogInterval || st.wallClock() == 0 {
+	wall := st.wallClock()
+	if st.outbox.Now()-st.loggedAt < attainmentLogInterval || wall == 0 {
 		return
 	}
-	s.loggedAt = st.outbox.Now()
-	for _, told := range []struct {
-		what string
+	st.loggedAt = st.outbox.Now()
+	for _, objective := range []struct {
+		message string
 		slo.Attainment
-	}{{"completed within objective", s.tracker.CompletedInTime(st.wallClock())}, {"started within objective", s.tracker.StartedInTime(st.wallClock())}} {
-		if len(told.Class) > 0 {
-			st.outbox.Log(told.what, "window_s", min(slo.Window, st.wallClock()-s.since)/config.Second,
-				"class", formatShares(told.Class), "team", formatShares(told.Team), "largest", formatShares(told.Largest))
+	}{{"completed within objective", st.tracker.CompletedInTime(wall)}, {"started within objective", st.tracker.StartedInTime(wall)}} {
+		if len(objective.Class) > 0 {
+			st.outbox.Log(objective.message, "window_s", min(slo.Window, wall-st.since)/config.Second,
+				"class", formatRatios(objective.Class), "team", formatRatios(objective.Team), "largest", formatRatios(objective.Largest))
 		}
 	}
 }
 
-// formatShares lists shares, the worst first.
-func formatShares(of map[string]slo.Ratio) string {
-	names := slices.SortedFunc(maps.Keys(of), func(a, b string) int {
-		return cmp.Or(cmp.Compare(of[a].Value(), of[b].Value()), cmp.Compare(a, b))
+// formatRatios lists ratios by name with their numbers of jobs, the worst first.
+func formatRatios(ratios map[string]slo.Ratio) string {
+	names := slices.SortedFunc(maps.Keys(ratios), func(a, b string) int {
+		return cmp.Or(cmp.Compare(ratios[a].Value(), ratios[b].Value()), cmp.Compare(a, b))
 	})
 	var out []string
 	for _, name := range names[:min(len(names), maxClasses)] {
-		out = append(out, fmt.Sprintf("%s=%.2f/%d", name, math.Floor(of[name].Value()*100)/100, of[name].Jobs))
+		roundedDown := math.Floor(ratios[name].Value()*100) / 100
+		out = append(out, fmt.Sprintf("%s=%.2f/%d", name, roundedDown, ratios[name].Jobs))
 	}
 	return strings.Join(out, " ")
 }
--- a/internal/core/leader/start_order_test.go
+++ b/internal/core/leader/start_order_test.go
@@ -11,7 +11,7 @@
 // The start rate of a class is measured over the last minute, and is unknown before enough was seen.
 func TestStartRateIsThatOfTheLastMinute(t *testing.T) {
 	var rate startRate
-	now := Micros(100 * config.Second)
+	now := 100 * config.Second
 	if _, known := rate.timeToStart(now, 5); known {
 		t.Error("nothing has started, and the rate is known")
 	}
--- a/internal/core/leader/usage.go
+++ b/internal/core/leader/usage.go
@@ -14,7 +14,10 @@
 	"coralhub/wire"
 )
 
-// usageAccounts TODO
+// usageLogInterval is the time between two log lines on the resource usage of the teams.
+const usageLogInterval = 60 * config.Second
+
+// usageAccounts adds up what jobs have used, by team and class, from the records. Every node does.
 type usageAccounts struct {
 	*environment
 	scheduler *scheduler
@@ -23,52 +26,53 @@
 	usageLoggedAt Micros
 }
 
-// usageLogInterval is how often the log tells what teams have used.
-const usageLogInterval = 60 * config.Second
-
-// occupancyOf is the end of a task's stay on a machine, as it is charged.
+// occupancyOf returns the end of a placement as it is charged. Unless its work is kept, the time since the
+// last checkpoint is lost.
 func (jc *jobCommitter) occupancyOf(j *Job, key job.AttemptKey, machine string, kept bool) job.Occupancy {
 	spec := j.Record.Spec
 	if jc.encoding.Format < job.FormatPreemption || spec == nil {
 		return job.Occupancy{}
 	}
-	s := job.Occupancy{End: job.EncodeTime(j.Record.CreatedAt, jc.wallClock())}
+	occupancy := job.Occupancy{End: job.EncodeTime(j.Record.CreatedAt, jc.wallClock())}
 	if kept || spec.Shape == wire.Service {
-		return s
+		return occupancy
 	}
-	if o, open := j.Placement(key.Task, key.Attempt, machine); open && o.PlacedAt > 0 {
-		s.Lost = max(0, s.End-o.PlacedAt)
+	if p, open := j.Placement(key.Task, key.Attempt, machine); open && p.PlacedAt > 0 {
+		occupancy.Lost = max(0, occupancy.End-p.PlacedAt)
 	}
-	if spec.CheckpointS > 0 { // what came before the last checkpoint is safe
-		s.Lost = min(s.Lost, int64(spec.CheckpointS*10))
+	if spec.CheckpointS > 0 { // the work before the last checkpoint is saved
+		occupancy.Lost = min(occupancy.Lost, int64(spec.CheckpointS*encodedTimePerSecond))
 	}
-	return s
+	return occupancy
 }
 
-// usage is what a job's tasks have used, with what is proven to be over and not committed yet
-// if closing.
-func (j *Job) usage(closing bool) *job.Usage {
+// encodedTimePerSecond is the unit of job.EncodeTime: tenths of a second.
+const encodedTimePerSecond = 10
+
+// usage adds up what a job's tasks have used by the records and, if withUncommitted, by the proven ends of
+// tasks that are not committed yet.
+func (j *Job) usage(withUncommitted bool) *job.Usage {
 	sum := j.Record.Usage
 	for i := range j.Shards {
 		sum = sum.Plus(j.Shards[i].Usage)
 	}
 	sum = sum.Plus(j.PageUsage())
-	if !closing {
+	if !withUncommitted {
 		return sum
 	}
-	for _, cl := range j.completions {
-		o, open := j.Placement(cl.key.Task, cl.key.Attempt, cl.machine)
+	for _, completed := range j.completions {
+		p, open := j.Placement(completed.key.Task, completed.key.Attempt, completed.machine)
 		if !open {
 			continue
 		}
-		q := job.Shard{Open: []job.Placement{o}}
-		q.Close(cl.key.Task, cl.key.Attempt, cl.machine, cl.occupancy)
-		sum = sum.Plus(q.Usage)
+		shard := job.Shard{Open: []job.Placement{p}}
+		shard.Close(completed.key.Task, completed.key.Attempt, completed.machine, completed.occupancy)
+		sum = sum.Plus(shard.Usage)
 	}
 	return sum
 }
 
-// accountUsage tells what the records say that a job has used, and whose use it is.
+// accountUsage returns what a job has used by the records, and the account to which it is charged.
 func (j *Job) accountUsage() (accounting.Key, job.ResourceUsage) {
 	switch rec := &j.Record; {
 	case rec.Account != nil:
@@ -79,40 +83,41 @@
 	return accounting.Key{}, job.ResourceUsage{}
 }
 
-// chargeUsage brings the accounts up to what the records say of a job. Every node does.
+// chargeUsage charges what a job has used since it was last charged, by its record.
 func (ua *usageAccounts) chargeUsage(j *Job) {
 	key, use := j.accountUsage()
 	if use == j.charged && key == j.account || key == (accounting.Key{}) {
-		return // a job that is over without an account, in a format before, keeps what was counted
+		return // a job that ended under an earlier storage format has no account: what was charged stays
 	}
 	ua.ledger.Add(j.account, job.ResourceUsage{}.Plus(j.charged, -1))
 	ua.ledger.Add(key, use)
 	j.account, j.charged = key, use
 }
 
-// restoreUsage has an heir's ranks go by what teams have used before it led, by the accounts: what
-// is over, what runs, all decayed as if it had led all along. Sums depend on the order of ids.
+// restoreUsage gives a new leader the average use of the teams before its term, by the accounts: what
+// has ended and what runs, decayed as if it had led all the time. Sums depend on the order of the ids.
 func (ua *usageAccounts) restoreUsage(ids []string) {
-	wall, window := ua.wallClock(), config.FromSeconds(ua.cfg.Settings.UsageWindowS)
+	wall := ua.wallClock()
 	if wall == 0 || ua.encoding.Format < job.FormatPreemption {
 		return
 	}
+	window := config.FromSeconds(ua.cfg.Settings.UsageWindowS)
 	used := map[string]float64{}
 	for _, id := range ids {
 		j := ua.jobs[id]
 		switch rec := &j.Record; {
 		case rec.Account != nil:
-			u := rec.Account.Usage
-			charge := queue.Weigh(queue.Amount{CPUs: float64(u.CPU), GPUs: float64(u.GPU)})
-			used[rec.Account.Team] += accounting.RecentUse(charge, wall-rec.Account.End*1e6, window)
+			total := rec.Account.Usage
+			charge := queue.Weigh(queue.Amount{CPUs: float64(total.CPU), GPUs: float64(total.GPU)})
+			used[rec.Account.Team] += accounting.RecentUse(charge, wall-rec.Account.End*config.Second, window)
 		case rec.Spec != nil:
-			amount := queue.Weigh(taskAmount(rec.Spec))
-			if s := j.usage(false); s != nil {
-				used[rec.Spec.Team] += accounting.RecentUse(amount*float64(s.Time), 0, window)
+			weight := queue.Weigh(taskAmount(rec.Spec))
+			if ended := j.usage(false); ended != nil {
+				used[rec.Spec.Team] += accounting.RecentUse(weight*float64(ended.Time), 0, window)
 			}
 			j.EachPlacement(func(p job.Placement) {
-				if at := job.DecodeTime(rec.CreatedAt, p.PlacedAt); at != 0 {
-					used[rec.Spec.Team] += accounting.RunningUse(amount, wall-at, window)
+				if placedAt := job.DecodeTime(rec.CreatedAt, p.PlacedAt); placedAt != 0 {
+					used[rec.Spec.Team] += accounting.RunningUse(weight, wall-placedAt, window)
 				}
 			})
 		}
@@ -122,7 +127,8 @@
 	}
 }
 
-// logUsage writes once a minute what each team has used, and which part of all, beside its due.
+// logUsage logs when it is due what each team has used and its recent share of all use, beside its fair
+// share.
 func (ua *usageAccounts) logUsage() {
 	if ua.outbox.Now()-ua.usageLoggedAt < usageLogInterval {
 		return
@@ -133,39 +139,26 @@
 	if len(byTeam) == 0 {
 		return
 	}
+	teams := slices.SortedFunc(maps.Keys(byTeam), func(a, b string) int {
+		return cmp.Or(cmp.Compare(byTeam[b].GPU, byTeam[a].GPU), cmp.Compare(a, b))
+	})
 	shares := ua.scheduler.usage.Shares(nil)
 	var out []string
-	for _, team := range slices.SortedFunc(maps.Keys(byTeam), func(a, b string) int {
-		return cmp.Or(cmp.Compare(byTeam[b].GPU, byTeam[a].GPU), cmp.Compare(a, b))
-	}) {
-		due := 1 / float64(max(len(ua.cfg.Cluster.Teams), 1))
-		if w := ua.scheduler.weights[team]; w > 0 {
-			due *= w
-		}
+	for _, team := range teams[:min(len(teams), maxClasses)] {
 		u := byTeam[team]
-		out = append(out, fmt.Sprintf("%s=%d/%d/%d share=%.2f fair_share=%.2f", team, u.GPU/1e6, u.CPU/1e6, u.Lost/1e6, shares[team], due))
-		if len(out) == maxClasses {
-			break
-		}
+		out = append(out, fmt.Sprintf("%s=%d/%d/%d share=%.2f fair_share=%.2f", team, u.GPU/config.Second, u.CPU/config.Second, u.Lost/config.Second, shares[team], ua.fairShare(team)))
 	}
 	ua.outbox.Log("resource usage", "gpu_s/cpu_s/repeated_task_s", strings.Join(out, " "))
 }
 
-// usageLedger are what the records say that all have used, for who asks.
-func (ua *usageAccounts) usageLedger() *accounting.Ledger { return &ua.ledger }
-
-// auditAccounts adds the accounts up anew.
-func (au *auditor) auditAccounts() error {
-	var again accounting.Ledger
-	for _, j := range au.jobs {
-		key, use := j.accountUsage()
-		if key == (accounting.Key{}) && j.charged != (job.ResourceUsage{}) {
-			return nil // part of it is from a format before
-		}
-		again.Add(key, use)
+// fairShare is the part of all use, 0 to 1, that a team is entitled to.
+func (ua *usageAccounts) fairShare(team string) float64 {
+	share := 1 / float64(max(len(ua.cfg.Cluster.Teams), 1))
+	if w := ua.scheduler.weights[team]; w > 0 {
+		share *= w
 	}
-	if !again.Equal(&au.usageAccounts.ledger) {
-		return fmt.Errorf("accounts differ from what the records add up to")
-	}
-	return nil
+	return share
 }
+
+// usageLedger returns the accounts.
+func (ua *usageAccounts) usageLedger() *accounting.Ledger { return &ua.ledger }
