--- a/internal/core/accounting/ledger.go
+++ b/internal/core/accounting/ledger.go
@@ -1,7 +1,7 @@
-// Package accounting adds up what the work of each team and class has used of the machines. What a
-// job has used is part of its record: a stay on a machine is charged by the very change that
-// closes its placement, once and only once, whatever is lost, repeated or late. So the sums are
-// a function of the committed records, and every node has the same.
+// Package accounting adds up what the tasks of each team and class have used of the machines. What a job
+// has used is part of its record: the time of a placement is charged by the same change that closes it, once
+// and only once, whatever is lost, repeated or late. So the sums are a function of the committed records, and
+// every node computes the same ones.
 package accounting
 
 import (
@@ -18,48 +18,51 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
-// maxKeys are kept apart: users choose the names of classes.
+// maxKeys bounds the number of accounts: users choose the names of classes.
 const maxKeys = 1000
 
-// Key is whose use it is.
+// Key names an account: the use of a team's class, as batch jobs or as services.
 type Key struct {
 	Team, Class string
 	Service     bool
 }
 
-// KeyOf tells whose account a job's use goes to.
+// KeyOf returns the account to which the use of a job is charged.
 func KeyOf(spec *wire.Job) Key { return Key{spec.Team, spec.Class, spec.Shape == wire.Service} }
 
-// Ledger is the accounts of all.
+// Ledger holds all accounts. Its zero value is empty.
 type Ledger struct{ sums map[Key]job.ResourceUsage }
 
-// Add charges an account. When there are too many, classes lose their names.
-func (b *Ledger) Add(k Key, u job.ResourceUsage) {
+// Add charges an account. When there are too many accounts, the use of further classes is charged to one
+// without a class.
+func (l *Ledger) Add(k Key, u job.ResourceUsage) {
 	if u == (job.ResourceUsage{}) {
 		return
 	}
-	if b.sums == nil {
-		b.sums = map[Key]job.ResourceUsage{}
+	if l.sums == nil {
+		l.sums = map[Key]job.ResourceUsage{}
 	}
-	if _, had := b.sums[k]; !had && len(b.sums) >= maxKeys {
+	if _, exists := l.sums[k]; !exists && len(l.sums) >= maxKeys {
 		k.Class = ""
 	}
-	if b.sums[k] = b.sums[k].Plus(u, 1); b.sums[k] == (job.ResourceUsage{}) {
-		delete(b.sums, k)
+	l.sums[k] = l.sums[k].Plus(u, 1)
+	if l.sums[k] == (job.ResourceUsage{}) {
+		delete(l.sums, k)
 	}
 }
 
-// Each calls f for each account, in order.
-func (b *Ledger) Each(f func(Key, job.ResourceUsage)) {
-	keys := slices.SortedFunc(maps.Keys(b.sums), func(x, y Key) int {
-		return cmp.Or(cmp.Compare(x.Team, y.Team), cmp.Compare(x.Class, y.Class), order(x.Service, y.Service))
+// Each calls f for each account, ordered by team, class and kind.
+func (l *Ledger) Each(f func(Key, job.ResourceUsage)) {
+	keys := slices.SortedFunc(maps.Keys(l.sums), func(a, b Key) int {
+		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class), compareBool(a.Service, b.Service))
 	})
 	for _, k := range keys {
-		f(k, b.sums[k])
+		f(k, l.sums[k])
 	}
 }
 
-func order(a, b bool) int {
+// compareBool orders false before true.
+func compareBool(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -69,16 +72,16 @@
 	return 1
 }
 
-// Equal tells whether two books say the same.
-func (b *Ledger) Equal(o *Ledger) bool { return maps.Equal(b.sums, o.sums) }
+// Equal reports whether two ledgers hold the same accounts.
+func (l *Ledger) Equal(other *Ledger) bool { return maps.Equal(l.sums, other.sums) }
 
-// RecentUse is what a charge still counts for in an average over a window, so long after it was
-// made: the average of what was used is what decides between teams, not the sum of all times.
+// RecentUse is what a charge still contributes to an exponentially decaying average over a window, some
+// time after it was made: fair share is decided by the average use, not by the sum of all times.
 func RecentUse(charge float64, ago, window Micros) float64 {
 	return charge / float64(window) * math.Exp(-float64(max(ago, 0))/float64(window))
 }
 
-// RunningUse is what something counts for there that has run for so long and still does.
+// RunningUse is what a task contributes to that average that has used an amount for some time and still does.
 func RunningUse(amount float64, since, window Micros) float64 {
 	return amount * (1 - math.Exp(-float64(max(since, 0))/float64(window)))
 }
--- a/internal/core/defrag/plan.go
+++ b/internal/core/defrag/plan.go
@@ -1,7 +1,7 @@
-// Package defrag decides which machines to clear of work that never ends, so that they become
-// whole for a gang that finds no room though there is enough in sum. Most-room packing spreads
-// replicas over all machines; once most of a flood's are cancelled, a few are left on each, and
-// no machine becomes whole by itself ever again.
+// Package defrag plans the defragmentation of a zone: which machines to clear of long-running replicas so
+// that a gang fits which finds no free capacity although there is enough in sum. Bin packing spreads
+// replicas over all machines; once most replicas of a flood have been cancelled, a few are left on each
+// machine, and as they never end no machine becomes free by itself.
 package defrag
 
 import (
@@ -11,76 +11,69 @@
 	"coralhub/internal/core/zone"
 )
 
-// Replica is a task of a service that may be moved.
+// Replica is a task of a service that may be moved to another machine.
 type Replica struct {
 	Job   string
 	Task  int
 	Needs zone.Resources
-	Types map[string]bool // on which it may run
-	Spot  bool            // spot machines will do
+	Types map[string]bool // machine types on which it may run
+	Spot  bool            // it may run on spot instances
 }
 
-// Machine is one of a zone.
+// Machine is a machine of the zone.
 type Machine struct {
 	Name, Type string
 	Spot       bool
 	Free       zone.Resources
 	Suitable   bool      // the gang may use it
-	Movable    bool      // nothing but Replicas is there
-	Replicas   []Replica // may be moved now
+	Movable    bool      // nothing is placed on it but Replicas
+	Replicas   []Replica // those that may be moved now
 }
 
-// Plan is which machines to clear, and which have the rest of the gang's room already.
+// Plan is which machines to clear for a gang, and which have free capacity for the rest of it already.
 type Plan struct {
 	Clear, Whole  []*Machine
 	MovedReplicas int
 }
 
-// NewPlan plans room for so many tasks of a gang on the machines of one zone, with as few moves as
-// it finds and no more than most; nil: it finds none. What is moved fits elsewhere in the zone,
-// on machines that are not whole, and no two of one job are moved at a time.
-func NewPlan(needs zone.Resources, count, most int, machines []*Machine) *Plan {
+// NewPlan plans free capacity for count tasks of a gang on the machines of one zone, with as few moves as
+// it finds and no more than maxMoves. It returns nil if it finds no plan, or if the gang fits without
+// one. The replicas that are moved fit on other machines of the zone that have no free capacity for a task
+// of the gang, and no two replicas of one job are moved at a time.
+func NewPlan(needs zone.Resources, count, maxMoves int, machines []*Machine) *Plan {
 	p := &Plan{}
-	var clear []*Machine
-	gain := map[*Machine]int{}
+	var candidates []candidate
 	for _, m := range machines {
 		if !m.Suitable {
 			continue
 		}
-		if has := needs.Count(m.Free); has > 0 {
+		if fit := needs.Count(m.Free); fit > 0 {
 			if count > 0 {
 				p.Whole = append(p.Whole, m)
-				count -= has
+				count -= fit
 			}
 			continue
 		}
-		free := m.Free
-		for _, r := range m.Replicas {
-			free = free.Plus(r.Needs, 1)
-		}
-		if n := needs.Count(free); m.Movable && n > 0 {
-			clear = append(clear, m)
-			gain[m] = n
+		if gain := gainOf(m, needs); m.Movable && gain > 0 {
+			candidates = append(candidates, candidate{m, gain})
 		}
 	}
 	if count <= 0 {
-		return nil // it has room: it is not for want of whole machines that it waits
+		return nil // it fits: fragmentation is not why it waits
 	}
-	slices.SortFunc(clear, func(a, b *Machine) int { // fewest moves for a task, by cross product
-		return cmp.Or(cmp.Compare(len(a.Replicas)*gain[b], len(b.Replicas)*gain[a]), cmp.Compare(a.Name, b.Name))
-	})
+	slices.SortFunc(candidates, candidate.compare)
 	to := targets(machines, needs)
 	moved := map[string]bool{}
-	for _, m := range clear {
+	for _, c := range candidates {
 		if count <= 0 {
 			break
 		}
-		if p.MovedReplicas+len(m.Replicas) > most || !to.place(m, moved) {
+		if p.MovedReplicas+len(c.Replicas) > maxMoves || !to.place(c.Machine, moved) {
 			continue
 		}
-		p.Clear = append(p.Clear, m)
-		p.MovedReplicas += len(m.Replicas)
-		count -= gain[m]
+		p.Clear = append(p.Clear, c.Machine)
+		p.MovedReplicas += len(c.Replicas)
+		count -= c.gain
 	}
 	if count > 0 {
 		return nil
@@ -88,66 +81,103 @@
 	return p
 }
 
-// slot is what is left on a machine that replicas may be moved to.
-type slot struct {
+// gainOf is the number of the gang's tasks that fit on a machine without its replicas.
+func gainOf(m *Machine, needs zone.Resources) int {
+	free := m.Free
+	for _, r := range m.Replicas {
+		free = free.Plus(r.Needs, 1)
+	}
+	return needs.Count(free)
+}
+
+// candidate is a machine that could be cleared.
+type candidate struct {
 	*Machine
-	free   zone.Resources
-	taken  int  // replicas that it is to take
-	closed bool // it is cleared
+	gain int // tasks of the gang that fit on it then
 }
 
-// slots are those machines, the fullest first: what is nearly full never becomes whole.
-type slots []*slot
+// compare orders candidates by their number of moves for each task, by cross product.
+func (c candidate) compare(other candidate) int {
+	return cmp.Or(cmp.Compare(len(c.Replicas)*other.gain, len(other.Replicas)*c.gain), cmp.Compare(c.Name, other.Name))
+}
 
-func targets(machines []*Machine, needs zone.Resources) slots {
-	var out slots
+// target is a machine to which replicas may be moved.
+type target struct {
+	*Machine
+	free    zone.Resources // without the replicas that are moved to it
+	taken   int            // replicas that are moved to it
+	cleared bool
+}
+
+// targetList is the targets, the fullest first: a machine that is nearly full is not worth clearing.
+type targetList []*target
+
+// targets returns the machines without free capacity for a task of the gang: the others are left to the gang.
+func targets(machines []*Machine, needs zone.Resources) targetList {
+	var out targetList
 	for _, m := range machines {
-		if !needs.Fits(m.Free) { // whole machines stay whole
-			out = append(out, &slot{Machine: m, free: m.Free})
+		if !needs.Fits(m.Free) {
+			out = append(out, &target{Machine: m, free: m.Free})
 		}
 	}
-	slices.SortFunc(out, func(a, b *slot) int {
+	slices.SortFunc(out, func(a, b *target) int {
 		return cmp.Or(cmp.Compare(a.free.Weight(), b.free.Weight()), cmp.Compare(a.Name, b.Name))
 	})
 	return out
 }
 
-// place finds places for all replicas of a machine, and keeps them; false: not for all, or it
-// is to take some itself.
-func (rs slots) place(m *Machine, moved map[string]bool) bool {
-	own := rs[slices.IndexFunc(rs, func(t *slot) bool { return t.Machine == m })]
+// move is a replica's resources on the target that it is moved to.
+type move struct {
+	to    *target
+	needs zone.Resources
+}
+
+// place moves all replicas of a machine to targets, and adds their jobs to moved. It reports false and
+// changes nothing if they don't all fit, or if replicas are to be moved to the machine itself.
+func (tl targetList) place(m *Machine, moved map[string]bool) bool {
+	own := tl[slices.IndexFunc(tl, func(t *target) bool { return t.Machine == m })]
 	if own.taken > 0 {
 		return false
 	}
-	type step struct {
-		to *slot
-		by zone.Resources
-	}
-	var steps []step
+	var moves []move
 	jobs := map[string]bool{}
 	for i := range m.Replicas {
 		r := &m.Replicas[i]
-		at := -1
+		var to *target
 		if !moved[r.Job] && !jobs[r.Job] {
-			at = slices.IndexFunc(rs, func(t *slot) bool {
-				return t != own && !t.closed && r.Types[t.Type] && (r.Spot || !t.Spot) && r.Needs.Fits(t.free)
-			})
+			to = tl.find(r, own)
 		}
-		if at < 0 {
-			for _, s := range steps {
-				s.to.free = s.to.free.Plus(s.by, 1)
-				s.to.taken--
-			}
+		if to == nil {
+			undo(moves)
 			return false
 		}
 		jobs[r.Job] = true
-		rs[at].free = rs[at].free.Plus(r.Needs, -1)
-		rs[at].taken++
-		steps = append(steps, step{rs[at], r.Needs})
+		to.free = to.free.Plus(r.Needs, -1)
+		to.taken++
+		moves = append(moves, move{to, r.Needs})
 	}
 	for id := range jobs {
 		moved[id] = true
 	}
-	own.closed = true
+	own.cleared = true
 	return true
 }
+
+// find returns the first target other than its own machine on which a replica fits; nil: there is none.
+func (tl targetList) find(r *Replica, own *target) *target {
+	i := slices.IndexFunc(tl, func(t *target) bool {
+		return t != own && !t.cleared && r.Types[t.Type] && (r.Spot || !t.Spot) && r.Needs.Fits(t.free)
+	})
+	if i < 0 {
+		return nil
+	}
+	return tl[i]
+}
+
+// undo takes moves back.
+func undo(moves []move) {
+	for _, m := range moves {
+		m.to.free = m.to.free.Plus(m.needs, 1)
+		m.to.taken--
+	}
+}
--- a/internal/core/defrag/plan_test.go
+++ b/internal/core/defrag/plan_test.go
@@ -10,7 +10,7 @@
 	"coralhub/internal/core/zone"
 )
 
-// The same cases every run; -rapid.seed draws others.
+// Each run checks the same cases; -rapid.seed draws others.
 var _ = flag.Set("rapid.seed", "1")
 
 var (
@@ -19,7 +19,7 @@
 	one   = zone.Resources{CPUs: 5, GPUs: 1}
 )
 
-// machine has so many replicas, each of a job of its own.
+// machine returns a machine with a number of replicas, each of a job of its own.
 func machine(name string, replicas int) *Machine {
 	m := &Machine{Name: name, Type: "g8", Suitable: true, Movable: true, Free: zone.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}.Plus(one, -float64(replicas))}
 	for i := range replicas {
@@ -28,7 +28,7 @@
 	return m
 }
 
-func TestClearsTheCheapest(t *testing.T) {
+func TestPlanClearsMachinesWithFewestMoves(t *testing.T) {
 	ms := []*Machine{machine("a", 4), machine("b", 2), machine("c", 3), machine("d", 3)}
 	p := NewPlan(whole, 1, 10, ms)
 	if p == nil || len(p.Clear) != 1 || p.Clear[0].Name != "b" || p.MovedReplicas != 2 {
@@ -56,9 +56,9 @@
 	}
 }
 
-// Whatever a zone looks like: what is moved fits elsewhere, no more is moved than allowed, no two
-// of a job, and the machines that are cleared and whole have room for the gang.
-func TestPlansHold(t *testing.T) {
+// For any zone, the moved replicas fit on other machines, there are no more of them than allowed and no two
+// of a job, and the cleared machines and the whole ones have capacity for the gang.
+func TestPlansKeepTheirInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ms []*Machine
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
@@ -70,35 +70,38 @@
 			}
 			ms = append(ms, m)
 		}
-		count, most := rapid.IntRange(1, 4).Draw(t, "count"), rapid.IntRange(0, 20).Draw(t, "most")
-		p := NewPlan(whole, count, most, ms)
+		count, maxMoves := rapid.IntRange(1, 4).Draw(t, "count"), rapid.IntRange(0, 20).Draw(t, "most")
+		p := NewPlan(whole, count, maxMoves, ms)
 		if p == nil {
 			return
 		}
-		has, moves, jobs, cleared := len(p.Whole), 0, map[string]bool{}, map[*Machine]bool{}
+		usable, moves := len(p.Whole), 0
+		jobs, cleared := map[string]bool{}, map[*Machine]bool{}
 		for _, m := range p.Clear {
-			if cleared[m] = true; !m.Suitable || !m.Movable {
+			cleared[m] = true
+			if !m.Suitable || !m.Movable {
 				t.Fatalf("%s can't be cleared", m.Name)
 			}
-			has++
+			usable++
 			for _, r := range m.Replicas {
-				if moves++; jobs[r.Job] {
+				moves++
+				if jobs[r.Job] {
 					t.Fatalf("two of %s at a time", r.Job)
 				}
 				jobs[r.Job] = true
 			}
 		}
-		if has < count || moves != p.MovedReplicas || moves > most || len(p.Clear) == 0 {
-			t.Fatalf("%d machines for %d, %d moves of %d", has, count, moves, most)
+		if usable < count || moves != p.MovedReplicas || moves > maxMoves || len(p.Clear) == 0 {
+			t.Fatalf("%d machines for %d, %d moves of %d", usable, count, moves, maxMoves)
 		}
-		room := 0
+		free := 0
 		for _, m := range ms {
 			if !cleared[m] && !m.Spot && !whole.Fits(m.Free) {
-				room += one.Count(m.Free)
+				free += one.Count(m.Free)
 			}
 		}
-		if room < moves {
-			t.Fatalf("%d moved, room for %d", moves, room)
+		if free < moves {
+			t.Fatalf("%d moved, free capacity for %d", moves, free)
 		}
 	})
 }
--- /dev/null
+++ b/internal/core/leader/snapshot_jobs.go
@@ -0,0 +1,169 @@
+package leader
+
+import (
+	"coralhub/internal/core/job"
+	"coralhub/internal/core/queue"
+	"coralhub/internal/core/zone"
+	"coralhub/wire"
+)
+
+// cachedJobState is what the snapshot holds about one job.
+type cachedJobState struct {
+	stale     bool         // to be examined again
+	team      string       // to whose use it adds
+	allocated queue.Amount // what it adds
+	queueTeam string       // the team in whose queue it is
+	queued    queue.QueuedJob
+}
+
+// markJobStale has a job examined again.
+func (ss *clusterSnapshot) markJobStale(j *Job) {
+	if ss.ready && !j.stale {
+		j.stale = true
+		ss.staleJobs = append(ss.staleJobs, j)
+	}
+}
+
+// setPlan replaces the planned placements of a job. They count as placed from now on.
+func (ss *clusterSnapshot) setPlan(j *Job, plan []job.Placement) {
+	if len(j.plan) == 0 && len(plan) == 0 {
+		return
+	}
+	for _, p := range j.plan {
+		ss.countPlanned(j, p.Machine, -1)
+	}
+	j.plan = plan
+	for _, p := range plan {
+		ss.countPlanned(j, p.Machine, 1)
+	}
+	ss.markJobStale(j)
+}
+
+// addPlan plans one more placement of a job.
+func (ss *clusterSnapshot) addPlan(j *Job, p job.Placement) {
+	j.plan = append(j.plan, p)
+	ss.countPlanned(j, p.Machine, 1)
+	ss.markJobStale(j)
+}
+
+// countPlanned adds n to the planned tasks of a job on a machine.
+func (ss *clusterSnapshot) countPlanned(j *Job, machine string, n int) {
+	on := ss.planned[machine]
+	if on == nil {
+		on = map[*Job]int{}
+		ss.planned[machine] = on
+	}
+	if on[j] += n; on[j] <= 0 {
+		delete(on, j)
+	}
+	if len(on) == 0 {
+		delete(ss.planned, machine)
+	}
+	if m := ss.reconciler.Registry().Get(machine); m != nil {
+		ss.markMachineStale(m)
+	}
+}
+
+// refreshJob computes anew what a job adds to its team's use, its position in the team's queue and
+// whether it lacks placements.
+func (ss *clusterSnapshot) refreshJob(j *Job) {
+	j.stale = false
+	spec := j.Record.Spec
+	allocated, team := queue.Amount{}, ""
+	if spec != nil && j.unfinished {
+		team = spec.Team
+		allocated = queue.Amount{}.Plus(taskAmount(spec), float64(j.OpenTasks+len(j.plan)))
+	}
+	if j.allocated != allocated || j.team != team {
+		if j.team != "" {
+			ss.used[j.team] = ss.used[j.team].Plus(j.allocated, -1)
+		}
+		if team != "" {
+			ss.used[team] = ss.used[team].Plus(allocated, 1)
+		}
+		j.allocated, j.team = allocated, team
+	}
+	ss.refreshTeamQueue(j)
+	if spec != nil && j.unfinished && ss.lacksPlacements(j) {
+		ss.wanting[j] = true
+	} else {
+		delete(ss.wanting, j)
+	}
+}
+
+// lacksPlacements reports whether tasks of an unfinished job are to be placed.
+func (e *environment) lacksPlacements(j *Job) bool {
+	spec := j.Record.Spec
+	runnable := !j.Blocked() && !j.Record.Final() && !j.Record.CancelRequested
+	return runnable && j.DoneTasks+j.OpenTasks < spec.Tasks && e.teams[spec.Team] != nil
+}
+
+// refreshTeamQueue updates a job's position in the queue of its team, by which the guarantee is
+// given out.
+func (ss *clusterSnapshot) refreshTeamQueue(j *Job) {
+	spec := j.Record.Spec
+	if spec == nil { // it leaves its team's queue, if it hasn't before
+		if teamQueue := ss.teamQueues[j.queueTeam]; teamQueue != nil {
+			teamQueue.Remove(&j.queued)
+		}
+		return
+	}
+	team := ss.teams[spec.Team]
+	if team == nil || !queue.HasGuarantee(team) {
+		return
+	}
+	teamQueue := ss.teamQueues[spec.Team]
+	if teamQueue == nil {
+		teamQueue = queue.NewTeamQueue(team)
+		ss.teamQueues[spec.Team] = teamQueue
+	}
+	if !j.unfinished || j.Record.Final() || j.Blocked() {
+		teamQueue.Remove(&j.queued)
+		return
+	}
+	j.queueTeam = spec.Team
+	j.queuedBehind = j.queuedBehind && !j.hasStarted()
+	if position := j.queuePosition(); j.queued.Created != position {
+		teamQueue.Remove(&j.queued)
+		j.queued.Created = position
+	}
+	j.queued.ID = j.ID
+	teamQueue.Update(&j.queued, queue.Amount{}.Plus(taskAmount(spec), float64(spec.Tasks-j.DoneTasks)))
+}
+
+// withinGuarantee reports whether a job fits into its team's guarantee together with the team's
+// earlier unfinished jobs, as of the last cycle.
+func (ss *clusterSnapshot) withinGuarantee(j *Job) bool {
+	team := ss.teams[j.Record.Spec.Team]
+	if team == nil || j.Record.Final() || j.Blocked() {
+		return false
+	}
+	if j.queuedBehind {
+		return ss.startOrder.mayClaimGuarantee(j, ss.used)
+	}
+	return !queue.HasGuarantee(team) || j.queued.WithinGuarantee
+}
+
+// queuePosition orders a job in its team's queue: by its age, or behind all others.
+func (j *Job) queuePosition() Micros {
+	if j.queuedBehind {
+		return j.orderedBy + queueBehindOffset
+	}
+	return j.orderedBy
+}
+
+// taskResources is what one task of a job needs of a machine.
+func taskResources(s *wire.Job) zone.Resources {
+	return zone.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB}
+}
+
+// startAmount is the part of its team's quota that a job needs to start: one task, or a whole gang.
+func startAmount(s *wire.Job) queue.Amount {
+	if s.Shape == wire.Gang {
+		return queue.Amount{}.Plus(taskAmount(s), float64(s.Tasks))
+	}
+	return taskAmount(s)
+}
+
+// taskAmount is what one task of a job counts for against its team's quota.
+func taskAmount(s *wire.Job) queue.Amount { return queue.Amount{CPUs: s.CPUs, GPUs: s.GPUs} }
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue ranks the pending jobs by priority, then credit, and keeps the
-// teams within their guarantees and limits.
+// Package queue ranks the pending jobs by priority, then by credit, and enforces the guarantees and limits of
+// the teams.
 package queue
 
 import (
@@ -12,37 +12,38 @@
 	"coralhub/wire"
 )
 
-// Amount is a quantity of the resources that teams are limited in.
+// Amount is a quantity of the resources to which quotas apply.
 type Amount struct{ CPUs, GPUs float64 }
 
-// Plus adds n times b.
+// Plus returns the sum of a and n times b.
 func (a Amount) Plus(b Amount, n float64) Amount { return Amount{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs} }
 
 // tolerance absorbs the rounding of sums of amounts.
 const tolerance = 1e-6
 
+// within reports whether an amount is within a limit; 0: there is none.
 func within(a, limit float64) bool { return limit <= 0 || a <= limit+tolerance }
 
-// UnderLimit tells whether a team may use a.
+// UnderLimit reports whether a team's limit allows it to use an amount.
 func UnderLimit(t *config.Team, a Amount) bool {
 	return within(a.CPUs, t.CPUsMax) && within(a.GPUs, t.GPUsMax)
 }
 
-// HasGuarantee tells whether a team is guaranteed anything. A team that is not
-// can't be beyond its guarantee: its jobs keep their own priority.
+// HasGuarantee reports whether a team is guaranteed anything. A team that is not can't be beyond its
+// guarantee: its jobs are ranked by their own priority.
 func HasGuarantee(t *config.Team) bool { return t.CPUs > 0 || t.GPUs > 0 }
 
-// UnderGuarantee tells whether a is within what a team is guaranteed.
+// UnderGuarantee reports whether an amount is within what a team is guaranteed.
 func UnderGuarantee(t *config.Team, a Amount) bool {
 	return within(a.CPUs, t.CPUs) && within(a.GPUs, t.GPUs)
 }
 
-// beyondGuarantee is by how much jobs beyond their team's guarantee rank lower: below
-// every job that is within one, whatever their priorities.
+// beyondGuarantee is by how many levels jobs beyond their team's guarantee rank lower: below every job that
+// is within one, whatever their priorities.
 const beyondGuarantee = 4
 
-// Level orders the jobs; higher goes first. Those within their team's guarantee
-// come by priority, then those beyond it, again by priority.
+// Level returns the level of a job, 1 to 8; higher levels go first. Jobs within their team's guarantee are
+// ordered by priority, and so are those beyond it, which rank below them.
 func Level(priority string, within bool) int {
 	level := 1
 	switch priority {
@@ -59,44 +60,46 @@
 	return level
 }
 
-// Usage averages the use of each team over a window, by exponential decay.
+// Usage is the average use of each team over a window, with exponential decay.
 type Usage struct {
-	window  float64
+	window  float64 // microseconds
 	at      config.Micros
-	average map[string]float64
+	average map[string]float64 // by team, as Weigh computes it
 }
 
-// NewUsage returns a Usage over a window.
+// NewUsage returns an empty Usage over a window.
 func NewUsage(window config.Micros) *Usage {
 	return &Usage{window: float64(window), average: map[string]float64{}}
 }
 
-// Observe takes the present use of every team, in GPUs where there are any.
+// Observe adds the current use of every team, which is assumed since the last call.
 func (u *Usage) Observe(now config.Micros, used map[string]Amount) {
-	keep := math.Exp(-float64(now-u.at) / u.window)
+	decay := math.Exp(-float64(now-u.at) / u.window)
 	u.at = now
 	for team := range u.average {
-		u.average[team] *= keep
+		u.average[team] *= decay
 	}
 	for team, a := range used {
-		u.average[team] += (1 - keep) * Weigh(a)
+		u.average[team] += (1 - decay) * Weigh(a)
 	}
 }
 
-// Weigh makes one number of an amount; a GPU counts for far more than a CPU.
-func Weigh(a Amount) float64 { return a.GPUs + a.CPUs/64 }
+// cpusPerGPU is the number of CPUs that weigh as much as a GPU.
+const cpusPerGPU = 64
 
-// Restore takes what a team has used on average, as the accounts tell it, from before this
-// Usage began.
+// Weigh makes one number of an amount, in GPUs.
+func Weigh(a Amount) float64 { return a.GPUs + a.CPUs/cpusPerGPU }
+
+// Restore sets the average use of a team, as the accounts have it, from before the first Observe.
 func (u *Usage) Restore(now config.Micros, team string, used float64) {
 	u.at = now
 	u.average[team] = used
 }
 
-// Shares are the parts of all use that are the teams', 0 to 1, each held against its weight;
-// one that isn't given is 1.
+// Shares returns the share of each team in all use, 0 to 1, after dividing its use by its weight; a weight
+// that isn't given is 1.
 func (u *Usage) Shares(weights map[string]float64) map[string]float64 {
-	of := func(team string) float64 {
+	weighted := func(team string) float64 {
 		if w := weights[team]; w > 0 {
 			return u.average[team] / w
 		}
@@ -104,19 +107,19 @@
 	}
 	total := 0.0
 	for _, team := range slices.Sorted(maps.Keys(u.average)) {
-		total += of(team)
+		total += weighted(team)
 	}
 	out := make(map[string]float64, len(u.average))
 	for team := range u.average {
 		if total > 0 {
-			out[team] = of(team) / total
+			out[team] = weighted(team) / total
 		}
 	}
 	return out
 }
 
-// Weights are what teams may use of the whole beside each other: what each is guaranteed, if
-// every one is guaranteed anything; nil: all the same.
+// Weights returns the fair-share weights of the teams, 1 on average: their guarantees, if every team has one.
+// Otherwise it returns nil: all weigh the same.
 func Weights(teams []config.Team) map[string]float64 {
 	out, sum := make(map[string]float64, len(teams)), 0.0
 	for i := range teams {
@@ -133,8 +136,8 @@
 	return out
 }
 
-// Credit is the paper's credit of a job: its age up to a cap, and what its
-// team leaves unused of its share.
+// Credit is the paper's credit of a job: its age up to a cap, and the part of its share that its team
+// leaves unused.
 func Credit(s *config.Settings, age config.Micros, share float64) float64 {
 	seconds := math.Min(float64(age)/1e6, s.AgeCapS)
 	return s.AgeWeight*math.Max(seconds, 0) + s.ShareWeight*(1-share)
@@ -144,64 +147,63 @@
 type Entry struct {
 	ID      string
 	Level   int
-	Tier    int     // orders those of a level that is short of places; 0 goes first
-	Cost    float64 // orders those of a level before their credit does; 0 where it doesn't
+	Tier    int     // orders the jobs of a level while capacity is short; 0 goes first
+	Cost    float64 // orders the jobs of a tier before their credit does; smaller goes first
 	Credit  float64
 	Created config.Micros
 }
 
-// Before orders entries: priority, whose turn it is where places are short, what the settings
-// put before credit, credit, age, id.
-func (a *Entry) Before(b *Entry) bool {
+// Before reports whether an entry ranks before another one: by level, tier, cost, credit, age and id.
+func (e *Entry) Before(other *Entry) bool {
 	switch {
-	case a.Level != b.Level:
-		return a.Level > b.Level
-	case a.Tier != b.Tier:
-		return a.Tier < b.Tier
-	case a.Cost != b.Cost:
-		return a.Cost < b.Cost
-	case a.Credit != b.Credit:
-		return a.Credit > b.Credit
-	case a.Created != b.Created:
-		return a.Created < b.Created
+	case e.Level != other.Level:
+		return e.Level > other.Level
+	case e.Tier != other.Tier:
+		return e.Tier < other.Tier
+	case e.Cost != other.Cost:
+		return e.Cost < other.Cost
+	case e.Credit != other.Credit:
+		return e.Credit > other.Credit
+	case e.Created != other.Created:
+		return e.Created < other.Created
 	}
-	return a.ID < b.ID
+	return e.ID < other.ID
 }
 
-// Rank sorts entries.
+// Rank sorts entries by Before.
 func Rank(entries []Entry) {
 	sort.Slice(entries, func(i, j int) bool { return entries[i].Before(&entries[j]) })
 }
 
-// DemoteBeyondGuarantee puts an entry where it ranks if it isn't within its team's guarantee.
-func (a *Entry) DemoteBeyondGuarantee() {
-	if a.Level > beyondGuarantee {
-		a.Level -= beyondGuarantee
+// DemoteBeyondGuarantee gives an entry the level that it has beyond its team's guarantee.
+func (e *Entry) DemoteBeyondGuarantee() {
+	if e.Level > beyondGuarantee {
+		e.Level -= beyondGuarantee
 	}
 }
 
-// Visit goes through ranked entries. One for which claims says no any more when its turn comes
-// ranks beyond its team's guarantee, and comes again where that is.
+// Visit calls visit for each of the ranked entries, in order. An entry within its team's guarantee for which
+// claims no longer holds when it is reached is demoted beyond the guarantee, and visited where it ranks then.
 func Visit(entries []Entry, claims func(*Entry) bool, visit func(*Entry)) {
-	var fell [beyondGuarantee + 1][]Entry // by level, each in order
-	before := func(e *Entry) {            // visits what fell and comes before e; nil: all
+	var demoted [beyondGuarantee + 1][]Entry // by level, each in order
+	visitDemoted := func(before *Entry) {    // those that rank before an entry; nil: all
 		for level := beyondGuarantee; level > 0; level-- {
-			for len(fell[level]) > 0 && (e == nil || fell[level][0].Before(e)) {
-				x := fell[level][0]
-				fell[level] = fell[level][1:]
-				visit(&x)
+			for len(demoted[level]) > 0 && (before == nil || demoted[level][0].Before(before)) {
+				first := demoted[level][0]
+				demoted[level] = demoted[level][1:]
+				visit(&first)
 			}
 		}
 	}
 	for i := range entries {
 		e := &entries[i]
-		before(e)
+		visitDemoted(e)
 		if e.Level > beyondGuarantee && !claims(e) {
 			e.DemoteBeyondGuarantee()
-			fell[e.Level] = append(fell[e.Level], *e)
+			demoted[e.Level] = append(demoted[e.Level], *e)
 			continue
 		}
 		visit(e)
 	}
-	before(nil)
+	visitDemoted(nil)
 }
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -10,7 +10,7 @@
 	"coralhub/wire"
 )
 
-func TestRank(t *testing.T) {
+func TestRankOrder(t *testing.T) {
 	want := []Entry{
 		{ID: "production", Level: Level(wire.Production, true), Credit: 1},
 		{ID: "high", Level: Level(wire.High, true), Credit: 1},
@@ -33,9 +33,9 @@
 	}
 }
 
-// What a team's guarantee has no room for any more, once others of the team had their turn, comes
-// where it ranks beyond it, and nothing is left out or comes twice.
-func TestWalk(t *testing.T) {
+// An entry that no longer fits into its team's guarantee, once others of the team were visited, is visited
+// where it ranks beyond the guarantee, and none is left out or visited twice.
+func TestVisitDemotesBeyondGuarantee(t *testing.T) {
 	entries := []Entry{
 		{ID: "a", Level: Level(wire.High, true), Tier: 1}, {ID: "b", Level: Level(wire.High, true), Tier: 2},
 		{ID: "c", Level: Level(wire.High, true), Tier: 3}, {ID: "d", Level: Level(wire.Low, true)},
@@ -43,14 +43,18 @@
 		{ID: "g", Level: Level(wire.Low, false)},
 	}
 	var order []string
-	left := 1
-	Visit(entries, func(e *Entry) bool { left--; return left >= 0 }, func(e *Entry) { order = append(order, e.ID) })
+	claimsLeft := 1
+	claims := func(*Entry) bool {
+		claimsLeft--
+		return claimsLeft >= 0
+	}
+	Visit(entries, claims, func(e *Entry) { order = append(order, e.ID) })
 	if got := strings.Join(order, " "); got != "a e f b c d g" {
 		t.Errorf("visited %s", got)
 	}
 }
 
-func TestCredit(t *testing.T) {
+func TestCreditCapsAgeAndFavoursUnusedShare(t *testing.T) {
 	s := config.Defaults()
 	old, older := Credit(&s, 300*config.Second, 0.5), Credit(&s, 900*config.Second, 0.5)
 	if old != older {
@@ -61,7 +65,7 @@
 	}
 }
 
-func TestUsage(t *testing.T) {
+func TestUsageSharesOfTeams(t *testing.T) {
 	u := NewUsage(60 * config.Second)
 	for i := range config.Micros(120) {
 		u.Observe((i+1)*config.Second, map[string]Amount{"a": {GPUs: 3}, "b": {GPUs: 1}})
@@ -74,7 +78,7 @@
 	}
 }
 
-func TestLimits(t *testing.T) {
+func TestLimitsAndGuarantees(t *testing.T) {
 	team := &config.Team{GPUs: 4, GPUsMax: 8}
 	if !UnderLimit(team, Amount{CPUs: 1e6, GPUs: 8}) || UnderLimit(team, Amount{GPUs: 8.1}) {
 		t.Error("limit: 0 is none, the rest holds")
--- a/internal/core/queue/team_queue.go
+++ b/internal/core/queue/team_queue.go
@@ -7,82 +7,84 @@
 	"coralhub/internal/config"
 )
 
-// QueuedJob is a job in its team's line.
+// QueuedJob is a job in its team's queue.
 type QueuedJob struct {
-	Created         config.Micros
+	Created         config.Micros // the queue is ordered by it; must not change while the job is in a queue
 	ID              string
-	WithinGuarantee bool // it fits into the guarantee together with the earlier ones
+	WithinGuarantee bool // it fits into the guarantee together with the jobs before it
 
 	amount Amount
 	queued bool
 }
 
-// TeamQueue keeps a team's unfinished jobs, the oldest first, and how many of them fit
-// into the team's guarantee. What they need only adds up, so those within are the
-// first so many; a change moves that border instead of adding up anew.
+// TeamQueue holds a team's unfinished jobs, the oldest first, and how many of them fit into the team's
+// guarantee. The amounts only add up, so the jobs within the guarantee are the first ones of the queue; a
+// change moves the end of these instead of adding up all amounts anew.
 type TeamQueue struct {
 	team    *config.Team
 	members []*QueuedJob
-	within  int    // so many, from the first on
-	sum     Amount // of them
+	within  int    // number of members within the guarantee: the first ones
+	sum     Amount // of these
 }
 
-// NewTeamQueue returns the line of a team that has a guarantee.
+// NewTeamQueue returns an empty queue of a team that has a guarantee.
 func NewTeamQueue(t *config.Team) *TeamQueue { return &TeamQueue{team: t} }
 
+// order is the order of the queue: by age, then by id.
 func order(a, b *QueuedJob) int {
 	return cmp.Or(cmp.Compare(a.Created, b.Created), cmp.Compare(a.ID, b.ID))
 }
 
-// Update takes what a job that is in line needs now.
-func (l *TeamQueue) Update(m *QueuedJob, a Amount) {
+// Update sets what a job needs now. It adds the job if it is not in the queue.
+func (tq *TeamQueue) Update(m *QueuedJob, a Amount) {
 	switch {
 	case !m.queued:
-		i, _ := slices.BinarySearchFunc(l.members, m, order)
-		l.members = slices.Insert(l.members, i, m)
+		i, _ := slices.BinarySearchFunc(tq.members, m, order)
+		tq.members = slices.Insert(tq.members, i, m)
 		m.queued = true
-		if m.WithinGuarantee = i < l.within; m.WithinGuarantee {
-			l.within++
-			l.sum = l.sum.Plus(a, 1)
+		m.WithinGuarantee = i < tq.within
+		if m.WithinGuarantee {
+			tq.within++
+			tq.sum = tq.sum.Plus(a, 1)
 		}
 	case m.WithinGuarantee:
-		l.sum = l.sum.Plus(a, 1).Plus(m.amount, -1)
+		tq.sum = tq.sum.Plus(a, 1).Plus(m.amount, -1)
 	}
 	m.amount = a
-	l.recompute()
+	tq.recompute()
 }
 
-// Remove takes a job out of the line.
-func (l *TeamQueue) Remove(m *QueuedJob) {
+// Remove takes a job out of the queue, if it is there.
+func (tq *TeamQueue) Remove(m *QueuedJob) {
 	if !m.queued {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(l.members, m, order)
-	l.members = slices.Delete(l.members, i, i+1)
+	i, _ := slices.BinarySearchFunc(tq.members, m, order)
+	tq.members = slices.Delete(tq.members, i, i+1)
 	if m.WithinGuarantee {
-		l.within--
-		l.sum = l.sum.Plus(m.amount, -1)
+		tq.within--
+		tq.sum = tq.sum.Plus(m.amount, -1)
 	}
 	m.queued, m.WithinGuarantee = false, false
-	l.recompute()
+	tq.recompute()
 }
 
-// recompute moves the border to where the guarantee ends.
-func (l *TeamQueue) recompute() {
-	for l.within > 0 && !UnderGuarantee(l.team, l.sum) {
-		l.within--
-		m := l.members[l.within]
-		m.WithinGuarantee = false
-		l.sum = l.sum.Plus(m.amount, -1)
+// recompute moves the end of the jobs within the guarantee to where the guarantee is used up.
+func (tq *TeamQueue) recompute() {
+	for tq.within > 0 && !UnderGuarantee(tq.team, tq.sum) {
+		tq.within--
+		last := tq.members[tq.within]
+		last.WithinGuarantee = false
+		tq.sum = tq.sum.Plus(last.amount, -1)
 	}
-	for l.within < len(l.members) {
-		m := l.members[l.within]
-		more := l.sum.Plus(m.amount, 1)
-		if !UnderGuarantee(l.team, more) {
+	for tq.within < len(tq.members) {
+		next := tq.members[tq.within]
+		sum := tq.sum.Plus(next.amount, 1)
+		if !UnderGuarantee(tq.team, sum) {
 			return
 		}
-		m.WithinGuarantee = true
-		l.sum = more
-		l.within++
+		next.WithinGuarantee = true
+		tq.sum = sum
+		tq.within++
 	}
 }
--- a/internal/core/queue/team_queue_test.go
+++ b/internal/core/queue/team_queue_test.go
@@ -10,15 +10,15 @@
 	"coralhub/internal/config"
 )
 
-// The same cases every run; -rapid.seed draws others.
+// Each run checks the same cases; -rapid.seed draws others.
 var _ = flag.Set("rapid.seed", "1")
 
-// Whatever comes, changes and goes in whichever order, those within the guarantee
-// are the ones that adding up from the oldest on would find.
-func TestLineAgreesWithAddingUp(t *testing.T) {
+// Whatever jobs are added, changed and removed in any order, those within the guarantee are the ones that
+// adding up from the oldest on finds.
+func TestTeamQueueAgreesWithAddingUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		team := &config.Team{GPUs: float64(rapid.IntRange(0, 20).Draw(t, "gpus")), CPUs: 8}
-		l := NewTeamQueue(team)
+		teamQueue := NewTeamQueue(team)
 		need := map[*QueuedJob]Amount{}
 		var all []*QueuedJob
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -30,11 +30,11 @@
 				m = rapid.SampledFrom(all).Draw(t, "member")
 			}
 			if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
-				l.Remove(m)
+				teamQueue.Remove(m)
 				delete(need, m)
 			} else {
 				need[m] = Amount{GPUs: float64(rapid.IntRange(0, 9).Draw(t, "need")), CPUs: float64(rapid.IntRange(0, 3).Draw(t, "cpus"))}
-				l.Update(m, need[m])
+				teamQueue.Update(m, need[m])
 			}
 			for _, m := range all {
 				sum := Amount{}
