--- a/internal/core/leader/estimates.go
+++ b/internal/core/leader/estimates.go
@@ -8,6 +8,7 @@
 	"coralhub/internal/config"
 	"coralhub/internal/core/autoscaler"
 	"coralhub/internal/core/job"
+	"coralhub/internal/core/preemption"
 	"coralhub/internal/estimate"
 	"coralhub/internal/history"
 	"coralhub/wire"
@@ -91,7 +92,7 @@
 func (es *runTimeEstimates) workedTime(j *Job, p *job.Placement) Micros {
 	task := p.Task
 	if j.Record.Spec.Shape == wire.Gang {
-		task = wholeGang
+		task = preemption.WholeGang
 	}
 	worked := j.savedProgress[task]
 	if startedAt, ok := j.startedAt[p.Task]; ok {
--- a/internal/core/leader/observed_runs.go
+++ b/internal/core/leader/observed_runs.go
@@ -3,6 +3,7 @@
 import (
 	"coralhub/internal/config"
 	"coralhub/internal/core/job"
+	"coralhub/internal/core/preemption"
 	"coralhub/internal/estimate"
 	"coralhub/internal/history"
 	"coralhub/wire"
@@ -59,7 +60,7 @@
 		if j.observedGangAttempt >= key.Attempt || key.Attempt > j.ranGangAttempt {
 			return // observed already, or it never ran as a whole
 		}
-		j.observedGangAttempt, task = key.Attempt, wholeGang
+		j.observedGangAttempt, task = key.Attempt, preemption.WholeGang
 		if spec.Tasks > 1 {
 			observedMachine = ""
 		}
--- a/internal/core/leader/victims.go
+++ b/internal/core/leader/victims.go
@@ -4,14 +4,12 @@
 	"math"
 
 	"coralhub/internal/core/job"
+	"coralhub/internal/core/preemption"
 	"coralhub/internal/core/queue"
 	"coralhub/internal/core/zone"
 	"coralhub/wire"
 )
 
-// wholeGang is the task number of a victim that is a whole gang.
-const wholeGang = -1
-
 // victims returns the running work of a zone that could be preempted. Most cycles find free
 // capacity without preemption, so it is listed only when a job asks.
 func (sc *scheduler) victims(c *cycle, zoneName string) []*zone.Victim {
@@ -51,7 +49,7 @@
 		}
 		if gang == nil {
 			whole := described
-			whole.Task = wholeGang
+			whole.Task = preemption.WholeGang
 			gang = &whole
 		}
 		gang.Reclaims = append(gang.Reclaims, reclaim)
--- a/internal/core/preemption/counts.go
+++ b/internal/core/preemption/counts.go
@@ -8,63 +8,65 @@
 	"coralhub/internal/core/job"
 )
 
-// CountsKey is where the tally is.
+// CountsKey is the key under which the counts are stored.
 const CountsKey = KeyPrefix + "tally"
 
-// maxCountRows bounds the rows of a tally: users choose the names of classes.
+// maxCountRows bounds the number of rows: users choose the names of classes.
 const maxCountRows = 60
 
-// Pair is whose work yielded to whose, by which right.
+// Pair is what preempted tasks are counted by.
 type Pair struct {
-	Preemptor, Victim string // classes
+	Preemptor, Victim string // classes of the jobs
 	Reason            Reason
 }
 
 // countRow is a row as it is stored.
 type countRow struct {
-	//lint:ignore U1000 read by the encoder: a row is a list, to be short
+	//lint:ignore U1000 read by the encoder: a row is stored as a list, which is shorter
 	_msgpack          struct{} `msgpack:",as_array"`
 	Preemptor, Victim string
 	Reason            Reason
 	Tasks             uint64
 }
 
-// Counts counts the tasks that yielded, since the cluster began.
+// Counts counts the preempted tasks since the cluster began. Its zero value is empty. The leader counts and
+// stores; the other nodes apply what is stored.
 type Counts struct {
 	version uint64
 	tasks   map[Pair]uint64
 }
 
-// Add counts tasks that yielded. When there are too many kinds, classes lose their names.
-func (t *Counts) Add(y Pair, tasks int) {
-	if t.tasks == nil {
-		t.tasks = map[Pair]uint64{}
+// Add counts preempted tasks. When there are too many pairs, further ones are counted without the names of
+// the classes.
+func (c *Counts) Add(pair Pair, tasks int) {
+	if c.tasks == nil {
+		c.tasks = map[Pair]uint64{}
 	}
-	if _, had := t.tasks[y]; !had && len(t.tasks) >= maxCountRows {
-		y.Preemptor, y.Victim = "", ""
+	if _, exists := c.tasks[pair]; !exists && len(c.tasks) >= maxCountRows {
+		pair.Preemptor, pair.Victim = "", ""
 	}
-	t.tasks[y] += uint64(tasks)
+	c.tasks[pair] += uint64(tasks)
 }
 
-// Each calls f for each row, the largest first.
-func (t *Counts) Each(f func(Pair, uint64)) {
-	keys := slices.SortedFunc(maps.Keys(t.tasks), func(a, b Pair) int {
-		return cmp.Or(cmp.Compare(t.tasks[b], t.tasks[a]), cmp.Compare(a.Preemptor, b.Preemptor), cmp.Compare(a.Victim, b.Victim), cmp.Compare(a.Reason, b.Reason))
+// Each calls f for each pair with its number of tasks, the largest number first.
+func (c *Counts) Each(f func(Pair, uint64)) {
+	pairs := slices.SortedFunc(maps.Keys(c.tasks), func(a, b Pair) int {
+		return cmp.Or(cmp.Compare(c.tasks[b], c.tasks[a]), cmp.Compare(a.Preemptor, b.Preemptor), cmp.Compare(a.Victim, b.Victim), cmp.Compare(a.Reason, b.Reason))
 	})
-	for _, k := range keys {
-		f(k, t.tasks[k])
+	for _, pair := range pairs {
+		f(pair, c.tasks[pair])
 	}
 }
 
-// Version is the stored one's.
-func (t *Counts) Version() uint64 { return t.version }
+// Version is the version of the stored value, as this node knows it.
+func (c *Counts) Version() uint64 { return c.version }
 
-// Value is the tally as it is stored, the smallest rows left out if it doesn't fit; nil: nothing
-// fits.
-func (t *Counts) Value(fits func([]byte) bool) []byte {
+// Value returns the counts as they are stored, without the smallest rows if they don't fit; nil: not even
+// the first row fits, or there is none.
+func (c *Counts) Value(fits func([]byte) bool) []byte {
 	var rows []countRow
-	t.Each(func(y Pair, n uint64) {
-		rows = append(rows, countRow{Preemptor: y.Preemptor, Victim: y.Victim, Reason: y.Reason, Tasks: n})
+	c.Each(func(pair Pair, tasks uint64) {
+		rows = append(rows, countRow{Preemptor: pair.Preemptor, Victim: pair.Victim, Reason: pair.Reason, Tasks: tasks})
 	})
 	for n := len(rows); n > 0; n /= 2 {
 		if raw, err := job.Encode(rows[:n]); err == nil && fits(raw) {
@@ -74,21 +76,22 @@
 	return nil
 }
 
-// Apply takes the stored tally, for those who don't count themselves.
-func (t *Counts) Apply(version uint64, value []byte) error {
-	if version <= t.version {
+// Apply takes the stored counts, unless a version at least as new is known. It returns an error if the value
+// can't be decoded.
+func (c *Counts) Apply(version uint64, value []byte) error {
+	if version <= c.version {
 		return nil
 	}
 	var rows []countRow
 	if err := job.Decode(value, &rows); err != nil {
 		return err
 	}
-	t.version, t.tasks = version, map[Pair]uint64{}
-	for _, r := range rows {
-		t.tasks[Pair{r.Preemptor, r.Victim, r.Reason}] = r.Tasks
+	c.version, c.tasks = version, map[Pair]uint64{}
+	for _, row := range rows {
+		c.tasks[Pair{row.Preemptor, row.Victim, row.Reason}] = row.Tasks
 	}
 	return nil
 }
 
-// Written notes that the present state is stored.
-func (t *Counts) Written(version uint64) { t.version = max(t.version, version) }
+// Written records that the current counts are stored under a version.
+func (c *Counts) Written(version uint64) { c.version = max(c.version, version) }
--- a/internal/core/preemption/decisions.go
+++ b/internal/core/preemption/decisions.go
@@ -1,10 +1,10 @@
-// Package preemption keeps the decisions by which work is set aside for other work: who wins,
-// who yields, which machines are kept for the winner, by which standing and until when. A decision
-// is committed before anything is stopped for it, so that an heir goes on with it: the places that
-// become free stay the winner's, and nobody is stopped for him a second time.
+// Package preemption keeps the decisions by which tasks are preempted for others: the preemptor, its victims,
+// which machines are reserved for the preemptor, for which reason and until when. A decision is committed
+// before anything is stopped for it, so that a successor carries it on: the capacity that becomes free stays
+// reserved for the preemptor, and nothing is stopped for it a second time.
 //
-// The package is bookkeeping alone: it packs decisions into pages, tells which of them are in
-// force, and counts who yielded to whom. The leader makes them and carries them out.
+// The package does the bookkeeping alone: it packs decisions into pages, reports which of them are in force,
+// and counts which classes are preempted for which. The leader makes decisions and carries them out.
 package preemption
 
 import (
@@ -20,37 +20,38 @@
 type Micros = config.Micros
 
 const (
-	// KeyPrefix is where the pages of decisions are.
+	// KeyPrefix is the prefix of the keys of this package.
 	KeyPrefix = job.KeyRoot + "standing/"
-	// PageCount is how many there are.
+	// PageCount is the number of pages of decisions.
 	PageCount = 8
-	// MaxOpenDecisions bounds the decisions that are in force or to be committed.
+	// MaxOpenDecisions bounds the number of decisions that are in force or to be committed.
 	MaxOpenDecisions = 256
 	// MaxDuration is how long a decision can be in force.
 	MaxDuration = 60 * config.Second
 )
 
-// PageKey is where a page is.
+// PageKey returns the key of a page.
 func PageKey(page int) string { return KeyPrefix + strconv.Itoa(page) }
 
-// ParsePage reads the number of a page from the rest of its key.
-func ParsePage(rest string) (int, bool) {
-	n, err := strconv.Atoi(rest)
+// ParsePage returns the number of a page from its key without KeyPrefix; false: it is no page's.
+func ParsePage(suffix string) (int, bool) {
+	n, err := strconv.Atoi(suffix)
 	return n, err == nil && n >= 0 && n < PageCount
 }
 
-// Reason tells by which right work yields.
+// Reason is why tasks may be preempted.
 type Reason int
 
-// The rights. They are stored: numbers stay what they mean.
+// The reasons. Their numbers are stored and keep their meanings.
 const (
-	ReasonPriority        Reason = 1 // the winner's priority is higher
-	ReasonGuarantee       Reason = 2 // the winner's team takes back what it is guaranteed
-	ReasonDefragmentation Reason = 3 // replicas are moved so that machines become whole for a gang
+	ReasonPriority        Reason = 1 // the preemptor's priority is higher
+	ReasonGuarantee       Reason = 2 // the preemptor's team claims its guarantee
+	ReasonDefragmentation Reason = 3 // replicas are moved so that a gang fits
 )
 
-func (w Reason) String() string {
-	switch w {
+// String returns the reason as operators read it.
+func (r Reason) String() string {
+	switch r {
 	case ReasonPriority:
 		return "priority"
 	case ReasonGuarantee:
@@ -58,136 +59,160 @@
 	case ReasonDefragmentation:
 		return "whole machines"
 	}
-	return "right " + strconv.Itoa(int(w))
+	return "right " + strconv.Itoa(int(r))
 }
 
-// WholeGang stands for the tasks of a gang, which yield together.
+// WholeGang stands for all tasks of a gang, which are preempted together.
 const WholeGang = -1
 
-// Victim is a task that yields, as it was placed: what has been placed again since is
-// another one.
+// Victim is a preempted task, under the attempt that was placed: an attempt that was placed since is not a
+// victim.
 type Victim struct {
-	//lint:ignore U1000 read by the encoder: a victim is a list, to be short
+	//lint:ignore U1000 read by the encoder: a victim is stored as a list, which is shorter
 	_msgpack struct{} `msgpack:",as_array"`
 	Job      string
-	Task     int // WholeGang: all
+	Task     int // or WholeGang
 	Attempt  uint64
 }
 
-// Decision sets work aside for other work.
+// Decision is to preempt tasks for a job.
 type Decision struct {
-	//lint:ignore U1000 read by the encoder: a decision is a list, to be short
+	//lint:ignore U1000 read by the encoder: a decision is stored as a list, which is shorter
 	_msgpack         struct{} `msgpack:",as_array"`
-	Preemptor        string
+	Preemptor        string   // id of the job
 	Reason           Reason
-	Level            int    // at which the winner ranked
-	Order            uint64 // 0; kept for a revision of the order in force
-	Until            Micros // time of day: the machines are kept until then
+	Level            int    // of the preemptor when it was decided
+	Order            uint64 // 0; reserved for a revision of the order in force
+	Until            Micros // time of day until which the machines are reserved
 	ReservedMachines []string
 	Victims          []Victim
 }
 
-// InForce tells whether a decision still binds at a time of day. One that says to last for
-// longer than any can comes from a clock that is wrong.
+// InForce reports whether a decision is in force at a time of day. One that would be for longer than
+// MaxDuration comes from a clock that was wrong, and is not.
 func (d *Decision) InForce(wall Micros) bool { return wall < d.Until && d.Until-wall <= MaxDuration }
 
-// split parts a decision in two halves, for pages that are too small for the whole.
+// split divides a decision into two halves, for pages that are too small for it; nil: it can't be divided.
 func (d *Decision) split() []Decision {
 	if len(d.ReservedMachines)+len(d.Victims) <= 1 {
 		return nil
 	}
-	a, b := *d, *d
-	a.ReservedMachines, b.ReservedMachines = d.ReservedMachines[:len(d.ReservedMachines)/2], d.ReservedMachines[len(d.ReservedMachines)/2:]
-	a.Victims, b.Victims = d.Victims[:(len(d.Victims)+1)/2], d.Victims[(len(d.Victims)+1)/2:]
-	return []Decision{a, b}
+	first, second := *d, *d
+	machines := len(d.ReservedMachines) / 2
+	first.ReservedMachines, second.ReservedMachines = d.ReservedMachines[:machines], d.ReservedMachines[machines:]
+	victims := (len(d.Victims) + 1) / 2
+	first.Victims, second.Victims = d.Victims[:victims], d.Victims[victims:]
+	return []Decision{first, second}
 }
 
-// page is one as it is stored.
+// page is a page of decisions as it is stored.
 type page struct {
 	version   uint64
 	decisions []Decision
 }
 
-// Decisions is what is stored of decisions.
+// Decisions is a node's copy of the stored decisions. Its zero value is empty.
 type Decisions struct{ pages [PageCount]page }
 
-// Apply takes a page as the state service has it; a version of 0: there is none.
-func (b *Decisions) Apply(n int, version uint64, value []byte) error {
-	if version != 0 && version <= b.pages[n].version {
+// Apply takes page n as the key-value store has it, unless a version at least as new is known; version 0: the
+// page does not exist. It returns an error, and changes nothing, if the value can't be decoded.
+func (ds *Decisions) Apply(n int, version uint64, value []byte) error {
+	if version != 0 && version <= ds.pages[n].version {
 		return nil
 	}
-	var ds []Decision
+	var decisions []Decision
 	if version != 0 {
-		if err := job.Decode(value, &ds); err != nil {
+		if err := job.Decode(value, &decisions); err != nil {
 			return err
 		}
 	}
-	b.pages[n] = page{version, ds}
+	ds.pages[n] = page{version, decisions}
 	return nil
 }
 
-// Version is a page's.
-func (b *Decisions) Version(n int) uint64 { return b.pages[n].version }
+// Version is the version of page n; 0: it does not exist.
+func (ds *Decisions) Version(n int) uint64 { return ds.pages[n].version }
 
-// InForce lists the decisions that bind at a time of day, those of one winner one after the
-// other.
-func (b *Decisions) InForce(wall Micros) []Decision {
+// InForce lists the decisions that are in force at a time of day, ordered by preemptor.
+func (ds *Decisions) InForce(wall Micros) []Decision {
 	var out []Decision
-	for n := range b.pages {
-		for _, d := range b.pages[n].decisions {
+	for n := range ds.pages {
+		for _, d := range ds.pages[n].decisions {
 			if d.InForce(wall) {
 				out = append(out, d)
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(x, y Decision) int { return cmp.Compare(x.Preemptor, y.Preemptor) })
+	slices.SortStableFunc(out, func(a, b Decision) int { return cmp.Compare(a.Preemptor, b.Preemptor) })
 	return out
 }
 
 // PageWrite is a page to be written.
 type PageWrite struct {
 	Page    int
-	Version uint64 // that it is written over
+	Version uint64 // the version that it replaces
 	Value   []byte
 }
 
-// Pack puts fresh decisions into as few pages as take them, beside those there that are still
-// needed, and returns the pages to write, at most so many, and how many of the decisions are in
-// them. Whatever is not needed any more goes from a page that is written.
-func (b *Decisions) Pack(fresh []Decision, most int, needed func(*Decision) bool, fits func([]byte) bool) (writes []PageWrite, packed int) {
-	order := make([]int, PageCount)
+// Pack adds fresh decisions to as few pages as possible, beside the stored ones that are still needed. It
+// returns the pages to write, at most maxWrites, and the number of fresh decisions that they contain, which are
+// the first ones. Decisions that are not needed any more are removed from a page when it is written.
+func (ds *Decisions) Pack(fresh []Decision, maxWrites int, needed func(*Decision) bool, fits func([]byte) bool) (writes []PageWrite, packed int) {
+	kept := ds.neededByPage(needed)
+	for _, n := range emptiestFirst(kept) {
+		if packed == len(fresh) || len(writes) == maxWrites {
+			break
+		}
+		value, added := fillPage(kept[n], fresh[packed:], fits)
+		packed += added
+		if value != nil {
+			writes = append(writes, PageWrite{n, ds.pages[n].version, value})
+		}
+	}
+	return writes, packed
+}
+
+// neededByPage lists the decisions of each page that are still needed.
+func (ds *Decisions) neededByPage(needed func(*Decision) bool) [][]Decision {
 	kept := make([][]Decision, PageCount)
-	for n := range b.pages {
-		order[n] = n
-		for _, d := range b.pages[n].decisions {
+	for n := range ds.pages {
+		for _, d := range ds.pages[n].decisions {
 			if needed(&d) {
 				kept[n] = append(kept[n], d)
 			}
 		}
 	}
-	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(len(kept[x]), len(kept[y])) })
-	for _, n := range order {
-		if packed == len(fresh) || len(writes) == most {
+	return kept
+}
+
+// emptiestFirst returns the numbers of the pages, ordered by their number of decisions.
+func emptiestFirst(kept [][]Decision) []int {
+	order := make([]int, len(kept))
+	for n := range order {
+		order[n] = n
+	}
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(len(kept[a]), len(kept[b])) })
+	return order
+}
+
+// fillPage adds fresh decisions to those of a page while they fit. It returns the value of the page and how
+// many were added; nil: none.
+func fillPage(decisions, fresh []Decision, fits func([]byte) bool) (value []byte, added int) {
+	for _, d := range fresh {
+		extended := append(decisions, d)
+		raw, err := job.Encode(extended)
+		if err != nil || !fits(raw) {
 			break
 		}
-		var value []byte
-		for packed < len(fresh) {
-			raw, err := job.Encode(append(kept[n], fresh[packed]))
-			if err != nil || !fits(raw) {
-				break
-			}
-			kept[n] = append(kept[n], fresh[packed])
-			value = raw
-			packed++
-		}
-		if value != nil {
-			writes = append(writes, PageWrite{n, b.pages[n].version, value})
-		}
+		decisions = extended
+		value = raw
+		added++
 	}
-	return writes, packed
+	return value, added
 }
 
-// SplitToFit returns a decision in as many parts as it takes for each to fit into a page alone.
+// SplitToFit returns a decision in as many parts as necessary for each to fit into a page alone. What can't be
+// divided any further and still doesn't fit is left out.
 func SplitToFit(d Decision, fits func([]byte) bool) []Decision {
 	raw, err := job.Encode([]Decision{d})
 	if err == nil && fits(raw) {
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -148,7 +148,7 @@
 	ID      string
 	Level   int
 	Tier    int     // orders the jobs of a level while capacity is short; 0 goes first
-	Cost    float64 // orders the jobs of a tier before their credit does; smaller goes first
+	Cost    float64 // orders the jobs of a tier before their credit does; smaller goes first, 0: credit alone decides
 	Credit  float64
 	Created config.Micros
 }
--- a/internal/core/slo/tracker.go
+++ b/internal/core/slo/tracker.go
@@ -1,8 +1,8 @@
-// Package slo counts which part of the jobs is served in time, so that a class, a team or
-// the largest jobs of a class that starve are seen. It asks two questions of each job, each once,
-// when the time for it is up. Has it begun, that is, has it had a place? And was it served: what
-// ends by itself has to be done by then, a service to have places for all its replicas. A job
-// that its user cancels doesn't count. Refused submissions are not known here: users' side counts
+// Package slo measures which share of the jobs meets its service level objectives, so that a class, a team or
+// the largest jobs of a class that starve are noticed. Each job is judged once by each of two objectives, when
+// its deadline for it has passed. Has it started, that is, has it had a placement? And has it completed: a job
+// that ends by itself has to be done by then, a service to have all its replicas placed. A job that its
+// user cancels before that doesn't count. Submissions that were refused are not known here: clients count
 // them.
 package slo
 
@@ -20,183 +20,212 @@
 type Micros = config.Micros
 
 const (
-	// Window is over how long jobs are counted, by when their time is up.
+	// Window is the time over which jobs count, by their deadlines.
 	Window = 10 * 60 * config.Second
-	bucket = 10 * config.Second
-	// minCompletionTime and times are how long a job has to be served: so many times its owner's
-	// estimate, which is often wrong by half, and no less than a minute, what machines take
-	// to boot.
+	// bucketLength is the time over which deadlines are counted together.
+	bucketLength = 10 * config.Second
+	// minCompletionTime and completionFactor give the time that a job has to complete: so many times its
+	// user's estimate, which is often wrong by half, and no less than a minute, which machines take to
+	// boot.
 	minCompletionTime = 60 * config.Second
 	completionFactor  = 4
-	// maxKeys are counted apart in a bucket, and listed: users choose the names and sizes.
+	// maxKeys bounds the number of keys in a bucket, and of names in an answer: users choose names and
+	// sizes.
 	maxKeys = 200
-	// largestShare is the part of a class that counts as its largest jobs.
+	// largestShare is the share of a class's jobs that counts as its largest ones.
 	largestShare = 0.1
 )
 
 // Key is what jobs are counted by.
 type Key struct {
 	Class, Team string
-	Size        int
+	Size        int // as SizeBucket returns it
 }
 
-// SizeBucket is by which number a job of so many tasks is counted: the exact one up to 8, then in
-// four steps from each power of two to the next.
+// SizeBucket returns the lower bound of the size bucket of a job with a number of tasks. Buckets are exact up to
+// 8 tasks; from each power of two to the next there are four.
 func SizeBucket(tasks int) int {
 	shift := max(0, bits.Len(uint(tasks))-3)
 	return tasks >> shift << shift
 }
 
-// outcome is what is known of one question about a job.
+// outcome is whether a job meets one objective.
 type outcome struct {
 	key      Key
 	deadline Micros
 	met      bool
 }
 
-// Job is one that is counted.
+// Job is what a Tracker knows of a job.
 type Job struct {
-	out                bool // it is counted no more
+	cancelled          bool // it doesn't count any more
 	completed, started outcome
 }
 
+// tally is a number of jobs and how many of them have met an objective.
 type tally struct{ jobs, met int }
 
-func (c tally) plus(o tally) tally { return tally{c.jobs + o.jobs, c.met + o.met} }
+func (t tally) plus(other tally) tally { return tally{t.jobs + other.jobs, t.met + other.met} }
 
-// Ratio is how many of the jobs whose time was up were served, or had begun.
+func (t tally) ratio() Ratio { return Ratio{t.jobs, t.met} }
+
+// Ratio is a number of judged jobs and how many of them have met the objective.
 type Ratio struct{ Jobs, Met int }
 
-// Value is the share as a part of one.
-func (s Ratio) Value() float64 { return float64(s.Met) / float64(max(s.Jobs, 1)) }
+// Value is the share of jobs that have met the objective, 0 to 1.
+func (r Ratio) Value() float64 { return float64(r.Met) / float64(max(r.Jobs, 1)) }
+
+// plus returns the sum of two ratios' jobs.
+func (r Ratio) plus(other Ratio) Ratio { return Ratio{r.Jobs + other.Jobs, r.Met + other.Met} }
 
-// Attainment are those of the classes, of the teams, and of the largest tenth of each class.
+// Attainment is the SLO attainment by class, by team, and of the largest tenth of each class.
 type Attainment struct{ Class, Team, Largest map[string]Ratio }
 
-// objective counts the answers to one, by when they were due.
+// objective counts the outcomes of one objective, by the beginning of the bucket of their deadlines.
 type objective map[Micros]map[Key]tally
 
-func (q objective) add(a *outcome, jobs, yes int) {
-	at := a.deadline - a.deadline%bucket
-	of := q[at]
-	if of == nil {
-		of = map[Key]tally{}
-		q[at] = of
+// add adds to the numbers of jobs and of those that have met the objective.
+func (o objective) add(result *outcome, jobs, met int) {
+	at := result.deadline - result.deadline%bucketLength
+	counts := o[at]
+	if counts == nil {
+		counts = map[Key]tally{}
+		o[at] = counts
 	}
-	if _, had := of[a.key]; !had && len(of) >= maxKeys {
-		a.key = Key{}
+	if _, exists := counts[result.key]; !exists && len(counts) >= maxKeys {
+		result.key = Key{}
 	}
-	of[a.key] = of[a.key].plus(tally{jobs, yes})
+	counts[result.key] = counts[result.key].plus(tally{jobs, met})
 }
 
-// met takes the answer; once its time is up that changes nothing.
-func (q objective) met(now Micros, a *outcome) {
-	if !a.met && now <= a.deadline {
-		a.met = true
-		q.add(a, 0, 1)
+// meet records that a job meets the objective. After its deadline this changes nothing.
+func (o objective) meet(now Micros, result *outcome) {
+	if !result.met && now <= result.deadline {
+		result.met = true
+		o.add(result, 0, 1)
 	}
 }
 
-// remove takes the question back if it hasn't been judged.
-func (q objective) remove(now Micros, a *outcome) {
-	if now > a.deadline {
+// remove takes a job out of the counts unless its deadline has passed.
+func (o objective) remove(now Micros, result *outcome) {
+	if now > result.deadline {
 		return
 	}
-	yes := 0
-	if a.met {
-		yes = -1
+	met := 0
+	if result.met {
+		met = -1
 	}
-	q.add(a, -1, yes)
+	o.add(result, -1, met)
 }
 
-func (q objective) expire(now Micros) {
-	maps.DeleteFunc(q, func(at Micros, _ map[Key]tally) bool { return at+bucket <= now-Window })
+// expire removes the buckets before the window.
+func (o objective) expire(now Micros) {
+	maps.DeleteFunc(o, func(at Micros, _ map[Key]tally) bool { return at+bucketLength <= now-Window })
 }
 
-// attainment adds up what was due by now.
-func (q objective) attainment(now Micros) Attainment {
-	q.expire(now)
+// attainment adds up the jobs whose deadlines have passed.
+func (o objective) attainment(now Micros) Attainment {
+	o.expire(now)
 	out := Attainment{map[string]Ratio{}, map[string]Ratio{}, map[string]Ratio{}}
-	add := func(to map[string]Ratio, name string, c tally) {
-		to[name] = Ratio{to[name].Jobs + c.jobs, to[name].Met + c.met}
-	}
-	sizes := map[string]map[int]tally{}
-	for at, of := range q {
-		if at+bucket > now {
+	sizes := sizeCounts{}
+	for at, counts := range o {
+		if at+bucketLength > now {
 			continue
 		}
-		for k, c := range of {
-			if c.jobs <= 0 {
+		for key, t := range counts {
+			if t.jobs <= 0 {
 				continue
 			}
-			add(out.Class, k.Class, c)
-			add(out.Team, k.Team, c)
-			sizes[k.Class] = bySize(sizes[k.Class], k.Size, c)
+			out.Class[key.Class] = out.Class[key.Class].plus(t.ratio())
+			out.Team[key.Team] = out.Team[key.Team].plus(t.ratio())
+			sizes.add(key, t)
 		}
 	}
-	for class, of := range sizes {
-		_, top, _ := split(of)
-		add(out.Largest, class, top)
+	for class, bySize := range sizes {
+		_, largest, _ := splitLargest(bySize)
+		out.Largest[class] = largest.ratio()
 	}
-	trim(out.Class)
-	trim(out.Team)
-	trim(out.Largest)
+	mergeSmallest(out.Class)
+	mergeSmallest(out.Team)
+	mergeSmallest(out.Largest)
 	return out
 }
 
-func bySize(of map[int]tally, size int, c tally) map[int]tally {
-	if of == nil {
-		of = map[int]tally{}
+// sizeCounts counts the jobs of each class by size bucket.
+type sizeCounts map[string]map[int]tally
+
+func (sc sizeCounts) add(key Key, t tally) {
+	bySize := sc[key.Class]
+	if bySize == nil {
+		bySize = map[int]tally{}
+		sc[key.Class] = bySize
 	}
-	of[size] = of[size].plus(c)
-	return of
+	bySize[key.Size] = bySize[key.Size].plus(t)
 }
 
-// split parts the jobs of a class into the largest tenth, from some size on, and the rest.
-func split(of map[int]tally) (from int, top, rest tally) {
-	all := 0
-	for _, c := range of {
-		all += c.jobs
+// splitLargest divides the jobs of a class into the largest tenth, from some size bucket on, and the rest.
+func splitLargest(bySize map[int]tally) (from int, largest, rest tally) {
+	jobs := 0
+	for _, t := range bySize {
+		jobs += t.jobs
 	}
-	for _, size := range slices.Backward(slices.Sorted(maps.Keys(of))) {
-		if float64(top.jobs) < largestShare*float64(all) {
-			from, top = size, top.plus(of[size])
+	for _, size := range slices.Backward(slices.Sorted(maps.Keys(bySize))) {
+		if float64(largest.jobs) < largestShare*float64(jobs) {
+			from, largest = size, largest.plus(bySize[size])
 		} else {
-			rest = rest.plus(of[size])
+			rest = rest.plus(bySize[size])
 		}
 	}
-	return from, top, rest
+	return from, largest, rest
 }
 
-// Tracker counts.
+// mergeSmallest merges the entries with the fewest jobs under the name "" when there are too many to read.
+func mergeSmallest(ratios map[string]Ratio) {
+	if len(ratios) <= maxKeys {
+		return
+	}
+	names := slices.SortedFunc(maps.Keys(ratios), func(a, b string) int {
+		return cmp.Or(cmp.Compare(ratios[b].Jobs, ratios[a].Jobs), cmp.Compare(a, b))
+	})
+	for _, name := range names[maxKeys:] {
+		merged := ratios[name]
+		delete(ratios, name)
+		ratios[""] = ratios[""].plus(merged)
+	}
+}
+
+// Tracker measures the SLO attainment of the jobs that it is told of. It is not safe for concurrent use.
 type Tracker struct {
-	within             Micros // a job is to begin within
+	startWithin        Micros // time that a job has to start
 	completed, started objective
 }
 
-// New returns a Tally of nothing. Jobs are to begin within some time.
-func New(within Micros) *Tracker {
-	return &Tracker{within: within, completed: objective{}, started: objective{}}
+// New returns a Tracker that knows of no jobs. They have to start within a time from their acceptance on.
+func New(startWithin Micros) *Tracker {
+	return &Tracker{startWithin: startWithin, completed: objective{}, started: objective{}}
 }
 
-// CompletionDeadline is when a job that was accepted at some time is to be served by.
+// CompletionDeadline returns by when a job that was accepted at a time has to complete.
 func CompletionDeadline(spec *wire.Job, created Micros) Micros {
 	if spec.Shape == wire.Service {
 		return created + minCompletionTime
 	}
-	long := max(minCompletionTime, completionFactor*config.FromSeconds(spec.EstimateS))
+	within := max(minCompletionTime, completionFactor*config.FromSeconds(spec.EstimateS))
 	if spec.DeadlineS != nil {
-		long = max(long, config.FromSeconds(*spec.DeadlineS))
+		within = max(within, config.FromSeconds(*spec.DeadlineS))
 	}
-	return created + long
+	return created + within
 }
 
-// JobAccepted counts a job; nil: its time has been up for too long.
+// JobAccepted counts a job that was accepted at a time; nil: its deadlines have passed for longer than the window.
 func (t *Tracker) JobAccepted(now Micros, spec *wire.Job, created Micros) *Job {
 	t.completed.expire(now)
 	t.started.expire(now)
 	key := Key{spec.Class, spec.Team, SizeBucket(spec.Tasks)}
-	j := &Job{completed: outcome{key: key, deadline: CompletionDeadline(spec, created)}, started: outcome{key: key, deadline: created + t.within}}
+	j := &Job{
+		completed: outcome{key: key, deadline: CompletionDeadline(spec, created)},
+		started:   outcome{key: key, deadline: created + t.startWithin},
+	}
 	if max(j.completed.deadline, j.started.deadline) <= now-Window {
 		return nil
 	}
@@ -205,76 +234,63 @@
 	return j
 }
 
-// JobStarted hears that a job has had a place.
+// JobStarted records that a job has had a placement. The job may be nil.
 func (t *Tracker) JobStarted(now Micros, j *Job) {
-	if j != nil && !j.out {
-		t.started.met(now, &j.started)
+	if j != nil && !j.cancelled {
+		t.started.meet(now, &j.started)
 	}
 }
 
-// JobCompleted hears that a job is done, or has all its replicas.
+// JobCompleted records that a job is done, or has all its replicas placed. The job may be nil.
 func (t *Tracker) JobCompleted(now Micros, j *Job) {
-	if j != nil && !j.out {
-		t.completed.met(now, &j.completed)
+	if j != nil && !j.cancelled {
+		t.completed.meet(now, &j.completed)
 	}
 }
 
-// JobCancelled hears that a job's user wants it no more. What was judged stays as it was.
+// JobCancelled records that a job was cancelled by its user. Objectives whose deadline has passed still count. The
+// job may be nil.
 func (t *Tracker) JobCancelled(now Micros, j *Job) {
-	if j == nil || j.out {
+	if j == nil || j.cancelled {
 		return
 	}
 	t.completed.remove(now, &j.completed)
 	t.started.remove(now, &j.started)
-	j.out = true
+	j.cancelled = true
 }
 
-// CompletedInTime tells what was served of what was judged within the window.
+// CompletedInTime returns which jobs have completed in time, of those whose deadlines have passed within the
+// window.
 func (t *Tracker) CompletedInTime(now Micros) Attainment { return t.completed.attainment(now) }
 
-// StartedInTime tells what had begun of what was judged within the window.
+// StartedInTime returns which jobs have started in time, of those whose deadlines have passed within the window.
 func (t *Tracker) StartedInTime(now Micros) Attainment { return t.started.attainment(now) }
 
-// ClassStarts is how the jobs of a class fare that were accepted lately, whether their time is up
-// or not.
+// ClassStarts is how many jobs of a class that were accepted lately have started, whether their deadlines have
+// passed or not.
 type ClassStarts struct {
-	LargestBucket int // the size from which on a job counts among the largest
+	LargestBucket int // size bucket from which on a job counts among the largest
 	Largest, Rest Ratio
 }
 
-// Classes tells so of every class, of the jobs accepted within twice the time that they have to
-// begin.
+// Classes returns the ClassStarts of every class, of the jobs that were accepted within twice the time that they
+// have to start.
 func (t *Tracker) Classes(now Micros) map[string]ClassStarts {
-	sizes := map[string]map[int]tally{}
-	for at, of := range t.started {
-		if at+bucket <= now-t.within {
+	sizes := sizeCounts{}
+	for at, counts := range t.started {
+		if at+bucketLength <= now-t.startWithin {
 			continue
 		}
-		for k, c := range of {
-			if c.jobs > 0 {
-				sizes[k.Class] = bySize(sizes[k.Class], k.Size, c)
+		for key, t := range counts {
+			if t.jobs > 0 {
+				sizes.add(key, t)
 			}
 		}
 	}
 	out := make(map[string]ClassStarts, len(sizes))
-	for name, of := range sizes {
-		from, top, rest := split(of)
-		out[name] = ClassStarts{from, Ratio{top.jobs, top.met}, Ratio{rest.jobs, rest.met}}
+	for class, bySize := range sizes {
+		from, largest, rest := splitLargest(bySize)
+		out[class] = ClassStarts{from, largest.ratio(), rest.ratio()}
 	}
 	return out
 }
-
-// trim puts those with fewest jobs under one name, "", when there are too many to read.
-func trim(of map[string]Ratio) {
-	if len(of) <= maxKeys {
-		return
-	}
-	names := slices.SortedFunc(maps.Keys(of), func(a, b string) int {
-		return cmp.Or(cmp.Compare(of[b].Jobs, of[a].Jobs), cmp.Compare(a, b))
-	})
-	for _, name := range names[maxKeys:] {
-		s := of[name]
-		delete(of, name)
-		of[""] = Ratio{of[""].Jobs + s.Jobs, of[""].Met + s.Met}
-	}
-}
