--- a/internal/core/leader/cycle.go
+++ b/internal/core/leader/cycle.go
@@ -50,6 +50,7 @@
 	waitingPreemptors []waitingPreemptor        // the highest level first
 	victims           map[string][]*zone.Victim // by zone; nil: not listed yet
 	running           *runningSummary           // nil: not computed yet
+	inZone            map[string]int            // of the current placementAttempt; one map for all of them
 	quotaLimited      bool                      // a job waits because of its team's limit
 	changeBudget      float64                   // changes that the key-value store still accepts in this cycle
 }
@@ -103,6 +104,7 @@
 		used:              maps.Clone(sc.snapshot.used),
 		reservedZones:     map[string]bool{},
 		gangReservedZones: map[string]bool{},
+		inZone:            map[string]int{},
 		changeBudget:      float64(sc.commits.maxInFlightChanges() - sc.commits.inFlightChanges),
 	}
 	for _, z := range c.zones {
--- a/internal/core/leader/placement_attempt.go
+++ b/internal/core/leader/placement_attempt.go
@@ -18,9 +18,9 @@
 	job     *Job
 	level   int
 	request *zone.Request
-	tasks   []int  // those that still lack a machine
-	attempt uint64 // number of the attempt under which they are started
-	inZone  map[string]int
+	tasks   []int          // those that still lack a machine
+	attempt uint64         // number of the attempt under which they are started
+	inZone  map[string]int // placed tasks of the job by zone
 	spread  *replicaSpread
 	// commit is false when the key-value store accepts no more changes for now: the jobs that rank
 	// highest have been committed. The others only take their capacity for this cycle, so that
@@ -60,6 +60,7 @@
 	if !ok {
 		return
 	}
+	clear(c.inZone)
 	a := placementAttempt{
 		cycle:   c,
 		job:     j,
@@ -67,7 +68,7 @@
 		request: sc.zoneRequest(c, j, e),
 		tasks:   tasks,
 		attempt: attempt,
-		inZone:  map[string]int{},
+		inZone:  c.inZone,
 		spread:  sc.newReplicaSpread(j),
 		commit:  c.changeBudget > 0,
 	}
