--- a/internal/core/leader/snapshot_jobs.go
+++ b/internal/core/leader/snapshot_jobs.go
@@ -92,10 +92,10 @@
 }
 
 // lacksPlacements reports whether tasks of an unfinished job are to be placed.
-func (e *environment) lacksPlacements(j *Job) bool {
+func (ss *clusterSnapshot) lacksPlacements(j *Job) bool {
 	spec := j.Record.Spec
 	runnable := !j.Blocked() && !j.Record.Final() && !j.Record.CancelRequested
-	return runnable && j.DoneTasks+j.OpenTasks < spec.Tasks && e.teams[spec.Team] != nil
+	return runnable && j.DoneTasks+j.OpenTasks < spec.Tasks && ss.teams[spec.Team] != nil
 }
 
 // refreshTeamQueue updates a job's position in the queue of its team, by which the guarantee is
--- a/internal/core/slo/tracker.go
+++ b/internal/core/slo/tracker.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// Tracker measures the SLO attainment of the jobs that it is told of. It is not safe for concurrent use.
+// Tracker measures the SLO attainment of the jobs whose events are recorded with it. It is not safe for concurrent use.
 type Tracker struct {
 	startWithin        Micros // time that a job has to start
 	completed, started objective
