--- a/internal/core/job/usage.go
+++ b/internal/core/job/usage.go
@@ -6,8 +6,11 @@
 	"coralhub/wire"
 )
 
-// timeUnit is the unit of stored times, in microseconds: a tenth of a second.
-const timeUnit = 100_000
+// EncodedTimesPerSecond is how many units of an encoded time make a second, see EncodeTime.
+const EncodedTimesPerSecond = 10
+
+// timeUnit is the unit of encoded times, in microseconds.
+const timeUnit = 1_000_000 / EncodedTimesPerSecond
 
 // microsPerSecond converts times of day in microseconds to seconds.
 const microsPerSecond = 1_000_000
--- a/internal/core/leader/commit_answers.go
+++ b/internal/core/leader/commit_answers.go
@@ -67,7 +67,7 @@
 func (jc *jobCommitter) settle(j *Job) {
 	j.transaction = nil
 	jc.snapshot.setPlan(j, nil)
-	jc.scheduler.cycleDue = true
+	jc.scheduler.requestCycle()
 }
 
 // onRejected handles a transaction that can't be applied any more, by the keys to be read again. If an earlier
--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -136,7 +136,7 @@
 
 // markForReview has the next scheduling cycle and, if this node leads, the next commit consider a job.
 func (jc *jobCommitter) markForReview(j *Job) {
-	jc.scheduler.cycleDue = true
+	jc.scheduler.requestCycle()
 	if jc.ready {
 		jc.requestCommit(j.ID)
 	}
--- a/internal/core/leader/completion_log.go
+++ b/internal/core/leader/completion_log.go
@@ -211,7 +211,7 @@
 			return c.logged && c.key.Task == entry.Task && c.key.Attempt == entry.Attempt && c.machine == entry.Machine
 		})
 		cl.commits.requestCommit(j.ID)
-		cl.scheduler.cycleDue = true
+		cl.scheduler.requestCycle()
 	}
 	cl.unwritten = kept
 }
--- a/internal/core/leader/cycle.go
+++ b/internal/core/leader/cycle.go
@@ -29,6 +29,9 @@
 	defragmentation defragState
 }
 
+// requestCycle has the next scheduling cycle run as soon as the least interval allows.
+func (sc *scheduler) requestCycle() { sc.cycleDue = true }
+
 // reset forgets the state of a term.
 func (sc *scheduler) reset() {
 	sc.defragmentation = defragState{}
--- a/internal/core/leader/events.go
+++ b/internal/core/leader/events.go
@@ -32,7 +32,7 @@
 func (h *EventHandler) WorkerJoined(m *zone.Machine) {
 	h.snapshot.markMachineStale(m)
 	h.machineCache.markCacheStale(m.Name)
-	h.scheduler.cycleDue = true
+	h.scheduler.requestCycle()
 }
 
 // MachineChanged is called for any change of a machine.
@@ -80,4 +80,4 @@
 func (h *EventHandler) MachineSetChanged(machine string) { h.machineCache.markCacheStale(machine) }
 
 // CapacityChanged is called when the free capacity of the cluster has changed.
-func (h *EventHandler) CapacityChanged() { h.scheduler.cycleDue = true }
+func (h *EventHandler) CapacityChanged() { h.scheduler.requestCycle() }
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -207,7 +207,7 @@
 }
 
 // RequestCycle has a scheduling cycle run soon.
-func (l *Leader) RequestCycle() { l.scheduler.cycleDue = true }
+func (l *Leader) RequestCycle() { l.scheduler.requestCycle() }
 
 // CatalogChanged rebuilds what depends on the machine types, which have changed.
 func (l *Leader) CatalogChanged() {
@@ -215,7 +215,7 @@
 	for _, j := range l.unfinished {
 		j.types = machineTypes{}
 	}
-	l.scheduler.cycleDue = true
+	l.scheduler.requestCycle()
 }
 
 // Apply applies a change of a key that only leaders read, or of the records.
@@ -257,7 +257,7 @@
 	periodOver := l.outbox.Now()-l.scheduler.lastCycleAt >= config.FromSeconds(l.cfg.Settings.ScanPeriodS)
 	timerOver := l.scheduler.nextCycleAt != 0 && l.outbox.Now() >= l.scheduler.nextCycleAt
 	if periodOver || timerOver {
-		l.scheduler.cycleDue = true
+		l.scheduler.requestCycle()
 	}
 }
 
@@ -295,7 +295,7 @@
 	}
 	l.estimates.restoreEstimates()
 	l.usageAccounts.restoreUsage(ids)
-	l.scheduler.cycleDue = true
+	l.scheduler.requestCycle()
 	l.outbox.Log("records read", "open_placements", open, "machines", l.reconciler.Registry().Len(), "after_ms", (l.outbox.Now()-l.electedAt)/1000)
 }
 
--- a/internal/core/leader/placement_answers.go
+++ b/internal/core/leader/placement_answers.go
@@ -109,7 +109,7 @@
 		pc.commits.settle(j)
 		pc.commits.requestCommit(j.ID)
 	}
-	pc.scheduler.cycleDue = true
+	pc.scheduler.requestCycle()
 }
 
 // onPlacementConflict handles a conflict. If an earlier sending had no answer, this one may have conflicted
--- a/internal/core/leader/placement_attempt.go
+++ b/internal/core/leader/placement_attempt.go
@@ -211,7 +211,7 @@
 	if a.commit {
 		sc.outbox.Debug("placing", "job", j.ID, "class", spec.Class, "tasks", len(bid.Offers), "images_cached", bid.CachedImages, "zone", bid.Zone,
 			"age_ms", (sc.outbox.Now()-j.arrivedAt)/1000, "level", a.level)
-		sc.commits.pendingCommits[j.ID] = true
+		sc.commits.requestCommit(j.ID)
 		sc.diagnostics.counters.placed += len(bid.Offers)
 	} else {
 		sc.diagnostics.counters.deferred++
--- a/internal/core/leader/preemption.go
+++ b/internal/core/leader/preemption.go
@@ -155,7 +155,7 @@
 			j.reservedMachines = nil
 		}
 	}
-	pd.scheduler.cycleDue = true
+	pd.scheduler.requestCycle()
 }
 
 // executeDecision stops the victims of a decision, as far as they are still where they were.
--- a/internal/core/leader/record_events.go
+++ b/internal/core/leader/record_events.go
@@ -59,7 +59,7 @@
 	j := l.jobs[r.ID]
 	j.arrivedAt = l.outbox.Now() // its waiting time counts from now on
 	l.snapshot.markJobStale(j)
-	l.scheduler.cycleDue = true
+	l.scheduler.requestCycle()
 }
 
 // DependencyCancelled is called when a job is to be cancelled because one that it depends on was.
--- a/internal/core/leader/task_events.go
+++ b/internal/core/leader/task_events.go
@@ -72,7 +72,7 @@
 	if j.isClosing(key, m.Name) {
 		return
 	}
-	te.scheduler.cycleDue = true
+	te.scheduler.requestCycle()
 	switch t.Cause {
 	case wire.Done:
 		if m.ClearedBySuccess(j.startedAt[key.Task]) {
--- a/internal/core/leader/usage.go
+++ b/internal/core/leader/usage.go
@@ -41,14 +41,11 @@
 		occupancy.Lost = max(0, occupancy.End-p.PlacedAt)
 	}
 	if spec.CheckpointS > 0 { // the work before the last checkpoint is saved
-		occupancy.Lost = min(occupancy.Lost, int64(spec.CheckpointS*encodedTimePerSecond))
+		occupancy.Lost = min(occupancy.Lost, int64(spec.CheckpointS*job.EncodedTimesPerSecond))
 	}
 	return occupancy
 }
 
-// encodedTimePerSecond is the unit of job.EncodeTime: tenths of a second.
-const encodedTimePerSecond = 10
-
 // usage adds up what a job's tasks have used by the records and, if withUncommitted, by the proven ends of
 // tasks that are not committed yet.
 func (j *Job) usage(withUncommitted bool) *job.Usage {
