--- a/cmd/coralhub/experiment.go
+++ b/cmd/coralhub/experiment.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"text/tabwriter"
@@ -32,7 +33,6 @@
 			if err != nil {
 				return err
 			}
-			out := cmd.OutOrStdout()
 			return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
 				folder, err := runFolder(dir, e.Name)
 				if err != nil {
@@ -40,25 +40,11 @@
 				}
 				opt := faulttest.Options{Program: program, Log: "info", Dir: folder}
 				opt.Say = func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
-				t, err := e.Play(ctx, opt)
+				table, err := e.Play(ctx, opt)
 				if err != nil {
 					return err
 				}
-				if asJSON {
-					return json.NewEncoder(out).Encode(t)
-				}
-				w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-				fmt.Fprintln(w, "measure\tvariant\tmedian\tspread\tratio\tverdict\t")
-				for _, r := range t.Rows {
-					fmt.Fprintf(w, "%s\t%s\t%.3g\t%.3g\t%.3f\t%s\t\n", r.Measure, r.Variant, r.Median, r.Spread, r.Against, r.Verdict)
-				}
-				if err := w.Flush(); err != nil {
-					return err
-				}
-				for _, f := range t.Failed {
-					fmt.Fprintln(out, "failed:", f)
-				}
-				return nil
+				return printTable(cmd.OutOrStdout(), table, asJSON)
 			})
 		},
 	}
@@ -66,3 +52,21 @@
 	cmd.Flags().StringVar(&dir, "dir", filepath.Join(os.TempDir(), "coralhub-runs"), "`FOLDER` for the runs")
 	return cmd
 }
+
+func printTable(out io.Writer, table *faulttest.Table, asJSON bool) error {
+	if asJSON {
+		return json.NewEncoder(out).Encode(table)
+	}
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(w, "measure\tvariant\tmedian\tspread\tratio\tverdict\t")
+	for _, r := range table.Rows {
+		fmt.Fprintf(w, "%s\t%s\t%.3g\t%.3g\t%.3f\t%s\t\n", r.Measure, r.Variant, r.Median, r.Spread, r.Against, r.Verdict)
+	}
+	if err := w.Flush(); err != nil {
+		return err
+	}
+	for _, f := range table.Failed {
+		fmt.Fprintln(out, "failed:", f)
+	}
+	return nil
+}
--- a/cmd/coralhub/faulttest.go
+++ b/cmd/coralhub/faulttest.go
@@ -20,16 +20,17 @@
 	"coralhub/internal/view"
 )
 
-func rehearseCommand() *cobra.Command {
+func faulttestCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use:   "rehearse",
-		Short: "Play scripted failures on a cluster of this machine's own and tell whether they pass",
+		Use:     "faulttest",
+		Aliases: []string{"rehearse"}, // its name in earlier versions
+		Short:   "Play scripted failures on a cluster of this machine's own and tell whether they pass",
 	}
-	cmd.AddCommand(rehearseList(), rehearseRun(), rehearseReport())
+	cmd.AddCommand(faulttestList(), faulttestRun(), faulttestReport())
 	return cmd
 }
 
-func rehearseList() *cobra.Command {
+func faulttestList() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List the scenarios that come with the program",
@@ -51,85 +52,124 @@
 // errFailed ends the program with 1 and nothing more to say.
 var errFailed = errors.New("a scenario failed")
 
-func rehearseRun() *cobra.Command {
-	var plain, asJSON bool
-	var seed uint64
-	var scale, speed float64
-	var dir, settings, level string
+// faulttestFlags are the flags of faulttest run.
+type faulttestFlags struct {
+	plain, asJSON bool
+	seed          uint64
+	scale, speed  float64
+	dir           string
+	settings      string
+	logLevel      string
+}
+
+func faulttestRun() *cobra.Command {
+	var flags faulttestFlags
 	cmd := &cobra.Command{
 		Use:   "run SCENARIO...",
 		Short: "Play scenarios, by their names or from files",
-		Long: "Play scenarios on real processes of this program and stand-ins on loopback sockets.\n" +
+		Long: "Play scenarios on real processes of this program and emulators on loopback sockets.\n" +
 			"Each prints PASS or FAIL, with what failed; the exit code is 1 if any failed.",
-		Example: "  coralhub rehearse run surge\n  coralhub rehearse run --plain --seed 7 leader-killed ./my-night.toml",
+		Example: "  coralhub faulttest run surge\n  coralhub faulttest run --plain --seed 7 leader-killed ./my-night.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			program, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			if scale <= 0 || speed <= 0 {
-				return errors.New("--scale and --speed must be above 0")
-			}
-			out, failed := cmd.OutOrStdout(), false
-			for _, name := range args {
-				s, err := faulttest.Load(name)
-				if err != nil {
-					return err
-				}
-				if scale != 1 {
-					s = s.Scaled(scale)
-				}
-				if speed != 1 {
-					s = s.Sped(speed)
-				}
-				folder, err := runFolder(dir, s.Name)
-				if err != nil {
-					return err
-				}
-				opt := faulttest.Options{Program: program, Seed: seed, Settings: settings, Log: level, Dir: folder}
-				began := time.Now()
-				var screen *view.Screen
-				if f, ok := out.(*os.File); ok && !plain && !asJSON && isatty.IsTerminal(f.Fd()) {
-					screen = view.Open(ctx, f, stop, s.Name+": "+s.About)
-					opt.Watch = screen.Show
-				} else if !plain && !asJSON {
-					opt.Say = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(began).Seconds(), line) }
-					fmt.Fprintf(out, "%s: %s\n", s.Name, s.About)
-				}
-				res, err := faulttest.Run(ctx, s, opt)
-				screen.Close()
-				if err != nil {
-					if ctx.Err() != nil {
-						return err
-					}
-					res = &faulttest.Result{Scenario: s.Name, Seed: seed, Why: err.Error()}
-				}
-				failed = failed || !res.Passed
-				if err := tell(out, res, opt.Dir, plain, asJSON); err != nil {
-					return err
-				}
-			}
-			if failed {
-				return errFailed
-			}
-			return nil
+			return flags.playAll(ctx, stop, cmd.OutOrStdout(), args)
 		},
 	}
 	f := cmd.Flags()
-	f.BoolVar(&plain, "plain", false, "print nothing but the verdict")
-	f.BoolVar(&asJSON, "json", false, "print each result as JSON")
-	f.Uint64Var(&seed, "seed", 1, "draws arrivals, run times and machines")
-	f.Float64Var(&scale, "scale", 1, "so many times the machines and the load")
-	f.Float64Var(&speed, "speed", 1, "so many times the jobs, as much shorter each; the protocol's times stay")
-	f.StringVar(&dir, "dir", filepath.Join(os.TempDir(), "coralhub-runs"), "`FOLDER` for results, settings and logs")
-	f.StringVar(&settings, "settings", "", "the operators' settings `FILE` for the nodes")
-	f.StringVar(&level, "log", "info", "how much the nodes log")
+	f.BoolVar(&flags.plain, "plain", false, "print nothing but the verdict")
+	f.BoolVar(&flags.asJSON, "json", false, "print each result as JSON")
+	f.Uint64Var(&flags.seed, "seed", 1, "draws arrivals, run times and machines")
+	f.Float64Var(&flags.scale, "scale", 1, "so many times the machines and the load")
+	f.Float64Var(&flags.speed, "speed", 1, "so many times the jobs, as much shorter each; the protocol's times stay")
+	f.StringVar(&flags.dir, "dir", filepath.Join(os.TempDir(), "coralhub-runs"), "`FOLDER` for results, settings and logs")
+	f.StringVar(&flags.settings, "settings", "", "the operators' settings `FILE` for the nodes")
+	f.StringVar(&flags.logLevel, "log", "info", "how much the nodes log")
 	return cmd
 }
 
+// playAll plays scenarios one after the other. It returns errFailed if any has failed.
+func (f *faulttestFlags) playAll(ctx context.Context, stop func(), out io.Writer, names []string) error {
+	if f.scale <= 0 || f.speed <= 0 {
+		return errors.New("--scale and --speed must be above 0")
+	}
+	failed := false
+	for _, name := range names {
+		s, err := f.load(name)
+		if err != nil {
+			return err
+		}
+		folder, err := runFolder(f.dir, s.Name)
+		if err != nil {
+			return err
+		}
+		res, err := f.play(ctx, stop, out, s, folder)
+		if err != nil {
+			return err
+		}
+		failed = failed || !res.Passed
+		if err := f.print(out, res, folder); err != nil {
+			return err
+		}
+	}
+	if failed {
+		return errFailed
+	}
+	return nil
+}
+
+// load reads a scenario and scales it.
+func (f *faulttestFlags) load(name string) (*faulttest.Scenario, error) {
+	s, err := faulttest.Load(name)
+	if err != nil {
+		return nil, err
+	}
+	if f.scale != 1 {
+		s = s.Scaled(f.scale)
+	}
+	if f.speed != 1 {
+		s = s.Sped(f.speed)
+	}
+	return s, nil
+}
+
+// play plays a scenario. A run that could not be made is a failed result, unless it was interrupted.
+func (f *faulttestFlags) play(ctx context.Context, stop func(), out io.Writer, s *faulttest.Scenario, folder string) (*faulttest.Result, error) {
+	program, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	opt := faulttest.Options{Program: program, Seed: f.seed, Settings: f.settings, Log: f.logLevel, Dir: folder}
+	screen := f.showProgress(ctx, stop, out, s, &opt)
+	res, err := faulttest.Run(ctx, s, opt)
+	screen.Close()
+	if err != nil && ctx.Err() != nil {
+		return nil, err
+	}
+	if err != nil {
+		return &faulttest.Result{Scenario: s.Name, Seed: f.seed, Why: err.Error()}, nil
+	}
+	return res, nil
+}
+
+// showProgress has a run shown on a terminal, or told line by line elsewhere. The screen is nil if there is none.
+func (f *faulttestFlags) showProgress(ctx context.Context, stop func(), out io.Writer, s *faulttest.Scenario, opt *faulttest.Options) *view.Screen {
+	if f.plain || f.asJSON {
+		return nil
+	}
+	title := s.Name + ": " + s.About
+	if file, ok := out.(*os.File); ok && isatty.IsTerminal(file.Fd()) {
+		screen := view.Open(ctx, file, stop, title)
+		opt.Watch = screen.Show
+		return screen
+	}
+	began := time.Now()
+	opt.Say = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(began).Seconds(), line) }
+	fmt.Fprintln(out, title)
+	return nil
+}
+
 // runFolder makes a run's folder. Two that begin at the same moment get one each: in one,
 // each would start its nodes with the other's settings.
 func runFolder(dir, name string) (string, error) {
@@ -139,11 +179,12 @@
 	return os.MkdirTemp(dir, fmt.Sprintf("%s-%s-", name, time.Now().Format("20060102-150405")))
 }
 
-func tell(out io.Writer, res *faulttest.Result, dir string, plain, asJSON bool) error {
-	if asJSON {
+// print prints a result as the flags ask.
+func (f *faulttestFlags) print(out io.Writer, res *faulttest.Result, dir string) error {
+	if f.asJSON {
 		return json.NewEncoder(out).Encode(res)
 	}
-	if !plain {
+	if !f.plain {
 		if err := printResult(out, res); err != nil {
 			return err
 		}
@@ -184,12 +225,12 @@
 	return nil
 }
 
-func rehearseReport() *cobra.Command {
+func faulttestReport() *cobra.Command {
 	var out string
 	cmd := &cobra.Command{
 		Use:     "report RUN",
 		Short:   "Write the result of a run as a page of HTML that needs nothing else",
-		Example: "  coralhub rehearse report /tmp/coralhub-runs/surge-20261201-101500-123456789 --out surge.html",
+		Example: "  coralhub faulttest report /tmp/coralhub-runs/surge-20261201-101500-123456789 --out surge.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			res, err := faulttest.Open(args[0])
--- a/cmd/coralhub/main.go
+++ b/cmd/coralhub/main.go
@@ -1,5 +1,4 @@
-// Command coralhub is a controller node of the coralhub cluster scheduler, and what
-// goes with it.
+// Command coralhub is a controller node of the coralhub cluster scheduler, and the tools to test and measure it.
 package main
 
 import (
@@ -32,7 +31,18 @@
 		"Without a subcommand it serves as a controller node."
 	cmd.Version = version
 	cmd.SilenceUsage, cmd.SilenceErrors = true, true
-	cmd.AddCommand(serve("serve --config FILE"), upCommand(), rehearseCommand(), loadCommand(), experimentCommand(), estimateCommand(), boundCommand(), scaleCommand(), capacityCommand(), hollowCommand())
+	cmd.AddCommand(
+		serve("serve --config FILE"),
+		upCommand(),
+		faulttestCommand(),
+		loadCommand(),
+		experimentCommand(),
+		estimateCommand(),
+		boundCommand(),
+		scaleCommand(),
+		capacityCommand(),
+		hollowCommand(),
+	)
 	return cmd
 }
 
@@ -57,10 +67,7 @@
 				return err
 			}
 			if withParent {
-				go func() {
-					_, _ = io.Copy(io.Discard, os.Stdin) // ends when the parent does, however it ends
-					os.Exit(0)
-				}()
+				go exitWithParent()
 			}
 			return node.New(cfg).Run(cmd.Context())
 		},
@@ -77,6 +84,13 @@
 	return cmd
 }
 
+// exitWithParent ends the process when standard input ends, which it does when the parent does, however that ends.
+func exitWithParent() {
+	_, _ = io.Copy(io.Discard, os.Stdin)
+	os.Exit(0)
+}
+
+// logLevel reads the value of LOG_LEVEL.
 func logLevel(s string) (slog.Level, error) {
 	switch s {
 	case "", "info":
--- a/cmd/coralhub/names_test.go
+++ b/cmd/coralhub/names_test.go
@@ -17,7 +17,7 @@
 	var out strings.Builder
 	var list func(cmd *cobra.Command, indent string)
 	list = func(cmd *cobra.Command, indent string) {
-		fmt.Fprintf(&out, "%s%s\n", indent, cmd.Name())
+		fmt.Fprintf(&out, "%s%s\n", indent, strings.Join(append([]string{cmd.Name()}, cmd.Aliases...), " or "))
 		cmd.Flags().VisitAll(func(f *pflag.Flag) {
 			fmt.Fprintf(&out, "%s  --%s %s = %s\n", indent, f.Name, f.Value.Type(), f.DefValue)
 		})
@@ -27,4 +27,7 @@
 	}
 	list(command(), "")
 	golden.Check(t, "commands.txt", out.String())
+	if run, _, err := command().Find([]string{"rehearse", "run"}); err != nil || run.CommandPath() != "coralhub faulttest run" {
+		t.Errorf("the old name of faulttest finds %v, %v", run, err)
+	}
 }
--- a/cmd/coralhub/up.go
+++ b/cmd/coralhub/up.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -16,9 +17,18 @@
 	"coralhub/wire"
 )
 
+// upFlags are the flags of up.
+type upFlags struct {
+	nodes, machines int
+	data            string
+	dir             string
+	settings        string
+	listen          string
+	logLevel        string
+}
+
 func upCommand() *cobra.Command {
-	var nodes, machines int
-	var data, dir, settings, listen, level string
+	var flags upFlags
 	cmd := &cobra.Command{
 		Use:   "up",
 		Short: "Start a whole cluster on this machine: nodes, and emulators of all that they need",
@@ -29,61 +39,83 @@
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
-				program, err := os.Executable()
-				if err != nil {
-					return err
-				}
-				opt := cluster.Options{Program: program, Nodes: nodes, Settings: settings, Log: level, Cluster: demo(nodes), Boot: 2 * config.Second,
-					Types:        []wire.MachineType{{Name: "g4", CPUs: 64, GPUs: 4, MemoryGB: 256, CacheGB: 500, FetchGBs: 0.4, Price: 8, SpotPrice: 3, BootS: 2, Zones: demoZones}},
-					Capacity:     map[string]int{demoZones[0]: (machines + 1) / 2, demoZones[1]: machines / 2},
-					Model:        &emulator.Model{Rand: rand.New(rand.NewPCG(1, 1)), BootSpread: 0.3, ListLag: 2 * config.Second, Speed: 0.1, BootTimes: 1},
-					RestartAfter: 2 * time.Second}
-				if opt.Dir = dir; data != "" {
-					opt.Dir, opt.Data = data, filepath.Join(data, "state.db")
-				}
-				if opt.Dir == "" {
-					if opt.Dir, err = os.MkdirTemp("", "coralhub-up-"); err != nil {
-						return err
-					}
-				}
-				if err := os.MkdirAll(opt.Dir, 0o700); err != nil {
-					return err
-				}
-				c, err := cluster.Start(opt)
-				if err != nil {
-					return err
-				}
-				defer c.Close()
-				ready, cancel := context.WithTimeout(ctx, time.Minute)
-				defer cancel()
-				if err := c.AwaitReady(ready); err != nil {
-					return err
-				}
-				door, err := c.StartLoadBalancer(listen)
-				if err != nil {
-					return err
-				}
-				out := cmd.OutOrStdout()
-				for _, n := range c.Nodes {
-					fmt.Fprintf(out, "%s in %s: http://%s\n", n.Name, n.Zone, n.Users.Addr())
-				}
-				fmt.Fprintf(out, "users: http://%s   logs: %s\n\nTry\n  coralhub load --to %s --jobs 20 --rate 5\n\nEnd with Ctrl-C.\n", door, opt.Dir, door)
-				<-ctx.Done()
-				return nil
+				return flags.run(ctx, cmd.OutOrStdout())
 			})
 		},
 	}
 	f := cmd.Flags()
-	f.IntVar(&nodes, "nodes", 3, "controller nodes")
-	f.IntVar(&machines, "machines", 40, "machines that the cloud has")
-	f.StringVar(&data, "data", "", "keep the state in `FOLDER`, and find it there again")
-	f.StringVar(&dir, "dir", "", "`FOLDER` for settings and logs; otherwise a new one")
-	f.StringVar(&settings, "settings", "", "the operators' settings `FILE` for the nodes")
-	f.StringVar(&listen, "listen", "127.0.0.1:0", "where users come in")
-	f.StringVar(&level, "log", "info", "how much the nodes log")
+	f.IntVar(&flags.nodes, "nodes", 3, "controller nodes")
+	f.IntVar(&flags.machines, "machines", 40, "machines that the cloud has")
+	f.StringVar(&flags.data, "data", "", "keep the state in `FOLDER`, and find it there again")
+	f.StringVar(&flags.dir, "dir", "", "`FOLDER` for settings and logs; otherwise a new one")
+	f.StringVar(&flags.settings, "settings", "", "the operators' settings `FILE` for the nodes")
+	f.StringVar(&flags.listen, "listen", "127.0.0.1:0", "where users come in")
+	f.StringVar(&flags.logLevel, "log", "info", "how much the nodes log")
 	return cmd
 }
 
+// readyTimeout is how long a cluster may take to be ready.
+const readyTimeout = time.Minute
+
+// run starts a cluster and serves until ctx ends.
+func (f *upFlags) run(ctx context.Context, out io.Writer) error {
+	opt, err := f.options()
+	if err != nil {
+		return err
+	}
+	c, err := cluster.Start(opt)
+	if err != nil {
+		return err
+	}
+	defer c.Close()
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
+	defer cancel()
+	if err := c.AwaitReady(ready); err != nil {
+		return err
+	}
+	address, err := c.StartLoadBalancer(f.listen)
+	if err != nil {
+		return err
+	}
+	for _, n := range c.Nodes {
+		fmt.Fprintf(out, "%s in %s: http://%s\n", n.Name, n.Zone, n.Users.Addr())
+	}
+	fmt.Fprintf(out, "users: http://%s   logs: %s\n\nTry\n  coralhub load --to %s --jobs 20 --rate 5\n\nEnd with Ctrl-C.\n", address, opt.Dir, address)
+	<-ctx.Done()
+	return nil
+}
+
+// options describes the cluster, and makes its folder.
+func (f *upFlags) options() (cluster.Options, error) {
+	program, err := os.Executable()
+	if err != nil {
+		return cluster.Options{}, err
+	}
+	opt := cluster.Options{
+		Program:  program,
+		Nodes:    f.nodes,
+		Settings: f.settings,
+		Log:      f.logLevel,
+		Cluster:  demo(f.nodes),
+		Boot:     2 * config.Second,
+		Types: []wire.MachineType{{Name: "g4", CPUs: 64, GPUs: 4, MemoryGB: 256, CacheGB: 500, FetchGBs: 0.4, Price: 8, SpotPrice: 3,
+			BootS: 2, Zones: demoZones}},
+		Capacity:     map[string]int{demoZones[0]: (f.machines + 1) / 2, demoZones[1]: f.machines / 2},
+		Model:        &emulator.Model{Rand: rand.New(rand.NewPCG(1, 1)), BootSpread: 0.3, ListLag: 2 * config.Second, Speed: 0.1, BootTimes: 1},
+		RestartAfter: 2 * time.Second,
+		Dir:          f.dir,
+	}
+	if f.data != "" {
+		opt.Dir, opt.Data = f.data, filepath.Join(f.data, "state.db")
+	}
+	if opt.Dir == "" {
+		if opt.Dir, err = os.MkdirTemp("", "coralhub-up-"); err != nil {
+			return opt, err
+		}
+	}
+	return opt, os.MkdirAll(opt.Dir, 0o700)
+}
+
 var demoZones = []string{"a", "b"}
 
 // demo is the deployment of a cluster to try things on.
