--- a/internal/core/leader/anti_affinity.go
+++ b/internal/core/leader/anti_affinity.go
@@ -18,7 +18,7 @@
 
 // newReplicaSpread returns where the replicas of a service are; nil: a job whose tasks may run
 // anywhere.
-func (sc *scheduler) newReplicaSpread(j *Job) *replicaSpread {
+func (bd *bidder) newReplicaSpread(j *Job) *replicaSpread {
 	spec := j.Record.Spec
 	if spec.Shape != wire.Service || spec.Tasks < 2 {
 		return nil
--- a/internal/core/leader/bidding.go
+++ b/internal/core/leader/bidding.go
@@ -6,6 +6,14 @@
 	"coralhub/wire"
 )
 
+// bidder asks the zones for bids and picks the best.
+type bidder struct {
+	*environment
+	snapshot   *clusterSnapshot
+	startOrder *startOrder
+	victims    *victimFinder
+}
+
 // failedRequest is an entry of the negative cache of a cycle: the same or a larger request fails
 // until the cycle ends, because free capacity only shrinks within a cycle.
 type failedRequest struct {
@@ -48,7 +56,7 @@
 }
 
 // zoneWithMostCapacity returns the zone with the most free capacity of those that a job may use.
-func (sc *scheduler) zoneWithMostCapacity(c *cycle, spec *wire.Job) string {
+func (bd *bidder) zoneWithMostCapacity(c *cycle, spec *wire.Job) string {
 	best, most := "", -1.0
 	for _, z := range c.zones {
 		if spec.Zone != "" && spec.Zone != z.Name {
@@ -62,24 +70,24 @@
 }
 
 // zoneRequest describes to the zones what each task of a job needs and what may be preempted for it.
-func (sc *scheduler) zoneRequest(c *cycle, j *Job, e *queue.Entry) *zone.Request {
+func (bd *bidder) zoneRequest(c *cycle, j *Job, e *queue.Entry) *zone.Request {
 	spec := j.Record.Spec
 	q := &zone.Request{Job: j.ID, Needs: taskResources(spec), AllOrNothing: spec.Shape == wire.Gang, Spot: spec.Spot,
-		Types: j.types.set, TypeKey: j.types.text, Image: spec.Image, Avoid: j.failedOn, ShareFetches: sc.cfg.Settings.ShareFetches}
-	if sc.outbox.Now() < j.preemptingUntil {
+		Types: j.types.set, TypeKey: j.types.text, Image: spec.Image, Avoid: j.failedOn, ShareFetches: bd.cfg.Settings.ShareFetches}
+	if bd.outbox.Now() < j.preemptingUntil {
 		q.ReservedMachines = j.reservedMachines
 		return q
 	}
 	ownLevel := queue.Level(j.Priority(), true)
-	claimsGuarantee := sc.snapshot.withinGuarantee(j) && queue.HasGuarantee(sc.teams[spec.Team]) &&
-		(!j.queuedBehind || sc.startOrder.mayClaimGuarantee(j, c.used))
-	mayPreemptAny := sc.anyRunsBelow(c, ownLevel) || claimsGuarantee && sc.anyTeamBorrows(c, spec.Team)
+	claimsGuarantee := bd.snapshot.withinGuarantee(j) && queue.HasGuarantee(bd.teams[spec.Team]) &&
+		(!j.queuedBehind || bd.startOrder.mayClaimGuarantee(j, c.used))
+	mayPreemptAny := bd.victims.anyRunsBelow(c, ownLevel) || claimsGuarantee && bd.victims.anyTeamBorrows(c, spec.Team)
 	if !mayPreemptAny {
 		return q // victims need not be listed
 	}
 	q.MayPreempt = func(v *zone.Victim) bool {
-		victim := sc.jobs[v.Job]
-		if claimsGuarantee && victim.Record.Spec.Team != spec.Team && !sc.snapshot.withinGuarantee(victim) {
+		victim := bd.jobs[v.Job]
+		if claimsGuarantee && victim.Record.Spec.Team != spec.Team && !bd.snapshot.withinGuarantee(victim) {
 			return true // another team's use beyond its guarantee
 		}
 		return queue.Level(victim.Priority(), true) < ownLevel && v.Level < e.Level
@@ -89,13 +97,13 @@
 
 // bestBid asks every zone for a bid on the missing tasks of an attempt and returns the best one;
 // nil: there is none.
-func (sc *scheduler) bestBid(a *placementAttempt) *zone.Bid {
+func (bd *bidder) bestBid(a *placementAttempt) *zone.Bid {
 	spec := a.job.Record.Spec
 	service := spec.Shape == wire.Service
 	var best *zone.Bid
 	fewest := -1 // tasks of the job in the zone of the best bid
 	for _, z := range a.cycle.zones {
-		bid := sc.zoneBid(a, z)
+		bid := bd.zoneBid(a, z)
 		if bid == nil {
 			continue
 		}
@@ -107,15 +115,15 @@
 			best, fewest = bid, placed
 		}
 	}
-	if best == nil && a.request.AllOrNothing && !spec.OneZone && len(sc.cfg.Cluster.Zones) > 1 {
-		return sc.bidAcrossZones(a)
+	if best == nil && a.request.AllOrNothing && !spec.OneZone && len(bd.cfg.Cluster.Zones) > 1 {
+		return bd.bidAcrossZones(a)
 	}
 	return best
 }
 
 // zoneBid asks one zone for a bid; nil: the job may not be placed there, or the zone has no
 // capacity for it.
-func (sc *scheduler) zoneBid(a *placementAttempt, z *zone.Zone) *zone.Bid {
+func (bd *bidder) zoneBid(a *placementAttempt, z *zone.Zone) *zone.Bid {
 	spec := a.job.Record.Spec
 	if !a.cycle.isOpenTo(spec, z.Name) {
 		return nil
@@ -135,7 +143,7 @@
 	if a.cycle.knownToFail(z.Name, &q, a.level) {
 		return nil
 	}
-	bid := z.Plan(sc.outbox.Now(), &q)
+	bid := z.Plan(bd.outbox.Now(), &q)
 	if bid == nil && len(a.request.Avoid) == 0 { // otherwise the failure says little about other jobs
 		a.cycle.failedRequests = append(a.cycle.failedRequests, failedRequest{z.Name, q.Needs, q.Spot, q.TypeKey, a.level, minTasks(&q)})
 	}
@@ -144,7 +152,7 @@
 
 // bidAcrossZones places a gang that fits into no single zone but may be split; nil: it doesn't fit
 // into all of them together.
-func (sc *scheduler) bidAcrossZones(a *placementAttempt) *zone.Bid {
+func (bd *bidder) bidAcrossZones(a *placementAttempt) *zone.Bid {
 	combined := &zone.Bid{}
 	for _, z := range a.cycle.zones {
 		if !a.cycle.isOpenTo(a.job.Record.Spec, z.Name) {
@@ -158,7 +166,7 @@
 		q.AllOrNothing = false
 		q.MayPreempt = nil
 		q.Count = count
-		if bid := z.Plan(sc.outbox.Now(), &q); bid != nil {
+		if bid := z.Plan(bd.outbox.Now(), &q); bid != nil {
 			combined.Offers = append(combined.Offers, bid.Offers...)
 		}
 	}
--- a/internal/core/leader/cycle.go
+++ b/internal/core/leader/cycle.go
@@ -14,19 +14,21 @@
 // where that is allowed and asks the autoscaler for the machines that are missing.
 type scheduler struct {
 	*environment
-	commits     *jobCommitter
-	diagnostics *diagnostics
-	estimates   *runTimeEstimates
-	preemptions *preemptionDecisions
-	snapshot    *clusterSnapshot
-	startOrder  *startOrder
-
-	usage           *queue.Usage
-	weights         map[string]float64 // fair-share weight by team
-	cycleDue        bool
-	nextCycleAt     Micros // 0: none is planned
-	lastCycleAt     Micros
-	defragmentation defragState
+	bidder       *bidder
+	defragmenter *defragmenter
+	victims      *victimFinder
+	commits      *jobCommitter
+	diagnostics  *diagnostics
+	estimates    *runTimeEstimates
+	preemptions  *preemptionDecisions
+	snapshot     *clusterSnapshot
+	startOrder   *startOrder
+
+	usage       *queue.Usage
+	weights     map[string]float64 // fair-share weight by team
+	cycleDue    bool
+	nextCycleAt Micros // 0: none is planned
+	lastCycleAt Micros
 }
 
 // requestCycle has the next scheduling cycle run as soon as the least interval allows.
@@ -34,7 +36,6 @@
 
 // reset forgets the state of a term.
 func (sc *scheduler) reset() {
-	sc.defragmentation = defragState{}
 	sc.usage = queue.NewUsage(config.FromSeconds(sc.cfg.Settings.UsageWindowS))
 }
 
@@ -111,7 +112,7 @@
 		changeBudget:      float64(sc.commits.maxInFlightChanges() - sc.commits.inFlightChanges),
 	}
 	for _, z := range c.zones {
-		z.Victims = func() []*zone.Victim { return sc.victims(c, z.Name) }
+		z.Victims = func() []*zone.Victim { return sc.victims.inZone(c, z.Name) }
 	}
 	return c
 }
--- a/internal/core/leader/defragmentation.go
+++ b/internal/core/leader/defragmentation.go
@@ -17,6 +17,20 @@
 	"coralhub/wire"
 )
 
+// defragmenter clears machines of replicas for gangs that wait for whole machines, at a limited rate.
+type defragmenter struct {
+	*environment
+	diagnostics *diagnostics
+	preemptions *preemptionDecisions
+	snapshot    *clusterSnapshot
+
+	moves  *rate.Limiter // uses the time of the node's clock
+	nextAt Micros        // no search before then
+}
+
+// reset forgets the state of a term.
+func (df *defragmenter) reset() { df.moves, df.nextAt = nil, 0 }
+
 const (
 	// defragAfter is how long a gang waits before machines are cleared for it: tasks that end make
 	// capacity free sooner, and each move leaves a service without a replica for a few seconds.
@@ -32,57 +46,50 @@
 	defragBurstSeconds = 12
 )
 
-// defragState limits the rate of defragmentation.
-type defragState struct {
-	moves  *rate.Limiter // uses the time of the node's clock
-	nextAt Micros        // no search before then
-}
-
 // defragment clears machines of replicas for a gang that could not be placed, if it has waited for
 // long, the cloud has no more machines that suit it, and the free capacity would do if it were not
 // fragmented. The replicas are started on other machines of their zone; nothing else is stopped.
-func (sc *scheduler) defragment(c *cycle, j *Job, q *zone.Request, demand *autoscaler.Demand, level int) {
-	if !sc.mayDefragment(j, q, demand) {
+func (df *defragmenter) defragment(c *cycle, j *Job, q *zone.Request, demand *autoscaler.Demand, level int) {
+	if !df.mayDefragment(j, q, demand) {
 		return
 	}
-	state := &sc.defragmentation
-	state.nextAt = sc.outbox.Now() + defragInterval
-	if state.moves == nil {
-		perSecond := sc.cfg.Settings.DefragMovesPerS
-		state.moves = rate.NewLimiter(rate.Limit(perSecond), int(perSecond*defragBurstSeconds))
+	df.nextAt = df.outbox.Now() + defragInterval
+	if df.moves == nil {
+		perSecond := df.cfg.Settings.DefragMovesPerS
+		df.moves = rate.NewLimiter(rate.Limit(perSecond), int(perSecond*defragBurstSeconds))
 	}
-	now := time.UnixMicro(sc.outbox.Now())
-	plan := sc.bestDefragPlan(c, j, q, demand, int(state.moves.TokensAt(now)))
+	now := time.UnixMicro(df.outbox.Now())
+	plan := df.bestDefragPlan(c, j, q, demand, int(df.moves.TokensAt(now)))
 	if plan == nil {
 		return
 	}
-	state.moves.AllowN(now, plan.MovedReplicas)
-	machines := sc.reserveForDefrag(plan)
-	victims := sc.moveReplicas(plan)
-	sc.preemptions.addDecision(j, preemption.ReasonDefragmentation, level, machines, victims, defragReservation)
-	sc.diagnostics.counters.moved += plan.MovedReplicas
-	sc.outbox.Debug("defragmenting", "job", j.ID, "class", j.Record.Spec.Class, "machines", len(plan.Clear), "whole", len(plan.Whole), "replicas", plan.MovedReplicas)
+	df.moves.AllowN(now, plan.MovedReplicas)
+	machines := df.reserveForDefrag(plan)
+	victims := df.moveReplicas(plan)
+	df.preemptions.addDecision(j, preemption.ReasonDefragmentation, level, machines, victims, defragReservation)
+	df.diagnostics.counters.moved += plan.MovedReplicas
+	df.outbox.Debug("defragmenting", "job", j.ID, "class", j.Record.Spec.Class, "machines", len(plan.Clear), "whole", len(plan.Whole), "replicas", plan.MovedReplicas)
 }
 
 // mayDefragment reports whether machines may be cleared now for a job that could not be placed.
-func (sc *scheduler) mayDefragment(j *Job, q *zone.Request, demand *autoscaler.Demand) bool {
-	if sc.cfg.Settings.DefragMovesPerS <= 0 || !q.AllOrNothing {
+func (df *defragmenter) mayDefragment(j *Job, q *zone.Request, demand *autoscaler.Demand) bool {
+	if df.cfg.Settings.DefragMovesPerS <= 0 || !q.AllOrNothing {
 		return false
 	}
-	now := sc.outbox.Now()
-	tooEarly := now < sc.defragmentation.nextAt || now-j.arrivedAt < defragAfter || now < j.preemptingUntil
-	return !tooEarly && sc.preemptions.canAddDecision() && sc.autoscaler.CapacityExhausted(demand)
+	now := df.outbox.Now()
+	tooEarly := now < df.nextAt || now-j.arrivedAt < defragAfter || now < j.preemptingUntil
+	return !tooEarly && df.preemptions.canAddDecision() && df.autoscaler.CapacityExhausted(demand)
 }
 
 // bestDefragPlan returns the plan that moves the fewest replicas, and no more than maxMoves; nil:
 // there is none.
-func (sc *scheduler) bestDefragPlan(c *cycle, j *Job, q *zone.Request, demand *autoscaler.Demand, maxMoves int) *defrag.Plan {
+func (df *defragmenter) bestDefragPlan(c *cycle, j *Job, q *zone.Request, demand *autoscaler.Demand, maxMoves int) *defrag.Plan {
 	var best *defrag.Plan
 	for _, z := range c.zones {
 		if !c.isOpenTo(j.Record.Spec, z.Name) {
 			continue
 		}
-		plan := defrag.NewPlan(demand.Task, demand.Count, maxMoves, sc.defragMachines(z, q, queue.Level(j.Priority(), true)))
+		plan := defrag.NewPlan(demand.Task, demand.Count, maxMoves, df.defragMachines(z, q, queue.Level(j.Priority(), true)))
 		if plan != nil && (best == nil || plan.MovedReplicas < best.MovedReplicas) {
 			best = plan
 		}
@@ -91,28 +98,28 @@
 }
 
 // reserveForDefrag reserves the machines of a plan and returns their names.
-func (sc *scheduler) reserveForDefrag(plan *defrag.Plan) []string {
+func (df *defragmenter) reserveForDefrag(plan *defrag.Plan) []string {
 	var names []string
 	for _, planned := range slices.Concat(plan.Clear, plan.Whole) {
 		names = append(names, planned.Name)
-		m := sc.reconciler.Registry().Get(planned.Name)
+		m := df.reconciler.Registry().Get(planned.Name)
 		m.Offer.Reserved = true
-		sc.snapshot.markMachineStale(m)
+		df.snapshot.markMachineStale(m)
 	}
 	return names
 }
 
 // moveReplicas returns the replicas that a plan moves, as victims, and records that they were moved.
-func (sc *scheduler) moveReplicas(plan *defrag.Plan) []preemption.Victim {
+func (df *defragmenter) moveReplicas(plan *defrag.Plan) []preemption.Victim {
 	var victims []preemption.Victim
 	for _, m := range plan.Clear {
 		for _, r := range m.Replicas {
-			service := sc.jobs[r.Job]
+			service := df.jobs[r.Job]
 			if service.movedAt == nil {
 				service.movedAt = map[int]Micros{}
 			}
-			service.movedAt[r.Task] = sc.outbox.Now()
-			victims = append(victims, sc.preemptions.victimOf(service, r.Task))
+			service.movedAt[r.Task] = df.outbox.Now()
+			victims = append(victims, df.preemptions.victimOf(service, r.Task))
 		}
 	}
 	return victims
@@ -121,22 +128,22 @@
 // defragMachines describes the machines of a zone for the request of a gang of a level. Work that
 // ranks lower could be preempted instead; if it were moved, others might take its new place, or its
 // team's limit, before it has started again.
-func (sc *scheduler) defragMachines(z *zone.Zone, q *zone.Request, level int) []*defrag.Machine {
+func (df *defragmenter) defragMachines(z *zone.Zone, q *zone.Request, level int) []*defrag.Machine {
 	var out []*defrag.Machine
-	for _, m := range sc.reconciler.Registry().All() {
+	for _, m := range df.reconciler.Registry().All() {
 		if m.Zone != z.Name || m.Offer == nil || m.Offer.Reserved {
 			continue
 		}
-		described := &defrag.Machine{Name: m.Name, Type: m.Type, Spot: m.Spot, Free: m.Offer.Free, Movable: len(sc.snapshot.planned[m.Name]) == 0,
-			Suitable: q.Types[m.Type] && (q.Spot || !m.Spot) && q.Avoid[m.Name] <= sc.outbox.Now()}
-		open := sc.replica.PlacementsOn(m.Name)
+		described := &defrag.Machine{Name: m.Name, Type: m.Type, Spot: m.Spot, Free: m.Offer.Free, Movable: len(df.snapshot.planned[m.Name]) == 0,
+			Suitable: q.Types[m.Type] && (q.Spot || !m.Spot) && q.Avoid[m.Name] <= df.outbox.Now()}
+		open := df.replica.PlacementsOn(m.Name)
 		for _, key := range job.SortedAttemptKeys(open) {
-			j := sc.jobs[key.Job]
-			if j == nil || !sc.mayMoveReplica(j, key.Task) || queue.Level(j.Priority(), true) < level {
+			j := df.jobs[key.Job]
+			if j == nil || !df.mayMoveReplica(j, key.Task) || queue.Level(j.Priority(), true) < level {
 				described.Movable = false
 				continue
 			}
-			sc.classify(j)
+			df.snapshot.classify(j)
 			described.Replicas = append(described.Replicas, defrag.Replica{Job: key.Job, Task: key.Task, Needs: taskResources(j.Record.Spec), Types: j.types.set, Spot: j.Record.Spec.Spot})
 		}
 		out = append(out, described)
@@ -147,20 +154,20 @@
 // mayMoveReplica reports whether a task may be stopped to be started on another machine: a replica of
 // a service that has all of its replicas up, of which none is being moved, and which was not moved
 // lately itself.
-func (sc *scheduler) mayMoveReplica(j *Job, task int) bool {
+func (df *defragmenter) mayMoveReplica(j *Job, task int) bool {
 	spec := j.Record.Spec
 	if spec == nil || spec.Shape != wire.Service || j.Record.CancelRequested || j.Record.Final() {
 		return false
 	}
 	allUp := j.OpenTasks >= spec.Tasks && len(j.startedAt) >= spec.Tasks
 	committing := j.transaction != nil || len(j.plan) > 0 || len(j.completions) > 0
-	if !allUp || committing || sc.reconciler.IsTerminatingAny(j.ID) || len(sc.preemptions.preempted[j.ID]) > 0 {
+	if !allUp || committing || df.reconciler.IsTerminatingAny(j.ID) || len(df.preemptions.preempted[j.ID]) > 0 {
 		return false
 	}
-	if !queue.UnderLimit(sc.teams[spec.Team], sc.snapshot.used[spec.Team]) {
+	if !queue.UnderLimit(df.teams[spec.Team], df.snapshot.used[spec.Team]) {
 		return false
 	}
-	maps.DeleteFunc(j.movedAt, func(_ int, at Micros) bool { return sc.outbox.Now()-at > moveCooldown })
+	maps.DeleteFunc(j.movedAt, func(_ int, at Micros) bool { return df.outbox.Now()-at > moveCooldown })
 	_, movedLately := j.movedAt[task]
 	return !movedLately
 }
--- a/internal/core/leader/equivalence.go
+++ b/internal/core/leader/equivalence.go
@@ -1,6 +1,10 @@
 package leader
 
 import (
+	"maps"
+	"slices"
+	"strings"
+
 	"coralhub/internal/config"
 	"coralhub/internal/core/autoscaler"
 	"coralhub/internal/core/job"
@@ -116,7 +120,7 @@
 	c.demands = append(c.demands, demand)
 	pastAgeCap := sc.outbox.Now()-j.arrivedAt > config.FromSeconds(sc.cfg.Settings.AgeCapS)
 	if pastAgeCap && len(c.reservedZones) == 0 && sc.mayReserveZone() {
-		if name := sc.zoneWithMostCapacity(c, j.Record.Spec); name != "" {
+		if name := sc.bidder.zoneWithMostCapacity(c, j.Record.Spec); name != "" {
 			c.reservedZones[name] = true
 		}
 	}
@@ -141,3 +145,20 @@
 	}
 	return now-*since <= length
 }
+
+// classify brings the machine types that suit a job and its equivalence class up to date.
+func (ss *clusterSnapshot) classify(j *Job) {
+	if j.types.set == nil {
+		j.types.set = map[string]bool{}
+		for name, t := range ss.catalog.Types {
+			if zone.Allows(j.Record.Spec, t) {
+				j.types.set[name] = true
+			}
+		}
+		j.types.text = strings.Join(slices.Sorted(maps.Keys(j.types.set)), " ")
+		j.equivalenceClass = 0
+	}
+	if p := j.Priority(); j.equivalenceClass == 0 || j.classifiedAs != p {
+		j.equivalenceClass, j.classifiedAs = ss.classes.classOf(j, p), p
+	}
+}
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -43,6 +43,9 @@
 	placements    *placementCommits
 	completionLog *completionLog
 	scheduler     *scheduler
+	bidder        *bidder
+	victims       *victimFinder
+	defragmenter  *defragmenter
 	snapshot      *clusterSnapshot
 	startOrder    *startOrder
 	preemptions   *preemptionDecisions
@@ -73,6 +76,9 @@
 		commits:       &jobCommitter{environment: env},
 		placements:    &placementCommits{environment: env},
 		completionLog: &completionLog{environment: env},
+		bidder:        &bidder{environment: env},
+		victims:       &victimFinder{environment: env},
+		defragmenter:  &defragmenter{environment: env},
 		scheduler:     &scheduler{environment: env, weights: queue.Weights(cfg.Cluster.Teams)},
 		snapshot:      &clusterSnapshot{environment: env},
 		startOrder:    &startOrder{environment: env},
@@ -121,6 +127,9 @@
 
 // connectScheduling gives the components that schedule those that they call.
 func (l *Leader) connectScheduling() {
+	l.scheduler.bidder = l.bidder
+	l.scheduler.victims = l.victims
+	l.scheduler.defragmenter = l.defragmenter
 	l.scheduler.commits = l.commits
 	l.scheduler.diagnostics = l.diagnostics
 	l.scheduler.estimates = l.estimates
@@ -128,6 +137,18 @@
 	l.scheduler.snapshot = l.snapshot
 	l.scheduler.startOrder = l.startOrder
 
+	l.bidder.snapshot = l.snapshot
+	l.bidder.startOrder = l.startOrder
+	l.bidder.victims = l.victims
+
+	l.victims.estimates = l.estimates
+	l.victims.preemptions = l.preemptions
+	l.victims.snapshot = l.snapshot
+
+	l.defragmenter.diagnostics = l.diagnostics
+	l.defragmenter.preemptions = l.preemptions
+	l.defragmenter.snapshot = l.snapshot
+
 	l.snapshot.scheduler = l.scheduler
 	l.snapshot.startOrder = l.startOrder
 
@@ -334,6 +355,7 @@
 	l.completionLog.reset()
 	l.preemptions.reset()
 	l.scheduler.reset()
+	l.defragmenter.reset()
 	l.estimates.reset()
 }
 
--- a/internal/core/leader/placement_attempt.go
+++ b/internal/core/leader/placement_attempt.go
@@ -2,8 +2,6 @@
 
 import (
 	"maps"
-	"slices"
-	"strings"
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/job"
@@ -46,7 +44,7 @@
 		j.stopWaitingForVictims()
 		return // as most of a long queue may
 	}
-	sc.classify(j)
+	sc.snapshot.classify(j)
 	if sc.knownUnschedulable(c, j, e.Level) {
 		return
 	}
@@ -65,11 +63,11 @@
 		cycle:   c,
 		job:     j,
 		level:   e.Level,
-		request: sc.zoneRequest(c, j, e),
+		request: sc.bidder.zoneRequest(c, j, e),
 		tasks:   tasks,
 		attempt: attempt,
 		inZone:  c.inZone,
-		spread:  sc.newReplicaSpread(j),
+		spread:  sc.bidder.newReplicaSpread(j),
 		commit:  c.changeBudget > 0,
 	}
 	sc.avoidMachinesForGang(&a)
@@ -180,7 +178,7 @@
 // because the best bid has victims: the tasks are placed when these have ended.
 func (sc *scheduler) placeTasks(a *placementAttempt) (preempts bool) {
 	for len(a.tasks) > 0 {
-		bid := a.spread.bid(a.request, func() *zone.Bid { return sc.bestBid(a) })
+		bid := a.spread.bid(a.request, func() *zone.Bid { return sc.bidder.bestBid(a) })
 		if bid == nil {
 			return false
 		}
@@ -252,24 +250,7 @@
 		c.unschedulable.add(j.equivalenceClass, a.level)
 	}
 	demand := sc.demandOf(j, len(a.tasks))
-	sc.defragment(c, j, a.request, &demand, a.level)
+	sc.defragmenter.defragment(c, j, a.request, &demand, a.level)
 	sc.startOrder.reserveFreedMachines(c, j, a.request)
 	sc.addDemand(c, j, demand)
 }
-
-// classify brings the machine types that suit a job and its equivalence class up to date.
-func (sc *scheduler) classify(j *Job) {
-	if j.types.set == nil {
-		j.types.set = map[string]bool{}
-		for name, t := range sc.catalog.Types {
-			if zone.Allows(j.Record.Spec, t) {
-				j.types.set[name] = true
-			}
-		}
-		j.types.text = strings.Join(slices.Sorted(maps.Keys(j.types.set)), " ")
-		j.equivalenceClass = 0
-	}
-	if p := j.Priority(); j.equivalenceClass == 0 || j.classifiedAs != p {
-		j.equivalenceClass, j.classifiedAs = sc.snapshot.classes.classOf(j, p), p
-	}
-}
--- a/internal/core/leader/victims.go
+++ b/internal/core/leader/victims.go
@@ -10,14 +10,22 @@
 	"coralhub/wire"
 )
 
-// victims returns the running work of a zone that could be preempted. Most cycles find free
+// victimFinder lists what could be preempted in a cycle.
+type victimFinder struct {
+	*environment
+	estimates   *runTimeEstimates
+	preemptions *preemptionDecisions
+	snapshot    *clusterSnapshot
+}
+
+// inZone returns the running work of a zone that could be preempted. Most cycles find free
 // capacity without preemption, so it is listed only when a job asks.
-func (sc *scheduler) victims(c *cycle, zoneName string) []*zone.Victim {
+func (vf *victimFinder) inZone(c *cycle, zoneName string) []*zone.Victim {
 	if c.victims == nil {
 		c.victims = map[string][]*zone.Victim{}
-		for _, j := range sc.unfinished {
+		for _, j := range vf.unfinished {
 			if !j.Record.Final() && !j.Record.CancelRequested {
-				sc.addVictims(c, j)
+				vf.addVictims(c, j)
 			}
 		}
 		for _, vs := range c.victims {
@@ -28,19 +36,19 @@
 }
 
 // addVictims lists what could be preempted of a job: each task, or a gang as a whole.
-func (sc *scheduler) addVictims(c *cycle, j *Job) {
+func (vf *victimFinder) addVictims(c *cycle, j *Job) {
 	spec := j.Record.Spec
 	needs := taskResources(spec)
-	level := queue.Level(j.Priority(), sc.snapshot.withinGuarantee(j))
+	level := queue.Level(j.Priority(), vf.snapshot.withinGuarantee(j))
 	var gang *zone.Victim // the same one in each of its zones
 	listed := map[string]bool{}
 	j.EachPlacement(func(p job.Placement) {
-		m := sc.reconciler.Registry().Get(p.Machine)
-		if sc.reconciler.IsTerminating(p.AttemptKey(j.ID)) || sc.preemptions.isPreempted(j.ID, p.Task) || m == nil || m.Offer == nil {
+		m := vf.reconciler.Registry().Get(p.Machine)
+		if vf.reconciler.IsTerminating(p.AttemptKey(j.ID)) || vf.preemptions.isPreempted(j.ID, p.Task) || m == nil || m.Offer == nil {
 			return
 		}
 		reclaim := zone.Reclaim{Offer: m.Offer, Resources: needs}
-		described := sc.describeVictim(j, &p, level)
+		described := vf.describeVictim(j, &p, level)
 		if spec.Shape != wire.Gang {
 			task := described
 			task.Reclaims = []zone.Reclaim{reclaim}
@@ -62,21 +70,21 @@
 
 // describeVictim returns what preempting a placed task would cost, without the resources that it
 // would free.
-func (sc *scheduler) describeVictim(j *Job, p *job.Placement, level int) zone.Victim {
+func (vf *victimFinder) describeVictim(j *Job, p *job.Placement, level int) zone.Victim {
 	spec := j.Record.Spec
 	v := zone.Victim{Job: j.ID, Task: p.Task, Level: level}
 	startedAt, started := j.startedAt[p.Task]
 	if !started {
-		startedAt = sc.outbox.Now()
+		startedAt = vf.outbox.Now()
 	}
 	v.Since = startedAt
-	if sc.cfg.Settings.VictimsByRemaining && spec.Shape != wire.Service {
-		if remaining, ok := sc.estimates.remainingTime(j, p); ok {
+	if vf.cfg.Settings.VictimsByRemaining && spec.Shape != wire.Service {
+		if remaining, ok := vf.estimates.remainingTime(j, p); ok {
 			v.Left = remaining.Median
 		}
 	}
 	if spec.Shape != wire.Service && spec.CheckpointS == 0 {
-		v.Loss = sc.outbox.Now() - startedAt
+		v.Loss = vf.outbox.Now() - startedAt
 	}
 	return v
 }
@@ -91,15 +99,15 @@
 }
 
 // summarizeRunning returns the summary of a cycle. It is computed when it is first asked for.
-func (sc *scheduler) summarizeRunning(c *cycle) *runningSummary {
+func (vf *victimFinder) summarizeRunning(c *cycle) *runningSummary {
 	if c.running == nil {
 		c.running = &runningSummary{lowestLevel: math.MaxInt, borrowingTeams: map[string]bool{}}
-		for _, j := range sc.unfinished {
+		for _, j := range vf.unfinished {
 			if j.OpenTasks == 0 || j.Record.Final() || j.Record.CancelRequested {
 				continue
 			}
 			c.running.lowestLevel = min(c.running.lowestLevel, queue.Level(j.Priority(), true))
-			if !sc.snapshot.withinGuarantee(j) {
+			if !vf.snapshot.withinGuarantee(j) {
 				c.running.borrowingTeams[j.Record.Spec.Team] = true
 			}
 		}
@@ -108,13 +116,13 @@
 }
 
 // anyRunsBelow reports whether anything of a priority below a level is placed.
-func (sc *scheduler) anyRunsBelow(c *cycle, level int) bool {
-	return level > queue.Level(wire.Low, true) && sc.summarizeRunning(c).lowestLevel < level
+func (vf *victimFinder) anyRunsBelow(c *cycle, level int) bool {
+	return level > queue.Level(wire.Low, true) && vf.summarizeRunning(c).lowestLevel < level
 }
 
 // anyTeamBorrows reports whether any other team uses more than its guarantee.
-func (sc *scheduler) anyTeamBorrows(c *cycle, team string) bool {
-	for other := range sc.summarizeRunning(c).borrowingTeams {
+func (vf *victimFinder) anyTeamBorrows(c *cycle, team string) bool {
+	for other := range vf.summarizeRunning(c).borrowingTeams {
 		if other != team {
 			return true
 		}
