--- a/internal/core/election/elector.go
+++ b/internal/core/election/elector.go
@@ -61,22 +61,40 @@
 	ttl      Micros
 	listener Listener
 
-	holder           Holder
-	seenVacant       bool // the key was seen without a holder, and no change can have been missed since
-	jitter           Micros
-	vacantSince      Micros // when the key lost its last holder
+	keyState
+	leaseState
+	campaignState
+	termState
+}
+
+// keyState is what this node knows of the leader key.
+type keyState struct {
+	holder      Holder
+	seenVacant  bool   // the key was seen without a holder, and no change can have been missed since
+	vacantSince Micros // when the key lost its last holder
+}
+
+// leaseState is this node's own lease.
+type leaseState struct {
 	lease            uint64 // 0 if there is none
 	leaseRequested   bool
 	renewalSent      bool
 	renewalSentAt    Micros
 	leaseConfirmedAt Micros // when the last request was sent that proved the lease alive
-	campaigning      bool
-	nonce            uint64 // of the last value written
-	firstNonce       uint64 // of the first value written under the present lease
+}
 
-	electedAt  Micros // when this node was last elected
-	shortTerms int    // how many terms in a row ended early because the lease expired
+// campaignState is what decides when this node campaigns, and which values of the key are its own.
+type campaignState struct {
+	jitter      Micros
+	campaigning bool
+	nonce       uint64 // of the last value written
+	firstNonce  uint64 // of the first value written under the present lease
+	electedAt   Micros // when this node was last elected
+	shortTerms  int    // how many terms in a row ended early because the lease expired
+}
 
+// termState is this node's term as the leader.
+type termState struct {
 	leading        bool
 	fencingToken   uint64 // version of the leader key, 0 unless leading
 	termStart      uint64 // fencing token at the start of the term, 0 unless leading
@@ -95,8 +113,10 @@
 		node:     node,
 		ttl:      ttl,
 		listener: listener,
-		jitter:   Micros(seed % maxJitter),
-		nonce:    seed,
+		campaignState: campaignState{
+			jitter: Micros(seed % maxJitter),
+			nonce:  seed,
+		},
 	}
 }
 
