--- a/internal/core/frontend/cancellations.go
+++ b/internal/core/frontend/cancellations.go
@@ -29,12 +29,7 @@
 // Cancel handles POST /v1/jobs/{id}/withdraw. The request is committed first and stops all starting; the user hears
 // "cancelled" once the leader has made sure that every worker concerned will stop its tasks.
 func (f *Frontend) Cancel(x msg.CancelIn) {
-	if !wire.ValidJobID(x.JobID) {
-		f.outbox.Respond(x.RequestID, http.StatusNotFound, wire.Error{Error: reasonNoSuchJob})
-		return
-	}
-	if reason := f.node.NotServingReason(); reason != "" {
-		f.outbox.RetryLater(x.RequestID, reason)
+	if !f.canAnswer(x.RequestID, x.JobID) {
 		return
 	}
 	if j := f.replica.Job(x.JobID); j != nil && j.Version != 0 {
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -100,6 +100,20 @@
 	f.dropLateCancels()
 }
 
+// canAnswer reports whether requests about a job can be answered. If not, it has responded: there is no job of such an ID, or the
+// node does not serve.
+func (f *Frontend) canAnswer(requestID uint64, jobID string) bool {
+	if !wire.ValidJobID(jobID) {
+		f.outbox.Respond(requestID, http.StatusNotFound, wire.Error{Error: reasonNoSuchJob})
+		return false
+	}
+	if reason := f.node.NotServingReason(); reason != "" {
+		f.outbox.RetryLater(requestID, reason)
+		return false
+	}
+	return true
+}
+
 // readCurrent reads a job's record and calls then with the job, nil if there is none. If that can't be known it
 // responds with 503 itself.
 func (f *Frontend) readCurrent(requestID uint64, id string, then func(*records.Job)) {
--- a/internal/core/frontend/polls.go
+++ b/internal/core/frontend/polls.go
@@ -35,12 +35,7 @@
 
 // Poll handles GET /v1/jobs/{id}.
 func (f *Frontend) Poll(x msg.PollIn) {
-	if !wire.ValidJobID(x.JobID) {
-		f.outbox.Respond(x.RequestID, http.StatusNotFound, wire.Error{Error: reasonNoSuchJob})
-		return
-	}
-	if reason := f.node.NotServingReason(); reason != "" {
-		f.outbox.RetryLater(x.RequestID, reason)
+	if !f.canAnswer(x.RequestID, x.JobID) {
 		return
 	}
 	if j := f.replica.Job(x.JobID); j != nil && j.Record.Final() {
