--- a/internal/core/autoscaler/provisioner.go
+++ b/internal/core/autoscaler/provisioner.go
@@ -1,5 +1,3 @@
-// Package autoscaler decides which machines to rent and keeps track of the requests
-// to the cloud.
 package autoscaler
 
 import (
@@ -7,10 +5,8 @@
 	"fmt"
 	"maps"
 	"slices"
-	"sort"
 
 	"coralhub/internal/config"
-	"coralhub/internal/core/zone"
 	"coralhub/wire"
 )
 
@@ -18,41 +14,47 @@
 type Micros = config.Micros
 
 const (
-	// exhaustedBackoff is how long a kind of machine isn't asked for after the cloud
-	// had none of it.
+	// exhaustedBackoff is how long nothing is requested from a pool after the cloud had no
+	// capacity there.
 	exhaustedBackoff = 10 * config.Second
-	// lookaheadSeconds is how much is asked for at a time: what the cloud takes in so many
-	// seconds. A flood's whole need at once, some 300 requests, kept the list of machines
-	// and the return of dead ones waiting for a minute, though the first answer would
-	// have said that there is nothing to rent.
+	// requestRetryDelay is the delay before a request without an answer is sent again.
+	requestRetryDelay = config.Second
+	// lookaheadSeconds limits pending requests to what the cloud accepts in so many seconds. When
+	// the whole demand of a flood was requested at once, some 300 requests delayed the list of
+	// machines and the deletion of dead ones by a minute, though the first answer would have shown
+	// that there is nothing to rent.
 	lookaheadSeconds = 5
-	// maxInFlight is how many requests are on their way at a time.
+	// maxInFlight is the number of requests that may be in flight.
 	maxInFlight = 8
 )
 
-// Pool is a type of machine in a zone, spot or ordinary.
+// Pool is the machines of one type in one zone, either spot instances or ordinary ones.
 type Pool struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Demand is work that found no room.
-type Demand struct {
-	Task  zone.Resources
-	Count int
-	Types map[string]bool
-	Zone  string // the only zone allowed, if not empty
-	Spot  bool
+// comparePools orders pools by type and zone, spot instances first.
+func comparePools(a, b Pool) int {
+	order := cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
+	switch {
+	case order != 0 || a.Spot == b.Spot:
+		return order
+	case a.Spot:
+		return -1
+	}
+	return 1
 }
 
-// Provisioner is the state of the leader's dealings with the cloud.
+// Provisioner plans the leader's rental requests and keeps track of them.
 type Provisioner struct {
-	seq            uint64
-	maxPending     int // requests that may be unanswered
+	seq            uint64 // of the newest request
+	maxPending     int    // requests that may be without an answer
 	pending        map[string]*request
 	exhaustedUntil map[Pool]Micros // no capacity before then
 }
 
+// request is a rental request without a final answer.
 type request struct {
 	wire.RentalRequest
 	seq      uint64
@@ -63,238 +65,91 @@
 
 func (r *request) pool() Pool { return Pool{r.Type, r.Zone, r.Spot} }
 
-// NewProvisioner returns a Fleet without requests, to a cloud that takes so many a second.
+// NewProvisioner returns a Provisioner without requests, for a cloud that accepts rps requests a
+// second.
 func NewProvisioner(rps float64) *Provisioner {
-	return &Provisioner{maxPending: max(maxInFlight, int(rps*lookaheadSeconds)), pending: map[string]*request{}, exhaustedUntil: map[Pool]Micros{}}
-}
-
-// run is machines of one kind with the same room, one after the other.
-type run struct {
-	pool  Pool
-	free  zone.Resources
-	count int
-}
-
-// runs are machines in the order in which they are filled. What is alike is packed at
-// once: neither 3,000 jobs that wait nor 1,250 machines that boot are gone through one by
-// the other.
-type runs []run
-
-func (rs runs) add(k Pool, free zone.Resources, n int) runs {
-	if last := len(rs) - 1; last >= 0 && rs[last].pool == k && rs[last].free == free {
-		rs[last].count += n
-		return rs
-	}
-	return append(rs, run{k, free, n})
-}
-
-// pack puts a need's tasks where they fit, first come first filled. It returns what is
-// left of the need and of the room; what nothing fits into need not be looked at again.
-func (rs runs) pack(n *Demand, least zone.Resources) (left int, rest runs) {
-	left = n.Count
-	rest = make(runs, 0, len(rs)+1)
-	keep := func(r run, tasks, count int) {
-		if free := r.free.Plus(n.Task, -float64(tasks)); count > 0 && least.Fits(free) {
-			rest = rest.add(r.pool, free, count)
-		}
-	}
-	for _, r := range rs {
-		each := 0
-		if left > 0 && n.suits(r.pool) {
-			each = n.Task.Count(r.free)
-		}
-		filled, partly := 0, 0
-		if each > 0 {
-			if filled = min(r.count, left/each); filled < r.count && left > filled*each {
-				partly = left - filled*each
-			}
-		}
-		keep(r, each, filled)
-		if partly > 0 {
-			keep(r, partly, 1)
-			filled++
-			left -= partly - each
-		}
-		left -= filled * each
-		keep(r, 0, r.count-filled)
-	}
-	return left, rest
-}
-
-// merge makes one of needs that follow each other and ask for the same.
-func merge(needs []Demand) []Demand {
-	var out []Demand
-	for _, n := range needs {
-		if last := len(out) - 1; last >= 0 && out[last].sameAs(&n) {
-			out[last].Count += n.Count
-			continue
-		}
-		out = append(out, n)
-	}
-	return out
-}
-
-// suits tells whether a kind of machine will do for a need, whatever its size.
-func (n *Demand) suits(k Pool) bool {
-	return n.Types[k.Type] && (n.Spot || !k.Spot) && (n.Zone == "" || n.Zone == k.Zone)
-}
-
-func (n *Demand) sameAs(o *Demand) bool {
-	return n.Task == o.Task && n.Zone == o.Zone && n.Spot == o.Spot && maps.Equal(n.Types, o.Types)
-}
-
-// Plan tells how many machines of each kind the needs call for beyond the
-// booting ones, and no more than may be asked for now. count tells how many machines of
-// a kind there are.
-func (f *Provisioner) Plan(now Micros, needs []Demand, booting []Pool, count map[Pool]int, types []*wire.MachineType) map[Pool]int {
-	full := map[string]zone.Resources{}
-	for _, t := range types {
-		full[t.Name] = zone.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
-	}
-	var room runs
-	for _, k := range booting {
-		room = room.add(k, full[k.Type], 1)
-	}
-	for _, p := range f.sorted() {
-		room = room.add(p.pool(), full[p.Type], p.Count)
-	}
-	requests := len(f.pending)
-	least := smallest(needs)
-	rent := map[Pool]int{}
-	for _, n := range merge(needs) {
-		var left int
-		left, room = room.pack(&n, least)
-		for left > 0 {
-			k, ok := f.cheapest(now, &n, rent, count, types)
-			if !ok {
-				break
-			}
-			if rent[k]%wire.MaxRental == 0 {
-				if requests >= f.maxPending {
-					return rent
-				}
-				requests++
-			}
-			rent[k]++
-			fit := min(left, max(1, n.Task.Count(full[k.Type])))
-			room = room.add(k, full[k.Type].Plus(n.Task, -float64(fit)), 1)
-			left -= fit
-		}
-	}
-	return rent
-}
-
-// smallest is no larger than any of the needs' tasks in any respect.
-func smallest(needs []Demand) zone.Resources {
-	var least zone.Resources
-	for i, n := range needs {
-		if i == 0 {
-			least = n.Task
-		}
-		least = zone.Resources{CPUs: min(least.CPUs, n.Task.CPUs), GPUs: min(least.GPUs, n.Task.GPUs), MemoryGB: min(least.MemoryGB, n.Task.MemoryGB)}
-	}
-	return least
-}
-
-// cheapest picks the kind of machine for a task: the lowest price for it, then
-// the zone with the fewest machines.
-func (f *Provisioner) cheapest(now Micros, n *Demand, rent, count map[Pool]int, types []*wire.MachineType) (best Pool, ok bool) {
-	bestPrice := 0.0
-	for _, t := range types {
-		if !n.Task.Fits(zone.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}) {
-			continue
-		}
-		for _, z := range t.Zones {
-			for _, spot := range []bool{true, false} {
-				k := Pool{t.Name, z, spot}
-				if !n.suits(k) || f.exhaustedUntil[k] > now {
-					continue
-				}
-				price := t.Price
-				if spot {
-					price = t.SpotPrice
-				}
-				if !ok || price < bestPrice || price == bestPrice && rent[k]+count[k] < rent[best]+count[best] {
-					best, bestPrice, ok = k, price, true
-				}
-			}
-		}
-	}
-	return best, ok
-}
-
-// Enqueue makes the requests for what Plan found. Their names carry the token,
-// so that no other leader ever uses them.
-func (f *Provisioner) Enqueue(token uint64, rent map[Pool]int) {
-	kinds := make([]Pool, 0, len(rent))
-	for k := range rent {
-		kinds = append(kinds, k)
-	}
-	sort.Slice(kinds, func(i, j int) bool { return less(kinds[i], kinds[j]) })
-	for _, k := range kinds {
-		for left := rent[k]; left > 0; left -= wire.MaxRental {
-			f.seq++
-			name := fmt.Sprintf("r-%d-%d", token, f.seq)
-			f.pending[name] = &request{seq: f.seq, RentalRequest: wire.RentalRequest{Name: name, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Count: min(left, wire.MaxRental)}}
+	return &Provisioner{
+		maxPending:     max(maxInFlight, int(rps*lookaheadSeconds)),
+		pending:        map[string]*request{},
+		exhaustedUntil: map[Pool]Micros{},
+	}
+}
+
+// Enqueue adds requests for what Plan returned. Their names contain the fencing token, so that no
+// other leader ever uses them.
+func (p *Provisioner) Enqueue(token uint64, rentals map[Pool]int) {
+	for _, pool := range slices.SortedFunc(maps.Keys(rentals), comparePools) {
+		for left := rentals[pool]; left > 0; left -= wire.MaxRental {
+			p.seq++
+			name := fmt.Sprintf("r-%d-%d", token, p.seq)
+			p.pending[name] = &request{seq: p.seq, RentalRequest: wire.RentalRequest{
+				Name:  name,
+				Type:  pool.Type,
+				Zone:  pool.Zone,
+				Spot:  pool.Spot,
+				Count: min(left, wire.MaxRental),
+			}}
 		}
 	}
 }
 
-func less(a, b Pool) bool {
-	if a.Type != b.Type {
-		return a.Type < b.Type
-	}
-	if a.Zone != b.Zone {
-		return a.Zone < b.Zone
-	}
-	return a.Spot && !b.Spot
-}
-
-// Due lists the requests to send now, in the order in which they were made.
-func (f *Provisioner) Due(now Micros) []wire.RentalRequest {
-	out := 0
-	for _, p := range f.pending {
-		if p.inFlight {
-			out++
+// Due returns the requests to send now, in the order in which they were enqueued, and marks them
+// as in flight.
+func (p *Provisioner) Due(now Micros) []wire.RentalRequest {
+	inFlight := 0
+	for _, r := range p.pending {
+		if r.inFlight {
+			inFlight++
 		}
 	}
 	var due []wire.RentalRequest
-	for _, p := range f.sorted() {
-		if out+len(due) >= maxInFlight {
+	for _, r := range p.sorted() {
+		if inFlight+len(due) >= maxInFlight {
 			break
 		}
-		if !p.inFlight && p.retryAt <= now {
-			p.inFlight, p.sent = true, true
-			due = append(due, p.RentalRequest)
+		if !r.inFlight && r.retryAt <= now {
+			r.inFlight = true
+			r.sent = true
+			due = append(due, r.RentalRequest)
 		}
 	}
 	return due
 }
 
-// Complete settles a request that the cloud has answered for good. If it had no more of the
-// kind, others for it that were never sent are dropped: the next plan may ask for another
-// kind. One that was sent may have been executed, and its name is what finds out.
-func (f *Provisioner) Complete(now Micros, name string, got int, noCapacity bool) (wire.RentalRequest, bool) {
-	p := f.pending[name]
-	if p == nil {
+// Complete removes a request with a final answer, for which the cloud rented some machines, and
+// returns it; false if it is not pending. If the pool has no more capacity, its requests that were
+// never sent are dropped: the next plan may choose another pool. One that was sent may have been
+// executed, and only sending its name again shows that.
+func (p *Provisioner) Complete(now Micros, name string, rented int, noCapacity bool) (wire.RentalRequest, bool) {
+	completed := p.pending[name]
+	if completed == nil {
 		return wire.RentalRequest{}, false
 	}
-	delete(f.pending, name)
-	if noCapacity || got < p.Count {
-		f.exhaustedUntil[p.pool()] = now + exhaustedBackoff
-		maps.DeleteFunc(f.pending, func(_ string, o *request) bool { return !o.sent && o.pool() == p.pool() })
+	delete(p.pending, name)
+	if noCapacity || rented < completed.Count {
+		pool := completed.pool()
+		p.exhaustedUntil[pool] = now + exhaustedBackoff
+		maps.DeleteFunc(p.pending, func(_ string, r *request) bool { return !r.sent && r.pool() == pool })
 	}
-	return p.RentalRequest, true
+	return completed.RentalRequest, true
 }
 
-// Retry sends a request again later, under its name: if it was executed after
-// all, the cloud gives the same answer and rents nothing.
-func (f *Provisioner) Retry(now Micros, name string) {
-	if p := f.pending[name]; p != nil {
-		p.inFlight, p.retryAt = false, now+config.Second
+// Retry schedules a request without an answer to be sent again under the same name: if it was
+// executed after all, the cloud gives the same answer and rents nothing more.
+func (p *Provisioner) Retry(now Micros, name string) {
+	if r := p.pending[name]; r != nil {
+		r.inFlight = false
+		r.retryAt = now + requestRetryDelay
 	}
 }
 
-func (f *Provisioner) sorted() []*request {
-	return slices.SortedFunc(maps.Values(f.pending), func(a, b *request) int { return cmp.Compare(a.seq, b.seq) })
+// recentlyExhausted reports whether the cloud had no capacity in a pool within the last two
+// backoff periods.
+func (p *Provisioner) recentlyExhausted(now Micros, pool Pool) bool {
+	return p.exhaustedUntil[pool] > now-exhaustedBackoff
+}
+
+// sorted returns the pending requests in the order in which they were enqueued.
+func (p *Provisioner) sorted() []*request {
+	return slices.SortedFunc(maps.Values(p.pending), func(a, b *request) int { return cmp.Compare(a.seq, b.seq) })
 }
--- a/internal/core/autoscaler/provisioner_test.go
+++ b/internal/core/autoscaler/provisioner_test.go
@@ -11,7 +11,7 @@
 	"coralhub/wire"
 )
 
-// The same cases every run; -rapid.seed draws others.
+// The same cases in every run; -rapid.seed draws others.
 var _ = flag.Set("rapid.seed", "1")
 
 var types = []*wire.MachineType{
@@ -19,45 +19,45 @@
 	{Name: "t8", CPUs: 32, GPUs: 8, MemoryGB: 128, Price: 9, SpotPrice: 3, Zones: []string{"a"}},
 }
 
-// oneByOne packs every need into every machine by itself.
-func oneByOne(needs []Demand, booting []Pool, cheapest func(*Demand, map[Pool]int) (Pool, bool)) map[Pool]int {
-	type box struct {
-		kind Pool
+// planOneByOne is a reference for Plan that packs every demand into every machine by itself.
+func planOneByOne(demands []Demand, booting []Pool, cheapest func(*Demand, map[Pool]int) (Pool, bool)) map[Pool]int {
+	type machine struct {
+		pool Pool
 		free zone.Resources
 	}
-	full := map[string]zone.Resources{}
+	capacity := map[string]zone.Resources{}
 	for _, t := range types {
-		full[t.Name] = zone.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+		capacity[t.Name] = zone.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 	}
-	var boxes []*box
-	for _, k := range booting {
-		boxes = append(boxes, &box{k, full[k.Type]})
+	var machines []*machine
+	for _, pool := range booting {
+		machines = append(machines, &machine{pool, capacity[pool.Type]})
 	}
-	rent := map[Pool]int{}
-	for _, n := range needs {
-		left := n.Count
-		fill := func(b *box) {
-			fit := min(left, n.Task.Count(b.free))
-			b.free = b.free.Plus(n.Task, -float64(fit))
-			left -= fit
+	rentals := map[Pool]int{}
+	for _, d := range demands {
+		left := d.Count
+		fill := func(m *machine) {
+			placed := min(left, d.Task.Count(m.free))
+			m.free = m.free.Plus(d.Task, -float64(placed))
+			left -= placed
 		}
-		for _, b := range boxes {
-			if n.Types[b.kind.Type] && (n.Spot || !b.kind.Spot) && (n.Zone == "" || n.Zone == b.kind.Zone) {
-				fill(b)
+		for _, m := range machines {
+			if d.Types[m.pool.Type] && (d.Spot || !m.pool.Spot) && (d.Zone == "" || d.Zone == m.pool.Zone) {
+				fill(m)
 			}
 		}
 		for left > 0 {
-			k, ok := cheapest(&n, rent)
+			pool, ok := cheapest(&d, rentals)
 			if !ok {
 				break
 			}
-			rent[k]++
-			b := &box{k, full[k.Type]}
-			boxes = append(boxes, b)
-			fill(b)
+			rentals[pool]++
+			m := &machine{pool, capacity[pool.Type]}
+			machines = append(machines, m)
+			fill(m)
 		}
 	}
-	return rent
+	return rentals
 }
 
 func TestPlanAgreesWithPackingOneByOne(t *testing.T) {
@@ -68,67 +68,69 @@
 			{Task: zone.Resources{CPUs: 3, GPUs: 0, MemoryGB: 20}, Zone: "b"},
 			{Task: zone.Resources{CPUs: 7, GPUs: 2, MemoryGB: 16}, Zone: "a", Spot: true},
 		}
-		var needs []Demand
-		for range rapid.IntRange(0, 30).Draw(t, "needs") {
-			n := rapid.SampledFrom(shapes).Draw(t, "shape")
-			n.Count = rapid.IntRange(1, 20).Draw(t, "tasks")
-			n.Types = map[string]bool{"t4": true, "t8": rapid.Bool().Draw(t, "large")}
-			needs = append(needs, n)
+		var demands []Demand
+		for range rapid.IntRange(0, 30).Draw(t, "demands") {
+			d := rapid.SampledFrom(shapes).Draw(t, "shape")
+			d.Count = rapid.IntRange(1, 20).Draw(t, "tasks")
+			d.Types = map[string]bool{"t4": true, "t8": rapid.Bool().Draw(t, "large")}
+			demands = append(demands, d)
 		}
 		var booting []Pool
 		for range rapid.IntRange(0, 20).Draw(t, "booting") {
-			booting = append(booting, rapid.SampledFrom([]Pool{{"t4", "a", false}, {"t4", "b", true}, {"t8", "a", true}}).Draw(t, "kind"))
+			booting = append(booting, rapid.SampledFrom([]Pool{{"t4", "a", false}, {"t4", "b", true}, {"t8", "a", true}}).Draw(t, "pool"))
 		}
-		f := NewProvisioner(1000)
+		p := NewProvisioner(1000)
 		if rapid.Bool().Draw(t, "scarce") {
-			f.exhaustedUntil[Pool{"t4", "b", true}], f.exhaustedUntil[Pool{"t4", "b", false}] = 10, 10
+			p.exhaustedUntil[Pool{"t4", "b", true}], p.exhaustedUntil[Pool{"t4", "b", false}] = 10, 10
 		}
-		got := f.Plan(1, needs, booting, map[Pool]int{}, types)
-		want := oneByOne(needs, booting, func(n *Demand, rent map[Pool]int) (Pool, bool) { return f.cheapest(1, n, rent, map[Pool]int{}, types) })
+		got := p.Plan(1, demands, booting, map[Pool]int{}, types)
+		want := planOneByOne(demands, booting, func(d *Demand, rentals map[Pool]int) (Pool, bool) {
+			return p.cheapest(1, d, rentals, map[Pool]int{}, types)
+		})
 		if !maps.Equal(got, want) {
 			t.Fatalf("%v, should be %v", got, want)
 		}
 	})
 }
 
-// A need that no cloud could fill leads to a few requests, and to none any more for a kind
-// of which there is nothing.
-func TestAsksNoMoreThanTheCloudTakes(t *testing.T) {
-	f := NewProvisioner(8)
-	need := []Demand{{Task: zone.Resources{CPUs: 4, GPUs: 1}, Count: 1_000_000, Types: map[string]bool{"t4": true}}}
+// A demand that no cloud could meet leads to a few requests, and to none in a pool once the cloud
+// has no capacity there.
+func TestPendingRequestsAreLimitedToWhatTheCloudAccepts(t *testing.T) {
+	p := NewProvisioner(8)
+	demands := []Demand{{Task: zone.Resources{CPUs: 4, GPUs: 1}, Count: 1_000_000, Types: map[string]bool{"t4": true}}}
 	plan := func(now Micros) {
-		f.Enqueue(1, f.Plan(now, need, nil, map[Pool]int{}, types))
+		p.Enqueue(1, p.Plan(now, demands, nil, map[Pool]int{}, types))
 	}
 	plan(1)
-	if len(f.pending) != 40 {
-		t.Errorf("%d requests, a cloud that takes 8 a second takes 40 in 5 s", len(f.pending))
+	if len(p.pending) != 40 {
+		t.Errorf("%d requests, a cloud that accepts 8 a second accepts 40 in 5 s", len(p.pending))
 	}
-	due := f.Due(1)
-	if len(due) != maxInFlight || len(f.Due(1)) != 0 {
-		t.Fatalf("%d requests on their way", len(due))
+	due := p.Due(1)
+	if len(due) != maxInFlight || len(p.Due(1)) != 0 {
+		t.Fatalf("%d requests in flight", len(due))
 	}
-	f.Complete(2, due[0].Name, 0, true)
-	for _, p := range f.pending {
-		if !p.sent && p.Zone == due[0].Zone {
-			t.Fatalf("%s is still to be asked for in %s, where there is nothing", p.Name, p.Zone)
+	p.Complete(2, due[0].Name, 0, true)
+	for _, r := range p.pending {
+		if !r.sent && r.Zone == due[0].Zone {
+			t.Fatalf("%s is still to be sent for %s, which has no capacity", r.Name, r.Zone)
 		}
 	}
 	sent := 0
 	for _, r := range due[1:] { // what was sent may have been executed
-		if f.pending[r.Name] != nil {
+		if p.pending[r.Name] != nil {
 			sent++
 		}
 	}
 	if sent != maxInFlight-1 {
-		t.Errorf("%d of the others are still known", sent)
+		t.Errorf("%d of the other requests are still pending", sent)
 	}
 	plan(2)
-	for _, p := range f.pending {
-		if !p.sent && p.Zone == due[0].Zone {
-			t.Errorf("%s asks for what there is nothing of", p.Name)
+	for _, r := range p.pending {
+		if !r.sent && r.Zone == due[0].Zone {
+			t.Errorf("%s is for a pool without capacity", r.Name)
 		}
 	}
-	if name := f.sorted()[0].Name; name != due[1].Name {
+	if name := p.sorted()[0].Name; name != due[1].Name {
 		t.Errorf("first is %s", name)
 	}
 }
