--- a/internal/core/leader/delegations.go
+++ b/internal/core/leader/delegations.go
@@ -109,7 +109,7 @@
 		if dg.reconciler.Observe(m, heartbeatOf(m, relayed), false) {
 			m.Relayed = true
 			m.SilentSince = 0 // a relay has received its heartbeat
-			dg.reconciler.Registry().Introduce(m)
+			dg.reconciler.Registry().TrackContact(m)
 			dg.availability.checkAvailability(m)
 		}
 	}
--- a/internal/core/zone/capacity_index.go
+++ b/internal/core/zone/capacity_index.go
@@ -8,174 +8,158 @@
 	"github.com/google/btree"
 )
 
-// bucketKey is what the rooms of a shelf have in common: what a request asks for or goes by
-// before it compares what is free.
+// btreeDegree is about half the number of offers in a node of a tree.
+const btreeDegree = 16
+
+// weightScale is the scale of the sums of weights, which are kept as integers to stay exact.
+const weightScale = 1e6
+
+// bucketKey is what the offers of a bucket have in common: what a request asks for or prefers before
+// it compares free capacity.
 type bucketKey struct {
 	machineType string
 	spot, idle  bool
 }
 
-func (a bucketKey) compare(b bucketKey) int {
-	bit := func(b bool) int {
-		if b {
-			return 1
-		}
+// compare orders keys by type, then spot instances last, then idle machines last.
+func (k bucketKey) compare(o bucketKey) int {
+	return cmp.Or(cmp.Compare(k.machineType, o.machineType), compareBools(k.spot, o.spot), compareBools(k.idle, o.idle))
+}
+
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
+	switch {
+	case a == b:
 		return 0
+	case a:
+		return 1
 	}
-	return cmp.Or(cmp.Compare(a.machineType, b.machineType), bit(a.spot)-bit(b.spot), bit(a.idle)-bit(b.idle))
+	return -1
 }
 
-// bucket holds the rooms of a kind, those with most room first: a bid looks at as many as
-// it has tasks, however many there are.
+// bucket holds the offers with a key, those with most free capacity first. A bid examines as many
+// as it has tasks, however many there are.
 type bucket struct {
 	bucketKey
 	offers     *btree.BTreeG[*Offer]
-	freeByGPUs []int64 // what is free, in millionths of a weight, by whole free GPUs of a room
+	freeByGPUs []int64 // scaled weight of what is free, by whole free GPUs of a machine
 }
 
-// btreeDegree is how many rooms a node of the tree holds about half of.
-const btreeDegree = 16
-
-// moreFree orders rooms of a kind. It goes by nothing that changes while a room is on its
-// shelf.
+// moreFree orders the offers of a bucket. It uses nothing that changes while an offer is in there.
 func moreFree(a, b *Offer) bool {
 	return cmp.Or(cmp.Compare(b.Free.GPUs, a.Free.GPUs), cmp.Compare(b.Free.CPUs, a.Free.CPUs), cmp.Compare(a.Machine.Name, b.Machine.Name)) < 0
 }
 
-func (s *bucket) suits(q *Request) bool { return q.Types[s.machineType] && (q.Spot || !s.spot) }
+// suits reports whether a request may use machines of the bucket's type.
+func (b *bucket) suits(q *Request) bool { return q.Types[b.machineType] && (q.Spot || !b.spot) }
 
-func (r *Offer) wholeGPUs() int { return max(0, int(r.Free.GPUs+tolerance)) }
-
-func (s *bucket) addFree(r *Offer, times int64) {
-	for len(s.freeByGPUs) <= r.wholeGPUs() {
-		s.freeByGPUs = append(s.freeByGPUs, 0)
+// addFree adds what is free in an offer to the sums n times: 1 to add it, -1 to remove it.
+func (b *bucket) addFree(o *Offer, n int64) {
+	gpus := o.wholeGPUs()
+	for len(b.freeByGPUs) <= gpus {
+		b.freeByGPUs = append(b.freeByGPUs, 0)
 	}
-	s.freeByGPUs[r.wholeGPUs()] += times * int64(math.Round(r.Free.Weight()*1e6))
+	b.freeByGPUs[gpus] += n * int64(math.Round(o.Free.Weight()*weightScale))
 }
 
-// insert puts a room where it belongs.
-func (z *Zone) insert(r *Offer) {
-	k := bucketKey{r.Machine.Type, r.Machine.Spot, r.Idle}
-	i, ok := slices.BinarySearchFunc(z.buckets, k, func(s *bucket, k bucketKey) int { return s.compare(k) })
+func (o *Offer) wholeGPUs() int { return max(0, int(o.Free.GPUs+tolerance)) }
+
+// insert puts an offer into its bucket, which is made if need be.
+func (z *Zone) insert(o *Offer) {
+	key := bucketKey{o.Machine.Type, o.Machine.Spot, o.Idle}
+	i, ok := slices.BinarySearchFunc(z.buckets, key, func(b *bucket, key bucketKey) int { return b.compare(key) })
 	if !ok {
-		z.buckets = slices.Insert(z.buckets, i, &bucket{bucketKey: k, offers: btree.NewG(btreeDegree, moreFree)})
+		z.buckets = slices.Insert(z.buckets, i, &bucket{bucketKey: key, offers: btree.NewG(btreeDegree, moreFree)})
 	}
-	r.bucket = z.buckets[i]
-	r.bucket.offers.ReplaceOrInsert(r)
-	r.bucket.addFree(r, 1)
+	o.bucket = z.buckets[i]
+	o.bucket.offers.ReplaceOrInsert(o)
+	o.bucket.addFree(o, 1)
 }
 
-func (r *Offer) remove() {
-	r.bucket.offers.Delete(r)
-	r.bucket.addFree(r, -1)
+// remove takes an offer out of its bucket.
+func (o *Offer) remove() {
+	o.bucket.offers.Delete(o)
+	o.bucket.addFree(o, -1)
 }
 
-// Add takes a room that is not in the zone.
-func (z *Zone) Add(r *Offer) {
-	z.insert(r)
+// Add adds an offer that is not in the zone.
+func (z *Zone) Add(o *Offer) {
+	z.insert(o)
 	if z.byImage == nil {
 		z.byImage = map[string]map[*Offer]bool{}
 	}
-	r.images = append(r.Machine.Images.Names(), r.PendingImages...)
-	for _, image := range r.images {
-		z.index(r, image)
+	o.images = append(o.Machine.Images.Names(), o.PendingImages...)
+	for _, image := range o.images {
+		z.indexImage(o, image)
 	}
 }
 
-func (z *Zone) index(r *Offer, image string) {
+func (z *Zone) indexImage(o *Offer, image string) {
 	if z.byImage[image] == nil {
 		z.byImage[image] = map[*Offer]bool{}
 	}
-	z.byImage[image][r] = true
+	z.byImage[image][o] = true
 }
 
-// Remove gives up a room that is in the zone.
-func (z *Zone) Remove(r *Offer) {
-	r.remove()
-	for _, image := range r.images {
-		if delete(z.byImage[image], r); len(z.byImage[image]) == 0 {
+// Remove removes an offer that is in the zone.
+func (z *Zone) Remove(o *Offer) {
+	o.remove()
+	for _, image := range o.images {
+		delete(z.byImage[image], o)
+		if len(z.byImage[image]) == 0 {
 			delete(z.byImage, image)
 		}
 	}
 }
 
-// Allocate takes what a task with an image needs from a room that is in the zone.
-func (z *Zone) Allocate(r *Offer, needs Resources, image string) {
-	r.remove()
-	r.Free, r.Idle = r.Free.Plus(needs, -1), false
-	z.insert(r)
-	if image != "" && !slices.Contains(r.PendingImages, image) {
-		r.PendingImages = append(r.PendingImages, image)
-		r.images = append(r.images, image)
-		z.index(r, image)
+// Allocate takes what a task with an image needs from an offer that is in the zone.
+func (z *Zone) Allocate(o *Offer, needs Resources, image string) {
+	o.remove()
+	o.Free = o.Free.Plus(needs, -1)
+	o.Idle = false
+	z.insert(o)
+	if image != "" && !slices.Contains(o.PendingImages, image) {
+		o.PendingImages = append(o.PendingImages, image)
+		o.images = append(o.images, image)
+		z.indexImage(o, image)
 	}
 }
 
-// FreeCapacity adds up the room that is left in the zone.
-func (z *Zone) FreeCapacity() float64 { return z.free(0, func(*bucket) bool { return true }) }
+// FreeCapacity returns the weight of all that is free in the zone.
+func (z *Zone) FreeCapacity() float64 {
+	return z.freeWeight(0, func(*bucket) bool { return true })
+}
 
-// freeFor adds up what is free where there are enough whole GPUs for a request.
+// freeFor returns the weight of what is free on the machines that suit a request and have enough
+// whole GPUs free for one of its tasks.
 func (z *Zone) freeFor(q *Request) float64 {
-	return z.free(int(q.Needs.GPUs), func(s *bucket) bool { return s.suits(q) })
+	return z.freeWeight(int(q.Needs.GPUs), func(b *bucket) bool { return b.suits(q) })
 }
 
-func (z *Zone) free(level int, counts func(*bucket) bool) float64 {
+// freeWeight returns the weight of what is free on the machines with a number of whole free GPUs or
+// more, in the buckets that count.
+func (z *Zone) freeWeight(gpus int, counts func(*bucket) bool) float64 {
 	sum := int64(0)
-	for _, s := range z.buckets {
-		if !counts(s) {
+	for _, b := range z.buckets {
+		if !counts(b) {
 			continue
 		}
-		for _, free := range s.freeByGPUs[min(level, len(s.freeByGPUs)):] {
+		for _, free := range b.freeByGPUs[min(gpus, len(b.freeByGPUs)):] {
 			sum += free
 		}
 	}
-	return float64(sum) / 1e6
+	return float64(sum) / weightScale
 }
 
-// eachFit calls f for the rooms that suit a request and have its GPUs free, shelf by shelf,
-// the roomiest first. Once f returns false the next shelf follows.
+// eachFit calls f for the offers that suit a request and have its GPUs free, bucket by bucket, those
+// with most free capacity first. When f returns false, it goes on with the next bucket.
 func (z *Zone) eachFit(q *Request, f func(*Offer) bool) {
-	for _, s := range z.buckets {
-		if !s.suits(q) {
+	for _, b := range z.buckets {
+		if !b.suits(q) {
 			continue
 		}
-		s.offers.Ascend(func(r *Offer) bool {
-			return r.Free.GPUs+tolerance >= q.Needs.GPUs && f(r) // those that follow have no more
+		b.offers.Ascend(func(o *Offer) bool {
+			return o.Free.GPUs+tolerance >= q.Needs.GPUs && f(o) // those that follow have no more GPUs
 		})
 	}
 }
-
-// candidates lists the rooms that a request may come to: the roomiest of each shelf, as many as
-// it has tasks, and those that have its image. Any other room would only be used after one
-// of these.
-func (z *Zone) candidates(now Micros, q *Request) candidateHeap {
-	var out candidateHeap
-	add := func(r *Offer) bool {
-		if r.candidateFor || !q.Needs.Fits(r.Free) || !q.mayUse(now, r) {
-			return false
-		}
-		r.candidateFor = true
-		out = append(out, candidate{r, r.Free, r.imageDistance(q)})
-		return true
-	}
-	var on *bucket
-	left := 0
-	z.eachFit(q, func(r *Offer) bool {
-		if r.bucket != on {
-			on, left = r.bucket, q.Count
-		}
-		if add(r) {
-			left--
-		}
-		return left > 0
-	})
-	for r := range z.byImage[q.Image] { // in any order: the best are picked by one that knows no ties
-		if r.bucket.suits(q) {
-			add(r)
-		}
-	}
-	for i := range out {
-		out[i].candidateFor = false
-	}
-	return out
-}
--- a/internal/core/zone/catalog.go
+++ b/internal/core/zone/catalog.go
@@ -1,63 +1,65 @@
 package zone
 
-import "coralhub/wire"
+import (
+	"slices"
 
-// Catalog is what types of machines there are, as far as a node knows.
+	"coralhub/wire"
+)
+
+// specTolerance absorbs rounding errors when a job's needs are compared with a machine type.
+const specTolerance = 1e-9
+
+// Catalog is the machine types that the cloud offers, as far as a node knows them.
 type Catalog struct {
-	Types map[string]*wire.MachineType // nil: not known yet
+	Types map[string]*wire.MachineType // by name; nil: not known yet
 }
 
-// Set replaces what is known.
-func (c *Catalog) Set(cat *wire.Catalog) {
+// Set replaces the machine types.
+func (c *Catalog) Set(catalog *wire.Catalog) {
 	c.Types = map[string]*wire.MachineType{}
-	for i := range cat.Types {
-		c.Types[cat.Types[i].Name] = &cat.Types[i]
+	for i := range catalog.Types {
+		c.Types[catalog.Types[i].Name] = &catalog.Types[i]
 	}
 }
 
-// Known tells whether anything is.
+// Known reports whether the machine types are known yet.
 func (c *Catalog) Known() bool { return c.Types != nil }
 
-// Allows tells whether a task of a job may run on machines of a type and fits them.
-func Allows(s *wire.Job, t *wire.MachineType) bool {
-	return s.CPUs <= t.CPUs+1e-9 && s.GPUs <= t.GPUs+1e-9 && s.MemoryGB <= t.MemoryGB+1e-9 && allowed(s, t)
+// Allows reports whether a task of a job fits on machines of a type and may run on them.
+func Allows(spec *wire.Job, t *wire.MachineType) bool {
+	fits := spec.CPUs <= t.CPUs+specTolerance && spec.GPUs <= t.GPUs+specTolerance && spec.MemoryGB <= t.MemoryGB+specTolerance
+	return fits && allowsType(spec, t) && allowsZone(spec, t)
 }
 
-func allowed(s *wire.Job, t *wire.MachineType) bool {
-	ok := len(s.Types) == 0
-	for _, name := range s.Types {
-		ok = ok || name == t.Name
-	}
-	if !ok || s.Zone == "" {
-		return ok
-	}
-	for _, z := range t.Zones {
-		if z == s.Zone {
-			return true
-		}
-	}
-	return false
+// allowsType reports whether a job allows a machine type; without a list it allows any.
+func allowsType(spec *wire.Job, t *wire.MachineType) bool {
+	return len(spec.Types) == 0 || slices.Contains(spec.Types, t.Name)
+}
+
+// allowsZone reports whether a machine type is offered in the job's zone; without a zone, in any.
+func allowsZone(spec *wire.Job, t *wire.MachineType) bool {
+	return spec.Zone == "" || slices.Contains(t.Zones, spec.Zone)
 }
 
-// Runs tells whether a task of a job could run anywhere.
-func (c *Catalog) Runs(s *wire.Job) bool {
+// Runs reports whether a task of a job could run on any machine type.
+func (c *Catalog) Runs(spec *wire.Job) bool {
 	for _, t := range c.Types {
-		if Allows(s, t) {
+		if Allows(spec, t) {
 			return true
 		}
 	}
 	return false
 }
 
-// Zones counts the zones in which a task of a job could run.
-func (c *Catalog) Zones(s *wire.Job) int {
+// Zones returns the number of zones in which a task of a job could run.
+func (c *Catalog) Zones(spec *wire.Job) int {
 	zones := map[string]bool{}
 	for _, t := range c.Types {
-		if !Allows(s, t) {
+		if !Allows(spec, t) {
 			continue
 		}
 		for _, z := range t.Zones {
-			if s.Zone == "" || s.Zone == z {
+			if spec.Zone == "" || spec.Zone == z {
 				zones[z] = true
 			}
 		}
@@ -65,19 +67,19 @@
 	return len(zones)
 }
 
-// Slim returns a description without what no longer decides anything: machine types
-// that there are none of. It returns nil if that is nothing.
-func (c *Catalog) Slim(s *wire.Job) *wire.Job {
+// Slim returns a copy of a job without the machine types that the cloud does not offer, which no
+// longer decide anything. It returns nil if there are none to remove, or if none would be left.
+func (c *Catalog) Slim(spec *wire.Job) *wire.Job {
 	var known []string
-	for _, name := range s.Types {
+	for _, name := range spec.Types {
 		if c.Types[name] != nil {
 			known = append(known, name)
 		}
 	}
-	if len(known) == len(s.Types) || len(known) == 0 {
+	if len(known) == len(spec.Types) || len(known) == 0 {
 		return nil
 	}
-	out := *s
+	out := *spec
 	out.Types = known
 	return &out
 }
--- a/internal/core/zone/reachability.go
+++ b/internal/core/zone/reachability.go
@@ -2,84 +2,94 @@
 
 import "coralhub/internal/config"
 
-// Reachability is what is known of whether a worker gets what it is sent. Its reports tell that it
-// lives, not that answers and commands reach it: a link may lose packets one way. One that seems
-// deaf gets no new work; whatever shows that it has got something makes it hear again.
+// Reachability is what is known about whether a worker receives what it is sent. Its heartbeats show
+// that it is alive, not that responses and commands reach it: a link may lose packets in one
+// direction. A worker that seems unreachable gets no new tasks. Any sign that it has received
+// something makes it reachable again.
 type Reachability struct {
-	UnreachableSince Micros // since when it seems deaf; 0: it hears
-	Episodes         int    // how often it has seemed so
+	UnreachableSince Micros // since when it seems unreachable; 0: it is reachable
+	Episodes         int    // how often it has seemed unreachable
 
-	answeredAt    Micros // when a report of the present session was last answered
-	missedReplies int    // answers in a row that asked for starts which the next report doesn't show
+	answeredAt    Micros // when a heartbeat of the current incarnation was last answered
+	missedReplies int    // responses in a row with starts that the next heartbeat did not show
 	nextProbeAt   Micros
 	probeInterval Micros
 }
 
 const (
-	// maxMissedReplies is after how many answers in a row that were not followed a worker seems
-	// deaf. One alone is lost, or comes too late, now and then.
+	// maxMissedReplies is the number of missed responses in a row after which a worker seems
+	// unreachable. A single one is lost, or late, now and then.
 	maxMissedReplies = 3
-	// replyTimeout is how long a worker waits for an answer.
+	// replyTimeout is how long a worker waits for a response.
 	replyTimeout = 4 * config.Second
-	// firstProbeInterval and mostPause are between calls that try whether it hears.
+	// firstProbeInterval and maxProbeInterval bound the time between the calls that probe whether an
+	// unreachable worker is reachable again.
 	firstProbeInterval = config.Second
 	maxProbeInterval   = 16 * config.Second
-	// MaxUnreachableEpisodes is how often a machine may seem deaf before it goes back as soon as it is
-	// idle.
+	// MaxUnreachableEpisodes is how often a machine may seem unreachable before it is given back as
+	// soon as it is idle.
 	MaxUnreachableEpisodes = 3
 )
 
-// Unreachable tells whether the worker seems to be.
-func (h *Reachability) Unreachable() bool { return h.UnreachableSince != 0 }
+// Unreachable reports whether the worker seems unreachable.
+func (r *Reachability) Unreachable() bool { return r.UnreachableSince != 0 }
 
-// NoteAnswered notes that a report has been answered.
-func (h *Reachability) NoteAnswered(now Micros) { h.answeredAt = now }
+// NoteAnswered records that a heartbeat has been answered.
+func (r *Reachability) NoteAnswered(now Micros) { r.answeredAt = now }
 
-// NoteLeaseExpired hears that the worker has begun another session. If it should have had an answer in
-// time, it hasn't got it. It returns whether the worker seems deaf from now on.
-func (h *Reachability) NoteLeaseExpired(now, lease Micros) bool {
-	early := h.answeredAt != 0 && now < h.answeredAt-replyTimeout+lease
-	h.answeredAt, h.missedReplies = 0, 0
-	return early && h.markUnreachable(now)
+// NoteLeaseExpired records that the worker has begun another incarnation. If its lease, of the given
+// duration, should have been renewed by a response in time, the worker has not received it. It
+// returns whether the worker has become unreachable.
+func (r *Reachability) NoteLeaseExpired(now, lease Micros) bool {
+	early := r.answeredAt != 0 && now < r.answeredAt-replyTimeout+lease
+	r.answeredAt = 0
+	r.missedReplies = 0
+	return early && r.markUnreachable(now)
 }
 
-// NoteCarriedOut hears whether the report after an answer that asked for starts shows them. It returns
-// whether the worker seems deaf from now on.
-func (h *Reachability) NoteCarriedOut(now Micros, all bool) bool {
+// NoteCarriedOut records whether the heartbeat after a response with starts shows all of them. It
+// returns whether the worker has become unreachable.
+func (r *Reachability) NoteCarriedOut(now Micros, all bool) bool {
 	if all {
-		h.missedReplies = 0
+		r.missedReplies = 0
 		return false
 	}
-	h.missedReplies++
-	return h.missedReplies >= maxMissedReplies && h.markUnreachable(now)
+	r.missedReplies++
+	return r.missedReplies >= maxMissedReplies && r.markUnreachable(now)
 }
 
-func (h *Reachability) markUnreachable(now Micros) bool {
-	if h.Unreachable() {
+// markUnreachable begins an episode. It returns false if there is one already.
+func (r *Reachability) markUnreachable(now Micros) bool {
+	if r.Unreachable() {
 		return false
 	}
-	h.UnreachableSince, h.nextProbeAt, h.probeInterval = now, now, firstProbeInterval
-	h.Episodes++
+	r.UnreachableSince = now
+	r.nextProbeAt = now
+	r.probeInterval = firstProbeInterval
+	r.Episodes++
 	return true
 }
 
-// NoteReceived notes that the worker has got something. It returns whether it seemed deaf. What the
-// first call disproves doesn't count: reports that a cut has held back look like that.
-func (h *Reachability) NoteReceived(now Micros) bool {
-	was := h.Unreachable()
-	if was && now-h.UnreachableSince < replyTimeout {
-		h.Episodes--
+// NoteReceived records that the worker has received something. It returns whether the worker seemed
+// unreachable before. An episode that the first call disproves does not count: heartbeats that were
+// held back by a network partition look the same.
+func (r *Reachability) NoteReceived(now Micros) bool {
+	wasUnreachable := r.Unreachable()
+	if wasUnreachable && now-r.UnreachableSince < replyTimeout {
+		r.Episodes--
 	}
-	h.UnreachableSince, h.missedReplies = 0, 0
-	return was
+	r.UnreachableSince = 0
+	r.missedReplies = 0
+	return wasUnreachable
 }
 
-// ProbeDue tells whether it is time to try whether the worker hears.
-func (h *Reachability) ProbeDue(now Micros) bool {
-	if !h.Unreachable() || now < h.nextProbeAt {
+// ProbeDue reports whether it is time to probe an unreachable worker, and schedules the next probe
+// with exponential backoff if so.
+func (r *Reachability) ProbeDue(now Micros) bool {
+	if !r.Unreachable() || now < r.nextProbeAt {
 		return false
 	}
-	h.nextProbeAt = now + h.probeInterval
-	h.probeInterval = min(2*h.probeInterval, maxProbeInterval)
+	r.nextProbeAt = now + r.probeInterval
+	r.probeInterval = min(2*r.probeInterval, maxProbeInterval)
 	return true
 }
--- a/internal/core/zone/registry.go
+++ b/internal/core/zone/registry.go
@@ -6,36 +6,35 @@
 	"slices"
 )
 
-// Registry holds machines by name, in the order of their names, and in the order in
-// which their workers were last in touch: whoever looks for the silent ones need not
-// look at the others.
+// Registry holds machines by name, in the order of their names, and in the order of the last direct
+// contact with their workers: the silent ones are found without examining the others.
 type Registry struct {
 	byName  map[string]*Machine
 	sorted  []*Machine
-	silence *list.List // the most silent first
+	silence *list.List // of *Machine, the longest silent first
 }
 
-// NewRegistry returns a roster without machines.
+// NewRegistry returns an empty Registry.
 func NewRegistry() *Registry { return &Registry{byName: map[string]*Machine{}, silence: list.New()} }
 
-// Get returns a machine, nil if it is not known.
+// Get returns the machine with a name, nil if it is unknown.
 func (r *Registry) Get(name string) *Machine { return r.byName[name] }
 
-// Registered tells whether a machine is still in a roster.
+// Registered reports whether a machine is still in a registry.
 func (m *Machine) Registered() bool { return m.registered }
 
-// Len tells how many machines there are.
+// Len returns the number of machines.
 func (r *Registry) Len() int { return len(r.sorted) }
 
-// All lists the machines in the order of their names. The list must not be kept
-// while machines come or go.
+// All returns the machines in the order of their names. The slice is valid until a machine is added
+// or removed and must not be changed.
 func (r *Registry) All() []*Machine { return r.sorted }
 
 func (r *Registry) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(r.sorted, name, func(m *Machine, name string) int { return cmp.Compare(m.Name, name) })
 }
 
-// Add takes a machine whose name is new.
+// Add adds a machine whose name is not in the registry.
 func (r *Registry) Add(m *Machine) {
 	i, _ := r.find(m.Name)
 	r.byName[m.Name] = m
@@ -43,7 +42,7 @@
 	r.sorted = slices.Insert(r.sorted, i, m)
 }
 
-// NoteContact notes that a machine's worker is in touch with us itself.
+// NoteContact records that this node is in direct contact with a machine's worker.
 func (r *Registry) NoteContact(m *Machine, now Micros) {
 	m.LastContactAt = now
 	if m.silenceElement == nil {
@@ -53,20 +52,20 @@
 	r.silence.MoveToBack(m.silenceElement)
 }
 
-// Introduce lists a machine whose worker is known but was never in touch with us
-// itself as the most silent one.
-func (r *Registry) Introduce(m *Machine) {
+// TrackContact starts to track the contact with a machine whose worker is known but was never in
+// direct contact with this node: it counts as the longest silent one.
+func (r *Registry) TrackContact(m *Machine) {
 	if m.silenceElement == nil {
 		m.silenceElement = r.silence.PushFront(m)
 	}
 }
 
-// EachSilent calls f for the machines whose workers were not in touch since before a
-// moment, the most silent first.
-func (r *Registry) EachSilent(before Micros, f func(*Machine)) {
+// EachSilent calls f for the tracked machines without direct contact since a time, the longest
+// silent first. f may remove the machine.
+func (r *Registry) EachSilent(since Micros, f func(*Machine)) {
 	for e := r.silence.Front(); e != nil; {
 		m, next := e.Value.(*Machine), e.Next()
-		if m.LastContactAt >= before {
+		if m.LastContactAt >= since {
 			return
 		}
 		f(m)
@@ -74,7 +73,7 @@
 	}
 }
 
-// Remove forgets a machine.
+// Remove removes the machine with a name, if there is one.
 func (r *Registry) Remove(name string) {
 	if m := r.byName[name]; m != nil {
 		if m.silenceElement != nil {
--- /dev/null
+++ b/internal/core/zone/resources.go
@@ -0,0 +1,39 @@
+package zone
+
+import "math"
+
+// Resources is what a task takes, or what a machine has free. The numbers may be fractional.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
+
+const (
+	// tolerance absorbs rounding errors of sums of resources.
+	tolerance = 1e-6
+	// gpuWeight is how many CPUs a GPU weighs.
+	gpuWeight = 64
+)
+
+// Fits reports whether a task that takes r fits into what is free.
+func (r Resources) Fits(free Resources) bool {
+	return r.CPUs <= free.CPUs+tolerance && r.GPUs <= free.GPUs+tolerance && r.MemoryGB <= free.MemoryGB+tolerance
+}
+
+// Count returns how many tasks that take r fit into what is free.
+func (r Resources) Count(free Resources) int {
+	n := math.MaxInt32
+	for _, x := range [...]struct{ needed, free float64 }{{r.CPUs, free.CPUs}, {r.GPUs, free.GPUs}, {r.MemoryGB, free.MemoryGB}} {
+		if x.needed > 0 {
+			n = min(n, max(0, int((x.free+tolerance)/x.needed)))
+		} else if x.free < -tolerance {
+			return 0
+		}
+	}
+	return n
+}
+
+// Plus returns r with n times b added.
+func (r Resources) Plus(b Resources, n float64) Resources {
+	return Resources{r.CPUs + n*b.CPUs, r.GPUs + n*b.GPUs, r.MemoryGB + n*b.MemoryGB}
+}
+
+// Weight returns r as one number, in CPUs. Memory has no weight.
+func (r Resources) Weight() float64 { return r.GPUs*gpuWeight + r.CPUs }
--- a/internal/core/zone/zone_test.go
+++ b/internal/core/zone/zone_test.go
@@ -184,9 +184,9 @@
 	for len(bid.Offers) < q.Count {
 		var best *candidate
 		for _, r := range rooms {
-			o := &candidate{r, r.Free.Plus(used[r], -1), r.imageDistance(q)}
+			o := &candidate{r, r.Free.Plus(used[r], -1), r.imageStateFor(q)}
 			if _, taken := used[r]; taken && q.ShareFetches {
-				o.distance = max(o.distance, imagePending)
+				o.imageState = max(o.imageState, imagePending)
 			}
 			if (q.Spot || !r.Machine.Spot) && q.mayUse(1, r) && q.Needs.Fits(o.free) && (best == nil || o.better(best)) {
 				best = o
@@ -197,7 +197,7 @@
 		}
 		used[best.Offer] = used[best.Offer].Plus(q.Needs, 1)
 		bid.Offers = append(bid.Offers, best.Offer)
-		if best.distance == imageCached {
+		if best.imageState == imageCached {
 			bid.CachedImages++
 		}
 	}
@@ -289,7 +289,7 @@
 	if fit(victims) < want {
 		return nil
 	}
-	slices.SortStableFunc(victims, func(a, b *Victim) int { return cmp.Compare(b.size(), a.size()) })
+	slices.SortStableFunc(victims, func(a, b *Victim) int { return cmp.Compare(b.weight(), a.weight()) })
 	for i := len(victims) - 1; i >= 0; i-- {
 		if without := slices.Delete(slices.Clone(victims), i, i+1); fit(without) >= want {
 			victims = without
