--- a/internal/core/format_test.go
+++ b/internal/core/format_test.go
@@ -40,12 +40,12 @@
 		MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240,
 		CheckpointS: 30, SaveS: 4, DeadlineS: &deadline}
 	return job.Record{Spec: spec, CancelRequested: true, CreatedAt: 1764600000000000, LastAttempt: 3, DoneTasks: 2, Shard: job.Shard{DoneSet: "5",
-		Open: []job.Placement{{Task: 1, Attempt: 2, Machine: "m-000231", Session: 1, Zone: "a"},
-			{Task: 3, Attempt: 2, Machine: "m-000231", Session: 1, Zone: "a"}, {Task: 31, Attempt: 3, Machine: "m-000240", Session: 4, Zone: "b"}}}}
+		Open: []job.Placement{{Task: 1, Attempt: 2, Machine: "m-000231", Incarnation: 1, Zone: "a"},
+			{Task: 3, Attempt: 2, Machine: "m-000231", Incarnation: 1, Zone: "a"}, {Task: 31, Attempt: 3, Machine: "m-000240", Incarnation: 4, Zone: "b"}}}}
 }
 
 // productionShard is the shard in testdata/production.
-var productionShard = job.Shard{DoneSet: "1", Open: []job.Placement{{Task: 33, Attempt: 3, Machine: "m-000240", Session: 4, Zone: "b"}}}
+var productionShard = job.Shard{DoneSet: "1", Open: []job.Placement{{Task: 33, Attempt: 3, Machine: "m-000240", Incarnation: 4, Zone: "b"}}}
 
 // This version decodes what the version in production has written.
 func TestDecodesProductionValues(t *testing.T) {
@@ -130,7 +130,7 @@
 	record := productionRecord()
 	record.Open, record.DoneSet = nil, ""
 	for i := range job.TasksPerShard {
-		record.Open = append(record.Open, job.Placement{Task: i, Attempt: 12, Machine: "m-000231"[:7] + string(rune('A'+i)), Session: 12, Zone: "portland-rack"})
+		record.Open = append(record.Open, job.Placement{Task: i, Attempt: 12, Machine: "m-000231"[:7] + string(rune('A'+i)), Incarnation: 12, Zone: "portland-rack"})
 	}
 	for _, f := range []job.Format{job.FormatPlacements, job.FormatGrouped} {
 		value, err := job.EncodeRecord(&record, f)
--- a/internal/core/job/format.go
+++ b/internal/core/job/format.go
@@ -38,39 +38,39 @@
 // group is the tasks of a shard that share a machine and an attempt.
 type group struct {
 	//lint:ignore U1000 read by the encoder: a group is encoded as an array, to be short
-	_msgpack struct{} `msgpack:",as_array"`
-	First    int      // task number that bit 0 stands for
-	Tasks    string   // hexadecimal bit set
-	Attempt  uint64
-	Machine  string
-	Session  uint64
-	Zone     string
+	_msgpack    struct{} `msgpack:",as_array"`
+	First       int      // task number that bit 0 stands for
+	Tasks       string   // hexadecimal bit set
+	Attempt     uint64
+	Machine     string
+	Incarnation uint64
+	Zone        string
 }
 
 // timedGroup is a group with the time at which its tasks were placed. PlacedAt is twice the encoded
 // time, plus one on a spot instance.
 type timedGroup struct {
 	//lint:ignore U1000 read by the encoder: a group is encoded as an array, to be short
-	_msgpack struct{} `msgpack:",as_array"`
-	First    int
-	Tasks    string
-	Attempt  uint64
-	Machine  string
-	Session  uint64
-	Zone     string
-	PlacedAt int64
+	_msgpack    struct{} `msgpack:",as_array"`
+	First       int
+	Tasks       string
+	Attempt     uint64
+	Machine     string
+	Incarnation uint64
+	Zone        string
+	PlacedAt    int64
 }
 
 // groupKey is what the tasks of a group have in common.
 type groupKey struct {
-	attempt, session uint64
-	machine, zone    string
-	placedAt         int64 // as in timedGroup, 0 for a group without a time
+	attempt, incarnation uint64
+	machine, zone        string
+	placedAt             int64 // as in timedGroup, 0 for a group without a time
 }
 
 // groupKeyOf returns the key of the group that a placement belongs to in a format.
 func groupKeyOf(p *Placement, format Format) groupKey {
-	key := groupKey{attempt: p.Attempt, session: p.Session, machine: p.Machine, zone: p.Zone}
+	key := groupKey{attempt: p.Attempt, incarnation: p.Incarnation, machine: p.Machine, zone: p.Zone}
 	if format < FormatPreemption {
 		return key
 	}
@@ -105,11 +105,11 @@
 		tasks := strconv.FormatUint(masks[key], 16)
 		if format >= FormatPreemption {
 			packed.TimedGroups = append(packed.TimedGroups, timedGroup{First: first, Tasks: tasks, Attempt: key.attempt,
-				Machine: key.machine, Session: key.session, Zone: key.zone, PlacedAt: key.placedAt})
+				Machine: key.machine, Incarnation: key.incarnation, Zone: key.zone, PlacedAt: key.placedAt})
 			continue
 		}
 		packed.Groups = append(packed.Groups, group{First: first, Tasks: tasks, Attempt: key.attempt,
-			Machine: key.machine, Session: key.session, Zone: key.zone})
+			Machine: key.machine, Incarnation: key.incarnation, Zone: key.zone})
 	}
 	return packed
 }
@@ -118,7 +118,7 @@
 func (s *Shard) unpack() {
 	for _, g := range s.Groups {
 		s.TimedGroups = append(s.TimedGroups, timedGroup{First: g.First, Tasks: g.Tasks, Attempt: g.Attempt,
-			Machine: g.Machine, Session: g.Session, Zone: g.Zone})
+			Machine: g.Machine, Incarnation: g.Incarnation, Zone: g.Zone})
 	}
 	if s.TimedGroups == nil {
 		return
@@ -137,7 +137,7 @@
 		if mask>>uint(i)&1 == 0 {
 			continue
 		}
-		s.Open = append(s.Open, Placement{Task: g.First + i, Attempt: g.Attempt, Machine: g.Machine, Session: g.Session,
+		s.Open = append(s.Open, Placement{Task: g.First + i, Attempt: g.Attempt, Machine: g.Machine, Incarnation: g.Incarnation,
 			Zone: g.Zone, PlacedAt: g.PlacedAt / 2, Spot: g.PlacedAt%2 == 1})
 	}
 }
--- a/internal/core/job/job_test.go
+++ b/internal/core/job/job_test.go
@@ -15,7 +15,7 @@
 		Tasks: wire.MaxTasks, CPUs: 1.2345678901234, GPUs: 1, MemoryGB: 29.000001, Image: strings.Repeat("i", 40), Types: []string{"g8", "g16"}, DeadlineS: &deadline},
 		CreatedAt: 1_900_000_000_000_000, LastAttempt: 123456, DoneTasks: wire.MaxTasks}
 	for i := range TasksPerShard {
-		r.Open = append(r.Open, Placement{Task: i, Attempt: 123456, Machine: "m-00000231", Session: 12, Zone: zone})
+		r.Open = append(r.Open, Placement{Task: i, Attempt: 123456, Machine: "m-00000231", Incarnation: 12, Zone: zone})
 		r.SetDone(i)
 	}
 	return r
--- a/internal/core/job/placement.go
+++ b/internal/core/job/placement.go
@@ -6,14 +6,14 @@
 // that the task is not there any more.
 type Placement struct {
 	//lint:ignore U1000 read by the encoder: a placement is encoded as an array, to be short
-	_msgpack struct{} `msgpack:",as_array"`
-	Task     int
-	Attempt  uint64
-	Machine  string
-	Session  uint64 // incarnation of the machine's worker
-	Zone     string
-	PlacedAt int64 `msgpack:"-"` // see EncodeTime; stored with groups from FormatPreemption on
-	Spot     bool  `msgpack:"-"` // whether the machine is a spot instance
+	_msgpack    struct{} `msgpack:",as_array"`
+	Task        int
+	Attempt     uint64
+	Machine     string
+	Incarnation uint64 // of the machine's worker
+	Zone        string
+	PlacedAt    int64 `msgpack:"-"` // see EncodeTime; stored with groups from FormatPreemption on
+	Spot        bool  `msgpack:"-"` // whether the machine is a spot instance
 }
 
 // AttemptKey returns the key of the attempt that p places.
--- a/internal/core/job/usage_test.go
+++ b/internal/core/job/usage_test.go
@@ -20,7 +20,7 @@
 		var ended []endedPlacement
 		var want Usage
 		for i := range rapid.IntRange(1, 12).Draw(t, "placements") {
-			placement := Placement{Task: rapid.IntRange(0, 3).Draw(t, "task"), Attempt: uint64(i + 1), Machine: "m", Session: 1, Zone: "a",
+			placement := Placement{Task: rapid.IntRange(0, 3).Draw(t, "task"), Attempt: uint64(i + 1), Machine: "m", Incarnation: 1, Zone: "a",
 				PlacedAt: int64(rapid.IntRange(0, 50).Draw(t, "at")), Spot: rapid.Bool().Draw(t, "spot")}
 			occupancy := Occupancy{End: int64(rapid.IntRange(0, 90).Draw(t, "end")), Lost: int64(rapid.IntRange(0, 60).Draw(t, "lost"))}
 			shard.Open = append(shard.Open, placement)
--- a/internal/core/leader/placement_attempt.go
+++ b/internal/core/leader/placement_attempt.go
@@ -237,7 +237,7 @@
 	if task >= job.TasksPerShard && task%job.TasksPerShard == 0 {
 		a.cycle.changeBudget -= sc.commits.placementCost(j) // another value is written
 	}
-	sc.snapshot.addPlan(j, job.Placement{Task: task, Attempt: a.attempt, Machine: m.Name, Session: m.Incarnation, Zone: m.Zone,
+	sc.snapshot.addPlan(j, job.Placement{Task: task, Attempt: a.attempt, Machine: m.Name, Incarnation: m.Incarnation, Zone: m.Zone,
 		PlacedAt: job.EncodeTime(j.Record.CreatedAt, sc.wallClock()), Spot: m.Spot})
 }
 
--- a/internal/core/placing_test.go
+++ b/internal/core/placing_test.go
@@ -220,7 +220,7 @@
 				entries = append(entries, records.PlacementEntry{Job: "j-123456", Index: n / job.TasksPerShard, LastAttempt: 3})
 			}
 			entry := &entries[len(entries)-1]
-			entry.Open = append(entry.Open, job.Placement{Task: n, Attempt: 3, Machine: fmt.Sprintf("m-%06d", 200000+n), Session: 12, Zone: "portland-rack", PlacedAt: 123456})
+			entry.Open = append(entry.Open, job.Placement{Task: n, Attempt: 3, Machine: fmt.Sprintf("m-%06d", 200000+n), Incarnation: 12, Zone: "portland-rack", PlacedAt: 123456})
 		}
 		pages, size := 0, 0
 		for i := range entries {
--- a/internal/core/reconciler/commands.go
+++ b/internal/core/reconciler/commands.go
@@ -34,7 +34,7 @@
 		}
 	}
 	for _, key := range job.SortedAttemptKeys(expected) {
-		if _, reported := m.Tasks[key]; reported || expected[key].Session != m.Incarnation {
+		if _, reported := m.Tasks[key]; reported || expected[key].Incarnation != m.Incarnation {
 			continue
 		}
 		if r.shouldStart(m, key, inResponse) {
--- a/internal/core/reconciler/heartbeats.go
+++ b/internal/core/reconciler/heartbeats.go
@@ -81,7 +81,7 @@
 func (r *Reconciler) reconcileIncarnation(m *zone.Machine) {
 	expected := r.replica.PlacementsOn(m.Name)
 	for _, key := range job.SortedAttemptKeys(expected) {
-		placedIn := expected[key].Session
+		placedIn := expected[key].Incarnation
 		switch {
 		case placedIn < m.Incarnation:
 			r.listener.ClosePlacement(key, m.Name, false) // with the lease, everything of that incarnation is gone
@@ -108,7 +108,7 @@
 			images[j.Record.Spec.Image] = j.Record.Spec.ImageGB
 		}
 		p, open := expected[key]
-		if !open || p.Session != m.Incarnation {
+		if !open || p.Incarnation != m.Incarnation {
 			continue
 		}
 		if _, known := before.Tasks[key]; !known && sameIncarnation {
--- a/internal/core/records/placement_encoding.go
+++ b/internal/core/records/placement_encoding.go
@@ -53,11 +53,11 @@
 // storedMachine is a machine with the tasks that are on it.
 type storedMachine struct {
 	//lint:ignore U1000 read by the encoder
-	_msgpack struct{} `msgpack:",as_array"`
-	Tasks    string   // hexadecimal bit set
-	Machine  string
-	Session  uint64
-	Zone     int // twice the index of the zone in the page, plus one on a spot instance
+	_msgpack    struct{} `msgpack:",as_array"`
+	Tasks       string   // hexadecimal bit set
+	Machine     string
+	Incarnation uint64
+	Zone        int // twice the index of the zone in the page, plus one on a spot instance
 }
 
 // EncodePlacementPage encodes entries as the value of a page.
@@ -108,9 +108,9 @@
 		placedAt int64
 	}
 	type machineKey struct {
-		machine string
-		session uint64
-		zone    int
+		machine     string
+		incarnation uint64
+		zone        int
 	}
 	attempts := []storedAttempt{}
 	attemptIndex := map[attemptKey]int{}
@@ -128,12 +128,12 @@
 			attempts = append(attempts, storedAttempt{Attempt: p.Attempt, PlacedAt: p.PlacedAt})
 		}
 		zone := pe.storedZone(p)
-		mk := machineKey{p.Machine, p.Session, zone}
+		mk := machineKey{p.Machine, p.Incarnation, zone}
 		k, known := machineIndex[ak][mk]
 		if !known {
 			k = len(attempts[i].Machines)
 			machineIndex[ak][mk] = k
-			attempts[i].Machines = append(attempts[i].Machines, storedMachine{Machine: p.Machine, Session: p.Session, Zone: zone})
+			attempts[i].Machines = append(attempts[i].Machines, storedMachine{Machine: p.Machine, Incarnation: p.Incarnation, Zone: zone})
 		}
 		masks[ak][mk] |= 1 << uint(p.Task%job.TasksPerShard)
 		attempts[i].Machines[k].Tasks = strconv.FormatUint(masks[ak][mk], 16)
@@ -181,13 +181,13 @@
 				continue
 			}
 			e.Open = append(e.Open, job.Placement{
-				Task:     e.Index*job.TasksPerShard + i,
-				Attempt:  attempt.Attempt,
-				Machine:  m.Machine,
-				Session:  m.Session,
-				Zone:     zones[m.Zone/2],
-				PlacedAt: attempt.PlacedAt,
-				Spot:     m.Zone%2 == 1,
+				Task:        e.Index*job.TasksPerShard + i,
+				Attempt:     attempt.Attempt,
+				Machine:     m.Machine,
+				Incarnation: m.Incarnation,
+				Zone:        zones[m.Zone/2],
+				PlacedAt:    attempt.PlacedAt,
+				Spot:        m.Zone%2 == 1,
 			})
 		}
 	}
--- a/internal/core/records/placement_pages_test.go
+++ b/internal/core/records/placement_pages_test.go
@@ -18,11 +18,11 @@
 func TestPlacementPageEncoding(t *testing.T) {
 	entries := []PlacementEntry{
 		{Job: "j-1", Index: 0, LastAttempt: 3, Shard: job.Shard{DoneSet: "5", Usage: &job.Usage{Time: 7, Spot: 2, Lost: 1}, Open: []job.Placement{
-			{Task: 1, Attempt: 2, Machine: "m-1", Session: 1, Zone: "a", PlacedAt: 12},
-			{Task: 4, Attempt: 2, Machine: "m-1", Session: 1, Zone: "a", PlacedAt: 12},
-			{Task: 6, Attempt: 2, Machine: "m-2", Session: 9, Zone: "b", PlacedAt: 12, Spot: true},
-			{Task: 31, Attempt: 3, Machine: "m-2", Session: 9, Zone: "b", PlacedAt: 13, Spot: true}}}},
-		{Job: "j-2", Index: 3, LastAttempt: 1, Shard: job.Shard{Open: []job.Placement{{Task: 96, Attempt: 1, Machine: "m-3", Session: 1, Zone: "a"}}}},
+			{Task: 1, Attempt: 2, Machine: "m-1", Incarnation: 1, Zone: "a", PlacedAt: 12},
+			{Task: 4, Attempt: 2, Machine: "m-1", Incarnation: 1, Zone: "a", PlacedAt: 12},
+			{Task: 6, Attempt: 2, Machine: "m-2", Incarnation: 9, Zone: "b", PlacedAt: 12, Spot: true},
+			{Task: 31, Attempt: 3, Machine: "m-2", Incarnation: 9, Zone: "b", PlacedAt: 13, Spot: true}}}},
+		{Job: "j-2", Index: 3, LastAttempt: 1, Shard: job.Shard{Open: []job.Placement{{Task: 96, Attempt: 1, Machine: "m-3", Incarnation: 1, Zone: "a"}}}},
 		{Job: "j-3", Index: 0, LastAttempt: 8},
 	}
 	value, err := EncodePlacementPage(entries)
@@ -118,7 +118,7 @@
 		missing = missing[:rapid.IntRange(1, len(missing)).Draw(m.t, "how many")]
 		added := PlacementEntry{Job: j.ID, Index: first / job.TasksPerShard, LastAttempt: attempt}
 		for _, i := range missing {
-			added.Open = append(added.Open, job.Placement{Task: first + i, Attempt: attempt, Machine: fmt.Sprintf("m-%d", i%5), Session: 1, Zone: "a", PlacedAt: 5})
+			added.Open = append(added.Open, job.Placement{Task: first + i, Attempt: attempt, Machine: fmt.Sprintf("m-%d", i%5), Incarnation: 1, Zone: "a", PlacedAt: 5})
 		}
 		if i := slices.IndexFunc(entries, func(p PlacementEntry) bool { return p.Job == j.ID && p.Index == added.Index }); i >= 0 {
 			entry := &entries[i]
--- a/internal/core/relay/acknowledgement.go
+++ b/internal/core/relay/acknowledgement.go
@@ -80,7 +80,7 @@
 			return false
 		}
 		placement, open := placements[job.AttemptKey{Job: id, Task: task, Attempt: status.Attempt}]
-		if !open || placement.Session != hb.Incarnation {
+		if !open || placement.Incarnation != hb.Incarnation {
 			return false
 		}
 		if j := r.replica.Job(id); j.Record.CancelRequested || j.Record.Final() {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -65,13 +65,13 @@
 		record := &job.Record{Spec: spec(jobName(i), "red", 2*tasksPerMachine), CreatedAt: int64(i + 1), LastAttempt: 1}
 		for task := range 2 * tasksPerMachine {
 			machine := i + task/tasksPerMachine
-			record.Open = append(record.Open, job.Placement{Task: task, Attempt: 1, Machine: machineName(machine), Session: 1, Zone: machineZone(machine)})
+			record.Open = append(record.Open, job.Placement{Task: task, Attempt: 1, Machine: machineName(machine), Incarnation: 1, Zone: machineZone(machine)})
 		}
 		f.put(tb, jobName(i), record)
 	}
 	atLimit := &job.Record{Spec: spec("j-800000", "blue", 1), CreatedAt: 1, LastAttempt: 1}
 	atLimit.Spec.GPUs = 0
-	atLimit.Open = []job.Placement{{Attempt: 1, Machine: machineName(0), Session: 1, Zone: machineZone(0)}}
+	atLimit.Open = []job.Placement{{Attempt: 1, Machine: machineName(0), Incarnation: 1, Zone: machineZone(0)}}
 	f.put(tb, "j-800000", atLimit)
 	for i := range pending {
 		f.put(tb, pendingName(i), &job.Record{Spec: spec(pendingName(i), "blue", 2), CreatedAt: int64(i + 1)})
--- a/internal/core/stored_values_test.go
+++ b/internal/core/stored_values_test.go
@@ -29,9 +29,9 @@
 
 func storedShard(first int) job.Shard {
 	return job.Shard{DoneSet: "5", Usage: &job.Usage{Time: 7_000_000, Spot: 5_000_000, Lost: 3_000_000}, Open: []job.Placement{
-		{Task: first + 1, Attempt: 2, Machine: "m-000231", Session: 3, Zone: "a", PlacedAt: 17, Spot: true},
-		{Task: first + 4, Attempt: 2, Machine: "m-000231", Session: 3, Zone: "a", PlacedAt: 17, Spot: true},
-		{Task: first + 31, Attempt: 5, Machine: "m-000240", Session: 6, Zone: "b", PlacedAt: 19}}}
+		{Task: first + 1, Attempt: 2, Machine: "m-000231", Incarnation: 3, Zone: "a", PlacedAt: 17, Spot: true},
+		{Task: first + 4, Attempt: 2, Machine: "m-000231", Incarnation: 3, Zone: "a", PlacedAt: 17, Spot: true},
+		{Task: first + 31, Attempt: 5, Machine: "m-000240", Incarnation: 6, Zone: "b", PlacedAt: 19}}}
 }
 
 func storedRecord() job.Record {
