--- a/internal/core/zone/image_cache_test.go
+++ b/internal/core/zone/image_cache_test.go
@@ -8,22 +8,22 @@
 	"pgregory.net/rapid"
 )
 
-func TestCacheForgetsWhatWasUsedLongestAgo(t *testing.T) {
+func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	var c ImageCache
-	c.Restore([]string{"noted"})
+	c.Restore([]string{"restored"})
 	c.Update(20, map[string]float64{"a": 8})
 	c.Update(20, map[string]float64{"b": 8})
 	c.Update(20, map[string]float64{"a": 8})
 	if !c.Update(20, map[string]float64{"c": 8}) {
-		t.Error("nothing came")
+		t.Error("nothing was added")
 	}
 	if got := c.Names(); !slices.Equal(got, []string{"a", "c"}) {
-		t.Errorf("%v: b was used longest ago, and what was only noted before it", got)
+		t.Errorf("%v: b is the least recently used one but for those that were restored", got)
 	}
 	if c.Update(20, map[string]float64{"a": 8, "c": 8}) {
-		t.Error("something came or went")
+		t.Error("something was added or evicted")
 	}
-	// What runs there is there, whatever is said of the size.
+	// Images in use are cached, whatever their size.
 	c.Update(20, map[string]float64{"d": 15, "e": 15})
 	if got := c.Names(); !slices.Equal(got, []string{"d", "e"}) {
 		t.Errorf("%v", got)
@@ -34,8 +34,8 @@
 	}
 }
 
-// Beside what is in use there is never more than fits, and what was used last is there.
-func TestCacheKeepsToItsSize(t *testing.T) {
+// The images fit into the cache unless those in use alone do not, and those in use are always cached.
+func TestCacheRespectsItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c ImageCache
 		sizes := map[string]float64{}
@@ -43,24 +43,24 @@
 			sizes[fmt.Sprint("i", i)] = float64(1 + i*3%11)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			use := map[string]float64{}
-			inUse := 0.0
+			inUse := map[string]float64{}
+			inUseGB := 0.0
 			for range rapid.IntRange(0, 3).Draw(t, "tasks") {
 				name := fmt.Sprint("i", rapid.IntRange(0, 11).Draw(t, "image"))
-				if _, had := use[name]; !had {
-					use[name] = sizes[name]
-					inUse += sizes[name]
+				if _, had := inUse[name]; !had {
+					inUse[name] = sizes[name]
+					inUseGB += sizes[name]
 				}
 			}
-			c.Update(20, use)
+			c.Update(20, inUse)
 			sum := 0.0
 			for _, name := range c.Names() {
 				sum += sizes[name]
 			}
-			if sum > max(20, inUse) {
+			if sum > max(20, inUseGB) {
 				t.Fatalf("%v take %v", c.Names(), sum)
 			}
-			for name := range use {
+			for name := range inUse {
 				if !c.Has(name) {
 					t.Fatalf("%s is in use", name)
 				}
