--- a/internal/core/zone/model_test.go
+++ b/internal/core/zone/model_test.go
@@ -7,326 +7,424 @@
 	"coralhub/wire"
 )
 
-// The model: one worker, the leader that has placed an attempt of a task on it, and an heir that
-// knows nothing of what was said before its claim. Whatever is sent may be lost or come late; reports
-// may come again, any number of times, at either node; answers and commands may not reach the
-// worker for as long as it likes (a deaf machine). The task isn't wanted there any more at some moment,
-// and once a node holds its placement to be over it starts elsewhere. Then the worker must not have
-// it, nor ever get it again.
+// The model: one worker, the leader that has placed an attempt of a task on it, and a successor that
+// knows nothing of what was sent before its election. Every message may be lost or delayed.
+// Heartbeats may be duplicated, any number of times, at either node. Responses and commands may not
+// reach the worker for as long as it likes (an unreachable machine). At some time the task is cancelled,
+// and once a node closes its placement it starts elsewhere. From then on the worker must not run it,
+// nor ever receive it again.
 //
-// What nodes remember of the worker is the real Machine. Every state within the bounds is visited, with
-// each guard taken away in turn: without it, a broken rule has to be found.
+// What the nodes know of the worker is the real Machine. Every state within the bounds is explored.
+// Then each guard is taken away in turn: without it, a violation has to be found.
 
 const (
-	mostReports = 3
-	mostCalls   = 1
+	maxReports = 3
+	maxCalls   = 1
 )
 
-type mReport struct {
-	there, shows   bool
-	call           bool // it is the answer to a call, which comes to its sender alone
-	session, token uint8
+// The two nodes of the model.
+const (
+	firstLeader = 0
+	successor   = 1
+)
+
+// modelReport is a message of the worker; its sequence is its index in modelState.
+type modelReport struct {
+	sent, runs         bool
+	answersCall        bool // it is the answer to a call, which only the caller receives
+	incarnation, token uint8
 }
 
-type mCall struct {
-	state          uint8 // 0: none, 1: on its way, its sender waits, 2: on its way, given up, 3: answered
-	node           uint8
-	start          bool
-	session, token uint8
-	answer         uint8 // the report that came back
+// callState is the state of a direct call.
+type callState uint8
+
+const (
+	callUnused    callState = iota
+	callInFlight            // its sender waits
+	callAbandoned           // in flight, but its sender has given up
+	callAnswered            // the answer is in flight
+)
+
+type modelCall struct {
+	state              callState
+	node               uint8
+	start              bool
+	incarnation, token uint8
+	answer             uint8 // sequence of the report that answers it
 }
 
-type mAnswer struct { // to a report of the worker
-	there, start, stop bool
-	seq, token         uint8
+// modelResponse is the response to a heartbeat.
+type modelResponse struct {
+	sent, start, stop bool
+	sequence, token   uint8
 }
 
-// mMemory is what a node has of a Machine.
-type mMemory struct {
-	alive, raised          bool
-	base, token            uint8
-	session, seq, seen     uint8
-	has, settled           bool
-	direct, directStart    bool
-	ambiguous, reply, dTok uint8
-	directID               uint8
+// modelNode is a node and the state of its Machine.
+type modelNode struct {
+	alive, raised                            bool // raised: it has raised its fencing token
+	termStart, token                         uint8
+	incarnation, sequence, seenToken         uint8
+	runs, settled                            bool
+	callInFlight, startInFlight              bool
+	ambiguousToken, replySequence, callToken uint8
+	callID                                   uint8
 }
 
-type mState struct {
-	session, seq, token uint8 // of the worker
-	holds               bool
-	waits               uint8 // for the answer to this report
-	reports             [mostReports + 1]mReport
-	calls               [mostCalls]mCall
-	answer              mAnswer
-	node                [2]mMemory // leader, heir
-	unwanted, over      bool
+type modelState struct {
+	incarnation, sequence, token uint8 // of the worker
+	runs                         bool
+	awaits                       uint8 // the heartbeat whose response the worker waits for
+	reports                      [maxReports + 1]modelReport
+	calls                        [maxCalls]modelCall
+	response                     modelResponse
+	nodes                        [2]modelNode
+	cancelled, closed            bool // the task, its placement
 }
 
-// guard is one that can be taken away.
+// guard is a guard of the protocol that can be taken away.
 type guard string
 
 const (
-	noGuard        guard = ""
-	byOrder        guard = "reports in the order of session and sequence"
-	byToken        guard = "a start without an answer is void only under a higher token"
-	byHeirsToken   guard = "an heir reckons with its predecessor's starts"
-	byReply        guard = "a start in an answer is over with the next report alone"
-	byCall         guard = "no proof while a call with a start is out"
-	byReportAlone  guard = "an answer to a call proves no absence"
-	byClaim        guard = "a deposed leader closes nothing"
-	byLaterSession guard = "only a later session ends all of an earlier one"
+	noGuard              guard = ""
+	reportOrder          guard = "reports in the order of incarnation and sequence"
+	ambiguousStart       guard = "a start without an answer is void only under a higher token"
+	predecessorsStart    guard = "a successor expects its predecessor's starts"
+	startInResponse      guard = "a start in a response is settled by the next heartbeat alone"
+	startInCall          guard = "no proof while a call with a start is in flight"
+	proofByHeartbeat     guard = "the answer to a call proves no absence"
+	deposedLeader        guard = "a deposed leader closes nothing"
+	onlyLaterIncarnation guard = "only a later incarnation ends all of an earlier one"
 )
 
+var guards = []guard{reportOrder, ambiguousStart, predecessorsStart, startInResponse, startInCall, proofByHeartbeat, deposedLeader, onlyLaterIncarnation}
+
 var modelKey = job.AttemptKey{Job: "j-1", Task: 0, Attempt: 1}
 
-func (n *mMemory) machine() *Machine {
+// machine returns the node's Machine.
+func (n *modelNode) machine() *Machine {
 	m := New("m", "a", "t", "z", false, 0)
-	m.Incarnation, m.Sequence, m.FencingToken = uint64(n.session), uint64(n.seq), uint64(n.seen)
-	if n.has {
+	m.Incarnation, m.Sequence, m.FencingToken = uint64(n.incarnation), uint64(n.sequence), uint64(n.seenToken)
+	if n.runs {
 		m.Tasks[modelKey] = Task{State: wire.Running}
 	}
-	m.CallInFlight, m.StartInFlight, m.AmbiguousToken, m.ReplySequence = n.direct, n.directStart, uint64(n.ambiguous), uint64(n.reply)
-	m.callToken, m.callID, m.settled = uint64(n.dTok), uint64(n.directID), n.settled
+	m.CallInFlight, m.StartInFlight = n.callInFlight, n.startInFlight
+	m.AmbiguousToken, m.ReplySequence = uint64(n.ambiguousToken), uint64(n.replySequence)
+	m.callToken, m.callID, m.settled = uint64(n.callToken), uint64(n.callID), n.settled
 	return m
 }
 
-func (n *mMemory) keep(m *Machine) {
-	n.session, n.seq, n.seen = uint8(m.Incarnation), uint8(m.Sequence), uint8(m.FencingToken)
-	_, n.has = m.Tasks[modelKey]
-	n.direct, n.directStart, n.ambiguous, n.reply = m.CallInFlight, m.StartInFlight, uint8(m.AmbiguousToken), uint8(m.ReplySequence)
-	n.dTok, n.directID, n.settled = uint8(m.callToken), uint8(m.callID), m.settled
+// save stores the state of the node's Machine.
+func (n *modelNode) save(m *Machine) {
+	n.incarnation, n.sequence, n.seenToken = uint8(m.Incarnation), uint8(m.Sequence), uint8(m.FencingToken)
+	_, n.runs = m.Tasks[modelKey]
+	n.callInFlight, n.startInFlight = m.CallInFlight, m.StartInFlight
+	n.ambiguousToken, n.replySequence = uint8(m.AmbiguousToken), uint8(m.ReplySequence)
+	n.callToken, n.callID, n.settled = uint8(m.callToken), uint8(m.callID), m.settled
 }
 
-// hear has a node take a report, as its owner does, and draw the conclusions. It returns what an
-// answer would say; false: none.
-func (s *mState) hear(g guard, at int, seq uint8, isReport bool) (mAnswer, bool) {
-	n, r := &s.node[at], s.reports[seq]
+// elected reports whether the successor was elected.
+func (s *modelState) elected() bool { return s.nodes[successor].termStart != 0 }
+
+// leads reports whether a node was not followed by another.
+func (s *modelState) leads(node int) bool { return node == successor || !s.elected() }
+
+// receive has a node apply a report, as a leader does, and act on it. It returns the response; false
+// if there is none.
+func (s *modelState) receive(g guard, node int, sequence uint8, isHeartbeat bool) (modelResponse, bool) {
+	n, r := &s.nodes[node], s.reports[sequence]
 	if !n.alive {
-		return mAnswer{}, false
+		return modelResponse{}, false
 	}
 	if r.token > n.token {
-		n.alive = false // somebody else leads: it resigns
-		return mAnswer{}, false
+		n.alive = false // another node leads: it steps down
+		return modelResponse{}, false
 	}
 	m := n.machine()
-	if g == byOrder {
+	if g == reportOrder {
 		m.Sequence, m.Incarnation = 0, 0
 	}
-	if g == byToken || g == byHeirsToken && at == 1 {
+	if g == ambiguousStart || g == predecessorsStart && node == successor {
 		m.AmbiguousToken = 0
 	}
-	if g == byCall {
+	if g == startInCall {
 		m.StartInFlight = false
 	}
-	report := wire.Heartbeat{Incarnation: uint64(r.session), Sequence: uint64(seq), FencingToken: uint64(r.token)}
-	if r.shows {
-		report.Tasks = []wire.TaskStatus{{Task: wire.TaskName(modelKey.Job, modelKey.Task), Attempt: modelKey.Attempt, State: wire.Running}}
+	heartbeat := wire.Heartbeat{Incarnation: uint64(r.incarnation), Sequence: uint64(sequence), FencingToken: uint64(r.token)}
+	if r.runs {
+		heartbeat.Tasks = []wire.TaskStatus{{Task: wire.TaskName(modelKey.Job, modelKey.Task), Attempt: modelKey.Attempt, State: wire.Running}}
 	}
-	if !m.ApplyHeartbeat(0, &report, isReport || g == byReportAlone) {
-		return mAnswer{}, false
+	if !m.ApplyHeartbeat(0, &heartbeat, isHeartbeat || g == proofByHeartbeat) {
+		return modelResponse{}, false
 	}
-	a := mAnswer{there: true, seq: seq, token: n.token}
-	_, has := m.Tasks[modelKey]
-	current := at == 1 || !s.node[1].alive && s.node[1].base == 0 || g == byClaim
-	later := m.Incarnation > 1 || g == byLaterSession && m.Incarnation != 1
+	response := s.reconcile(g, node, m, sequence)
+	if response.start && isHeartbeat {
+		settled := m.settled
+		m.NoteReply(nil)
+		m.settled = settled && g == startInResponse
+	}
+	n.save(m)
+	return response, isHeartbeat
+}
+
+// reconcile compares what a worker has reported with the placement, and closes the placement if the
+// report proves that it is over.
+func (s *modelState) reconcile(g guard, node int, m *Machine, sequence uint8) modelResponse {
+	n := &s.nodes[node]
+	response := modelResponse{sent: true, sequence: sequence, token: n.token}
+	_, runs := m.Tasks[modelKey]
+	mayClose := node == successor || !s.nodes[successor].alive && !s.elected() || g == deposedLeader
+	later := m.Incarnation > 1 || g == onlyLaterIncarnation && m.Incarnation != 1
 	switch {
-	case s.over:
-		a.stop = has
-	case later || g == byLaterSession && !has && m.FencingToken >= uint64(n.base):
-		s.over = s.over || current
-	case has:
-		a.stop = s.unwanted
-	case s.unwanted:
-		if m.Settled() && current {
-			s.over = true
+	case s.closed:
+		response.stop = runs
+	case later || g == onlyLaterIncarnation && !runs && m.FencingToken >= uint64(n.termStart):
+		s.closed = s.closed || mayClose
+	case runs:
+		response.stop = s.cancelled
+	case s.cancelled:
+		if m.Settled() && mayClose {
+			s.closed = true
 		}
 	default:
-		a.start = true
-	}
-	if a.start && isReport {
-		settled := m.settled
-		m.NoteReply(nil)
-		m.settled = settled && g == byReply
+		response.start = true
 	}
-	n.keep(m)
-	return a, isReport
+	return response
 }
 
-// next lists the states that one event leads to.
-func (s mState) next(g guard) []mState {
-	var out []mState
-	add := func(t mState) { out = append(out, t) }
-	if s.seq < mostReports { // the worker reports, and waits for no earlier answer any more
-		t := s
-		t.report(&t.seq)
-		t.waits, t.answer = t.seq, mAnswer{}
-		add(t)
+// next returns the states that one event leads to.
+func (s modelState) next(g guard) []modelState {
+	var out []modelState
+	add := func(t modelState) { out = append(out, t) }
+	s.heartbeatSent(add)
+	s.heartbeatReceived(g, add)
+	s.responseReceived(add)
+	s.placementReexamined(add)
+	s.callSent(add)
+	s.callAdvanced(g, add)
+	s.leaseExpired(add)
+	s.successorElected(add)
+	s.tokenRaised(add)
+	s.taskCancelled(add)
+	return out
+}
+
+// heartbeatSent: the worker sends a heartbeat, and waits for no earlier response any more.
+func (s modelState) heartbeatSent(add func(modelState)) {
+	if s.sequence == maxReports {
+		return
 	}
-	for seq := uint8(1); seq <= s.seq; seq++ { // a report comes, for the first time or again
-		if s.reports[seq].call {
+	s.report()
+	s.awaits = s.sequence
+	s.response = modelResponse{}
+	add(s)
+}
+
+// heartbeatReceived: a node receives a heartbeat, for the first time or again.
+func (s modelState) heartbeatReceived(g guard, add func(modelState)) {
+	for sequence := uint8(1); sequence <= s.sequence; sequence++ {
+		if s.reports[sequence].answersCall {
 			continue
 		}
-		for at := range s.node {
+		for node := range s.nodes {
 			t := s
-			a, ok := t.hear(g, at, seq, true)
-			add(t) // as a copy, or its answer is lost
-			if ok && seq == t.waits {
-				t.answer = a
+			response, ok := t.receive(g, node, sequence, true)
+			add(t) // as a duplicate, or the response is lost
+			if ok && sequence == t.awaits {
+				t.response = response
 				add(t)
 			}
 		}
 	}
-	if s.answer.there && s.answer.seq == s.waits { // an answer reaches the worker
-		t := s
-		t.answer = mAnswer{}
-		if s.answer.token >= t.token {
-			t.token = s.answer.token
-			t.do(s.answer.start, s.answer.stop)
-		}
-		add(t)
+}
+
+// responseReceived: the worker receives the response to its newest heartbeat.
+func (s modelState) responseReceived(add func(modelState)) {
+	response := s.response
+	if !response.sent || response.sequence != s.awaits {
+		return
 	}
-	for at := range s.node { // a node looks again at what it has heard, when the task is wanted no more
-		n := &s.node[at]
-		if m := n.machine(); s.unwanted && n.alive && n.session == 1 && !n.has && m.Settled() && (at == 1 || s.node[1].base == 0) {
+	s.response = modelResponse{}
+	if response.token >= s.token {
+		s.token = response.token
+		s.execute(response.start, response.stop)
+	}
+	add(s)
+}
+
+// placementReexamined: a node examines again what it knows, once the task is cancelled.
+func (s modelState) placementReexamined(add func(modelState)) {
+	for node := range s.nodes {
+		n := &s.nodes[node]
+		absent := n.alive && n.incarnation == 1 && !n.runs
+		if s.cancelled && absent && n.machine().Settled() && s.leads(node) {
 			t := s
-			t.over = true
+			t.closed = true
 			add(t)
 		}
 	}
-	for at := range s.node { // a node calls the worker
-		n := s.node[at]
-		if !n.alive || n.direct || n.session == 0 {
+}
+
+// callSent: a node sends a direct call, with a start or only to show its fencing token.
+func (s modelState) callSent(add func(modelState)) {
+	for node := range s.nodes {
+		n := s.nodes[node]
+		if !n.alive || n.callInFlight || n.incarnation == 0 {
 			continue
 		}
-		for i, c := range s.calls {
-			if c.state != 0 {
+		for i, call := range s.calls {
+			if call.state != callUnused {
 				continue
 			}
-			start := !n.has && !s.unwanted && !s.over && n.session == 1
-			for _, start := range []bool{start, false} { // or it only shows its token
-				if !start && n.seen >= n.base && !s.unwanted {
+			mayStart := !n.runs && !s.cancelled && !s.closed && n.incarnation == 1
+			for _, start := range []bool{mayStart, false} {
+				if !start && n.seenToken >= n.termStart && !s.cancelled {
 					continue
 				}
 				t := s
 				m := n.machine()
 				m.NoteCall(0, uint64(i+1), uint64(n.token), start)
-				t.node[at].keep(m)
-				t.calls[i] = mCall{state: 1, node: uint8(at), start: start, session: n.session, token: n.token}
+				t.nodes[node].save(m)
+				t.calls[i] = modelCall{state: callInFlight, node: uint8(node), start: start, incarnation: n.incarnation, token: n.token}
 				add(t)
 			}
 			break
 		}
 	}
-	for i, c := range s.calls {
-		over := func(t *mState, unanswered bool) {
-			n := &t.node[c.node]
-			m := n.machine()
-			m.NoteCallDone(uint64(i+1), unanswered)
-			n.keep(m)
-		}
-		switch c.state {
-		case 1:
-			t := s // its sender gives up; it may come later
-			over(&t, true)
-			t.calls[i].state = 2
+}
+
+// callAdvanced: something happens to a call that was sent.
+func (s modelState) callAdvanced(g guard, add func(modelState)) {
+	for i, call := range s.calls {
+		switch call.state {
+		case callInFlight:
+			t := s // its sender gives up; it may arrive later
+			t.callDone(i, true)
+			t.calls[i].state = callAbandoned
 			add(t)
 			t = s // it was never sent
-			over(&t, false)
-			t.calls[i] = mCall{}
+			t.callDone(i, false)
+			t.calls[i] = modelCall{}
 			add(t)
-			if s.seq < mostReports {
+			if s.sequence < maxReports {
 				t = s
-				t.call(&t.calls[i])
-				t.calls[i].state, t.calls[i].answer = 3, t.seq
+				t.receiveCall(&t.calls[i])
+				t.calls[i].state, t.calls[i].answer = callAnswered, t.sequence
 				add(t)
 			}
-		case 2:
+		case callAbandoned:
 			t := s
-			t.call(&t.calls[i])
-			t.calls[i] = mCall{}
+			t.receiveCall(&t.calls[i])
+			t.calls[i] = modelCall{}
 			add(t)
-		case 3:
-			t := s // its answer comes, or is lost
-			over(&t, false)
-			t.hear(g, int(c.node), c.answer, false)
-			t.calls[i] = mCall{}
+		case callAnswered:
+			t := s // its answer arrives
+			t.callDone(i, false)
+			t.receive(g, int(call.node), call.answer, false)
+			t.calls[i] = modelCall{}
 			add(t)
-			t = s
-			over(&t, true)
-			t.calls[i] = mCall{}
+			t = s // or is lost
+			t.callDone(i, true)
+			t.calls[i] = modelCall{}
 			add(t)
 		}
 	}
-	if s.session == 1 { // its lease ends
-		t := s
-		t.session, t.holds, t.waits, t.answer = 2, false, 0, mAnswer{}
-		add(t)
+}
+
+// callDone ends a call for its sender.
+func (s *modelState) callDone(i int, unanswered bool) {
+	n := &s.nodes[s.calls[i].node]
+	m := n.machine()
+	m.NoteCallDone(uint64(i+1), unanswered)
+	n.save(m)
+}
+
+// leaseExpired: the worker's lease expires, and it begins another incarnation.
+func (s modelState) leaseExpired(add func(modelState)) {
+	if s.incarnation != 1 {
+		return
 	}
-	if s.node[1].base == 0 { // an heir claims
-		t := s
-		token := max(t.node[0].token, 1) + 1
-		t.node[1] = mMemory{alive: true, base: token, token: token, ambiguous: token - 1}
-		add(t)
+	s.incarnation = 2
+	s.runs = false
+	s.awaits = 0
+	s.response = modelResponse{}
+	add(s)
+}
+
+// successorElected: the successor wins an election under a higher token.
+func (s modelState) successorElected(add func(modelState)) {
+	if s.elected() {
+		return
 	}
-	for at := range s.node { // the token is raised, by its holder
-		if n := s.node[at]; n.alive && !s.node[0].raised && !n.raised && (at == 1 || s.node[1].base == 0) {
+	token := max(s.nodes[firstLeader].token, 1) + 1
+	s.nodes[successor] = modelNode{alive: true, termStart: token, token: token, ambiguousToken: token - 1}
+	add(s)
+}
+
+// tokenRaised: a leader raises its fencing token. It happens once in a run.
+func (s modelState) tokenRaised(add func(modelState)) {
+	for node := range s.nodes {
+		n := s.nodes[node]
+		if n.alive && !s.nodes[firstLeader].raised && !n.raised && s.leads(node) {
 			t := s
-			t.node[at].token++
-			t.node[at].raised = true
+			t.nodes[node].token++
+			t.nodes[node].raised = true
 			add(t)
 		}
 	}
-	if !s.unwanted {
-		t := s
-		t.unwanted = true
-		add(t)
+}
+
+// taskCancelled: the task is cancelled.
+func (s modelState) taskCancelled(add func(modelState)) {
+	if !s.cancelled {
+		s.cancelled = true
+		add(s)
 	}
-	return out
 }
 
-// report has the worker say what it has.
-func (s *mState) report(seq *uint8) {
-	*seq++
-	s.reports[*seq] = mReport{there: true, shows: s.holds, session: s.session, token: s.token}
+// report has the worker send what it runs.
+func (s *modelState) report() {
+	s.sequence++
+	s.reports[s.sequence] = modelReport{sent: true, runs: s.runs, incarnation: s.incarnation, token: s.token}
 }
 
-// call has a command arrive at the worker, which answers it with a report.
-func (s *mState) call(c *mCall) {
-	s.token = max(s.token, c.token)
-	if c.token == s.token && c.session == s.session {
-		s.do(c.start, false)
+// receiveCall has the worker receive a call, which it answers with a report.
+func (s *modelState) receiveCall(call *modelCall) {
+	s.token = max(s.token, call.token)
+	if call.token == s.token && call.incarnation == s.incarnation {
+		s.execute(call.start, false)
 	}
-	if s.seq < mostReports {
-		s.report(&s.seq)
-		s.reports[s.seq].call = true
+	if s.sequence < maxReports {
+		s.report()
+		s.reports[s.sequence].answersCall = true
 	}
 }
 
-func (s *mState) do(start, stop bool) {
+// execute has the worker execute commands.
+func (s *modelState) execute(start, stop bool) {
 	switch {
 	case stop:
-		s.holds = false
+		s.runs = false
 	case start:
-		s.holds = true
+		s.runs = true
 	}
 }
 
-// explore visits every state and returns how many there are, and the first that breaks the rule.
-func explore(g guard) (int, *mState) {
-	first := mState{session: 1}
-	first.node[0] = mMemory{alive: true, base: 1, token: 1}
-	seen := map[mState]bool{first: true}
-	for todo := []mState{first}; len(todo) > 0; {
-		s := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		if s.over && s.holds {
+// explore visits every state without a guard. It returns how many there are, and the first in which the
+// task may run twice.
+func explore(without guard) (int, *modelState) {
+	first := modelState{incarnation: 1}
+	first.nodes[firstLeader] = modelNode{alive: true, termStart: 1, token: 1}
+	seen := map[modelState]bool{first: true}
+	for pending := []modelState{first}; len(pending) > 0; {
+		s := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		if s.closed && s.runs {
 			return len(seen), &s
 		}
-		for _, t := range s.next(g) {
+		for _, t := range s.next(without) {
 			if !seen[t] {
 				seen[t] = true
-				todo = append(todo, t)
+				pending = append(pending, t)
 			}
 		}
 	}
@@ -335,13 +433,13 @@
 
 func TestModel(t *testing.T) {
 	t.Parallel()
-	n, bad := explore(noGuard)
-	if bad != nil {
-		t.Fatalf("the task runs twice: %+v", *bad)
+	n, violation := explore(noGuard)
+	if violation != nil {
+		t.Fatalf("the task runs twice: %+v", *violation)
 	}
 	t.Logf("%d states", n)
-	for _, g := range []guard{byOrder, byToken, byHeirsToken, byReply, byCall, byReportAlone, byClaim, byLaterSession} {
-		if n, bad := explore(g); bad == nil {
+	for _, g := range guards {
+		if n, violation := explore(g); violation == nil {
 			t.Errorf("without %q nothing is found in %d states", g, n)
 		}
 	}
