--- a/internal/core/zone/machine.go
+++ b/internal/core/zone/machine.go
@@ -235,7 +235,7 @@
 // fencing token voids it.
 func (m *Machine) StartUncertain() bool { return m.FencingToken <= m.AmbiguousToken }
 
-// replyClockTolerance is the part of the reply timeout by which a worker's clock may be slow.
+// replyClockTolerance is the inverse of the rate by which a worker's clock may be slow.
 const replyClockTolerance = 100
 
 // StartMayArrive reports whether a start that was sent may still take effect. One in the response to
