--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs a whole cluster on one machine: controller processes of this
-// very program, and stand-ins for the state service, the cloud and the workers, all on
-// loopback sockets with a proxy on every link.
+// Package cluster runs a whole cluster on one machine: controller processes of this very program, and
+// emulators of the state service, the cloud and the workers, all on loopback sockets with a proxy on
+// every link, which can inject faults.
 package cluster
 
 import (
@@ -8,29 +8,22 @@
 	"fmt"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
 
-	"github.com/pelletier/go-toml/v2"
-
 	"coralhub/internal/config"
 	"coralhub/internal/emulator"
 	"coralhub/internal/faults"
 	"coralhub/internal/invariants"
-	"coralhub/internal/jobclient"
-	"coralhub/internal/process"
-	"coralhub/internal/wait"
 	"coralhub/wire"
 )
 
 // Options say what cluster to start.
 type Options struct {
-	Program  string // this program's path
+	Program  string // path of the program that the nodes run
 	Dir      string // for logs and settings
-	Data     string // where the state is kept; "": in memory
+	Data     string // the file that the state is kept in; "": in memory
 	Nodes    int
 	Settings string // a file of the operators' settings; "": none
 	Log      string // LOG_LEVEL of the nodes
@@ -39,9 +32,9 @@
 	Capacity map[string]int // ordinary machines, by zone
 	Model    *emulator.Model
 	Boot     emulator.Micros
-	Watch    func(invariants.Event)
-	// Failed hears why a connection of this process was not made; nil: nobody does. It is called
-	// by several goroutines.
+	Watch    func(invariants.Event) // is called with what happens on machines; may be nil
+	// Failed is called with the reason why a connection of this process was not made, by several
+	// goroutines; it may be nil.
 	Failed func(error)
 	// RestartAfter is how long a node that has ended stays down.
 	RestartAfter time.Duration
@@ -60,24 +53,19 @@
 	wg      sync.WaitGroup
 }
 
-// Node is a controller process.
-type Node struct {
-	Name, Zone string
-	Users      *faults.Proxy // links to it
-	Workers    *faults.Proxy
-	Links      map[string]*faults.Proxy // links from it: state, cloud, and its peers by name
-
-	listen, peerListen string
-	file               string
-	mu                 sync.Mutex
-	process            *process.Process // the last that was started
-	restarts           int
-	wanted             bool          // to be started again when it ends
-	cpu                time.Duration // of the processes before
-	peakMB             float64       // of any
-}
+const (
+	// anyPort is an address on which an emulator gets a port of its own.
+	anyPort = "127.0.0.1:0"
+	// watchHistory is how many changes a watch of the state service can go back.
+	watchHistory = 10_000
+	// headerTimeout is how long a client of an emulator may take to send its headers.
+	headerTimeout = 10 * time.Second
+	// readyPollInterval is how often AwaitReady asks a node whether it is ready.
+	readyPollInterval = 20 * time.Millisecond
+)
 
-// Start starts a cluster. It returns when the processes run, not when they serve.
+// Start starts a cluster. It returns when the processes run, which may be before they serve; see
+// AwaitReady. The caller must close the cluster.
 func Start(opt Options) (_ *Cluster, err error) {
 	c := &Cluster{Servers: emulator.NewServers(), opt: opt}
 	ctx, stop := context.WithCancel(context.Background())
@@ -87,247 +75,113 @@
 			c.Close()
 		}
 	}()
-	if opt.Data != "" {
-		if c.disk, err = emulator.OpenDisk(opt.Data); err != nil {
-			return nil, err
-		}
-		if c.Servers.State, err = c.disk.Load(); err != nil {
-			return nil, err
-		}
-		if c.Servers.Environment.Jobs, err = c.disk.Uploads(); err != nil {
-			return nil, err
-		}
-	}
-	s, cl := c.Servers, &opt.Cluster
-	s.Failed = opt.Failed
-	s.State.Keep = 10_000
-	s.State.ValueBytes, s.State.TxnOps = int(cl.State.ValueKB*1024), cl.State.TxnOps
-	s.SetQuotas(cl.State.RPS, cl.State.WriteRPS, cl.Cloud.RPS)
-	w := s.Environment
-	w.Types, w.Capacity, w.Model, w.Boot, w.Watch = opt.Types, opt.Capacity, opt.Model, opt.Boot, opt.Watch
-	w.Lease, w.GangWait = config.FromSeconds(cl.Workers.LeaseS), config.FromSeconds(cl.Workers.GangWaitS)
-	w.CancelIn, w.ReportEvery = config.FromSeconds(cl.Workers.CancelS), config.FromSeconds(cl.Workers.ReportS)
-	state, err := c.serve(ownPort, s.StateHandler())
-	if err != nil {
+	if err := c.loadState(); err != nil {
 		return nil, err
 	}
-	cloud, err := c.serve(ownPort, s.CloudHandler())
+	c.configureServers()
+	workersAddr, err := c.startServers()
 	if err != nil {
 		return nil, err
 	}
-	workers, err := c.serve(ownPort, s.WorkerHandler())
-	if err != nil {
+	if err := c.startNodes(ctx); err != nil {
 		return nil, err
 	}
-	if err := c.writeSettings(state, cloud); err != nil {
-		return nil, err
-	}
-	for _, n := range c.Nodes {
-		if err := c.write(n); err != nil {
-			return nil, err
-		}
-		s.Nodes, s.Names = append(s.Nodes, n.Workers.Addr()), append(s.Names, n.Name)
-	}
-	for _, n := range c.Nodes {
-		n.wanted = true
-		if err := c.run(n); err != nil {
-			return nil, err
-		}
-		c.wg.Go(func() { c.superviseNode(ctx, n) })
-	}
-	c.wg.Go(func() { s.Drive(ctx, workers) })
-	c.wg.Go(func() { c.measure(ctx) })
+	c.wg.Go(func() { c.Servers.Drive(ctx, workersAddr) })
+	c.wg.Go(func() { c.measureMemory(ctx) })
 	return c, nil
 }
 
-// ownPort has a stand-in served on a port of its own.
-const ownPort = "127.0.0.1:0"
-
-// serve serves h until the cluster closes, and returns the address that it got.
-func (c *Cluster) serve(addr string, h http.Handler) (string, error) {
-	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
-	if err != nil {
-		return "", err
-	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
-	c.servers = append(c.servers, server)
-	c.wg.Go(func() { _ = server.Serve(l) }) // ends when it is closed
-	return l.Addr().String(), nil
-}
-
-func (c *Cluster) proxy(name, target string) (*faults.Proxy, error) {
-	p, err := faults.New(name, target)
-	if err == nil {
-		p.OnFailure(c.opt.Failed)
-		c.proxies = append(c.proxies, p)
-	}
-	return p, err
-}
-
-// writeSettings lays the links.
-func (c *Cluster) writeSettings(state, cloud string) error {
-	zones := c.opt.Cluster.Zones
-	for i := range c.opt.Nodes {
-		n := &Node{Name: fmt.Sprintf("node-%d", i), Zone: zones[i%len(zones)], Links: map[string]*faults.Proxy{}}
-		c.Nodes = append(c.Nodes, n)
-		var err error
-		if n.listen, err = process.FreeAddress(); err != nil {
-			return err
-		}
-		if n.peerListen, err = process.FreeAddress(); err != nil {
-			return err
-		}
-		for _, l := range []struct {
-			at     **faults.Proxy
-			name   string
-			target string
-		}{{&n.Users, "users", n.listen}, {&n.Workers, "workers", n.listen}} {
-			if *l.at, err = c.proxy(l.name+" to "+n.Name, l.target); err != nil {
-				return err
-			}
-		}
-		for name, target := range map[string]string{"state": state, "cloud": cloud} {
-			if n.Links[name], err = c.proxy(n.Name+" to "+name, target); err != nil {
-				return err
-			}
-		}
+// loadState reads the state and the uploaded jobs from the disk, if there is one.
+func (c *Cluster) loadState() (err error) {
+	if c.opt.Data == "" {
+		return nil
 	}
-	for _, n := range c.Nodes {
-		for _, p := range c.Nodes {
-			if p == n {
-				continue
-			}
-			var err error
-			if n.Links[p.Name], err = c.proxy(n.Name+" to "+p.Name, p.peerListen); err != nil {
-				return err
-			}
-		}
+	if c.disk, err = emulator.OpenDisk(c.opt.Data); err != nil {
+		return err
 	}
-	return nil
-}
-
-// write writes a node's settings, as the platform hands them over.
-func (c *Cluster) write(n *Node) error {
-	p := config.Platform{Node: n.Name, Location: n.Zone, ClientListen: n.listen, PeerListen: n.peerListen, Cluster: c.opt.Cluster,
-		External: config.External{State: n.Links["state"].Addr(), Cloud: n.Links["cloud"].Addr()}}
-	for _, o := range c.Nodes {
-		if o != n {
-			p.Peers = append(p.Peers, config.Peer{Node: o.Name, Location: o.Zone, Address: n.Links[o.Name].Addr()})
-		}
+	if c.Servers.State, err = c.disk.Load(); err != nil {
+		return err
 	}
-	raw, err := toml.Marshal(&p)
+	c.Servers.Environment.Jobs, err = c.disk.Uploads()
+	return err
+}
+
+// configureServers sets the limits and the times of the emulators.
+func (c *Cluster) configureServers() {
+	s := c.Servers
+	limits := &c.opt.Cluster
+	s.Failed = c.opt.Failed
+	s.State.Keep = watchHistory
+	s.State.ValueBytes = int(limits.State.ValueKB * 1024)
+	s.State.TxnOps = limits.State.TxnOps
+	s.SetQuotas(limits.State.RPS, limits.State.WriteRPS, limits.Cloud.RPS)
+	e := s.Environment
+	e.Types = c.opt.Types
+	e.Capacity = c.opt.Capacity
+	e.Model = c.opt.Model
+	e.Boot = c.opt.Boot
+	e.Watch = c.opt.Watch
+	e.Lease = config.FromSeconds(limits.Workers.LeaseS)
+	e.GangWait = config.FromSeconds(limits.Workers.GangWaitS)
+	e.CancelIn = config.FromSeconds(limits.Workers.CancelS)
+	e.ReportEvery = config.FromSeconds(limits.Workers.ReportS)
+}
+
+// startServers serves the emulators, creates the nodes with their links to them, and writes the
+// nodes' configurations. It returns the address of the workers.
+func (c *Cluster) startServers() (workersAddr string, err error) {
+	stateAddr, err := c.serve(anyPort, c.Servers.StateHandler())
 	if err != nil {
-		return err
+		return "", err
 	}
-	n.file = filepath.Join(c.opt.Dir, n.Name+".toml")
-	return os.WriteFile(n.file, raw, 0o600)
-}
-
-// run starts a node's process. It ends by itself when its standard input does, so that
-// none is left behind even if this process is killed.
-func (c *Cluster) run(n *Node) error {
-	args := []string{"serve", "--with-parent", "--config", n.file}
-	if c.opt.Settings != "" {
-		args = append(args, "--settings", c.opt.Settings)
+	cloudAddr, err := c.serve(anyPort, c.Servers.CloudHandler())
+	if err != nil {
+		return "", err
 	}
-	p, err := process.Start(process.Options{Program: c.opt.Program, Args: args, Env: []string{"LOG_LEVEL=" + c.opt.Log},
-		Log: filepath.Join(c.opt.Dir, n.Name+".log")})
+	workersAddr, err = c.serve(anyPort, c.Servers.WorkerHandler())
 	if err != nil {
-		return err
+		return "", err
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.process != nil {
-		n.cpu += n.process.CPU()
+	if err := c.createNodes(stateAddr, cloudAddr); err != nil {
+		return "", err
 	}
-	n.process = p
-	return nil
-}
-
-// superviseNode starts a node again some time after it has ended.
-func (c *Cluster) superviseNode(ctx context.Context, n *Node) {
-	for {
-		select {
-		case <-n.current().Gone():
-		case <-ctx.Done():
-			return
-		}
-		if !wait.For(ctx, c.opt.RestartAfter) {
-			return
-		}
-		n.mu.Lock()
-		again := n.wanted
-		if again {
-			n.restarts++
-		}
-		n.mu.Unlock()
-		if !again || c.run(n) != nil {
-			return
+	for _, n := range c.Nodes {
+		if err := c.writeConfig(n); err != nil {
+			return "", err
 		}
+		c.Servers.Nodes = append(c.Servers.Nodes, n.Workers.Addr())
+		c.Servers.Names = append(c.Servers.Names, n.Name)
 	}
+	return workersAddr, nil
 }
 
-// current is the process that was started last; nil if none was.
-func (n *Node) current() *process.Process {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.process
-}
-
-// Signal sends a signal to a node's process; one that has ended gets none.
-func (n *Node) Signal(sig syscall.Signal) error {
-	if p := n.current(); p != nil {
-		return p.Signal(sig)
-	}
-	return nil
-}
-
-// NodeUsage is what a node has taken.
-type NodeUsage struct {
-	Node     string  `json:"node"`
-	CPUS     float64 `json:"cpu_s"`
-	PeakMB   float64 `json:"peak_mb"`
-	Restarts int     `json:"restarts"`
-}
-
-// Use tells what the nodes have taken.
-func (c *Cluster) Use() []NodeUsage {
-	var out []NodeUsage
+// startNodes starts the process of each node and its supervision, until ctx ends.
+func (c *Cluster) startNodes(ctx context.Context) error {
 	for _, n := range c.Nodes {
-		p := n.current()
-		n.mu.Lock()
-		u := NodeUsage{Node: n.Name, CPUS: n.cpu.Seconds(), PeakMB: n.peakMB, Restarts: n.restarts}
-		n.mu.Unlock()
-		if p != nil {
-			u.CPUS += p.CPU().Seconds()
+		n.keepRunning = true
+		if err := c.startProcess(n); err != nil {
+			return err
 		}
-		out = append(out, u)
+		c.wg.Go(func() { c.superviseNode(ctx, n) })
 	}
-	return out
-}
-
-// measure follows how much memory the nodes hold.
-func (c *Cluster) measure(ctx context.Context) {
-	wait.Every(ctx, 500*time.Millisecond, func() {
-		for _, n := range c.Nodes {
-			p := n.current()
-			if p == nil {
-				continue
-			}
-			resident := p.Measure()
-			n.mu.Lock()
-			n.peakMB = max(n.peakMB, resident)
-			n.mu.Unlock()
-		}
-	})
+	return nil
 }
 
-// Ready tells whether a node takes requests.
-func (n *Node) Ready(ctx context.Context, client *http.Client) bool {
-	return jobclient.Ready(ctx, client, n.Users.Addr())
+// serve serves a handler until the cluster closes, and returns the address that it got. If the port
+// is taken the error wraps syscall.EADDRINUSE.
+func (c *Cluster) serve(addr string, h http.Handler) (string, error) {
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
+	if err != nil {
+		return "", err
+	}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
+	c.servers = append(c.servers, server)
+	c.wg.Go(func() { _ = server.Serve(l) }) // returns when the server is closed
+	return l.Addr().String(), nil
 }
 
-// AwaitReady waits until every node takes requests.
+// AwaitReady waits until every node accepts requests. If ctx ends before, the error names a node that
+// does not, and its log.
 func (c *Cluster) AwaitReady(ctx context.Context) error {
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
@@ -335,38 +189,30 @@
 		for !n.Ready(ctx, client) {
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("%s is not ready, see %s: %w", n.Name, filepath.Join(c.opt.Dir, n.Name+".log"), ctx.Err())
-			case <-time.After(20 * time.Millisecond):
+				return fmt.Errorf("%s is not ready, see %s: %w", n.Name, c.logFile(n), ctx.Err())
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// Close ends everything and waits for it.
+// Close ends all processes, servers and links, and waits until they have ended.
 func (c *Cluster) Close() {
 	for _, n := range c.Nodes {
 		n.mu.Lock()
-		n.wanted = false
+		n.keepRunning = false
 		n.mu.Unlock()
 	}
 	c.stop()
-	for _, n := range c.Nodes {
-		_ = n.Signal(syscall.SIGCONT) // one that stands still ends no less
-		_ = n.Signal(syscall.SIGKILL)
-	}
-	for _, n := range c.Nodes {
-		if p := n.current(); p != nil {
-			<-p.Gone()
-		}
-	}
+	c.killNodes()
 	for _, s := range c.servers {
 		_ = s.Close()
 	}
 	for _, p := range c.proxies {
 		p.Close()
 	}
-	c.Servers.With(func() { // whoever waits for a machine that hangs waits no more
+	c.Servers.With(func() { // requests to a machine that hangs end when the machine is gone
 		for name := range c.Servers.Environment.Machines {
 			delete(c.Servers.Environment.Machines, name)
 		}
@@ -376,3 +222,16 @@
 		_ = c.disk.Close()
 	}
 }
+
+// killNodes kills the processes of all nodes and waits for their end.
+func (c *Cluster) killNodes() {
+	for _, n := range c.Nodes {
+		_ = n.Signal(syscall.SIGCONT) // a stopped process must end as well
+		_ = n.Signal(syscall.SIGKILL)
+	}
+	for _, n := range c.Nodes {
+		if p := n.current(); p != nil {
+			<-p.Gone()
+		}
+	}
+}
--- a/internal/cluster/load_balancer.go
+++ b/internal/cluster/load_balancer.go
@@ -4,9 +4,11 @@
 	"bytes"
 	"context"
 	"io"
+	"maps"
 	"math"
 	"math/rand/v2"
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 
@@ -16,102 +18,126 @@
 	"coralhub/wire"
 )
 
-// LoadBalancer is where users come in: a balancer that hands each request to a node that is
-// ready. It takes down what they submit, as users upload descriptions for the workers
-// to fetch.
+// LoadBalancer forwards each request of a user to a node that is ready. It also keeps the jobs that
+// are submitted for the emulated workers, as users upload descriptions for the workers to fetch.
 type LoadBalancer struct {
 	cluster *Cluster
 	client  *http.Client
 	mu      sync.Mutex
-	ready   []*Node
+	ready   []*Node // as of the last probe
 }
 
-// StartLoadBalancer serves users at an address until the cluster closes, and returns the address
-// that it got.
+const (
+	// probeInterval is how often the load balancer probes which nodes are ready.
+	probeInterval = time.Second
+	// forwardTimeout is how long a node may take to answer a forwarded request.
+	forwardTimeout = 30 * time.Second
+	// maxIdleConns is how many idle connections to each node are kept.
+	maxIdleConns = 256
+	// maxAttempts is how many nodes a request is forwarded to if they refuse the connection.
+	maxAttempts = 3
+	// retryAfterS is when a user may try again if no node could be reached, in seconds.
+	retryAfterS = "1"
+	// runSpread is the standard deviation of the logarithm of run time to estimate.
+	runSpread = 0.3
+)
+
+// StartLoadBalancer serves users at an address until the cluster closes, and returns the address that
+// it got. If the port is taken the error wraps syscall.EADDRINUSE.
 func (c *Cluster) StartLoadBalancer(addr string) (string, error) {
-	d := &LoadBalancer{cluster: c, client: &http.Client{Timeout: 30 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
-	addr, err := c.serve(addr, d)
+	client := &http.Client{Timeout: forwardTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}}
+	b := &LoadBalancer{cluster: c, client: client}
+	addr, err := c.serve(addr, b)
 	if err != nil {
 		return "", err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	old := c.stop
-	c.stop = func() { stop(); old() }
-	c.wg.Go(func() { d.probe(ctx) })
+	stopCluster := c.stop
+	c.stop = func() {
+		stop()
+		stopCluster()
+	}
+	c.wg.Go(func() { b.probe(ctx) })
 	return addr, nil
 }
 
-// probe finds out every second which nodes are ready.
-func (d *LoadBalancer) probe(ctx context.Context) {
-	defer d.client.CloseIdleConnections()
-	look := func() {
+// probe keeps track of which nodes are ready, until ctx ends.
+func (b *LoadBalancer) probe(ctx context.Context) {
+	defer b.client.CloseIdleConnections()
+	probeAll := func() {
 		var ready []*Node
-		for _, n := range d.cluster.Nodes {
-			if n.Ready(ctx, d.client) {
+		for _, n := range b.cluster.Nodes {
+			if n.Ready(ctx, b.client) {
 				ready = append(ready, n)
 			}
 		}
-		d.mu.Lock()
-		d.ready = ready
-		d.mu.Unlock()
+		b.mu.Lock()
+		b.ready = ready
+		b.mu.Unlock()
 	}
-	look()
-	wait.Every(ctx, time.Second, look)
+	probeAll()
+	wait.Every(ctx, probeInterval, probeAll)
 }
 
-// tries is how many nodes a request is handed to, if they refuse the connection.
-const tries = 3
-
-func (d *LoadBalancer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP forwards a request to a ready node chosen at random, and to another if it can't be reached.
+func (b *LoadBalancer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 	if err != nil {
 		return
 	}
 	if r.Method == http.MethodPost && r.URL.Path == wire.PathJobs {
-		d.saveUpload(body)
+		b.saveUpload(body)
 	}
-	d.mu.Lock()
-	nodes := append([]*Node(nil), d.ready...)
-	d.mu.Unlock()
-	if len(nodes) == 0 {
-		nodes = d.cluster.Nodes
-	}
-	rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-	for _, n := range nodes[:min(tries, len(nodes))] {
+	for _, n := range b.pickNodes() {
 		req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+n.Users.Addr()+r.URL.RequestURI(), bytes.NewReader(body))
 		if err != nil {
 			break
 		}
 		req.Header = r.Header.Clone()
-		res, err := d.client.Do(req)
+		res, err := b.client.Do(req)
 		if err != nil {
 			continue
 		}
-		defer res.Body.Close()
-		for k, v := range res.Header {
-			w.Header()[k] = v
-		}
-		w.WriteHeader(res.StatusCode)
-		_, _ = io.Copy(w, res.Body)
+		copyResponse(w, res)
 		return
 	}
-	w.Header().Set("Retry-After", "1")
+	w.Header().Set("Retry-After", retryAfterS)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// saveUpload keeps a description for the workers. A task runs as long as its owner thinks,
-// give or take a half.
-func (d *LoadBalancer) saveUpload(body []byte) {
+// pickNodes returns the nodes to try, in random order: ready ones, or any if none is ready.
+func (b *LoadBalancer) pickNodes() []*Node {
+	b.mu.Lock()
+	nodes := slices.Clone(b.ready)
+	b.mu.Unlock()
+	if len(nodes) == 0 {
+		nodes = b.cluster.Nodes
+	}
+	rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
+	return nodes[:min(maxAttempts, len(nodes))]
+}
+
+// copyResponse answers with a node's response and closes its body.
+func copyResponse(w http.ResponseWriter, res *http.Response) {
+	defer res.Body.Close()
+	maps.Copy(w.Header(), res.Header)
+	w.WriteHeader(res.StatusCode)
+	_, _ = io.Copy(w, res.Body)
+}
+
+// saveUpload keeps a submitted job for the workers, if it is valid and new. A task runs as long as
+// its user estimates, give or take.
+func (b *LoadBalancer) saveUpload(body []byte) {
 	j, err := wire.ParseJob(body)
 	if err != nil {
 		return
 	}
-	run := config.FromSeconds(max(j.EstimateS, 1) * math.Exp(0.3*rand.NormFloat64()))
-	d.cluster.Servers.With(func() {
-		w := d.cluster.Servers.Environment
-		if w.Jobs[j.ID] == nil {
-			w.Jobs[j.ID] = &emulator.SubmittedJob{Job: j, Run: run}
-			d.cluster.disk.Upload(w.Jobs[j.ID])
+	run := config.FromSeconds(max(j.EstimateS, 1) * math.Exp(runSpread*rand.NormFloat64()))
+	b.cluster.Servers.With(func() {
+		e := b.cluster.Servers.Environment
+		if e.Jobs[j.ID] == nil {
+			e.Jobs[j.ID] = &emulator.SubmittedJob{Job: j, Run: run}
+			b.cluster.disk.Upload(e.Jobs[j.ID])
 		}
 	})
 }
--- /dev/null
+++ b/internal/cluster/node.go
@@ -0,0 +1,150 @@
+package cluster
+
+import (
+	"context"
+	"net/http"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+
+	"coralhub/internal/faults"
+	"coralhub/internal/jobclient"
+	"coralhub/internal/process"
+	"coralhub/internal/wait"
+)
+
+// Node is a controller process and the links to and from it.
+type Node struct {
+	Name, Zone string
+	Users      *faults.Proxy            // the link from users
+	Workers    *faults.Proxy            // the link from workers
+	Links      map[string]*faults.Proxy // the links from the node: to the state service, the cloud, and its peers by name
+
+	listen, peerListen string // addresses
+	configFile         string
+	mu                 sync.Mutex
+	process            *process.Process // the last one that was started
+	restarts           int
+	keepRunning        bool          // whether it is to be restarted when it ends
+	cpu                time.Duration // processor time of the processes before
+	peakMB             float64       // of all processes
+}
+
+// startProcess starts the process of a node. The process ends by itself when its standard input
+// does, so that none is left behind even if this process is killed.
+func (c *Cluster) startProcess(n *Node) error {
+	args := []string{"serve", "--with-parent", "--config", n.configFile}
+	if c.opt.Settings != "" {
+		args = append(args, "--settings", c.opt.Settings)
+	}
+	p, err := process.Start(process.Options{
+		Program: c.opt.Program,
+		Args:    args,
+		Env:     []string{"LOG_LEVEL=" + c.opt.Log},
+		Log:     c.logFile(n),
+	})
+	if err != nil {
+		return err
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.process != nil {
+		n.cpu += n.process.CPU()
+	}
+	n.process = p
+	return nil
+}
+
+// logFile is the path of a node's log.
+func (c *Cluster) logFile(n *Node) string { return filepath.Join(c.opt.Dir, n.Name+".log") }
+
+// superviseNode restarts a node some time after it has ended, until ctx ends.
+func (c *Cluster) superviseNode(ctx context.Context, n *Node) {
+	for {
+		select {
+		case <-n.current().Gone():
+		case <-ctx.Done():
+			return
+		}
+		if !wait.For(ctx, c.opt.RestartAfter) {
+			return
+		}
+		if !n.countRestart() || c.startProcess(n) != nil {
+			return
+		}
+	}
+}
+
+// countRestart reports whether the node is to be restarted, and counts the restart if so.
+func (n *Node) countRestart() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.keepRunning {
+		n.restarts++
+	}
+	return n.keepRunning
+}
+
+// current is the process that was started last; nil if there was none.
+func (n *Node) current() *process.Process {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.process
+}
+
+// Signal sends a signal to the node's process. It does nothing if the process has ended.
+func (n *Node) Signal(sig syscall.Signal) error {
+	if p := n.current(); p != nil {
+		return p.Signal(sig)
+	}
+	return nil
+}
+
+// Ready reports whether the node accepts requests of users.
+func (n *Node) Ready(ctx context.Context, client *http.Client) bool {
+	return jobclient.Ready(ctx, client, n.Users.Addr())
+}
+
+// NodeUsage is what a node has used, over all its processes.
+type NodeUsage struct {
+	Node     string  `json:"node"`
+	CPUS     float64 `json:"cpu_s"`   // processor time in seconds
+	PeakMB   float64 `json:"peak_mb"` // highest resident memory
+	Restarts int     `json:"restarts"`
+}
+
+// Use returns what each node has used, in the order of Nodes.
+func (c *Cluster) Use() []NodeUsage {
+	var out []NodeUsage
+	for _, n := range c.Nodes {
+		p := n.current()
+		n.mu.Lock()
+		u := NodeUsage{Node: n.Name, CPUS: n.cpu.Seconds(), PeakMB: n.peakMB, Restarts: n.restarts}
+		n.mu.Unlock()
+		if p != nil {
+			u.CPUS += p.CPU().Seconds()
+		}
+		out = append(out, u)
+	}
+	return out
+}
+
+// measureInterval is how often the memory of the nodes is measured.
+const measureInterval = 500 * time.Millisecond
+
+// measureMemory follows the peak memory of the nodes until ctx ends.
+func (c *Cluster) measureMemory(ctx context.Context) {
+	wait.Every(ctx, measureInterval, func() {
+		for _, n := range c.Nodes {
+			p := n.current()
+			if p == nil {
+				continue
+			}
+			resident := p.Measure()
+			n.mu.Lock()
+			n.peakMB = max(n.peakMB, resident)
+			n.mu.Unlock()
+		}
+	})
+}
--- a/internal/faulttest/experiment_test.go
+++ b/internal/faulttest/experiment_test.go
@@ -14,6 +14,7 @@
 // The same cases every run; -rapid.seed draws others.
 var _ = flag.Set("rapid.seed", "1")
 
+// A variant is better or worse only by a difference that is neither small nor due to chance.
 func TestVerdicts(t *testing.T) {
 	first := []float64{10, 12, 11, 13, 10, 12}
 	times := func(by float64) []float64 {
@@ -38,14 +39,14 @@
 	}
 }
 
-// A variant that is the same but for noise is called different in one case of ten at
-// most, and the probability behind that is one.
-func TestLuck(t *testing.T) {
+// A variant that differs by noise alone is called different with a probability of a tenth at most, and
+// the sign test returns a probability.
+func TestSignTest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 30).Draw(t, "pairs")
 		sum := 0.0
 		for above := range n + 1 {
-			p := byLuck(above, n-above)
+			p := signTest(above, n-above)
 			if p < 0 || p > 1 {
 				t.Fatalf("probability %v", p)
 			}
@@ -65,6 +66,7 @@
 	return v
 }
 
+// An experiment that can't be played is refused with an error that names the reason.
 func TestBadExperiments(t *testing.T) {
 	const sound = "name = \"x\"\nscenario = \"surge\"\nseeds = [1]\nmeasures = [\"cpu\"]\n[[variant]]\nname = \"a\"\n[[variant]]\nname = \"b\"\n"
 	for _, c := range []struct{ text, want string }{
--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -20,7 +20,7 @@
 	"coralhub/wire"
 )
 
-// The nodes of a test's cluster are this very test program, told to serve.
+// The nodes of a test's cluster run this test program with the argument "serve".
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
 		if err := serve(os.Args); err != nil {
@@ -44,7 +44,7 @@
 	return node.New(cfg).Run(context.Background())
 }
 
-// work adds up what comes after the start, in task seconds.
+// work is the total run time of the jobs that are submitted after the initial ones, in task seconds.
 func work(s *Scenario) float64 {
 	sum := 0.0
 	for _, p := range s.plan(5) {
@@ -55,6 +55,8 @@
 	return sum
 }
 
+// Every embedded scenario is valid, keeps its amount of work when sped up, and draws the same jobs from
+// the same seed.
 func TestScenariosAreSound(t *testing.T) {
 	names := Names()
 	if len(names) < 10 {
@@ -78,6 +80,7 @@
 	}
 }
 
+// A scenario that can't be played is refused with an error of one line that names the reason.
 func TestBadScenarios(t *testing.T) {
 	const sound = "name = \"x\"\nabout = \"y\"\nduration_s = 5\n[[class]]\nname = \"c\"\nshape = \"array\"\nrun_s = 1\n"
 	if _, err := Parse([]byte(sound)); err != nil {
@@ -148,6 +151,8 @@
 share = 1
 `
 
+// play plays a scenario on a cluster of its own and returns the result, which must be readable from
+// the run's directory as well.
 func play(t *testing.T, text string, wrap func(http.RoundTripper) http.RoundTripper) *Result {
 	t.Helper()
 	s, err := Parse([]byte(text))
@@ -169,7 +174,7 @@
 	return res
 }
 
-// A short run on real processes and sockets, with the leader killed in the middle.
+// A short run on real processes and sockets passes although the leader is killed in the middle.
 func TestShortRun(t *testing.T) {
 	t.Parallel()
 	res := play(t, short, nil)
@@ -189,25 +194,25 @@
 	}
 }
 
-// exhausted is a transport of a process that has no more files to open after some requests.
+// exhausted is the transport of a process that can open no more files after some requests.
 type exhausted struct {
-	next http.RoundTripper
-	left atomic.Int32
+	next      http.RoundTripper
+	remaining atomic.Int32
 }
 
 func (x *exhausted) RoundTrip(req *http.Request) (*http.Response, error) {
-	if x.left.Add(-1) < 0 {
+	if x.remaining.Add(-1) < 0 {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	}
 	return x.next.RoundTrip(req)
 }
 
-// A rehearsal that has no more files to open says so, ends, and blames nobody.
+// A run whose own process can open no more files says so, ends at once, and reports no violation.
 func TestOutOfFiles(t *testing.T) {
 	t.Parallel()
 	res := play(t, short, func(next http.RoundTripper) http.RoundTripper {
 		x := &exhausted{next: next}
-		x.left.Store(20)
+		x.remaining.Store(20)
 		return x
 	})
 	if res.Passed || !strings.Contains(res.Why, "run out of files") || len(res.Violations) > 0 {
@@ -218,11 +223,11 @@
 	}
 }
 
-// liar changes what users are told.
+// liar is a transport that changes the answers to users.
 type liar struct {
 	next http.RoundTripper
 	lie  func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus)
-	skip func(req *http.Request) (wire.JobStatus, bool) // answered without being passed on
+	skip func(req *http.Request) (wire.JobStatus, bool) // answered without reaching the service
 }
 
 func (l *liar) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -251,9 +256,9 @@
 	return answer(l.lie(req, res.StatusCode, st))
 }
 
-// What a broken service would say is found out, on real processes: the judge is not
-// told who lies.
-func TestLiesAreFoundOut(t *testing.T) {
+// Each wrong answer of a broken service is reported as a violation, on real processes: the checker is not
+// told which answers are wrong.
+func TestWrongAnswersAreViolations(t *testing.T) {
 	id := func(req *http.Request) string {
 		return strings.Split(strings.TrimPrefix(req.URL.Path, wire.PathJobs+"/"), "/")[0]
 	}
@@ -318,14 +323,14 @@
 		},
 		"ran_cancelled": func() *liar {
 			var mu sync.Mutex
-			told := map[string]bool{} // the service never hears of the cancellation
+			cancelled := map[string]bool{} // the service never learns of the cancellation
 			return &liar{skip: func(req *http.Request) (wire.JobStatus, bool) {
 				mu.Lock()
 				defer mu.Unlock()
 				if strings.HasSuffix(req.URL.Path, wire.CancelVerb) {
-					told[id(req)] = true
+					cancelled[id(req)] = true
 				}
-				return wire.JobStatus{ID: id(req), Status: wire.Cancelled}, told[id(req)]
+				return wire.JobStatus{ID: id(req), Status: wire.Cancelled}, cancelled[id(req)]
 			}}
 		},
 	} {
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -7,37 +7,69 @@
 	"strings"
 )
 
+// Size of a plot, in pixels.
 const (
-	plotWidth, plotHeight = 900.0, 160.0
+	plotWidth  = 900.0
+	plotHeight = 160.0
+	// plotMargin is the space above a plot for the names of its marks.
+	plotMargin = 20
 )
 
-// polyline draws a series of the seconds of a run.
-func polyline(load []Second, pick func(Second) int) string {
-	most := 1
-	for _, s := range load {
-		most = max(most, pick(s))
-	}
-	var b strings.Builder
-	for i, s := range load {
-		x := float64(i) / float64(max(len(load)-1, 1)) * plotWidth
-		y := plotHeight - float64(pick(s))/float64(most)*plotHeight
-		b.WriteString(strconv.FormatFloat(x, 'f', 1, 64) + "," + strconv.FormatFloat(y, 'f', 1, 64) + " ")
-	}
-	return b.String()
+// series is a number of each second of a run.
+type series struct {
+	title string
+	value func(Second) int
 }
 
+// plottedSeries are the series that a report plots.
+var plottedSeries = []series{
+	{"Jobs submitted a second", func(s Second) int { return s.Submitted }},
+	{"Tasks started a second", func(s Second) int { return s.Started }},
+	{"Tasks done a second", func(s Second) int { return s.Done }},
+	{"Tasks on machines", func(s Second) int { return s.On }},
+}
+
+// plot is a plotted series as the page takes it.
 type plot struct {
 	Title, Points string
-	Most          int
+	Most          int // the highest value
 	Marks         []plotMark
 	Width, Height float64
 }
 
+// plotMark is the beginning or the end of a fault in a plot.
 type plotMark struct {
 	X    float64
 	What string
 }
 
+// highest is the highest value of the series, and 0 at least.
+func (s *series) highest(load []Second) int {
+	highest := 0
+	for _, second := range load {
+		highest = max(highest, s.value(second))
+	}
+	return highest
+}
+
+// polyline is the series as the points of an SVG polyline.
+func (s *series) polyline(load []Second) string {
+	highest := max(1, s.highest(load))
+	var b strings.Builder
+	for i, second := range load {
+		x := plotX(float64(i), load)
+		y := plotHeight - float64(s.value(second))/float64(highest)*plotHeight
+		b.WriteString(strconv.FormatFloat(x, 'f', 1, 64) + "," + strconv.FormatFloat(y, 'f', 1, 64) + " ")
+	}
+	return b.String()
+}
+
+// plotX is where a time in seconds is in the plots of a load.
+func plotX(seconds float64, load []Second) float64 {
+	return seconds / float64(max(len(load)-1, 1)) * plotWidth
+}
+
+// reportPage is the template of a report.
 var reportPage = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.R.Scenario}}</title>
 <style>body{font:14px sans-serif;margin:2em;max-width:960px}table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}
@@ -62,23 +94,23 @@
 </html>
 `))
 
-// Report writes a result as a page that needs nothing else.
+// Report writes a result as an HTML page that refers to no other files.
 func Report(w io.Writer, res *Result) error {
 	var marks []plotMark
 	for _, m := range res.Marks {
-		marks = append(marks, plotMark{m.At / float64(max(len(res.Load)-1, 1)) * plotWidth, m.What})
+		marks = append(marks, plotMark{X: plotX(m.At, res.Load), What: m.What})
 	}
 	var plots []plot
-	for _, s := range []struct {
-		title string
-		pick  func(Second) int
-	}{{"Jobs submitted a second", func(s Second) int { return s.Submitted }}, {"Tasks started a second", func(s Second) int { return s.Started }},
-		{"Tasks done a second", func(s Second) int { return s.Done }}, {"Tasks on machines", func(s Second) int { return s.On }}} {
-		most := 0
-		for _, x := range res.Load {
-			most = max(most, s.pick(x))
-		}
-		plots = append(plots, plot{s.title, polyline(res.Load, s.pick), most, marks, plotWidth, plotHeight + 20})
+	for i := range plottedSeries {
+		s := &plottedSeries[i]
+		plots = append(plots, plot{
+			Title:  s.title,
+			Points: s.polyline(res.Load),
+			Most:   s.highest(res.Load),
+			Marks:  marks,
+			Width:  plotWidth,
+			Height: plotHeight + plotMargin,
+		})
 	}
 	return reportPage.Execute(w, map[string]any{"R": res, "Plots": plots})
 }
--- a/internal/faulttest/slo.go
+++ b/internal/faulttest/slo.go
@@ -7,27 +7,28 @@
 	"coralhub/internal/invariants"
 )
 
-// beginWithin is how long a job may take to begin where an expectation doesn't say, in seconds.
-const beginWithin = 240
+// startWithin is how long a job may take to start where an expectation doesn't say, in seconds.
+const startWithin = 240
 
-// largestPart is the part of a class that counts as its largest jobs.
+// largestPart is the share of a class that counts as its largest jobs.
 const largestPart = 0.1
 
-// StartedInTime is which part of the jobs has begun in time, as users and machines saw it: by class, by
-// team, and of the largest tenth of a class by tasks. One that was refused hasn't; one that its
-// user cancelled before doesn't count, nor one that still had time when the run ended.
+// StartedInTime is the SLO attainment of a run: the shares of jobs that started in time, as users and
+// machines saw it, by class, by team, and of the largest tenth of each class by tasks. A job that was
+// refused has not started in time; one that its user cancelled before it started doesn't count, nor
+// one that still had time when the run ended.
 type StartedInTime struct {
 	Class   map[string]float64 `json:"class"`
 	Team    map[string]float64 `json:"team"`
 	Largest map[string]float64 `json:"largest"`
 }
 
-// least is the smallest of all shares, of one class if it is named; 1 if there is none.
-func (s *StartedInTime) least(class string) float64 {
+// least is the smallest of all shares, or of those under one name if it is given; 1 if there is none.
+func (s *StartedInTime) least(name string) float64 {
 	least := 1.0
-	for _, of := range []map[string]float64{s.Class, s.Team, s.Largest} {
-		for name, share := range of {
-			if class == "" || name == class {
+	for _, shares := range []map[string]float64{s.Class, s.Team, s.Largest} {
+		for of, share := range shares {
+			if name == "" || of == name {
 				least = min(least, share)
 			}
 		}
@@ -35,68 +36,88 @@
 	return least
 }
 
-// startedJob is a job as it counts for what was served.
+// startedJob is a job that counts for StartedInTime.
 type startedJob struct {
-	id          string
-	class, team string
-	tasks       int
-	in          bool
+	id     string
+	class  string
+	team   string
+	tasks  int
+	inTime bool
 }
 
-// served adds up which jobs have begun within so many seconds of their acceptance, or of their
-// first submission where they weren't accepted.
-func (r *run) served(fates map[string]*jobOutcome, end, within float64) (out StartedInTime, of int) {
-	first := map[string]float64{}
-	for _, e := range r.events {
-		if e.Kind != invariants.TaskStarted {
-			continue
+// startedInTime evaluates which jobs started within so many seconds of their acceptance, or of their
+// first submission where they weren't accepted, and counts the jobs that it goes by. end is when the
+// run ended, in seconds. r.mu is held.
+func (r *run) startedInTime(outcomes map[string]*jobOutcome, end, within float64) (shares StartedInTime, jobs int) {
+	firstStart := r.firstStarts()
+	var counted []startedJob
+	for id, o := range outcomes {
+		since := o.accepted
+		if since < 0 {
+			since = o.submitted
 		}
-		if _, had := first[e.Job]; !had {
-			first[e.Job] = float64(e.At) / 1e6
+		started, hasStarted := firstStart[id]
+		inTime := hasStarted && started-inSeconds(r.from)-since <= within
+		undecided := o.cancelled || end-since < within
+		if o.submitted < 0 || !inTime && undecided {
+			continue
 		}
+		counted = append(counted, startedJob{
+			id:     id,
+			class:  o.planned.class.Name,
+			team:   o.planned.class.Team,
+			tasks:  o.planned.job.Tasks,
+			inTime: inTime,
+		})
 	}
-	zero := float64(r.from) / 1e6
-	var all []startedJob
-	for id, f := range fates {
-		since := f.accepted
-		if since < 0 {
-			since = f.submitted
-		}
-		on, began := first[id]
-		in := began && on-zero-since <= within
-		if f.submitted < 0 || !in && (f.cancelled || end-since < within) {
+	return sharesInTime(counted), len(counted)
+}
+
+// firstStarts is when the first task of each job started, in seconds of the emulated services.
+func (r *run) firstStarts() map[string]float64 {
+	first := map[string]float64{}
+	for i := range r.events {
+		e := &r.events[i]
+		if e.Kind != invariants.TaskStarted {
 			continue
 		}
-		all = append(all, startedJob{id, f.planned.class.Name, f.planned.class.Team, f.planned.job.Tasks, in})
+		if _, known := first[e.Job]; !known {
+			first[e.Job] = inSeconds(e.At)
+		}
 	}
-	return share3(all), len(all)
+	return first
 }
 
-// share3 reckons the three kinds of shares.
-func share3(all []startedJob) StartedInTime {
-	out := StartedInTime{map[string]float64{}, map[string]float64{}, map[string]float64{}}
-	byClass, byTeam := map[string][]startedJob{}, map[string][]startedJob{}
-	for _, x := range all {
-		byClass[x.class] = append(byClass[x.class], x)
-		byTeam[x.team] = append(byTeam[x.team], x)
+// sharesInTime computes the shares by class, by team, and of the largest jobs of each class.
+func sharesInTime(jobs []startedJob) StartedInTime {
+	shares := StartedInTime{Class: map[string]float64{}, Team: map[string]float64{}, Largest: map[string]float64{}}
+	byClass := map[string][]startedJob{}
+	byTeam := map[string][]startedJob{}
+	for _, j := range jobs {
+		byClass[j.class] = append(byClass[j.class], j)
+		byTeam[j.team] = append(byTeam[j.team], j)
 	}
 	for name, of := range byClass {
-		slices.SortFunc(of, func(a, b startedJob) int { return cmp.Or(cmp.Compare(b.tasks, a.tasks), cmp.Compare(a.id, b.id)) })
-		out.Class[name] = partIn(of)
-		out.Largest[name] = partIn(of[:max(1, int(float64(len(of))*largestPart))])
+		slices.SortFunc(of, func(a, b startedJob) int {
+			return cmp.Or(cmp.Compare(b.tasks, a.tasks), cmp.Compare(a.id, b.id))
+		})
+		largest := max(1, int(float64(len(of))*largestPart))
+		shares.Class[name] = shareInTime(of)
+		shares.Largest[name] = shareInTime(of[:largest])
 	}
 	for name, of := range byTeam {
-		out.Team[name] = partIn(of)
+		shares.Team[name] = shareInTime(of)
 	}
-	return out
+	return shares
 }
 
-func partIn(of []startedJob) float64 {
-	n := 0
-	for _, x := range of {
-		if x.in {
-			n++
+// shareInTime is the share of jobs that started in time; there must be one at least.
+func shareInTime(jobs []startedJob) float64 {
+	inTime := 0
+	for _, j := range jobs {
+		if j.inTime {
+			inTime++
 		}
 	}
-	return float64(n) / float64(len(of))
+	return float64(inTime) / float64(len(jobs))
 }
--- a/internal/faulttest/status.go
+++ b/internal/faulttest/status.go
@@ -7,24 +7,25 @@
 	"coralhub/internal/emulator"
 	"coralhub/internal/invariants"
 	"coralhub/internal/wait"
+	"coralhub/wire"
 )
 
-// Status is how a run stands at a moment.
+// Status is the status of a run at a moment.
 type Status struct {
 	ElapsedS, DurationS float64
-	Leader              string
+	Leader              string // name of the node; "" if there is none
 	Nodes               []NodeStatus
 	Classes             []ClassStatus
-	Machines            map[string]int // up, booting, hanging
+	Machines            map[string]int // number by state: up, booting or hanging
 	OnMachines          int            // tasks
 	Marks               []Mark
 }
 
-// NodeStatus is how a node stands.
+// NodeStatus is the status of a node.
 type NodeStatus struct {
 	Name, Zone string
 	Ready      bool
-	CPUS       float64
+	CPUS       float64 // processor time taken, in seconds
 	PeakMB     float64
 	Restarts   int
 }
@@ -35,30 +36,50 @@
 	Submitted, Accepted, Started, Done, Off int // Off: cancelled
 }
 
-// statusEvery is how often a run tells how it stands.
-const statusEvery = 500 * time.Millisecond
+// statusInterval is how often Options.Watch is called.
+const statusInterval = 500 * time.Millisecond
 
-// watch tells how the run stands until ctx ends.
+// watch calls Options.Watch with the status of the run until ctx ends.
 func (r *run) watch(ctx context.Context, began time.Time) {
 	w := newWatcher(r)
-	wait.Every(ctx, statusEvery, func() { r.opt.Watch(w.status(time.Since(began))) })
+	wait.Every(ctx, statusInterval, func() { r.opt.Watch(w.status(time.Since(began))) })
 }
 
-// watcher follows the history as it grows.
+// taskSet is a set of tasks by job.
+type taskSet map[string]map[int]bool
+
+// add adds a task of a job with so many tasks, and reports whether the job's tasks are complete with
+// it for the first time.
+func (s taskSet) add(job string, task, tasks int) (completes bool) {
+	if s[job] == nil {
+		s[job] = map[int]bool{}
+	}
+	before := len(s[job])
+	s[job][task] = true
+	return before < tasks && len(s[job]) == tasks
+}
+
+// watcher counts the jobs of each class from the history as it grows.
 type watcher struct {
-	r       *run
-	seen    int
-	jobs    map[string]*planned
-	counts  map[string]*ClassStatus
-	on      int
-	started map[string]map[int]bool
-	ended   map[string]map[int]bool
-	over    map[string]bool
+	r          *run
+	seen       int // events
+	jobs       map[string]*plannedJob
+	counts     map[string]*ClassStatus // by class
+	onMachines int                     // tasks
+	started    taskSet
+	done       taskSet
+	cancelled  map[string]bool // jobs
 }
 
 func newWatcher(r *run) *watcher {
-	w := &watcher{r: r, jobs: map[string]*planned{}, counts: map[string]*ClassStatus{}, started: map[string]map[int]bool{},
-		ended: map[string]map[int]bool{}, over: map[string]bool{}}
+	w := &watcher{
+		r:         r,
+		jobs:      map[string]*plannedJob{},
+		counts:    map[string]*ClassStatus{},
+		started:   taskSet{},
+		done:      taskSet{},
+		cancelled: map[string]bool{},
+	}
 	for i := range r.jobs {
 		w.jobs[r.jobs[i].job.ID] = &r.jobs[i]
 	}
@@ -69,72 +90,77 @@
 	return w
 }
 
-func (w *watcher) take(e *invariants.Event) {
+func (w *watcher) observe(e *invariants.Event) {
 	p := w.jobs[e.Job]
 	if p == nil {
 		return
 	}
-	c, tasks := w.counts[p.class.Name], p.job.Tasks
-	add := func(m map[string]map[int]bool) (whole bool) {
-		if m[e.Job] == nil {
-			m[e.Job] = map[int]bool{}
-		}
-		had := len(m[e.Job])
-		m[e.Job][e.Task] = true
-		return had < tasks && len(m[e.Job]) == tasks
-	}
+	counts := w.counts[p.class.Name]
 	switch e.Kind {
 	case invariants.JobSubmitted:
-		c.Submitted++
+		counts.Submitted++
 	case invariants.TaskStarted:
-		w.on++
-		if add(w.started) {
-			c.Started++
+		w.onMachines++
+		if w.started.add(e.Job, e.Task, p.job.Tasks) {
+			counts.Started++
 		}
 	case invariants.TaskStopped:
-		w.on--
+		w.onMachines--
 	case invariants.TaskDone:
-		if add(w.ended) {
-			c.Done++
+		if w.done.add(e.Job, e.Task, p.job.Tasks) {
+			counts.Done++
 		}
 	case invariants.Answered:
-		if e.Via == invariants.BySubmit && (e.Status == 200 || e.Status == 201) {
-			c.Accepted++
+		if e.Via == invariants.BySubmit && isSuccess(e.Status) {
+			counts.Accepted++
 		}
-		if e.Said == "cancelled" && !w.over[e.Job] {
-			w.over[e.Job] = true
-			c.Off++
+		if e.Said == wire.Cancelled && !w.cancelled[e.Job] {
+			w.cancelled[e.Job] = true
+			counts.Off++
 		}
 	}
 }
 
 func (w *watcher) status(elapsed time.Duration) Status {
 	r := w.r
-	s := Status{ElapsedS: elapsed.Seconds(), DurationS: r.scenario.DurationS, Leader: r.leader(), Machines: map[string]int{}}
+	s := Status{
+		ElapsedS:  elapsed.Seconds(),
+		DurationS: r.scenario.DurationS,
+		Leader:    r.leader(),
+		Machines:  map[string]int{},
+	}
 	r.mu.Lock()
 	for ; w.seen < len(r.events); w.seen++ {
-		w.take(&r.events[w.seen])
+		w.observe(&r.events[w.seen])
 	}
 	s.Marks = append(s.Marks, r.marks...)
 	r.mu.Unlock()
-	s.OnMachines = w.on
+	s.OnMachines = w.onMachines
 	for i := range r.scenario.Classes {
 		s.Classes = append(s.Classes, *w.counts[r.scenario.Classes[i].Name])
 	}
-	use := r.cluster.Use()
+	usage := r.cluster.Use()
 	for i, n := range r.cluster.Nodes {
-		s.Nodes = append(s.Nodes, NodeStatus{Name: n.Name, Zone: n.Zone, Ready: r.users.isHealthy(i), CPUS: use[i].CPUS, PeakMB: use[i].PeakMB, Restarts: use[i].Restarts})
+		s.Nodes = append(s.Nodes, NodeStatus{
+			Name:     n.Name,
+			Zone:     n.Zone,
+			Ready:    r.users.isHealthy(i),
+			CPUS:     usage[i].CPUS,
+			PeakMB:   usage[i].PeakMB,
+			Restarts: usage[i].Restarts,
+		})
 	}
-	srv := r.cluster.Servers
-	srv.With(func() {
-		for _, m := range srv.Environment.Machines {
-			s.Machines[stateOf(m, srv.Now())]++
+	servers := r.cluster.Servers
+	servers.With(func() {
+		for _, m := range servers.Environment.Machines {
+			s.Machines[machineState(m, servers.Now())]++
 		}
 	})
 	return s
 }
 
-func stateOf(m *emulator.Machine, now emulator.Micros) string {
+// machineState names the state of a machine in Status.Machines.
+func machineState(m *emulator.Machine, now emulator.Micros) string {
 	switch {
 	case m.Hang:
 		return "hanging"
--- a/internal/faulttest/users.go
+++ b/internal/faulttest/users.go
@@ -3,134 +3,49 @@
 import (
 	"context"
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"net/http"
-	"slices"
 	"strconv"
 	"sync"
 	"time"
 
 	"coralhub/internal/cluster"
-	"coralhub/internal/config"
-	"coralhub/internal/emulator"
 	"coralhub/internal/invariants"
 	"coralhub/internal/jobclient"
 	"coralhub/internal/wait"
 	"coralhub/wire"
 )
 
-// unknownEvery is how often somebody asks about a job that nobody has submitted.
-const unknownEvery = 3 * time.Second
-
-// planned is a job that comes at a set time.
-type planned struct {
-	at       time.Duration
-	class    *Class
-	job      wire.Job
-	run      emulator.Micros
-	cancelIn time.Duration // after its acceptance; 0: never
-}
-
-// plan draws the jobs of a scenario: by the same seed the same ones.
-func (s *Scenario) plan(seed uint64) []planned {
-	var out []planned
-	number := 0
-	for k := range s.Classes {
-		c := &s.Classes[k]
-		rnd := rand.New(rand.NewPCG(seed, uint64(k)+1))
-		add := func(at float64) {
-			number++
-			run := c.RunS * math.Exp(c.RunSpread*rnd.NormFloat64())
-			tasks := c.Tasks[0] + rnd.IntN(c.Tasks[1]-c.Tasks[0]+1)
-			p := planned{at: time.Duration(at * 1e9), class: c, run: config.FromSeconds(run)}
-			p.job = wire.Job{ID: fmt.Sprintf("j-%06d", number), Class: c.Name, Team: c.Team, Shape: wireShape(c.Shape), Priority: wirePriority(c.Priority),
-				Tasks: tasks, CPUs: 1, GPUs: c.GPUs, MemoryGB: 4, Image: fmt.Sprintf("%s-%d", c.Name, rnd.IntN(max(c.Images, 1))), ImageGB: c.ImageGB,
-				OneZone: c.OneZone, Spread: c.Spread, Spot: c.Spot, CheckpointS: c.CheckpointS, SaveS: min(c.CheckpointS, 1)}
-			if c.Shape != "service" {
-				p.job.EstimateS = run * math.Exp(0.4*rnd.NormFloat64())
-			}
-			if c.DueTimes > 0 {
-				due := 10 + c.DueTimes*p.job.EstimateS
-				p.job.DeadlineS = &due
-			}
-			if rnd.Float64() < c.Cancelled {
-				p.cancelIn = time.Duration((1 + 10*rnd.Float64()) * 1e9)
-			}
-			out = append(out, p)
-		}
-		for range c.Initial {
-			add(2 * rnd.Float64())
-		}
-		rate := func(at float64) float64 {
-			r := c.RatePerS
-			for _, b := range c.Bursts {
-				if at >= b.AtS && at < b.AtS+b.ForS {
-					r *= b.Factor
-				}
-			}
-			return r
-		}
-		highest := c.RatePerS
-		for _, b := range c.Bursts {
-			highest = max(highest, c.RatePerS*b.Factor)
-		}
-		for at := 0.0; highest > 0; { // arrivals of a varying rate, by thinning
-			if at += rnd.ExpFloat64() / highest; at >= s.DurationS {
-				break
-			}
-			if rnd.Float64()*highest < rate(at) {
-				add(at)
-			}
-		}
-	}
-	slices.SortStableFunc(out, func(a, b planned) int { return int(a.at - b.at) })
-	last := map[string]string{}
-	for i := range out {
-		if n := out[i].class.Needs; n != "" && last[n] != "" {
-			out[i].job.Needs = []string{last[n]}
-		}
-		last[out[i].class.Name] = out[i].job.ID
-	}
-	return out
-}
-
-// wireShape is a class's shape; without one its jobs are arrays.
-func wireShape(name string) string {
-	if shape, ok := wire.ParseShape(name); ok {
-		return shape
-	}
-	return wire.Array
-}
-
-// wirePriority is a class's priority; without one its jobs are of the normal one.
-func wirePriority(name string) string {
-	if priority, ok := wire.ParsePriority(name); ok {
-		return priority
-	}
-	return wire.Normal
-}
+const (
+	// unknownPollInterval is how often a user polls for a job that nobody has submitted.
+	unknownPollInterval = 3 * time.Second
+	// probeInterval is how often the balancer probes a node, and probesToSwitch how many
+	// probes in a row must agree for a node to change between healthy and unhealthy.
+	probeInterval  = time.Second
+	probesToSwitch = 2
+)
 
-// users submits jobs, polls and cancels, through a balancer that knows which nodes are
-// healthy.
+// users submits jobs, polls for them and cancels them, through a load balancer that knows which
+// nodes are healthy.
 type users struct {
-	c      *cluster.Cluster
-	record func(invariants.Event)
-	now    func() int64
-	ask    *jobclient.Client
+	cluster *cluster.Cluster
+	record  func(invariants.Event)
+	now     func() int64 // in microseconds
+	client  *jobclient.Client
 
 	mu      sync.Mutex
-	healthy []bool
-	stats   map[string]*userStats
-	decided map[string]*decision // of jobs that others need
+	healthy []bool                // by node
+	stats   map[string]*userStats // by class
+	decided map[string]*decision  // by job
 }
 
-// decision is whether a job was accepted, once that is known.
+// decision is the answer to the submission of a job, for the jobs that depend on it.
 type decision struct {
-	known    chan struct{}
+	known    chan struct{} // is closed once accepted is set
 	accepted bool
 }
 
+// decision returns the decision on a job, which may not be known yet.
 func (u *users) decision(id string) *decision {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -140,9 +55,9 @@
 	return u.decided[id]
 }
 
-// maySubmit waits until all that a job needs was accepted: one that names a job which
-// was not is refused. It returns false if that never comes.
-func (u *users) maySubmit(ctx context.Context, j *wire.Job) bool {
+// awaitDependencies waits until all the jobs that a job depends on are accepted: the service refuses a
+// job that names another which was not. It returns false if one is refused or ctx ends.
+func (u *users) awaitDependencies(ctx context.Context, j *wire.Job) bool {
 	for _, id := range j.Needs {
 		d := u.decision(id)
 		select {
@@ -157,64 +72,82 @@
 	return true
 }
 
-// userStats is what the users of a class have met.
+// userStats is what the users of a class have experienced.
 type userStats struct {
 	Submitted, Accepted int
-	waits               []time.Duration // from the moment planned to the acceptance
-	Errors              map[string]int
+	latencies           []time.Duration // from the planned submission to the acceptance
+	Errors              map[string]int  // by the HTTP status of the answer
 }
 
+// newUsers returns the users of a cluster. record takes what they see, now is the time of the events,
+// and wrap, if not nil, wraps their transport.
 func newUsers(c *cluster.Cluster, record func(invariants.Event), now func() int64, wrap func(http.RoundTripper) http.RoundTripper) *users {
 	var transport http.RoundTripper = &http.Transport{MaxIdleConnsPerHost: 1024, IdleConnTimeout: time.Minute}
 	if wrap != nil {
 		transport = wrap(transport)
 	}
-	u := &users{c: c, record: record, now: now, healthy: make([]bool, len(c.Nodes)), stats: map[string]*userStats{}, decided: map[string]*decision{}}
-	u.ask = &jobclient.Client{HTTP: &http.Client{Transport: transport}, PickNode: func() string { return u.node().Users.Addr() }}
+	u := &users{
+		cluster: c,
+		record:  record,
+		now:     now,
+		healthy: make([]bool, len(c.Nodes)),
+		stats:   map[string]*userStats{},
+		decided: map[string]*decision{},
+	}
+	u.client = &jobclient.Client{
+		HTTP:     &http.Client{Transport: transport},
+		PickNode: func() string { return u.pickNode().Users.Addr() },
+	}
 	return u
 }
 
-// balance probes the nodes until ctx ends.
+// balance probes the health of the nodes until ctx ends.
 func (u *users) balance(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i, n := range u.c.Nodes {
-		wg.Go(func() {
-			bad, good := 0, 1
-			probe := func() {
-				if n.Ready(ctx, u.ask.HTTP) {
-					bad, good = 0, good+1
-				} else {
-					bad, good = bad+1, 0
-				}
-				u.mu.Lock()
-				if good >= 2 {
-					u.healthy[i] = true
-				} else if bad >= 2 {
-					u.healthy[i] = false
-				}
-				u.mu.Unlock()
-			}
-			probe()
-			wait.Every(ctx, time.Second, probe)
-		})
+	for i := range u.cluster.Nodes {
+		wg.Go(func() { u.probeNode(ctx, i) })
 	}
 	wg.Wait()
 }
 
-// node picks a node for a connection: a healthy one, if there is any.
-func (u *users) node() *cluster.Node {
+// probeNode probes a node until ctx ends. A node whose first probe succeeds is healthy at once.
+func (u *users) probeNode(ctx context.Context, i int) {
+	failures, successes := 0, 1
+	probe := func() {
+		if u.cluster.Nodes[i].Ready(ctx, u.client.HTTP) {
+			failures = 0
+			successes++
+		} else {
+			failures++
+			successes = 0
+		}
+		u.mu.Lock()
+		defer u.mu.Unlock()
+		switch {
+		case successes >= probesToSwitch:
+			u.healthy[i] = true
+		case failures >= probesToSwitch:
+			u.healthy[i] = false
+		}
+	}
+	probe()
+	wait.Every(ctx, probeInterval, probe)
+}
+
+// pickNode picks a node for a connection at random: a healthy one, if there is any.
+func (u *users) pickNode() *cluster.Node {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	var good []*cluster.Node
-	for i, n := range u.c.Nodes {
+	var candidates []*cluster.Node
+	for i, n := range u.cluster.Nodes {
 		if u.healthy[i] {
-			good = append(good, n)
+			candidates = append(candidates, n)
 		}
 	}
-	if len(good) == 0 {
-		good = u.c.Nodes
+	if len(candidates) == 0 {
+		candidates = u.cluster.Nodes
 	}
-	return good[rand.IntN(len(good))]
+	return candidates[rand.IntN(len(candidates))]
 }
 
 func (u *users) isHealthy(i int) bool {
@@ -223,17 +156,18 @@
 	return u.healthy[i]
 }
 
-// submitUnknown asks about jobs that nobody has submitted, until ctx ends.
-func (u *users) submitUnknown(ctx context.Context) {
-	wait.Every(ctx, unknownEvery, func() {
+// pollUnknown polls for jobs that nobody has submitted, until ctx ends: the service must not know them.
+func (u *users) pollUnknown(ctx context.Context) {
+	wait.Every(ctx, unknownPollInterval, func() {
 		id := fmt.Sprintf("j-9%08d", rand.IntN(1e8))
-		if a := u.ask.Poll(ctx, id); ctx.Err() == nil {
-			u.told(id, invariants.ByPoll, &a)
+		if a := u.client.Poll(ctx, id); ctx.Err() == nil {
+			u.recordAnswer(id, invariants.ByPoll, &a)
 		}
 	})
 }
 
-func (u *users) note(class string, f func(*userStats)) {
+// updateStats calls f on the statistics of a class, which it must not keep.
+func (u *users) updateStats(class string, f func(*userStats)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	s := u.stats[class]
@@ -244,64 +178,80 @@
 	f(s)
 }
 
-func (u *users) told(id, via string, a *jobclient.Answer) {
+func (u *users) recordAnswer(id, via string, a *jobclient.Answer) {
 	u.record(invariants.Event{At: u.now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
 }
 
-// follow is a user with one job: it submits at its time, polls until the job is over,
-// and cancels it if that is planned.
-func (u *users) follow(ctx context.Context, p *planned, due time.Time) {
+// follow is a user with one job: it submits the job, polls until it is over, and cancels it if that
+// is planned. due is when the job was to be submitted.
+func (u *users) follow(ctx context.Context, p *plannedJob, due time.Time) {
 	raw, err := wire.Marshal(&p.job)
 	if err != nil {
 		return
 	}
 	if len(p.job.Needs) > 0 {
-		if !u.maySubmit(ctx, &p.job) {
+		if !u.awaitDependencies(ctx, &p.job) {
 			u.decide(p.job.ID, false)
 			return
 		}
-		due = later(due, time.Now())
+		due = latest(due, time.Now())
 	}
 	u.record(invariants.Event{At: u.now(), Kind: invariants.JobSubmitted, Job: p.job.ID, Spec: specOf(&p.job)})
-	u.note(p.class.Name, func(s *userStats) { s.Submitted++ })
-	accepted := u.repeat(ctx, p, invariants.BySubmit, http.MethodPost, wire.PathJobs, raw)
-	if u.decide(p.job.ID, accepted); !accepted {
+	u.updateStats(p.class.Name, func(s *userStats) { s.Submitted++ })
+	accepted := u.request(ctx, p, invariants.BySubmit, http.MethodPost, wire.PathJobs, raw)
+	u.decide(p.job.ID, accepted)
+	if !accepted {
 		return
 	}
-	u.note(p.class.Name, func(s *userStats) {
+	u.updateStats(p.class.Name, func(s *userStats) {
 		s.Accepted++
-		s.waits = append(s.waits, time.Since(due)) // from the plan: a slow answer delays nobody's arrival
+		s.latencies = append(s.latencies, time.Since(due)) // since the planned time: a slow answer delays no other submission
 	})
-	u.ask.Follow(ctx, p.job.ID, p.cancelIn, func(a *jobclient.Answer) { u.told(p.job.ID, invariants.ByPoll, a) }, func() {
+	polled := func(a *jobclient.Answer) { u.recordAnswer(p.job.ID, invariants.ByPoll, a) }
+	cancel := func() {
 		u.record(invariants.Event{At: u.now(), Kind: invariants.CancelRequested, Job: p.job.ID})
-		u.repeat(ctx, p, invariants.ByCancel, http.MethodPost, wire.PathJobs+"/"+p.job.ID+"/"+wire.CancelVerb, nil)
-	})
+		u.request(ctx, p, invariants.ByCancel, http.MethodPost, wire.PathJobs+"/"+p.job.ID+"/"+wire.CancelVerb, nil)
+	}
+	u.client.Follow(ctx, p.job.ID, p.cancelIn, polled, cancel)
 }
 
+// decide publishes whether a job was accepted. It is called once a job.
 func (u *users) decide(id string, accepted bool) {
 	d := u.decision(id)
 	d.accepted = accepted
 	close(d.known)
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// repeat makes a request until it is taken, and records what it is told.
-func (u *users) repeat(ctx context.Context, p *planned, via, method, path string, body []byte) bool {
-	return u.ask.Repeat(ctx, method, path, body, func(a *jobclient.Answer) {
-		u.told(p.job.ID, via, a)
+// request repeats a request until it is accepted or refused for good, and records each answer. It
+// reports whether it was accepted.
+func (u *users) request(ctx context.Context, p *plannedJob, via, method, path string, body []byte) bool {
+	return u.client.Repeat(ctx, method, path, body, func(a *jobclient.Answer) {
+		u.recordAnswer(p.job.ID, via, a)
 		if !a.Accepted() {
-			u.note(p.class.Name, func(s *userStats) { s.Errors[strconv.Itoa(a.Status)]++ })
+			u.updateStats(p.class.Name, func(s *userStats) { s.Errors[strconv.Itoa(a.Status)]++ })
 		}
 	})
 }
 
+// specOf is what the invariants need to know of a job.
 func specOf(j *wire.Job) *invariants.Spec {
-	return &invariants.Spec{Team: j.Team, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs, Types: j.Types, Zone: j.Zone, OneZone: j.OneZone,
-		Spread: j.Spread, Spot: j.Spot, Needs: j.Needs}
+	return &invariants.Spec{
+		Team:    j.Team,
+		Tasks:   j.Tasks,
+		CPUs:    j.CPUs,
+		GPUs:    j.GPUs,
+		Types:   j.Types,
+		Zone:    j.Zone,
+		OneZone: j.OneZone,
+		Spread:  j.Spread,
+		Spot:    j.Spot,
+		Needs:   j.Needs,
+	}
 }
