--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -1,5 +1,5 @@
-// Package faults disturbs the connections between parties: a proxy stands between
-// each two, and is told to hold, drop, reset, refuse or delay what passes.
+// Package faults injects faults into the connections between parties: a proxy on each link can hold,
+// drop, reset, refuse or delay what passes.
 package faults
 
 import (
@@ -15,8 +15,8 @@
 // Mode is what a proxy does with connections.
 type Mode string
 
-// The modes. Held data is delivered late, in order, even if its sender has given up
-// meanwhile; dropped data never is, and its connection is reset in the end.
+// The modes. Held data is delivered late and in order, even if its sender has given up meanwhile.
+// Dropped data never is, and its connection is reset when the proxy passes data again.
 const (
 	Pass   Mode = "pass"
 	Hold   Mode = "hold"
@@ -25,121 +25,154 @@
 	Refuse Mode = "refuse"
 )
 
-// Direction is the direction that a fault is for.
+// Direction is the direction of the data that Hold and Drop apply to.
 type Direction string
 
-// The ways: both, from who connects, and back to it.
+// The directions: both, from the client to the target, and back to the client.
 const (
 	Both     Direction = ""
 	Forward  Direction = "forward"
 	Backward Direction = "back"
 )
 
-// dialTimeout is how long the target may take to accept.
-const dialTimeout = 2 * time.Second
-
-// acceptPause is how long a proxy waits after a connection that it could not accept.
-const acceptPause = 50 * time.Millisecond
+const (
+	// dialTimeout is how long the target may take to accept a connection.
+	dialTimeout = 2 * time.Second
+	// acceptPause is how long a proxy waits after a failure to accept a connection.
+	acceptPause = 50 * time.Millisecond
+	// bufferBytes is the most data that is read at a time.
+	bufferBytes = 32 << 10
+	// anyPort is an address on which a proxy gets a port of its own.
+	anyPort = "127.0.0.1:0"
+)
 
-// Proxy passes connections on to a target.
+// Proxy forwards connections to a target.
 type Proxy struct {
 	name, target, addr string
 
 	mu        sync.Mutex
-	listener  net.Listener
+	listener  net.Listener // nil while connections are refused
 	mode      Mode
 	direction Direction
 	delay     time.Duration
-	change    chan struct{} // closed when something above changes
-	conns     map[*pair]bool
+	change    chan struct{} // is closed, and replaced, when the mode changes or the proxy is closed
+	conns     map[*forwarded]bool
 	closed    bool
-	failed    func(error) // hears why connections were not made; nil: nobody does
+	onFailure func(error) // may be nil
 	wg        sync.WaitGroup
 }
 
-// pair is a connection and the one that it is passed on by.
-type pair struct {
-	in, out net.Conn
-	began   Mode // what the proxy did when it came
-	lost    bool // something of it was dropped
+// forwarded is a connection of a client and the one to the target that it is forwarded on.
+type forwarded struct {
+	client, target net.Conn
+	acceptedIn     Mode // the mode of the proxy when it came
+	dropped        bool // whether some of its data was dropped
 }
 
 // New starts a proxy for a target on a loopback port of its own.
 func New(name, target string) (*Proxy, error) {
-	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", anyPort)
 	if err != nil {
 		return nil, fmt.Errorf("proxy %s: %w", name, err)
 	}
-	p := &Proxy{name: name, target: target, addr: l.Addr().String(), listener: l, mode: Pass, change: make(chan struct{}), conns: map[*pair]bool{}}
+	p := &Proxy{
+		name:     name,
+		target:   target,
+		addr:     l.Addr().String(),
+		listener: l,
+		mode:     Pass,
+		change:   make(chan struct{}),
+		conns:    map[*forwarded]bool{},
+	}
 	p.wg.Add(1)
 	go p.accept(l)
 	return p, nil
 }
 
-// Addr is where the proxy listens.
+// Addr is the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.addr }
 
-// Name names the link that the proxy stands for.
+// Name is the name of the link that the proxy stands for.
 func (p *Proxy) Name() string { return p.name }
 
-// Set changes what is done from now on. Back to Pass, held data is delivered and
-// connections of which something was dropped are reset.
-func (p *Proxy) Set(mode Mode, way Direction) error {
+// Set changes the mode, and the direction of the data that it applies to. Back in Pass, held data is
+// delivered, and connections of which data was dropped or that came in another mode are reset. It
+// returns net.ErrClosed if the proxy is closed; the error of a port that is taken meanwhile wraps
+// syscall.EADDRINUSE.
+func (p *Proxy) Set(mode Mode, direction Direction) error {
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
 		return net.ErrClosed
 	}
-	p.mode, p.direction = mode, way
-	close(p.change)
-	p.change = make(chan struct{})
-	var end []*pair
+	p.mode = mode
+	p.direction = direction
+	p.signalChange()
+	var ending []*forwarded
 	for c := range p.conns {
-		if mode == Reset || mode == Refuse || mode == Pass && (c.lost || c.began != Pass) {
-			end = append(end, c)
+		if c.endsIn(mode) {
+			ending = append(ending, c)
 		}
 	}
-	listening := p.listener
+	listener := p.listener
 	if mode == Refuse {
 		p.listener = nil
 	}
 	p.mu.Unlock()
-	for _, c := range end {
+	for _, c := range ending {
 		c.reset()
 	}
 	switch {
-	case mode == Refuse && listening != nil:
-		return listening.Close()
-	case mode != Refuse && listening == nil:
+	case mode == Refuse && listener != nil:
+		return listener.Close()
+	case mode != Refuse && listener == nil:
 		return p.listen()
 	}
 	return nil
 }
 
-// OnFailure has f hear why a connection could not be accepted, or not passed on. f is called by
-// several goroutines.
+// signalChange wakes whatever waits for a change. p.mu is held.
+func (p *Proxy) signalChange() {
+	close(p.change)
+	p.change = make(chan struct{})
+}
+
+// endsIn reports whether the connection is reset when the proxy changes to a mode.
+func (c *forwarded) endsIn(mode Mode) bool {
+	switch mode {
+	case Reset, Refuse:
+		return true
+	case Pass:
+		return c.dropped || c.acceptedIn != Pass
+	}
+	return false
+}
+
+// OnFailure sets a function, which may be nil, that is called with the reason why a connection could
+// not be accepted or forwarded. It is called by several goroutines.
 func (p *Proxy) OnFailure(f func(error)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.failed = f
+	p.onFailure = f
 }
 
-func (p *Proxy) tellFailure(err error) {
+func (p *Proxy) reportFailure(err error) {
 	p.mu.Lock()
-	failed := p.failed
+	onFailure := p.onFailure
 	p.mu.Unlock()
-	if failed != nil {
-		failed(err)
+	if onFailure != nil {
+		onFailure(err)
 	}
 }
 
-// Delay has everything take so much longer, each way.
+// Delay delays all data by so much, in each direction.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
+// listen listens again on the proxy's address.
 func (p *Proxy) listen() error {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", p.addr)
 	if err != nil {
@@ -156,124 +189,137 @@
 	return nil
 }
 
-// Close ends the proxy and its connections.
+// Close ends the proxy and its connections, and waits until they have ended.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
 	if p.listener != nil {
 		_ = p.listener.Close()
 	}
-	close(p.change)
-	p.change = make(chan struct{})
-	all := make([]*pair, 0, len(p.conns))
+	p.signalChange()
+	conns := make([]*forwarded, 0, len(p.conns))
 	for c := range p.conns {
-		all = append(all, c)
+		conns = append(conns, c)
 	}
 	p.mu.Unlock()
-	for _, c := range all {
+	for _, c := range conns {
 		c.reset()
 	}
 	p.wg.Wait()
 }
 
+// accept serves the connections of a listener until it is closed.
 func (p *Proxy) accept(l net.Listener) {
 	defer p.wg.Done()
 	for {
-		in, err := l.Accept()
+		conn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // this process can open no more files, most likely: the next connection may find one
-			p.tellFailure(err)
+		if err != nil { // most likely this process can open no more files: a later connection may succeed
+			p.reportFailure(err)
 			time.Sleep(acceptPause)
 			continue
 		}
 		p.wg.Add(1)
-		go p.serve(in)
+		go p.serve(conn)
 	}
 }
 
-func (p *Proxy) serve(in net.Conn) {
+// serve forwards a connection until it ends.
+func (p *Proxy) serve(client net.Conn) {
 	defer p.wg.Done()
 	p.mu.Lock()
 	mode, closed := p.mode, p.closed
 	p.mu.Unlock()
-	c := &pair{in: in, began: mode}
+	c := &forwarded{client: client, acceptedIn: mode}
 	if mode == Reset || closed {
 		c.reset()
 		return
 	}
-	out, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(context.Background(), "tcp", p.target)
+	target, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(context.Background(), "tcp", p.target)
 	if err != nil {
-		p.tellFailure(err)
+		p.reportFailure(err)
 		c.reset()
 		return
 	}
-	c.out = out
-	p.mu.Lock()
-	if p.closed {
-		p.mu.Unlock()
+	c.target = target
+	if !p.register(c) {
 		c.reset()
 		return
 	}
-	p.conns[c] = true
-	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.pump(c, in, out, Forward) })
-	both.Go(func() { p.pump(c, out, in, Backward) })
+	both.Go(func() { p.pump(c, client, target, Forward) })
+	both.Go(func() { p.pump(c, target, client, Backward) })
 	both.Wait()
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
-	_ = in.Close()
-	_ = out.Close()
+	_ = client.Close()
+	_ = target.Close()
+}
+
+// register adds a connection to those of the proxy; it returns false if the proxy is closed.
+func (p *Proxy) register(c *forwarded) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return false
+	}
+	p.conns[c] = true
+	return true
 }
 
-// pump passes one way on, until it ends. Data that was read before its sender gave up
-// is still delivered once the proxy lets it.
-func (p *Proxy) pump(c *pair, from, to net.Conn, way Direction) {
-	buf := make([]byte, 32<<10)
+// pump forwards the data of one direction until it ends. Data that was read before its sender gave up
+// is still delivered once the proxy lets it pass.
+func (p *Proxy) pump(c *forwarded, from, to net.Conn, direction Direction) {
+	buf := make([]byte, bufferBytes)
 	for {
-		n, err := from.Read(buf)
+		n, readErr := from.Read(buf)
 		if n > 0 {
-			if !p.gate(c, way) {
+			if !p.awaitPass(c, direction) {
 				return
 			}
-			if _, werr := to.Write(buf[:n]); werr != nil {
+			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
 		}
-		if err != nil {
-			if !p.gate(c, way) {
-				return
-			}
-			if t, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-				_ = t.CloseWrite()
-			} else {
-				_ = to.Close()
+		if readErr != nil {
+			if p.awaitPass(c, direction) {
+				forwardEnd(to, readErr)
 			}
 			return
 		}
 	}
 }
 
-// gate waits until data of a connection may pass; false: it never may.
-func (p *Proxy) gate(c *pair, way Direction) bool {
+// forwardEnd ends one direction of a connection as its sender did, with an error of reading: the
+// other direction stays open if the sender closed this one alone.
+func forwardEnd(to net.Conn, readErr error) {
+	if t, ok := to.(*net.TCPConn); ok && errors.Is(readErr, io.EOF) {
+		_ = t.CloseWrite()
+		return
+	}
+	_ = to.Close()
+}
+
+// awaitPass waits until data of a connection may pass; it returns false if it never may.
+func (p *Proxy) awaitPass(c *forwarded, direction Direction) bool {
 	for {
 		p.mu.Lock()
 		mode, change, delay, closed := p.mode, p.change, p.delay, p.closed
-		mine := p.direction == Both || p.direction == way
-		if mine && mode == Drop {
-			c.lost = true
+		affected := p.direction == Both || p.direction == direction
+		if affected && mode == Drop {
+			c.dropped = true
 		}
-		lost := c.lost
+		dropped := c.dropped
 		p.mu.Unlock()
 		switch {
 		case closed:
 			return false
-		case mine && (mode == Hold || mode == Drop):
+		case affected && (mode == Hold || mode == Drop):
 			<-change
-		case lost:
+		case dropped:
 			c.reset()
 			return false
 		default:
@@ -285,13 +331,14 @@
 	}
 }
 
-func (c *pair) reset() {
-	for _, x := range []net.Conn{c.in, c.out} {
-		if t, ok := x.(*net.TCPConn); ok {
+// reset closes both connections at once, with a TCP reset.
+func (c *forwarded) reset() {
+	for _, conn := range []net.Conn{c.client, c.target} {
+		if t, ok := conn.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
-		if x != nil {
-			_ = x.Close()
+		if conn != nil {
+			_ = conn.Close()
 		}
 	}
 }
--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// echo answers each line with the same line.
+// echo starts a server that sends back what it receives, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -25,15 +25,19 @@
 			if err != nil {
 				return
 			}
-			go func() { _, _ = io.Copy(c, c); _ = c.Close() }()
+			go func() {
+				_, _ = io.Copy(c, c)
+				_ = c.Close()
+			}()
 		}
 	}()
 	return l.Addr().String()
 }
 
+// client is a connection through a proxy to an echo server.
 type client struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 func dial(t *testing.T, p *Proxy) client {
@@ -46,25 +50,27 @@
 	return client{c, bufio.NewReader(c)}
 }
 
-// says sends a line and tells whether it comes back in time.
-func (c client) says(line string, wait time.Duration) bool {
+// echoes sends a line and reports whether it comes back in time.
+func (c client) echoes(line string, wait time.Duration) bool {
 	if _, err := c.Write([]byte(line + "\n")); err != nil {
 		return false
 	}
-	return c.hears(line, wait)
+	return c.receives(line, wait)
 }
 
-func (c client) hears(line string, wait time.Duration) bool {
+// receives reports whether a line comes in time.
+func (c client) receives(line string, wait time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(wait))
-	got, err := c.r.ReadString('\n')
+	got, err := c.reader.ReadString('\n')
 	return err == nil && got == line+"\n"
 }
 
 const (
-	patience = 20 * time.Second
-	moment   = 50 * time.Millisecond // for what must not come
+	timeout      = 20 * time.Second      // for what must come
+	shortTimeout = 50 * time.Millisecond // for what must not come
 )
 
+// start starts a proxy for an echo server.
 func start(t *testing.T) *Proxy {
 	t.Helper()
 	p, err := New("link", echo(t))
@@ -75,86 +81,90 @@
 	return p
 }
 
-func (p *Proxy) must(t *testing.T, mode Mode, way Direction) {
+func (p *Proxy) mustSet(t *testing.T, mode Mode, direction Direction) {
 	t.Helper()
-	if err := p.Set(mode, way); err != nil {
+	if err := p.Set(mode, direction); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// Held data is delivered when the proxy passes data again.
 func TestHoldDeliversLate(t *testing.T) {
 	p := start(t)
 	c := dial(t, p)
-	if !c.says("one", patience) {
+	if !c.echoes("one", timeout) {
 		t.Fatal("nothing passes")
 	}
-	p.must(t, Hold, Both)
-	if c.says("two", moment) {
+	p.mustSet(t, Hold, Both)
+	if c.echoes("two", shortTimeout) {
 		t.Fatal("held data was delivered")
 	}
-	p.must(t, Pass, Both)
-	if !c.hears("two", patience) {
+	p.mustSet(t, Pass, Both)
+	if !c.receives("two", timeout) {
 		t.Fatal("held data never came")
 	}
 }
 
+// Dropped data is never delivered, and its connection is reset when the proxy passes data again.
 func TestDropResetsInTheEnd(t *testing.T) {
 	p := start(t)
 	c := dial(t, p)
-	c.says("one", patience)
-	p.must(t, Drop, Both)
-	if c.says("two", moment) {
+	c.echoes("one", timeout)
+	p.mustSet(t, Drop, Both)
+	if c.echoes("two", shortTimeout) {
 		t.Fatal("dropped data was delivered")
 	}
-	p.must(t, Pass, Both)
-	if c.hears("two", patience) {
+	p.mustSet(t, Pass, Both)
+	if c.receives("two", timeout) {
 		t.Fatal("dropped data was delivered late")
 	}
-	if !dial(t, p).says("three", patience) {
+	if !dial(t, p).echoes("three", timeout) {
 		t.Fatal("nothing passes afterwards")
 	}
 }
 
-func TestOneWay(t *testing.T) {
+// Data back to the client is held while that to the target passes.
+func TestHoldOneDirection(t *testing.T) {
 	p := start(t)
 	c := dial(t, p)
-	c.says("zero", patience) // it is passed on by now
-	p.must(t, Hold, Backward)
-	if c.says("one", moment) {
+	c.echoes("zero", timeout) // the connection is forwarded by now
+	p.mustSet(t, Hold, Backward)
+	if c.echoes("one", shortTimeout) {
 		t.Fatal("an answer came back")
 	}
-	p.must(t, Pass, Both)
-	if !c.hears("one", patience) {
+	p.mustSet(t, Pass, Both)
+	if !c.receives("one", timeout) {
 		t.Fatal("the request had not gone through")
 	}
 }
 
+// Connections are reset and then refused, and pass again afterwards.
 func TestResetAndRefuse(t *testing.T) {
 	p := start(t)
 	c := dial(t, p)
-	c.says("one", patience)
-	p.must(t, Reset, Both)
-	if c.says("two", patience) {
+	c.echoes("one", timeout)
+	p.mustSet(t, Reset, Both)
+	if c.echoes("two", timeout) {
 		t.Fatal("a connection was kept")
 	}
-	p.must(t, Refuse, Both)
+	p.mustSet(t, Refuse, Both)
 	if x, err := new(net.Dialer).DialContext(t.Context(), "tcp", p.Addr()); err == nil {
 		_ = x.Close()
 		t.Fatal("a connection was accepted")
 	}
-	p.must(t, Pass, Both)
-	if !dial(t, p).says("three", patience) {
+	p.mustSet(t, Pass, Both)
+	if !dial(t, p).echoes("three", timeout) {
 		t.Fatal("nothing passes afterwards")
 	}
 }
 
-// poorListener fails as one does whose process has no more files to open, the first time.
-type poorListener struct {
+// outOfFilesListener fails the first time, as in a process that can open no more files.
+type outOfFilesListener struct {
 	net.Listener
 	failed bool
 }
 
-func (l *poorListener) Accept() (net.Conn, error) {
+func (l *outOfFilesListener) Accept() (net.Conn, error) {
 	if !l.failed {
 		l.failed = true
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
@@ -162,38 +172,38 @@
 	return l.Listener.Accept()
 }
 
-// A proxy that could not accept a connection says why and accepts the next.
+// A proxy that could not accept a connection reports why and accepts the next one.
 func TestAcceptsAfterFailure(t *testing.T) {
 	target, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = target.Close() })
-	p, err := New("poor", target.Addr().String())
+	p, err := New("link", target.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
-	heard := make(chan error, 10)
-	p.OnFailure(func(err error) { heard <- err })
+	failures := make(chan error, 10)
+	p.OnFailure(func(err error) { failures <- err })
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.wg.Add(1)
-	go p.accept(&poorListener{Listener: l})
-	if err := <-heard; !errors.Is(err, syscall.EMFILE) {
-		t.Errorf("heard %v", err)
+	go p.accept(&outOfFilesListener{Listener: l})
+	if err := <-failures; !errors.Is(err, syscall.EMFILE) {
+		t.Errorf("reported %v", err)
 	}
 	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	passed, err := target.Accept()
+	forwarded, err := target.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = passed.Close()
+	_ = forwarded.Close()
 	_ = l.Close()
 }
