--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -7,11 +7,12 @@
 
 const second = 1_000_000
 
-var terms = Rules{CancelIn: 10 * second, Silence: 90 * second, Teams: map[string]Limit{"red": {GPUs: 4}}}
+// rules are those that the histories are checked against.
+var rules = Rules{CancelIn: 10 * second, Silence: 90 * second, Teams: map[string]Limit{"red": {GPUs: 4}}}
 
-// sound is a history that breaks nothing: two jobs, one after the other, and a third
-// that is cancelled with the one that needs it.
-func sound() []Event {
+// validHistory is a history without violations: two jobs, one after the other, and a third that is
+// cancelled with the one that depends on it.
+func validHistory() []Event {
 	spec := func(tasks int, needs ...string) *Spec {
 		return &Spec{Team: "red", Tasks: tasks, GPUs: 1, Types: []string{"t4"}, Zone: "", OneZone: true, Needs: needs}
 	}
@@ -49,23 +50,24 @@
 	}
 }
 
-func TestSoundHistory(t *testing.T) {
-	if b := Check(terms, sound()); len(b) > 0 {
-		t.Errorf("%v", b)
+// A history that follows the rules has no violations.
+func TestValidHistory(t *testing.T) {
+	if found := Check(rules, validHistory()); len(found) > 0 {
+		t.Errorf("%v", found)
 	}
 }
 
-// Once all troubles are over a job is forgotten about which no question is answered for 75 s, though
-// no other is answered either.
+// Once all faults are over, a job is forgotten if no poll for it is answered for 75 s, although no poll
+// for another is answered either.
 func TestUnanswered(t *testing.T) {
 	t.Parallel()
-	settled := terms
+	settled := rules
 	settled.Settled, settled.Unanswered = 300*second, 75*second
 	for _, tt := range []struct {
-		upTo float64 // polls fail until then
+		upTo float64 // seconds until which polls fail
 		want int
 	}{{374, 0}, {376, 1}} {
-		events := sound()
+		events := validHistory()
 		for s := 210.0; s <= tt.upTo; s += 5 {
 			events = append(events, Event{At: Micros(s * second), Kind: Answered, Job: "j-2", Via: ByPoll, Status: 503})
 		}
@@ -75,7 +77,7 @@
 	}
 }
 
-// Every rule has histories that break it, and it alone: the judge can fail.
+// Every rule has histories that violate it, and it alone: the checker finds each kind of violation.
 func TestMutatedHistories(t *testing.T) {
 	type mutation func([]Event) []Event
 	insert := func(e Event) mutation { return func(h []Event) []Event { return append(h, e) } }
@@ -86,7 +88,7 @@
 			return h
 		}
 	}
-	drop := func(kind Kind, job string) mutation {
+	remove := func(kind Kind, job string) mutation {
 		return func(h []Event) []Event {
 			return slices.DeleteFunc(h, func(e Event) bool { return e.Kind == kind && e.Job == job })
 		}
@@ -116,17 +118,17 @@
 			insert(Event{At: at(12.6), Kind: TaskStopped, Job: "j-3", Task: 1, Attempt: 1, Machine: "m2"}))},
 		"no spread":                                {"wrong_place", respec("j-1", func(s *Spec) { s.Spread, s.OneZone = true, false })},
 		"a machine that was never rented":          {"wrong_place", change(TaskStarted, "j-2", func(e *Event) { e.Machine = "m9" })},
-		"stays after the cancellation":             {"ran_cancelled", drop(TaskStopped, "j-3")},
+		"stays after the cancellation":             {"ran_cancelled", remove(TaskStopped, "j-3")},
 		"starts after the cancellation":            {"ran_cancelled", insert(Event{At: at(30), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m1"})},
 		"404 for an accepted job":                  {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 404})},
 		"422 for a repetition":                     {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: BySubmit, Status: 422})},
 		"a job of nobody":                          {"invented", insert(Event{At: at(8), Kind: Answered, Job: "j-99", Via: ByPoll, Status: 200, Said: "queued"})},
 		"a task of nobody's job":                   {"invented", insert(Event{At: at(8), Kind: TaskStarted, Job: "j-99", Machine: "m1"})},
-		"done with a task missing":                 {"not_done", all(drop(TaskStarted, "j-2"), change(TaskDone, "j-1", func(e *Event) { e.Task = 1 }))},
+		"done with a task missing":                 {"not_done", all(remove(TaskStarted, "j-2"), change(TaskDone, "j-1", func(e *Event) { e.Task = 1 }))},
 		"done and then running":                    {"went_back", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "running"})},
-		"cancelled without being asked":            {"went_back", drop(CancelRequested, "j-3")},
+		"cancelled without being asked":            {"went_back", remove(CancelRequested, "j-3")},
 		"started before what it needs":             {"too_early", change(TaskStarted, "j-2", func(e *Event) { e.At = at(5.5) })},
-		"queued though what it needs is cancelled": {"orphaned", all(drop(Answered, "j-4"), insert(Event{At: at(30), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, Said: "queued"}))},
+		"queued though what it needs is cancelled": {"orphaned", all(remove(Answered, "j-4"), insert(Event{At: at(30), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, Said: "queued"}))},
 		"nothing ran": {"nothing_ran", func(h []Event) []Event {
 			return slices.DeleteFunc(h, func(e Event) bool { return e.Kind != JobSubmitted && (e.Kind != Answered || e.Said == "done") })
 		}},
@@ -139,15 +141,15 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := sound()
+			h := validHistory()
 			h = append(h, Event{At: 0, Kind: MachineAdded, Machine: "m3x", Host: &Host{"t4", "a", false}})
-			found := Check(terms, c.by(h))
+			found := Check(rules, c.by(h))
 			if len(found) == 0 {
 				t.Fatalf("not found: %s", c.rule)
 			}
-			for _, b := range found {
-				if b.Rule != c.rule && (c.rule != "nothing_ran" || b.Rule != "went_back") {
-					t.Errorf("%v", b)
+			for _, v := range found {
+				if v.Rule != c.rule && (c.rule != "nothing_ran" || v.Rule != "went_back") {
+					t.Errorf("%v", v)
 				}
 			}
 		})
