--- /dev/null
+++ b/internal/emulator/cloud_server.go
@@ -0,0 +1,93 @@
+package emulator
+
+import (
+	"net/http"
+	"slices"
+
+	"coralhub/wire"
+)
+
+// maxListed is the most machines that a page of the list holds.
+const maxListed = 500
+
+// CloudHandler serves the interface of the cloud.
+func (s *Servers) CloudHandler() http.Handler {
+	mux := http.NewServeMux()
+	handle := func(pattern string, h http.HandlerFunc) { mux.HandleFunc(pattern, s.admitCloud(h)) }
+	handle("GET "+wire.PathCatalog, s.catalog)
+	handle("GET "+wire.PathHosts, s.listMachines)
+	handle("POST "+wire.PathHosts, s.rent)
+	handle("POST "+wire.PathRelease, s.release)
+	return mux
+}
+
+// admitCloud refuses a request to the cloud beyond the quota or in an outage.
+func (s *Servers) admitCloud(next http.HandlerFunc) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		off := false
+		s.With(func() { off = s.Environment.CloudOff })
+		switch {
+		case off:
+			writeOutage(w)
+		case !s.cloud.Allow():
+			writeTooManyRequests(w)
+		default:
+			next(w, r)
+		}
+	}
+}
+
+func (s *Servers) catalog(w http.ResponseWriter, _ *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	writeBody(w, http.StatusOK, wire.Catalog{Types: s.Environment.Types})
+}
+
+func (s *Servers) listMachines(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	limit := pageLimit(query, maxListed)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	machines := machinesAfter(s.Environment.List(s.Now()), query.Get("from"))
+	page := machines[:min(limit, len(machines))]
+	writeBody(w, http.StatusOK, wire.MachineList{Machines: page, More: len(machines) > limit})
+}
+
+// machinesAfter returns the machines of a sorted list after a name.
+func machinesAfter(machines []wire.Machine, name string) []wire.Machine {
+	i, _ := slices.BinarySearchFunc(machines, name, func(m wire.Machine, name string) int {
+		if m.Name <= name {
+			return -1
+		}
+		return 1
+	})
+	return machines[i:]
+}
+
+func (s *Servers) rent(w http.ResponseWriter, r *http.Request) {
+	var request wire.RentalRequest
+	if !readBody(r, &request) || request.Name == "" || request.Count < 1 || request.Count > wire.MaxRental {
+		writeMalformed(w)
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	names := s.Environment.Rent(s.Now(), request)
+	if len(names) == 0 {
+		writeBody(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
+		return
+	}
+	writeBody(w, http.StatusOK, wire.MachineNames{Machines: names})
+}
+
+func (s *Servers) release(w http.ResponseWriter, r *http.Request) {
+	var request wire.MachineNames
+	if !readBody(r, &request) || len(request.Machines) > wire.MaxRelease {
+		writeMalformed(w)
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.Environment.Release(s.Now(), request.Machines)
+	writeBody(w, http.StatusOK, wire.MachineNames{})
+}
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -11,19 +11,29 @@
 	"coralhub/wire"
 )
 
-// Disk keeps a State's keys in a file: every change is flushed before it is answered,
-// so a process that is killed at any moment finds all that it had promised.
+// Disk stores the keys of a State in a file. Every change is flushed before it is answered, so that a
+// process which is killed at any moment finds all that it has answered.
 type Disk struct{ db *bolt.DB }
 
+// The buckets of the file, and the key of the last revision in metaBucket.
 var (
-	keysBucket = []byte("keys")
-	metaBucket = []byte("meta")
-	revKey     = []byte("revision")
+	keysBucket    = []byte("keys")
+	metaBucket    = []byte("meta")
+	uploadsBucket = []byte("uploads")
+	revisionKey   = []byte("revision")
 )
 
-// OpenDisk opens a file, made if need be.
+const (
+	// lockTimeout is how long another process may have the file open.
+	lockTimeout = time.Second
+	// revisionBytes is the length of the stored revision.
+	revisionBytes = 8
+)
+
+// OpenDisk opens a file, and creates it if it doesn't exist. The error wraps bolt's ErrTimeout if another
+// process has it open.
 func OpenDisk(path string) (*Disk, error) {
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -39,49 +49,49 @@
 		_ = db.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return &Disk{db}, nil
+	return &Disk{db: db}, nil
 }
 
 // Close closes the file.
 func (d *Disk) Close() error { return d.db.Close() }
 
-// Load returns a State with what the file holds. Leases don't outlive a process: keys
-// that were attached to one are gone.
+// Load returns a State with what the file holds, which stores its changes there. Leases end with the
+// process: keys that are attached to one are deleted.
 func (d *Disk) Load() (*State, error) {
 	s := NewState()
 	s.Disk = d
 	var leased []string
 	err := d.db.View(func(tx *bolt.Tx) error {
-		if raw := tx.Bucket(metaBucket).Get(revKey); len(raw) == 8 {
-			s.rev = binary.BigEndian.Uint64(raw)
+		if raw := tx.Bucket(metaBucket).Get(revisionKey); len(raw) == revisionBytes {
+			s.revision = binary.BigEndian.Uint64(raw)
 		}
 		return tx.Bucket(keysBucket).ForEach(func(k, v []byte) error {
-			var it wire.KeyValue
-			if err := msgpack.Unmarshal(v, &it); err != nil {
+			var item wire.KeyValue
+			if err := msgpack.Unmarshal(v, &item); err != nil {
 				return fmt.Errorf("key %q: %w", k, err)
 			}
-			if it.Lease != 0 {
-				leased = append(leased, it.Key)
+			if item.Lease != 0 {
+				leased = append(leased, item.Key)
 				return nil
 			}
-			s.keys[it.Key] = it
+			s.keys[item.Key] = item
 			return nil
 		})
 	})
 	if err != nil {
 		return nil, err
 	}
-	for _, k := range leased {
-		s.rev++
-		if err := d.save(s.rev, []wire.Change{{Delete: k}}); err != nil {
+	for _, key := range leased {
+		s.revision++
+		if err := d.save(s.revision, []wire.Change{{Delete: key}}); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// save writes changes of one revision and returns when they are safe.
-func (d *Disk) save(rev uint64, changes []wire.Change) error {
+// save stores the changes of a revision and returns when they are flushed. A nil Disk stores nothing.
+func (d *Disk) save(revision uint64, changes []wire.Change) error {
 	if d == nil {
 		return nil
 	}
@@ -94,7 +104,7 @@
 				}
 				continue
 			}
-			raw, err := msgpack.Marshal(&wire.KeyValue{Key: c.Put, Value: c.Value, Version: rev, Lease: c.Lease})
+			raw, err := msgpack.Marshal(&wire.KeyValue{Key: c.Put, Value: c.Value, Version: revision, Lease: c.Lease})
 			if err != nil {
 				return err
 			}
@@ -102,20 +112,18 @@
 				return err
 			}
 		}
-		return tx.Bucket(metaBucket).Put(revKey, binary.BigEndian.AppendUint64(nil, rev))
+		return tx.Bucket(metaBucket).Put(revisionKey, binary.BigEndian.AppendUint64(nil, revision))
 	})
 }
 
-var uploadsBucket = []byte("uploads")
-
-// upload is a description as it is kept.
+// upload is a job description as it is stored.
 type upload struct {
 	Job wire.Job
 	Run Micros
 }
 
-// Upload keeps a description that a user has uploaded. One that can't be kept is lost
-// with the process, and its job's tasks are unknown then.
+// Upload stores a job description that a user has uploaded. One that can't be stored is lost with the
+// process, and the tasks of its job are unknown to the workers then. A nil Disk stores nothing.
 func (d *Disk) Upload(j *SubmittedJob) {
 	if d == nil {
 		return
@@ -133,15 +141,15 @@
 	})
 }
 
-// Uploads returns the descriptions that are kept.
+// Uploads returns the stored job descriptions.
 func (d *Disk) Uploads() (map[string]*SubmittedJob, error) {
 	out := map[string]*SubmittedJob{}
 	err := d.db.View(func(tx *bolt.Tx) error {
-		b := tx.Bucket(uploadsBucket)
-		if b == nil {
+		bucket := tx.Bucket(uploadsBucket)
+		if bucket == nil {
 			return nil
 		}
-		return b.ForEach(func(k, v []byte) error {
+		return bucket.ForEach(func(k, v []byte) error {
 			var u upload
 			if err := msgpack.Unmarshal(v, &u); err != nil {
 				return fmt.Errorf("description of %s: %w", k, err)
--- /dev/null
+++ b/internal/emulator/heartbeats.go
@@ -0,0 +1,181 @@
+package emulator
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"coralhub/internal/wait"
+	"coralhub/wire"
+)
+
+const (
+	// tickInterval is how often Drive advances the machines.
+	tickInterval = 50 * time.Millisecond
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// maxInFlight is how many heartbeats are in flight at a time, of all workers.
+	maxInFlight = 512
+	// repeatOneOf is the share of the heartbeats of which a copy comes: one of so many, and
+	// minRepeatDelayS the least seconds until then.
+	repeatOneOf     = 4
+	minRepeatDelayS = 1
+	// A heartbeat interval varies between these parts of what it is set to.
+	minIntervalPart    = 0.75
+	intervalPartSpread = 0.5
+	// maxRedirectDelay bounds how long after a redirection a worker sends the next heartbeat, and
+	// retryDelay is how long after a failure it does, to the next node.
+	maxRedirectDelay = Second / 2
+	retryDelay       = Second
+	// maxResponseBytes bounds the answer to a heartbeat.
+	maxResponseBytes = 1 << 20
+)
+
+// dueHeartbeat is a heartbeat that is to be sent.
+type dueHeartbeat struct {
+	machine     *Machine
+	heartbeat   wire.Heartbeat
+	sent        Micros
+	node        int           // index of the node that it goes to
+	repeatAfter time.Duration // after which a copy comes; 0: none does
+}
+
+// Drive advances the machines and sends the workers' heartbeats until ctx ends. workersAddr is the
+// address of WorkerHandler.
+func (s *Servers) Drive(ctx context.Context, workersAddr string) {
+	client := &http.Client{
+		Timeout:   heartbeatTimeout,
+		Transport: &http.Transport{MaxIdleConnsPerHost: 4096, IdleConnTimeout: time.Minute},
+		// Workers handle redirections themselves, see heartbeatAnswered.
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
+	defer client.CloseIdleConnections()
+	inFlight := make(chan struct{}, maxInFlight)
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	wait.Every(ctx, tickInterval, func() {
+		for _, d := range s.dueHeartbeats(workersAddr) {
+			select {
+			case inFlight <- struct{}{}:
+			case <-ctx.Done():
+				return
+			}
+			wg.Go(func() {
+				defer func() { <-inFlight }()
+				s.sendHeartbeat(ctx, client, d)
+			})
+			if d.repeatAfter > 0 {
+				wg.Go(func() { s.repeatHeartbeat(ctx, client, d) })
+			}
+		}
+	})
+}
+
+// dueHeartbeats advances the machines and returns the heartbeats that are to be sent.
+func (s *Servers) dueHeartbeats(workersAddr string) []dueHeartbeat {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.Now()
+	s.State.Expire(now)
+	s.Environment.Tick(now)
+	s.wakeWatches()
+	var due []dueHeartbeat
+	for _, name := range s.Environment.Names() {
+		m := s.Environment.Machines[name]
+		m.Addr = workersAddr + "/" + name
+		if len(s.Nodes) > 0 && m.Due(now) {
+			due = append(due, s.takeHeartbeat(now, m))
+		}
+	}
+	return due
+}
+
+// takeHeartbeat takes the next heartbeat of a machine and draws when the one after it is due. s.mu is
+// held.
+func (s *Servers) takeHeartbeat(now Micros, m *Machine) dueHeartbeat {
+	d := dueHeartbeat{machine: m, heartbeat: m.Status(), sent: now, node: m.Node % len(s.Nodes)}
+	if s.repeatWithinS > 0 && rand.IntN(repeatOneOf) == 0 {
+		d.repeatAfter = time.Duration(minRepeatDelayS*1e9 + rand.Float64()*max(s.repeatWithinS-minRepeatDelayS, 0)*1e9)
+	}
+	interval := s.Environment.ReportEvery
+	if interval == 0 {
+		interval = Second
+	}
+	m.Reported(now, Micros(float64(interval)*(minIntervalPart+intervalPartSpread*rand.Float64())))
+	m.inFlight = true
+	return d
+}
+
+// sendHeartbeat sends a heartbeat and handles its answer.
+func (s *Servers) sendHeartbeat(ctx context.Context, client *http.Client, d dueHeartbeat) {
+	status, body := s.post(ctx, client, d.node, &d.heartbeat)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	d.machine.inFlight = false
+	if d.machine.InboundLost != "" {
+		status = 0
+	}
+	s.heartbeatAnswered(d, status, body)
+}
+
+// heartbeatAnswered has a worker handle the answer to a heartbeat: it executes commands, follows a
+// redirection, or else turns to the next node. A status of 0 means that there was no answer. s.mu is
+// held.
+func (s *Servers) heartbeatAnswered(d dueHeartbeat, status int, body []byte) {
+	m, now := d.machine, s.Now()
+	var response wire.HeartbeatResponse
+	var redirect wire.Redirect
+	switch {
+	case status == http.StatusOK && wire.Unmarshal(body, &response) == nil:
+		if !m.Hang {
+			s.Environment.Answered(now, d.sent, d.heartbeat.Incarnation, m, response)
+		}
+		return
+	case status == http.StatusMisdirectedRequest && wire.Unmarshal(body, &redirect) == nil:
+		if i := slices.Index(s.Names, redirect.Node); i >= 0 && i != d.node {
+			m.Node = i
+			m.NextAt = now + rand.Int64N(maxRedirectDelay)
+			return
+		}
+	}
+	m.Node = d.node + 1
+	m.NextAt = now + retryDelay
+}
+
+// repeatHeartbeat sends a copy of a heartbeat to any node after its time. Nobody handles the answer.
+func (s *Servers) repeatHeartbeat(ctx context.Context, client *http.Client, d dueHeartbeat) {
+	if wait.For(ctx, d.repeatAfter) {
+		s.post(ctx, client, rand.IntN(len(s.Nodes)), &d.heartbeat)
+	}
+}
+
+// post sends a heartbeat to a node and returns the status and the body of the answer; a status of 0 means
+// that there was none.
+func (s *Servers) post(ctx context.Context, client *http.Client, node int, heartbeat *wire.Heartbeat) (int, []byte) {
+	raw, err := wire.Marshal(heartbeat)
+	if err != nil {
+		return 0, nil
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Nodes[node]+wire.PathHeartbeat, bytes.NewReader(raw))
+	if err != nil {
+		return 0, nil
+	}
+	res, err := client.Do(req)
+	if err != nil {
+		if s.Failed != nil {
+			s.Failed(err)
+		}
+		return 0, nil
+	}
+	defer func() { _ = res.Body.Close() }()
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
+	if err != nil {
+		return 0, nil
+	}
+	return res.StatusCode, body
+}
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -1,177 +1,196 @@
-// Package emulator plays the systems that coralhub depends on, by their
-// published protocol: the state service, the cloud and the workers. The models
-// take the time as an argument, so that a scenario can run them on a made-up
-// clock; Servers puts them behind HTTP.
+// Package emulator emulates the systems that coralhub depends on, by their published protocol: the state
+// service, the cloud and the workers. State and Environment take the time as an argument, so that a
+// simulation can run them on a clock of its own; Servers serves them over HTTP on the real clock.
 package emulator
 
 import (
 	"encoding/json"
+	"maps"
+	"net/http"
+	"slices"
 	"sort"
 	"strings"
 
 	"coralhub/wire"
 )
 
-// Micros is a time in whole microseconds.
+// Micros is a time or a duration in whole microseconds.
 type Micros = int64
 
 // Second is a second in Micros.
 const Second Micros = 1_000_000
 
-// State is a state service.
+// State is a key-value store with compare-and-swap transactions, leases and watches. It is not safe for
+// concurrent use. Methods that return an int return an HTTP status.
 type State struct {
-	Down bool // an outage: everybody gets 503
-	// Limits of values, in bytes of their JSON, and of changes a transaction; 0: none.
+	Down bool // an outage: every request is answered 503
+	// ValueBytes limits values, in bytes of their JSON, and TxnOps the changes of a transaction; 0:
+	// unlimited.
 	ValueBytes, TxnOps int
-	Refused            int // transactions that went beyond a limit
-	rev                uint64
+	Refused            int // transactions beyond these limits
+	revision           uint64
 	keys               map[string]wire.KeyValue
 	leases             map[uint64]*lease
-	next               uint64
-	changes            []wire.Change
-	// Keep is how many changes a watch can go back; 0 means all.
+	lastLease          uint64
+	changes            []wire.Change // in the order of their revisions
+	// Keep is how many changes at least a watch can go back; 0: all.
 	Keep int
-	// Disk keeps what is committed, before it is answered; nil: nothing does.
+	// Disk stores what is committed before it is answered; nil: it is kept in memory alone.
 	Disk *Disk
 }
 
+// lease is a lease of a client on its keys.
 type lease struct {
-	ttl, until Micros
+	ttl       Micros
+	expiresAt Micros
 }
 
 // NewState returns an empty state service.
 func NewState() *State {
-	return &State{rev: 1, keys: map[string]wire.KeyValue{}, leases: map[uint64]*lease{}}
+	return &State{revision: 1, keys: map[string]wire.KeyValue{}, leases: map[uint64]*lease{}}
 }
 
-// SetDown begins or ends an outage. After it every lease has its full time.
+// SetDown begins or ends an outage. Leases don't expire in an outage, and have their full time after it.
 func (s *State) SetDown(now Micros, down bool) {
 	if s.Down && !down {
 		for _, l := range s.leases {
-			l.until = now + l.ttl
+			l.expiresAt = now + l.ttl
 		}
 	}
 	s.Down = down
 }
 
-// Expire ends the leases that were not renewed in time.
+// Expire ends the leases that were not renewed in time, and deletes their keys.
 func (s *State) Expire(now Micros) {
 	if s.Down {
 		return
 	}
-	ids := make([]uint64, 0, len(s.leases))
-	for id := range s.leases {
-		ids = append(ids, id)
-	}
-	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
-	for _, id := range ids {
-		if s.leases[id].until > now {
+	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
+		if s.leases[id].expiresAt > now {
 			continue
 		}
 		delete(s.leases, id)
-		var gone []string
-		for k, it := range s.keys {
-			if it.Lease == id {
-				gone = append(gone, k)
-			}
+		s.deleteKeysOf(id)
+	}
+}
+
+// deleteKeysOf deletes the keys that are attached to a lease, in order, each in a revision of its own.
+func (s *State) deleteKeysOf(lease uint64) {
+	var attached []string
+	for key, item := range s.keys {
+		if item.Lease == lease {
+			attached = append(attached, key)
 		}
-		sort.Strings(gone)
-		for _, k := range gone {
-			if s.Disk.save(s.rev+1, []wire.Change{{Delete: k}}) != nil {
-				continue // it goes with the next restart at the latest
-			}
-			s.rev++
-			delete(s.keys, k)
-			s.changes = append(s.changes, wire.Change{Delete: k, Version: s.rev})
+	}
+	slices.Sort(attached)
+	for _, key := range attached {
+		if s.Disk.save(s.revision+1, []wire.Change{{Delete: key}}) != nil {
+			continue // the key is deleted when the disk is loaded, at the latest
 		}
+		s.revision++
+		delete(s.keys, key)
+		s.changes = append(s.changes, wire.Change{Delete: key, Version: s.revision})
 	}
 }
 
-// Commit carries out a transaction and returns the HTTP status.
-func (s *State) Commit(t wire.Transaction) (int, wire.TransactionResult) {
+// Commit commits a transaction if all its conditions hold, and returns the HTTP status.
+func (s *State) Commit(t wire.Transaction) (status int, result wire.TransactionResult) {
 	if s.Down {
-		return 503, wire.TransactionResult{}
-	}
-	var failed []string
-	for _, g := range t.Conditions {
-		if s.keys[g.Key].Version != g.Version {
-			failed = append(failed, g.Key)
-		}
+		return http.StatusServiceUnavailable, wire.TransactionResult{}
 	}
+	failed := s.failedConditions(&t)
 	for _, c := range t.Changes {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
-			return 400, wire.TransactionResult{Error: wire.NoSuchLease}
+			return http.StatusBadRequest, wire.TransactionResult{Error: wire.NoSuchLease}
 		}
 	}
 	if s.violatedLimits(&t) {
 		s.Refused++
-		return 400, wire.TransactionResult{Error: "too large"}
+		return http.StatusBadRequest, wire.TransactionResult{Error: "too large"}
 	}
 	if len(failed) > 0 {
-		return 409, wire.TransactionResult{Failed: failed, Revision: s.rev}
+		return http.StatusConflict, wire.TransactionResult{Failed: failed, Revision: s.revision}
 	}
 	if len(t.Changes) == 0 {
-		return 200, wire.TransactionResult{Revision: s.rev}
+		return http.StatusOK, wire.TransactionResult{Revision: s.revision}
 	}
-	if err := s.Disk.save(s.rev+1, t.Changes); err != nil {
-		return 503, wire.TransactionResult{Error: err.Error()}
+	if err := s.Disk.save(s.revision+1, t.Changes); err != nil {
+		return http.StatusServiceUnavailable, wire.TransactionResult{Error: err.Error()}
 	}
-	s.rev++
+	s.revision++
 	s.trimHistory()
-	for _, c := range t.Changes {
+	s.applyChanges(t.Changes)
+	return http.StatusOK, wire.TransactionResult{Revision: s.revision}
+}
+
+// failedConditions returns the keys whose versions are not those of the transaction's conditions.
+func (s *State) failedConditions(t *wire.Transaction) []string {
+	var failed []string
+	for _, c := range t.Conditions {
+		if s.keys[c.Key].Version != c.Version {
+			failed = append(failed, c.Key)
+		}
+	}
+	return failed
+}
+
+// applyChanges makes changes in the current revision.
+func (s *State) applyChanges(changes []wire.Change) {
+	for _, c := range changes {
 		if c.Put != "" {
-			s.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, Version: s.rev, Lease: c.Lease}
-			s.changes = append(s.changes, wire.Change{Put: c.Put, Value: c.Value, Version: s.rev})
-		} else {
-			delete(s.keys, c.Delete)
-			s.changes = append(s.changes, wire.Change{Delete: c.Delete, Version: s.rev})
+			s.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, Version: s.revision, Lease: c.Lease}
+			s.changes = append(s.changes, wire.Change{Put: c.Put, Value: c.Value, Version: s.revision})
+			continue
 		}
+		delete(s.keys, c.Delete)
+		s.changes = append(s.changes, wire.Change{Delete: c.Delete, Version: s.revision})
 	}
-	return 200, wire.TransactionResult{Revision: s.rev}
 }
 
-// trimHistory drops changes that watches can't ask for any more, some at a time.
+// trimHistory drops old changes beyond Keep, once there are as many of them.
 func (s *State) trimHistory() {
 	if s.Keep > 0 && len(s.changes) > 2*s.Keep {
 		s.changes = append([]wire.Change(nil), s.changes[len(s.changes)-s.Keep:]...)
 	}
 }
 
-// Lost tells whether changes after a revision are not kept any more.
-func (s *State) Lost(rev uint64) bool {
-	return s.Keep > 0 && len(s.changes) >= s.Keep && rev+1 < s.changes[0].Version
+// Lost reports whether changes after a revision are not kept any more.
+func (s *State) Lost(revision uint64) bool {
+	return s.Keep > 0 && len(s.changes) >= s.Keep && revision+1 < s.changes[0].Version
 }
 
-// Page returns keys under a prefix, in order, after a key: at most so many.
-func (s *State) Page(prefix, from string, most int) (items []wire.KeyValue, more bool) {
+// Page returns the items under a prefix after a key, in order: limit at most, and no more than fit a page.
+// more reports whether others follow.
+func (s *State) Page(prefix, from string, limit int) (items []wire.KeyValue, more bool) {
 	all := s.List(prefix)
 	i := sort.Search(len(all), func(i int) bool { return all[i].Key > from })
 	all = all[i:]
 	size := 0
-	for n, it := range all {
-		if size += len(it.Key) + len(it.Value); n == most || size > maxPageBytes {
+	for n, item := range all {
+		size += len(item.Key) + len(item.Value)
+		if n == limit || size > maxPageBytes {
 			return all[:n], true
 		}
 	}
 	return all, false
 }
 
-// maxPageBytes bounds a page of keys.
+// maxPageBytes bounds a page of items.
 const maxPageBytes = 512 << 10
 
-// EndLease ends a lease at once.
+// EndLease ends a lease at once, and deletes its keys. One that there isn't has ended.
 func (s *State) EndLease(now Micros, id uint64) int {
 	if s.Down {
-		return 503
+		return http.StatusServiceUnavailable
 	}
 	if l := s.leases[id]; l != nil {
-		l.until = now
+		l.expiresAt = now
 		s.Expire(now)
 	}
-	return 200
+	return http.StatusOK
 }
 
-// violatedLimits tells whether a transaction goes beyond the limits.
+// violatedLimits reports whether a transaction exceeds the limits.
 func (s *State) violatedLimits(t *wire.Transaction) bool {
 	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Conditions) > wire.ConditionsPerChange*s.TxnOps) {
 		return true
@@ -180,41 +199,44 @@
 		return false
 	}
 	for _, c := range t.Changes {
-		var v any
-		if c.Put == "" {
-			continue
-		}
-		if err := wire.Unmarshal(c.Value, &v); err != nil {
-			return true
-		}
-		if raw, err := json.Marshal(v); err != nil || len(raw) > s.ValueBytes {
+		if c.Put != "" && s.valueTooLarge(c.Value) {
 			return true
 		}
 	}
 	return false
 }
 
-// Get returns a key; its version is 0 if there is none.
+// valueTooLarge reports whether a value is malformed or exceeds the limit as JSON.
+func (s *State) valueTooLarge(value []byte) bool {
+	var v any
+	if err := wire.Unmarshal(value, &v); err != nil {
+		return true
+	}
+	raw, err := json.Marshal(v)
+	return err != nil || len(raw) > s.ValueBytes
+}
+
+// Get returns the item of a key; its version is 0 if there is none.
 func (s *State) Get(key string) wire.KeyValue { return s.keys[key] }
 
-// Revision counts the changes.
-func (s *State) Revision() uint64 { return s.rev }
+// Revision is the revision of the last change.
+func (s *State) Revision() uint64 { return s.revision }
 
-// List returns the keys under a prefix, in order.
+// List returns the items under a prefix, in the order of their keys.
 func (s *State) List(prefix string) []wire.KeyValue {
 	out := make([]wire.KeyValue, 0, len(s.keys))
-	for k, it := range s.keys {
-		if strings.HasPrefix(k, prefix) {
-			out = append(out, it)
+	for key, item := range s.keys {
+		if strings.HasPrefix(key, prefix) {
+			out = append(out, item)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
 	return out
 }
 
-// Since returns the changes under a prefix after a revision.
-func (s *State) Since(prefix string, rev uint64) []wire.Change {
-	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > rev })
+// Since returns the changes under a prefix after a revision, as far as they are kept; see Lost.
+func (s *State) Since(prefix string, revision uint64) []wire.Change {
+	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > revision })
 	var out []wire.Change
 	for _, c := range s.changes[i:] {
 		if strings.HasPrefix(c.Put+c.Delete, prefix) {
@@ -224,25 +246,25 @@
 	return out
 }
 
-// Grant gives a lease.
-func (s *State) Grant(now, ttl Micros) (int, uint64) {
+// Grant grants a lease and returns the HTTP status and the lease's number.
+func (s *State) Grant(now, ttl Micros) (status int, id uint64) {
 	if s.Down {
-		return 503, 0
+		return http.StatusServiceUnavailable, 0
 	}
-	s.next++
-	s.leases[s.next] = &lease{ttl, now + ttl}
-	return 200, s.next
+	s.lastLease++
+	s.leases[s.lastLease] = &lease{ttl: ttl, expiresAt: now + ttl}
+	return http.StatusOK, s.lastLease
 }
 
-// Extend renews a lease.
+// Extend renews a lease; it returns 404 if there is no such lease.
 func (s *State) Extend(now Micros, id uint64) int {
 	if s.Down {
-		return 503
+		return http.StatusServiceUnavailable
 	}
 	l := s.leases[id]
 	if l == nil {
-		return 404
+		return http.StatusNotFound
 	}
-	l.until = now + l.ttl
-	return 200
+	l.expiresAt = now + l.ttl
+	return http.StatusOK
 }
