--- a/internal/cluster/links.go
+++ b/internal/cluster/links.go
@@ -12,10 +12,10 @@
 	"coralhub/internal/process"
 )
 
-// Names of the links that every node has beside those to its peers.
+// The names in Node.Links of the links that every node has beside those to its peers.
 const (
-	linkState = "state"
-	linkCloud = "cloud"
+	LinkState = "state"
+	LinkCloud = "cloud"
 )
 
 // addProxy starts a proxy for a link to a target, which is closed with the cluster.
@@ -63,10 +63,10 @@
 	if n.Workers, err = c.addProxy("workers to "+n.Name, n.listen); err != nil {
 		return err
 	}
-	if n.Links[linkState], err = c.addProxy(n.Name+" to "+linkState, stateAddr); err != nil {
+	if n.Links[LinkState], err = c.addProxy(n.Name+" to "+LinkState, stateAddr); err != nil {
 		return err
 	}
-	n.Links[linkCloud], err = c.addProxy(n.Name+" to "+linkCloud, cloudAddr)
+	n.Links[LinkCloud], err = c.addProxy(n.Name+" to "+LinkCloud, cloudAddr)
 	return err
 }
 
@@ -94,7 +94,7 @@
 		ClientListen: n.listen,
 		PeerListen:   n.peerListen,
 		Cluster:      c.opt.Cluster,
-		External:     config.External{State: n.Links[linkState].Addr(), Cloud: n.Links[linkCloud].Addr()},
+		External:     config.External{State: n.Links[LinkState].Addr(), Cloud: n.Links[LinkCloud].Addr()},
 	}
 	for _, peer := range c.Nodes {
 		if peer != n {
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -19,7 +19,7 @@
 	Name, Zone string
 	Users      *faults.Proxy            // the link from users
 	Workers    *faults.Proxy            // the link from workers
-	Links      map[string]*faults.Proxy // the links from the node: to the state service, the cloud, and its peers by name
+	Links      map[string]*faults.Proxy // the links from the node: LinkState, LinkCloud, and to its peers by name
 
 	listen, peerListen string // addresses
 	configFile         string
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -110,7 +110,8 @@
 	}
 	e.Machines[name] = m
 	e.Model.rented(now, e, m)
-	e.emit(invariants.Event{At: now, Kind: invariants.MachineAdded, Machine: name, Host: &invariants.Host{Type: r.Type, Zone: r.Zone, Spot: r.Spot}})
+	host := &invariants.Host{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+	e.emit(invariants.Event{At: now, Kind: invariants.MachineAdded, Machine: name, Host: host})
 	return name
 }
 
--- a/internal/emulator/heartbeats.go
+++ b/internal/emulator/heartbeats.go
@@ -124,7 +124,7 @@
 }
 
 // heartbeatAnswered has a worker handle the answer to a heartbeat: it executes commands, follows a
-// redirection, or else turns to the next node. A status of 0 means that there was no answer. s.mu is
+// redirection, or else tries the next node. A status of 0 means that there was no answer. s.mu is
 // held.
 func (s *Servers) heartbeatAnswered(d dueHeartbeat, status int, body []byte) {
 	m, now := d.machine, s.Now()
@@ -147,7 +147,7 @@
 	m.NextAt = now + retryDelay
 }
 
-// repeatHeartbeat sends a copy of a heartbeat to any node after its time. Nobody handles the answer.
+// repeatHeartbeat sends a copy of a heartbeat to any node after its time. The answer is ignored.
 func (s *Servers) repeatHeartbeat(ctx context.Context, client *http.Client, d dueHeartbeat) {
 	if wait.For(ctx, d.repeatAfter) {
 		s.post(ctx, client, rand.IntN(len(s.Nodes)), &d.heartbeat)
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -6,7 +6,7 @@
 type Machine struct {
 	wire.Machine
 	Up           Micros // when the worker starts
-	Hang         bool   // the worker does nothing, and answers nobody
+	Hang         bool   // the worker does nothing, and answers no request
 	Incarnation  uint64
 	Sequence     uint64
 	FencingToken uint64 // the highest that the worker knows
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -87,7 +87,7 @@
 	e.exit(now, m, t, wire.Done)
 }
 
-// exit ends a task with a cause. The worker reports it until it is told to forget it.
+// exit ends a task with a cause. The worker reports it until a command has it forget the task.
 func (e *Environment) exit(now Micros, m *Machine, t *task, cause string) {
 	e.leave(now, m, t)
 	t.State = wire.Exited
--- a/internal/faulttest/compare.go
+++ b/internal/faulttest/compare.go
@@ -37,7 +37,7 @@
 	significance = 0.1
 )
 
-// compare judges a variant against the first one, pair by pair: it is better or worse if the median
+// compare compares a variant with the first one, pair by pair, and sets the verdict: it is better or worse if the median
 // ratio differs from 1 by leastRatio at least, and the signs of the pairs would come about by chance
 // with a probability of significance at most (sign test).
 func compare(c *Comparison, first []float64, moreIsBetter bool) {
--- a/internal/faulttest/inject.go
+++ b/internal/faulttest/inject.go
@@ -11,28 +11,28 @@
 
 // The kinds of faults, as scenario files name them in Fault.Kind.
 const (
-	faultNodeKill        = "node_kill"
-	faultNodeStop        = "node_stop"
-	faultNodeFromState   = "node_from_state"
-	faultNodeFromPeers   = "node_from_peers"
-	faultNodeFromUsers   = "node_from_users"
-	faultNodeFromWorkers = "node_from_workers"
-	faultZoneCut         = "zone_cut"
-	faultStateOut        = "state_out"
-	faultStateSlow       = "state_slow"
-	faultStateRefuses    = "state_refuses"
-	faultCloudOut        = "cloud_out"
-	faultCloudFull       = "cloud_full"
-	faultBootsLate       = "boots_late"
-	faultMachineHang     = "machine_hang"
-	faultMachineDeaf     = "machine_deaf"
-	faultMachineRestart  = "machine_restart"
-	faultMachineSick     = "machine_sick"
-	faultMachineSlow     = "machine_slow"
-	faultMachineDie      = "machine_die"
-	faultReportsAgain    = "reports_again"
-	faultSpotWave        = "spot_wave"
-	faultDrain           = "drain"
+	faultNodeKill           = "node_kill"
+	faultNodeStop           = "node_stop"
+	faultNodeFromState      = "node_from_state"
+	faultNodeFromPeers      = "node_from_peers"
+	faultNodeFromUsers      = "node_from_users"
+	faultNodeFromWorkers    = "node_from_workers"
+	faultZoneCut            = "zone_cut"
+	faultStateOut           = "state_out"
+	faultStateSlow          = "state_slow"
+	faultStateRefuses       = "state_refuses"
+	faultCloudOut           = "cloud_out"
+	faultCloudFull          = "cloud_full"
+	faultBootsLate          = "boots_late"
+	faultMachineHang        = "machine_hang"
+	faultMachineInboundLost = "machine_deaf"
+	faultMachineRestart     = "machine_restart"
+	faultMachineFailsTasks  = "machine_sick"
+	faultMachineSlow        = "machine_slow"
+	faultMachineDie         = "machine_die"
+	faultHeartbeatsRepeated = "reports_again"
+	faultSpotWave           = "spot_wave"
+	faultMachineRecall      = "drain"
 )
 
 // injector applies a fault and returns the function that undoes it; nil if the fault can't be
@@ -41,28 +41,28 @@
 
 // injectors holds the injector of each kind of fault.
 var injectors = map[string]injector{
-	faultNodeKill:        (*run).killNodes,
-	faultNodeStop:        (*run).stopNodes,
-	faultNodeFromState:   (*run).cutNodesFromState,
-	faultNodeFromPeers:   (*run).cutNodesFromPeers,
-	faultNodeFromUsers:   (*run).cutNodesFromUsers,
-	faultNodeFromWorkers: (*run).cutNodesFromWorkers,
-	faultZoneCut:         (*run).cutZone,
-	faultStateOut:        (*run).takeStateDown,
-	faultStateSlow:       (*run).slowState,
-	faultStateRefuses:    (*run).lowerStateQuotas,
-	faultCloudOut:        (*run).takeCloudDown,
-	faultCloudFull:       (*run).exhaustCloud,
-	faultBootsLate:       (*run).delayBoots,
-	faultMachineHang:     (*run).hangMachines,
-	faultMachineDeaf:     (*run).cutMachinesInbound,
-	faultMachineRestart:  (*run).restartMachines,
-	faultMachineSick:     (*run).failTasksOnMachines,
-	faultMachineSlow:     (*run).slowMachines,
-	faultMachineDie:      (*run).killMachines,
-	faultReportsAgain:    (*run).repeatHeartbeats,
-	faultSpotWave:        (*run).recallSpotMachines,
-	faultDrain:           (*run).recallMachines,
+	faultNodeKill:           (*run).killNodes,
+	faultNodeStop:           (*run).stopNodes,
+	faultNodeFromState:      (*run).cutNodesFromState,
+	faultNodeFromPeers:      (*run).cutNodesFromPeers,
+	faultNodeFromUsers:      (*run).cutNodesFromUsers,
+	faultNodeFromWorkers:    (*run).cutNodesFromWorkers,
+	faultZoneCut:            (*run).cutZone,
+	faultStateOut:           (*run).takeStateDown,
+	faultStateSlow:          (*run).slowState,
+	faultStateRefuses:       (*run).lowerStateQuotas,
+	faultCloudOut:           (*run).takeCloudDown,
+	faultCloudFull:          (*run).exhaustCloud,
+	faultBootsLate:          (*run).delayBoots,
+	faultMachineHang:        (*run).hangMachines,
+	faultMachineInboundLost: (*run).cutMachinesInbound,
+	faultMachineRestart:     (*run).restartMachines,
+	faultMachineFailsTasks:  (*run).failTasksOnMachines,
+	faultMachineSlow:        (*run).slowMachines,
+	faultMachineDie:         (*run).killMachines,
+	faultHeartbeatsRepeated: (*run).repeatHeartbeats,
+	faultSpotWave:           (*run).recallSpotMachines,
+	faultMachineRecall:      (*run).recallMachines,
 }
 
 // injectFault applies a fault and returns the function that undoes it; nil if there is none.
--- a/internal/faulttest/inject_nodes.go
+++ b/internal/faulttest/inject_nodes.go
@@ -15,12 +15,6 @@
 	targetAll    = "all"
 )
 
-// Names of the links that every node has beside those to its peers.
-const (
-	linkState = "state"
-	linkCloud = "cloud"
-)
-
 func (r *run) killNodes(f *Fault) func() {
 	r.signalNodes(r.targetNodes(f.Target), syscall.SIGKILL)
 	return nil
@@ -41,7 +35,7 @@
 func (r *run) cutNodesFromState(f *Fault) func() {
 	var links []*faults.Proxy
 	for _, n := range r.targetNodes(f.Target) {
-		links = append(links, n.Links[linkState])
+		links = append(links, n.Links[cluster.LinkState])
 	}
 	return r.cut(f, links)
 }
@@ -87,7 +81,7 @@
 				links = append(links, n.Links[peer.Name], peer.Links[n.Name])
 			}
 		}
-		links = append(links, n.Links[linkState], n.Links[linkCloud], n.Users)
+		links = append(links, n.Links[cluster.LinkState], n.Links[cluster.LinkCloud], n.Users)
 	}
 	return r.cut(f, links)
 }
--- a/internal/faulttest/measures.go
+++ b/internal/faulttest/measures.go
@@ -6,7 +6,10 @@
 const measureMet = "met"
 
 // Measures names the measures of a result. Less is better of all but measureMet.
-var Measures = []string{"start_p50", "start_p90", "done_p50", "done_p90", "submit_p99", "cpu", "memory", "requests", "changes", "machines", measureMet}
+var Measures = []string{
+	"start_p50", "start_p90", "done_p50", "done_p90", "submit_p99",
+	"cpu", "memory", "requests", "changes", "machines", measureMet,
+}
 
 // measure reads a measure from a result: of times, the worst of all classes.
 func measure(name string, res *Result) (float64, error) {
--- a/internal/faulttest/plan.go
+++ b/internal/faulttest/plan.go
@@ -98,8 +98,8 @@
 	return highest
 }
 
-// add draws a job of a class for a time in seconds. The order of the draws must stay: a seed stands
-// for the same jobs in every version.
+// add draws a job of a class for a time in seconds. The order of the draws must not change: a seed
+// gives the same jobs in every version.
 func (p *planner) add(c *Class, random *rand.Rand, at float64) {
 	runS := c.RunS * math.Exp(c.RunSpread*random.NormFloat64())
 	tasks := c.Tasks[0] + random.IntN(c.Tasks[1]-c.Tasks[0]+1)
--- a/internal/faulttest/run.go
+++ b/internal/faulttest/run.go
@@ -243,8 +243,8 @@
 	})
 }
 
-// play submits the jobs and injects the faults at their times, and waits for jobs to end. It
-// returns when nobody acts on the cluster any more.
+// play submits the jobs and injects the faults at their times, and waits for jobs to end. When it
+// returns, all its goroutines have ended.
 func (r *run) play(ctx context.Context, began time.Time) {
 	ctx, stop := context.WithCancel(ctx)
 	var background sync.WaitGroup // what goes on until stop, and users of services
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -34,21 +34,21 @@
 type Deploy struct {
 	Nodes          int      `toml:"nodes"`
 	Zones          []string `toml:"zones"`
-	Machines       int      `toml:"machines"` // ordinary ones that the cloud can rent out, over all zones
-	Spot           int      `toml:"spot"`     // spot instances that it can rent out
-	GPUs           float64  `toml:"gpus"`     // of a machine
-	BootS          float64  `toml:"boot_s"`
-	ReportS        float64  `toml:"report_s"`
-	LeaseS         float64  `toml:"lease_s"`
-	CancelS        float64  `toml:"cancel_s"`
-	WriteRPS       float64  `toml:"write_rps"`
-	RPS            float64  `toml:"rps"`
-	TeamGPUs       float64  `toml:"team_gpus"` // the quota of each team; 0: unlimited
-	Guaranteed     float64  `toml:"guaranteed_gpus"`
-	RestartAfterS  float64  `toml:"restart_after_s"`
-	ListLagS       float64  `toml:"list_lag_s"`
-	SpeedSpread    float64  `toml:"speed_spread"`
-	BootNeverShare float64  `toml:"boot_never"`
+	Machines       int      `toml:"machines"`        // ordinary ones that the cloud can rent out, over all zones
+	Spot           int      `toml:"spot"`            // spot instances that it can rent out
+	GPUs           float64  `toml:"gpus"`            // of a machine
+	BootS          float64  `toml:"boot_s"`          // how long a machine takes to boot
+	ReportS        float64  `toml:"report_s"`        // heartbeat interval of the workers
+	LeaseS         float64  `toml:"lease_s"`         // lease of the workers
+	CancelS        float64  `toml:"cancel_s"`        // how long tasks may remain after a cancellation is answered
+	WriteRPS       float64  `toml:"write_rps"`       // quota of the state service, in changes a second
+	RPS            float64  `toml:"rps"`             // quota of the state service, in requests a second
+	TeamGPUs       float64  `toml:"team_gpus"`       // the quota of each team; 0: unlimited
+	Guaranteed     float64  `toml:"guaranteed_gpus"` // of each team
+	RestartAfterS  float64  `toml:"restart_after_s"` // how long a node that has ended stays down
+	ListLagS       float64  `toml:"list_lag_s"`      // how old the cloud's lists of machines are
+	SpeedSpread    float64  `toml:"speed_spread"`    // machines are faster or slower by up to this share
+	BootNeverShare float64  `toml:"boot_never"`      // share of the machines that never start
 }
 
 // Class describes jobs of one kind, and when they are submitted.
@@ -60,18 +60,18 @@
 	Tasks       [2]int  `toml:"tasks"` // the least and the most of a job
 	GPUs        float64 `toml:"gpus"`
 	ImageGB     float64 `toml:"image_gb"`
-	Images      int     `toml:"images"`
-	RunS        float64 `toml:"run_s"` // median of a task
-	RunSpread   float64 `toml:"run_spread"`
+	Images      int     `toml:"images"`     // number of different images
+	RunS        float64 `toml:"run_s"`      // median of a task
+	RunSpread   float64 `toml:"run_spread"` // standard deviation of its logarithm
 	CheckpointS float64 `toml:"checkpoint_s"`
 	Spot        bool    `toml:"spot"`
 	OneZone     bool    `toml:"one_zone"`
 	Spread      bool    `toml:"spread"`
-	Initial     int     `toml:"initial"`
-	RatePerS    float64 `toml:"rate_per_s"`
-	Cancelled   float64 `toml:"cancelled"` // share of the jobs that their users cancel
-	DueTimes    float64 `toml:"due_times"` // the deadline is so many times the estimate, and ten seconds; 0: none
-	Needs       string  `toml:"needs"`     // the name of a class: each job depends on the last job of it
+	Initial     int     `toml:"initial"`    // jobs that are submitted at the beginning
+	RatePerS    float64 `toml:"rate_per_s"` // jobs submitted a second
+	Cancelled   float64 `toml:"cancelled"`  // share of the jobs that their users cancel
+	DueTimes    float64 `toml:"due_times"`  // the deadline is so many times the estimate, and ten seconds; 0: none
+	Needs       string  `toml:"needs"`      // the name of a class: each job depends on the last job of it
 	Bursts      []Burst `toml:"burst"`
 }
 
@@ -101,8 +101,8 @@
 type Expect struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
+	WithinS float64 `toml:"within_s"` // 0: at any time
+	Share   float64 `toml:"share"`    // between 0 and 1
 }
 
 // The shapes of jobs, as scenario files name them in Class.Shape.
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -41,7 +41,7 @@
 
 // The names of the rules, in Violation.Rule.
 const (
-	ruleForgotten    = "forgotten"     // an accepted job is unknown, or nobody is answered about it
+	ruleForgotten    = "forgotten"     // an accepted job is unknown, or no poll for it is answered
 	ruleInvented     = "invented"      // there is a job or a task that nobody has submitted
 	ruleNotDone      = "not_done"      // a job is called done and tasks have not completed
 	ruleNothingRan   = "nothing_ran"   // no task was started at all
