--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -223,25 +223,25 @@
 	}
 }
 
-// liar is a transport that changes the answers to users.
-type liar struct {
-	next http.RoundTripper
-	lie  func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus)
-	skip func(req *http.Request) (wire.JobStatus, bool) // answered without reaching the service
+// tamperingTransport is a transport that changes the answers to users.
+type tamperingTransport struct {
+	next   http.RoundTripper
+	tamper func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus)
+	skip   func(req *http.Request) (wire.JobStatus, bool) // answered without reaching the service
 }
 
-func (l *liar) RoundTrip(req *http.Request) (*http.Response, error) {
+func (x *tamperingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	answer := func(status int, st wire.JobStatus) (*http.Response, error) {
 		raw, err := wire.Marshal(&st)
 		return &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(raw)), Request: req}, err
 	}
-	if l.skip != nil {
-		if st, yes := l.skip(req); yes {
+	if x.skip != nil {
+		if st, yes := x.skip(req); yes {
 			return answer(http.StatusOK, st)
 		}
 	}
-	res, err := l.next.RoundTrip(req)
-	if err != nil || l.lie == nil || !strings.HasPrefix(req.URL.Path, wire.PathJobs) {
+	res, err := x.next.RoundTrip(req)
+	if err != nil || x.tamper == nil || !strings.HasPrefix(req.URL.Path, wire.PathJobs) {
 		return res, err
 	}
 	raw, err := io.ReadAll(res.Body)
@@ -253,7 +253,7 @@
 	if res.StatusCode < 300 && wire.Unmarshal(raw, &st) != nil {
 		return nil, io.ErrUnexpectedEOF
 	}
-	return answer(l.lie(req, res.StatusCode, st))
+	return answer(x.tamper(req, res.StatusCode, st))
 }
 
 // Each wrong answer of a broken service is reported as a violation, on real processes: the checker is not
@@ -263,7 +263,7 @@
 		return strings.Split(strings.TrimPrefix(req.URL.Path, wire.PathJobs+"/"), "/")[0]
 	}
 	const quiet = `
-name = "lies"
+name = "wrong-answers"
 about = "A few jobs"
 duration_s = 6
 settle_s = 40
@@ -288,43 +288,43 @@
 initial = 1
 cancelled = 1
 `
-	for rule, make := range map[string]func() *liar{
-		"not_done": func() *liar {
-			return &liar{lie: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
+	for rule, newTransport := range map[string]func() *tamperingTransport{
+		"not_done": func() *tamperingTransport {
+			return &tamperingTransport{tamper: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
 				if status == 200 && st.Status == wire.Running {
 					st.Status = wire.Done
 				}
 				return status, st
 			}}
 		},
-		"forgotten": func() *liar {
-			return &liar{lie: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
+		"forgotten": func() *tamperingTransport {
+			return &tamperingTransport{tamper: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
 				if req.Method == http.MethodGet && status == 200 {
 					return 404, wire.JobStatus{}
 				}
 				return status, st
 			}}
 		},
-		"invented": func() *liar {
-			return &liar{lie: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
+		"invented": func() *tamperingTransport {
+			return &tamperingTransport{tamper: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
 				if status == 404 {
 					return 200, wire.JobStatus{ID: id(req), Status: wire.Queued}
 				}
 				return status, st
 			}}
 		},
-		"went_back": func() *liar {
-			return &liar{lie: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
+		"went_back": func() *tamperingTransport {
+			return &tamperingTransport{tamper: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
 				if status == 200 && req.Method == http.MethodGet {
 					st.Status = wire.Cancelled
 				}
 				return status, st
 			}}
 		},
-		"ran_cancelled": func() *liar {
+		"ran_cancelled": func() *tamperingTransport {
 			var mu sync.Mutex
 			cancelled := map[string]bool{} // the service never learns of the cancellation
-			return &liar{skip: func(req *http.Request) (wire.JobStatus, bool) {
+			return &tamperingTransport{skip: func(req *http.Request) (wire.JobStatus, bool) {
 				mu.Lock()
 				defer mu.Unlock()
 				if strings.HasSuffix(req.URL.Path, wire.CancelVerb) {
@@ -336,10 +336,10 @@
 	} {
 		t.Run(rule, func(t *testing.T) {
 			t.Parallel()
-			l := make()
+			transport := newTransport()
 			res := play(t, quiet, func(next http.RoundTripper) http.RoundTripper {
-				l.next = next
-				return l
+				transport.next = next
+				return transport
 			})
 			if res.Passed {
 				t.Fatal("passed")
