--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -20,7 +20,7 @@
 	"coralhub/wire"
 )
 
-// The nodes of a test's cluster are this very test program, told to serve.
+// The nodes of a test's cluster run this test program with the argument "serve".
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
 		if err := serve(os.Args); err != nil {
@@ -44,7 +44,7 @@
 	return node.New(cfg).Run(context.Background())
 }
 
-// work adds up what comes after the start, in task seconds.
+// work is the total run time of the jobs that are submitted after the initial ones, in task seconds.
 func work(s *Scenario) float64 {
 	sum := 0.0
 	for _, p := range s.plan(5) {
@@ -55,6 +55,8 @@
 	return sum
 }
 
+// Every embedded scenario is valid, keeps its amount of work when sped up, and draws the same jobs from
+// the same seed.
 func TestScenariosAreSound(t *testing.T) {
 	names := Names()
 	if len(names) < 10 {
@@ -78,6 +80,7 @@
 	}
 }
 
+// A scenario that can't be played is refused with an error of one line that names the reason.
 func TestBadScenarios(t *testing.T) {
 	const sound = "name = \"x\"\nabout = \"y\"\nduration_s = 5\n[[class]]\nname = \"c\"\nshape = \"array\"\nrun_s = 1\n"
 	if _, err := Parse([]byte(sound)); err != nil {
@@ -148,6 +151,8 @@
 share = 1
 `
 
+// play plays a scenario on a cluster of its own and returns the result, which must be readable from
+// the run's directory as well.
 func play(t *testing.T, text string, wrap func(http.RoundTripper) http.RoundTripper) *Result {
 	t.Helper()
 	s, err := Parse([]byte(text))
@@ -169,7 +174,7 @@
 	return res
 }
 
-// A short run on real processes and sockets, with the leader killed in the middle.
+// A short run on real processes and sockets passes although the leader is killed in the middle.
 func TestShortRun(t *testing.T) {
 	t.Parallel()
 	res := play(t, short, nil)
@@ -189,25 +194,25 @@
 	}
 }
 
-// exhausted is a transport of a process that has no more files to open after some requests.
+// exhausted is the transport of a process that can open no more files after some requests.
 type exhausted struct {
-	next http.RoundTripper
-	left atomic.Int32
+	next      http.RoundTripper
+	remaining atomic.Int32
 }
 
 func (x *exhausted) RoundTrip(req *http.Request) (*http.Response, error) {
-	if x.left.Add(-1) < 0 {
+	if x.remaining.Add(-1) < 0 {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	}
 	return x.next.RoundTrip(req)
 }
 
-// A rehearsal that has no more files to open says so, ends, and blames nobody.
+// A run whose own process can open no more files says so, ends at once, and reports no violation.
 func TestOutOfFiles(t *testing.T) {
 	t.Parallel()
 	res := play(t, short, func(next http.RoundTripper) http.RoundTripper {
 		x := &exhausted{next: next}
-		x.left.Store(20)
+		x.remaining.Store(20)
 		return x
 	})
 	if res.Passed || !strings.Contains(res.Why, "run out of files") || len(res.Violations) > 0 {
@@ -218,25 +223,25 @@
 	}
 }
 
-// liar changes what users are told.
-type liar struct {
-	next http.RoundTripper
-	lie  func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus)
-	skip func(req *http.Request) (wire.JobStatus, bool) // answered without being passed on
+// tamperingTransport is a transport that changes the answers to users.
+type tamperingTransport struct {
+	next   http.RoundTripper
+	tamper func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus)
+	skip   func(req *http.Request) (wire.JobStatus, bool) // answered without reaching the service
 }
 
-func (l *liar) RoundTrip(req *http.Request) (*http.Response, error) {
+func (x *tamperingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	answer := func(status int, st wire.JobStatus) (*http.Response, error) {
 		raw, err := wire.Marshal(&st)
 		return &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(raw)), Request: req}, err
 	}
-	if l.skip != nil {
-		if st, yes := l.skip(req); yes {
+	if x.skip != nil {
+		if st, yes := x.skip(req); yes {
 			return answer(http.StatusOK, st)
 		}
 	}
-	res, err := l.next.RoundTrip(req)
-	if err != nil || l.lie == nil || !strings.HasPrefix(req.URL.Path, wire.PathJobs) {
+	res, err := x.next.RoundTrip(req)
+	if err != nil || x.tamper == nil || !strings.HasPrefix(req.URL.Path, wire.PathJobs) {
 		return res, err
 	}
 	raw, err := io.ReadAll(res.Body)
@@ -248,17 +253,17 @@
 	if res.StatusCode < 300 && wire.Unmarshal(raw, &st) != nil {
 		return nil, io.ErrUnexpectedEOF
 	}
-	return answer(l.lie(req, res.StatusCode, st))
+	return answer(x.tamper(req, res.StatusCode, st))
 }
 
-// What a broken service would say is found out, on real processes: the judge is not
-// told who lies.
-func TestLiesAreFoundOut(t *testing.T) {
+// Each wrong answer of a broken service is reported as a violation, on real processes: the checker is not
+// told which answers are wrong.
+func TestWrongAnswersAreViolations(t *testing.T) {
 	id := func(req *http.Request) string {
 		return strings.Split(strings.TrimPrefix(req.URL.Path, wire.PathJobs+"/"), "/")[0]
 	}
 	const quiet = `
-name = "lies"
+name = "wrong-answers"
 about = "A few jobs"
 duration_s = 6
 settle_s = 40
@@ -283,58 +288,58 @@
 initial = 1
 cancelled = 1
 `
-	for rule, make := range map[string]func() *liar{
-		"not_done": func() *liar {
-			return &liar{lie: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
+	for rule, newTransport := range map[string]func() *tamperingTransport{
+		"not_done": func() *tamperingTransport {
+			return &tamperingTransport{tamper: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
 				if status == 200 && st.Status == wire.Running {
 					st.Status = wire.Done
 				}
 				return status, st
 			}}
 		},
-		"forgotten": func() *liar {
-			return &liar{lie: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
+		"forgotten": func() *tamperingTransport {
+			return &tamperingTransport{tamper: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
 				if req.Method == http.MethodGet && status == 200 {
 					return 404, wire.JobStatus{}
 				}
 				return status, st
 			}}
 		},
-		"invented": func() *liar {
-			return &liar{lie: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
+		"invented": func() *tamperingTransport {
+			return &tamperingTransport{tamper: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
 				if status == 404 {
 					return 200, wire.JobStatus{ID: id(req), Status: wire.Queued}
 				}
 				return status, st
 			}}
 		},
-		"went_back": func() *liar {
-			return &liar{lie: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
+		"went_back": func() *tamperingTransport {
+			return &tamperingTransport{tamper: func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus) {
 				if status == 200 && req.Method == http.MethodGet {
 					st.Status = wire.Cancelled
 				}
 				return status, st
 			}}
 		},
-		"ran_cancelled": func() *liar {
+		"ran_cancelled": func() *tamperingTransport {
 			var mu sync.Mutex
-			told := map[string]bool{} // the service never hears of the cancellation
-			return &liar{skip: func(req *http.Request) (wire.JobStatus, bool) {
+			cancelled := map[string]bool{} // the service never learns of the cancellation
+			return &tamperingTransport{skip: func(req *http.Request) (wire.JobStatus, bool) {
 				mu.Lock()
 				defer mu.Unlock()
 				if strings.HasSuffix(req.URL.Path, wire.CancelVerb) {
-					told[id(req)] = true
+					cancelled[id(req)] = true
 				}
-				return wire.JobStatus{ID: id(req), Status: wire.Cancelled}, told[id(req)]
+				return wire.JobStatus{ID: id(req), Status: wire.Cancelled}, cancelled[id(req)]
 			}}
 		},
 	} {
 		t.Run(rule, func(t *testing.T) {
 			t.Parallel()
-			l := make()
+			transport := newTransport()
 			res := play(t, quiet, func(next http.RoundTripper) http.RoundTripper {
-				l.next = next
-				return l
+				transport.next = next
+				return transport
 			})
 			if res.Passed {
 				t.Fatal("passed")
