--- a/cmd/coralhub/estimate.go
+++ b/cmd/coralhub/estimate.go
@@ -105,9 +105,9 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tjobs\twith kin\twithin 1.25\t1.5\t2\t0.5 covers\t0.8\t0.95\tlog error\towners'\tfirst seen\twithin 2\tunknown\t")
 	for _, c := range r.Classes {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%.3f\t%d\t\n", c.Class, c.Jobs, c.WithKin,
+		fmt.Fprintf(w, "%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%.3f\t%d\t\n", c.Class, c.Jobs, c.WithSimilar,
 			c.Within["1.25"], c.Within["1.5"], c.Within["2"], c.Coverage["0.5"], c.Coverage["0.8"], c.Coverage["0.95"],
-			c.LogError, c.OwnerLogError, c.FirstSeen.Jobs, c.FirstSeen.Within2, c.FirstSeen.Unknown)
+			c.LogError, c.UserLogError, c.FirstSeen.Jobs, c.FirstSeen.Within2, c.FirstSeen.Unknown)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -45,7 +45,7 @@
 			return fmt.Sprintf(layout, of(f))
 		}
 	}
-	g := gochart.Chart{Title: fmt.Sprintf("%s: %d runs with kin, by the stated median", c.Class, c.WithKin), Width: width, Height: height,
+	g := gochart.Chart{Title: fmt.Sprintf("%s: %d runs with kin, by the stated median", c.Class, c.WithSimilar), Width: width, Height: height,
 		TitleStyle: gochart.Style{FontSize: 11}, Background: gochart.Style{Padding: gochart.Box{Top: 70, Left: 20, Right: 20, Bottom: 10}},
 		XAxis: gochart.XAxis{Name: "end, s", ValueFormatter: format("%.0f", func(f float64) float64 { return f })},
 		YAxis: gochart.YAxis{Name: "times", ValueFormatter: format("%.2g", func(f float64) float64 { return math.Pow(10, f) })},
@@ -96,7 +96,7 @@
 <h1>Estimates of run times</h1>
 <p>{{.Result.Skipped}} lines skipped, {{.Result.Changes}} sudden changes found.</p>
 <table><tr><th>class<th>jobs<th>with kin<th>within 1.25<th>1.5<th>2<th>0.5 covers<th>0.8<th>0.95<th>log error<th>owners'<th>first seen<th>unknown</tr>
-{{range .Result.Classes}}<tr><td>{{.Class}}<td>{{.Jobs}}<td>{{.WithKin}}<td>{{index .Within "1.25"}}<td>{{index .Within "1.5"}}<td>{{index .Within "2"}}<td>{{index .Coverage "0.5"}}<td>{{index .Coverage "0.8"}}<td>{{index .Coverage "0.95"}}<td>{{.LogError}}<td>{{.OwnerLogError}}<td>{{.FirstSeen.Jobs}}<td>{{.FirstSeen.Unknown}}</tr>
+{{range .Result.Classes}}<tr><td>{{.Class}}<td>{{.Jobs}}<td>{{.WithKin}}<td>{{index .Within "1.25"}}<td>{{index .Within "1.5"}}<td>{{index .Within "2"}}<td>{{index .Coverage "0.5"}}<td>{{index .Coverage "0.8"}}<td>{{index .Coverage "0.95"}}<td>{{.LogError}}<td>{{.UserLogError}}<td>{{.FirstSeen.Jobs}}<td>{{.FirstSeen.Unknown}}</tr>
 {{end}}</table>
 {{range .Charts}}<figure>{{.}}</figure>{{end}}
 </html>
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,10 +1,12 @@
-// Package history reads and replays records of past runs: one JSON object a line, in
-// the order in which the runs ended.
+// Package history reads histories of past runs, and replays them to measure how good
+// estimates of run times are. A history has one JSON object per line, in the order in
+// which the runs ended.
 package history
 
 import (
 	"bufio"
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -13,7 +15,7 @@
 	"slices"
 )
 
-// Line is one run.
+// Line is one run of a history. Times are in seconds.
 type Line struct {
 	Ref       string  `json:"ref"`
 	Class     string  `json:"class"`
@@ -33,7 +35,7 @@
 	Type      string  `json:"type"`
 }
 
-// Outcomes.
+// The outcomes of a run.
 const (
 	Done      = "done"
 	Cancelled = "cancelled"
@@ -51,13 +53,14 @@
 var known = []string{"ref", "class", "team", "shape", "tasks", "cpus", "gpus", "memory_gb", "image", "expect_s", "submitted_s",
 	"started_s", "ended_s", "outcome", "machine", "type"}
 
-// Problem is what is wrong with a line. A line that is skipped has one; others may.
+// Problem is what is wrong with a line. Each skipped line has one; others may have some.
 type Problem struct {
 	Line    int
 	What    string
 	Skipped bool
 }
 
+// String returns the problem as it is shown to users.
 func (p Problem) String() string {
 	s := fmt.Sprintf("line %d: %s", p.Line, p.What)
 	if p.Skipped {
@@ -66,26 +69,47 @@
 	return s
 }
 
-// maxLine bounds a line.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a line.
+const maxLineBytes = 1 << 20
 
-// ErrNoHistory marks a file of which no line is a run.
+// ErrNoHistory is returned for a file in which no line is a run.
 var ErrNoHistory = errors.New("not a history of runs")
 
-// Parse reads a line. Its error tells why the line says nothing; what is only missing
-// or unknown is listed.
+// Parse reads a line. Its error says why the line is unusable; the strings name fields that
+// are missing or unknown in a usable line.
 func Parse(raw []byte) (*Line, []string, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil {
 		return nil, nil, errors.New("not a JSON object")
 	}
-	var odd []string
+	warnings, err := checkFields(fields)
+	if err != nil {
+		return nil, nil, err
+	}
+	var l Line
+	if err := json.Unmarshal(raw, &l); err != nil {
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return nil, nil, fmt.Errorf("field %s is no %s", typeError.Field, typeError.Type)
+		}
+		return nil, nil, err
+	}
+	if err := l.validate(); err != nil {
+		return nil, nil, err
+	}
+	return &l, warnings, nil
+}
+
+// checkFields returns warnings of missing and unknown fields, and an error if a required
+// field is missing.
+func checkFields(fields map[string]json.RawMessage) ([]string, error) {
+	var warnings []string
 	for _, name := range known {
 		if v, ok := fields[name]; !ok || string(v) == "null" {
 			if slices.Contains(required, name) {
-				return nil, nil, fmt.Errorf("field %s is missing", name)
+				return nil, fmt.Errorf("field %s is missing", name)
 			}
-			odd = append(odd, "field "+name+" is missing")
+			warnings = append(warnings, "field "+name+" is missing")
 		}
 	}
 	var unknown []string
@@ -95,94 +119,99 @@
 		}
 	}
 	slices.Sort(unknown)
-	odd = append(odd, unknown...)
-	var l Line
-	if err := json.Unmarshal(raw, &l); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			return nil, nil, fmt.Errorf("field %s is no %s", te.Field, te.Type)
-		}
-		return nil, nil, err
-	}
+	return append(warnings, unknown...), nil
+}
+
+// validate checks the values of a line.
+func (l *Line) validate() error {
 	switch {
 	case !slices.Contains(outcomes, l.Outcome):
-		return nil, nil, fmt.Errorf("outcome %q is unknown", l.Outcome)
-	case !finite(l.Started, l.Ended, l.Submitted, l.ExpectS):
-		return nil, nil, errors.New("a time is out of range")
+		return fmt.Errorf("outcome %q is unknown", l.Outcome)
+	case !inRange(l.Started, l.Ended, l.Submitted, l.ExpectS):
+		return errors.New("a time is out of range")
 	case l.Ended < l.Started:
-		return nil, nil, errors.New("ended_s is before started_s")
+		return errors.New("ended_s is before started_s")
 	case l.ExpectS < 0:
-		return nil, nil, errors.New("expect_s is below 0")
+		return errors.New("expect_s is below 0")
 	}
-	return &l, odd, nil
+	return nil
 }
 
-func finite(vs ...float64) bool {
-	for _, v := range vs {
-		if math.IsNaN(v) || math.Abs(v) > 1e11 {
+// maxSeconds bounds times.
+const maxSeconds = 1e11
+
+func inRange(seconds ...float64) bool {
+	for _, v := range seconds {
+		if math.IsNaN(v) || math.Abs(v) > maxSeconds {
 			return false
 		}
 	}
 	return true
 }
 
-// Read reads a history. Lines that say nothing are skipped and told of, and so is
-// one out of order, which is taken all the same.
-func Read(r io.Reader, tell func(Problem)) ([]Line, int, error) {
+// Read reads a history and returns its runs, ordered by their end, and the number of
+// skipped lines. Unusable lines are skipped; report is called with each problem. A line
+// that is out of order is reported and used all the same. The error is ErrNoHistory if no
+// line is usable, or that of the reader.
+func Read(r io.Reader, report func(Problem)) ([]Line, int, error) {
+	p := parser{report: report, latest: math.Inf(-1)}
 	br := bufio.NewReaderSize(r, 64<<10)
-	var lines []Line
-	skipped, last := 0, math.Inf(-1)
-	for n := 1; ; n++ {
+	for number := 1; ; number++ {
 		raw, tooLong, err := readLine(br)
 		if err != nil && !errors.Is(err, io.EOF) {
 			return nil, 0, err
 		}
 		if len(bytes.TrimSpace(raw)) > 0 || tooLong {
-			l, odd, bad := Parse(raw)
-			if tooLong {
-				bad = errors.New("longer than 1 MiB")
-			}
-			if bad != nil {
-				skipped++
-				tell(Problem{n, bad.Error(), true})
-			} else {
-				for _, what := range odd {
-					tell(Problem{Line: n, What: what})
-				}
-				if l.Ended < last {
-					tell(Problem{Line: n, What: "out of order by ended_s"})
-				}
-				last = max(last, l.Ended)
-				lines = append(lines, *l)
-			}
+			p.parse(number, raw, tooLong)
 		}
 		if err != nil {
 			break
 		}
 	}
-	if len(lines) == 0 {
-		return nil, skipped, ErrNoHistory
+	if len(p.lines) == 0 {
+		return nil, p.skipped, ErrNoHistory
 	}
-	slices.SortStableFunc(lines, func(a, b Line) int {
-		switch {
-		case a.Ended < b.Ended:
-			return -1
-		case a.Ended > b.Ended:
-			return 1
-		}
-		return 0
-	})
-	return lines, skipped, nil
+	slices.SortStableFunc(p.lines, func(a, b Line) int { return cmp.Compare(a.Ended, b.Ended) })
+	return p.lines, p.skipped, nil
+}
+
+// parser collects the lines of a history.
+type parser struct {
+	report  func(Problem)
+	lines   []Line
+	skipped int
+	latest  float64 // end of a run so far
+}
+
+// parse takes the line of a number, counted from 1.
+func (p *parser) parse(number int, raw []byte, tooLong bool) {
+	l, warnings, err := Parse(raw)
+	if tooLong {
+		err = errors.New("longer than 1 MiB")
+	}
+	if err != nil {
+		p.skipped++
+		p.report(Problem{number, err.Error(), true})
+		return
+	}
+	for _, what := range warnings {
+		p.report(Problem{Line: number, What: what})
+	}
+	if l.Ended < p.latest {
+		p.report(Problem{Line: number, What: "out of order by ended_s"})
+	}
+	p.latest = max(p.latest, l.Ended)
+	p.lines = append(p.lines, *l)
 }
 
-// readLine returns a line without its end, and whether it was cut for its length.
+// readLine returns a line, and whether it is longer than maxLineBytes and incomplete.
 func readLine(br *bufio.Reader) (line []byte, tooLong bool, err error) {
 	for {
-		frag, err := br.ReadSlice('\n')
-		if len(line)+len(frag) > maxLine {
+		fragment, err := br.ReadSlice('\n')
+		if len(line)+len(fragment) > maxLineBytes {
 			tooLong = true
 		} else {
-			line = append(line, frag...)
+			line = append(line, fragment...)
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return line, tooLong, err
--- a/internal/history/names_test.go
+++ b/internal/history/names_test.go
@@ -6,7 +6,7 @@
 	"coralhub/internal/golden"
 )
 
-// Histories and what a replay says of them keep their names.
-func TestNamesInFiles(t *testing.T) {
+// The JSON names of histories and of the results of replays don't change.
+func TestJSONNames(t *testing.T) {
 	golden.Check(t, "names.txt", golden.Names("json", Line{}, Result{}))
 }
--- a/internal/history/replay.go
+++ b/internal/history/replay.go
@@ -1,6 +1,7 @@
 package history
 
 import (
+	"cmp"
 	"container/heap"
 	"math"
 	"slices"
@@ -8,207 +9,254 @@
 	"coralhub/internal/estimate"
 )
 
-// leastKin is from how many earlier ends of the same class and shape on a run counts
-// as one with kin.
-const leastKin = 20
+// minimumSimilar is the number of earlier ends of the same class and shape from which on a
+// run counts as one with similar runs.
+const minimumSimilar = 20
 
-// ClassResult tells how the estimates of a class fared.
+// ClassResult is how accurate the estimates of a class were.
 type ClassResult struct {
-	Class         string             `json:"class"`
-	Jobs          int                `json:"jobs"` // that ended done
-	WithKin       int                `json:"with_kin"`
-	Within        map[string]float64 `json:"within"`
-	Coverage      map[string]float64 `json:"coverage"`
-	LogError      float64            `json:"log_error"`
-	OwnerLogError float64            `json:"owner_log_error"`
-	// FirstSeen are runs of which the class had no end before.
+	Class        string             `json:"class"`
+	Jobs         int                `json:"jobs"` // that ended as done
+	WithSimilar  int                `json:"with_kin"`
+	Within       map[string]float64 `json:"within"`
+	Coverage     map[string]float64 `json:"coverage"`
+	LogError     float64            `json:"log_error"`
+	UserLogError float64            `json:"owner_log_error"`
+	// FirstSeen are the runs before whose start no run of the class and shape had ended.
 	FirstSeen FirstSeen `json:"first_seen"`
 
 	Points []Point `json:"-"`
 }
 
-// FirstSeen tells how estimates fared that nothing similar was known for.
+// FirstSeen is how accurate the estimates of runs without similar ones were.
 type FirstSeen struct {
 	Jobs     int     `json:"jobs"`
-	Unknown  int     `json:"unknown"` // of which nothing could be said
+	Unknown  int     `json:"unknown"` // without an estimate
 	Within2  float64 `json:"within_2"`
 	LogError float64 `json:"log_error"`
 }
 
-// Point is an estimate beside what came of it, in seconds.
-type Point struct{ Ended, Ran, Median, Low, High, Owner float64 }
+// Point is an estimate with the actual run time, in seconds.
+type Point struct{ Ended, Ran, Median, Low, High, User float64 }
 
-// Result is what a replay found.
+// Result is the outcome of a replay.
 type Result struct {
 	Classes []ClassResult `json:"classes"`
 	Skipped int           `json:"skipped_lines"`
 	Changes int           `json:"sudden_changes"`
 }
 
+// factors are the factors of the actual run time that Within counts the estimates in.
 var factors = []struct {
 	name string
 	by   float64
 }{{"1.25", 1.25}, {"1.5", 1.5}, {"2", 2}}
 
+// intervals are the names of estimate.Intervals.
 var intervals = [...]string{"0.5", "0.8", "0.95"}
 
-type byEnd struct {
-	lines []Line
-	order []int
+// runningHeap is a heap of the indices of running runs, the first to end on top.
+type runningHeap struct {
+	lines   []Line
+	indices []int
 }
 
-func (h *byEnd) Len() int           { return len(h.order) }
-func (h *byEnd) Less(i, j int) bool { return h.order[i] < h.order[j] } // the lines are sorted by their end
-func (h *byEnd) Swap(i, j int)      { h.order[i], h.order[j] = h.order[j], h.order[i] }
-func (h *byEnd) Push(x any)         { h.order = append(h.order, x.(int)) }
-func (h *byEnd) Pop() any {
-	x := h.order[len(h.order)-1]
-	h.order = h.order[:len(h.order)-1]
+func (h *runningHeap) Len() int           { return len(h.indices) }
+func (h *runningHeap) Less(i, j int) bool { return h.indices[i] < h.indices[j] } // the lines are sorted by their end
+func (h *runningHeap) Swap(i, j int)      { h.indices[i], h.indices[j] = h.indices[j], h.indices[i] }
+func (h *runningHeap) Push(x any)         { h.indices = append(h.indices, x.(int)) }
+func (h *runningHeap) Pop() any {
+	x := h.indices[len(h.indices)-1]
+	h.indices = h.indices[:len(h.indices)-1]
 	return x
 }
 
-// stated is what was said of a run when it began.
-type stated struct {
-	answer estimate.Answer
-	kin    int
+// prediction is the estimate that was made when a run started.
+type prediction struct {
+	answer  estimate.Answer
+	similar int // runs of the same class and shape that had ended by then
 }
 
-type score struct {
+// classScore adds up the accuracy of a class's estimates.
+type classScore struct {
 	ClassResult
-	within, inside         [3]int
-	errs, ownerErrs        float64
-	owners                 int
-	firstWithin, firstTold int
-	firstErrs              float64
+	within, covered  [3]int // by factors, by intervals
+	logErrors        float64
+	userLogErrors    float64
+	withUserEstimate int
+	firstWithin      int
+	firstEstimated   int
+	firstLogErrors   float64
 }
 
-// Replay runs a history through a learner. What is said of a run is said when it
-// begins, on the strength of the runs that have ended by then: never of a later one.
+// replay is the state of a replay between two events.
+type replay struct {
+	lines       []Line
+	model       *estimate.Model
+	scores      map[string]*classScore // by class
+	similar     map[[2]string]int      // runs that ended, by class and shape
+	predictions []prediction           // by line
+	running     *runningHeap
+}
+
+// Replay feeds a history to a model of run times. Each run is estimated when it starts,
+// from the runs that have ended by then: never from a later one. The skipped lines are
+// only passed on to the result.
 func Replay(lines []Line, skipped int) *Result {
-	m := estimate.New(estimate.DefaultSettings(), 1)
-	scores := map[string]*score{}
-	kin := map[[2]string]int{}
-	said := make([]stated, len(lines))
-	starts := make([]int, len(lines))
-	for i := range lines {
-		starts[i] = i
-	}
-	slices.SortStableFunc(starts, func(a, b int) int {
-		switch x, y := lines[a].Started, lines[b].Started; {
-		case x < y:
-			return -1
-		case x > y:
-			return 1
-		}
-		return 0
-	})
-	running := &byEnd{lines: lines}
-	end := func() {
-		i := heap.Pop(running).(int)
-		l := &lines[i]
-		s := scores[l.Class]
-		if s == nil {
-			s = &score{ClassResult: ClassResult{Class: l.Class}}
-			scores[l.Class] = s
-		}
-		if l.Outcome == Done {
-			s.take(l, &said[i])
-			kin[[2]string{l.Class, l.Shape}]++
-		}
-		m.Observe(&estimate.Evidence{Features: l.features(), Ran: l.ran(), Done: l.Outcome == Done})
-		said[i] = stated{}
+	r := &replay{
+		lines:       lines,
+		model:       estimate.New(estimate.DefaultSettings(), 1),
+		scores:      map[string]*classScore{},
+		similar:     map[[2]string]int{},
+		predictions: make([]prediction, len(lines)),
+		running:     &runningHeap{lines: lines},
 	}
-	for _, i := range starts {
-		l := &lines[i]
-		for running.Len() > 0 && lines[running.order[0]].Ended <= l.Started {
-			end()
+	for _, i := range startOrder(lines) {
+		for r.running.Len() > 0 && lines[r.running.indices[0]].Ended <= lines[i].Started {
+			r.endNext()
 		}
-		f := l.features()
-		said[i] = stated{m.Estimate(&f), kin[[2]string{l.Class, l.Shape}]}
-		heap.Push(running, i)
+		r.start(i)
 	}
-	for running.Len() > 0 {
-		end()
+	for r.running.Len() > 0 {
+		r.endNext()
 	}
-	r := &Result{Skipped: skipped, Changes: m.Changes()}
-	for _, s := range scores {
-		r.Classes = append(r.Classes, s.result())
+	return r.result(skipped)
+}
+
+// startOrder returns the indices of the lines, ordered by their start.
+func startOrder(lines []Line) []int {
+	order := make([]int, len(lines))
+	for i := range lines {
+		order[i] = i
 	}
-	slices.SortFunc(r.Classes, func(a, b ClassResult) int {
-		if a.Class < b.Class {
-			return -1
-		}
-		return 1
-	})
-	return r
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(lines[a].Started, lines[b].Started) })
+	return order
+}
+
+// start estimates a run and adds it to the running ones.
+func (r *replay) start(i int) {
+	l := &r.lines[i]
+	f := l.features()
+	r.predictions[i] = prediction{r.model.Estimate(&f), r.similar[[2]string{l.Class, l.Shape}]}
+	heap.Push(r.running, i)
 }
 
+// endNext ends the running run that ends first: it is scored, then learned from.
+func (r *replay) endNext() {
+	i := heap.Pop(r.running).(int)
+	l := &r.lines[i]
+	s := r.scores[l.Class]
+	if s == nil {
+		s = &classScore{ClassResult: ClassResult{Class: l.Class}}
+		r.scores[l.Class] = s
+	}
+	if l.Outcome == Done {
+		s.add(l, &r.predictions[i])
+		r.similar[[2]string{l.Class, l.Shape}]++
+	}
+	r.model.Observe(&estimate.Evidence{Features: l.features(), Ran: l.runTime(), Done: l.Outcome == Done})
+	r.predictions[i] = prediction{} // may be garbage collected
+}
+
+func (r *replay) result(skipped int) *Result {
+	result := &Result{Skipped: skipped, Changes: r.model.Changes()}
+	for _, s := range r.scores {
+		result.Classes = append(result.Classes, s.result())
+	}
+	slices.SortFunc(result.Classes, func(a, b ClassResult) int { return cmp.Compare(a.Class, b.Class) })
+	return result
+}
+
+// features returns what the estimate of the run depends on.
 func (l *Line) features() estimate.Features {
 	return estimate.Features{Image: l.Image, Shape: l.Shape, Class: l.Class, Team: l.Team, Expect: micros(l.ExpectS), Machine: l.Machine}
 }
 
-func (l *Line) ran() estimate.Micros { return micros(l.Ended - l.Started) }
+func (l *Line) runTime() estimate.Micros { return micros(l.Ended - l.Started) }
 
 func micros(s float64) estimate.Micros { return estimate.Micros(math.Round(s * 1e6)) }
 
+// logError returns by how many natural logarithms two times in seconds differ. Times below a
+// hundredth of a second count as that.
 func logError(a, b float64) float64 { return math.Abs(math.Log(math.Max(a, 0.01) / math.Max(b, 0.01))) }
 
-func (s *score) take(l *Line, said *stated) {
+// add scores the estimate of a run that ended as done.
+func (s *classScore) add(l *Line, p *prediction) {
 	s.Jobs++
-	a := &said.answer
-	ran, median := l.Ended-l.Started, float64(a.Median)/1e6
-	if said.kin == 0 {
-		s.FirstSeen.Jobs++
-		if a.Level == estimate.Unknown {
-			s.FirstSeen.Unknown++
-		} else {
-			e := logError(median, ran)
-			s.firstTold++
-			s.firstErrs += e
-			if e <= math.Ln2 {
-				s.firstWithin++
-			}
-		}
+	ran := l.Ended - l.Started
+	median := float64(p.answer.Median) / 1e6
+	if p.similar == 0 {
+		s.addFirstSeen(&p.answer, logError(median, ran))
 	}
-	if said.kin < leastKin || a.Level == estimate.Unknown {
+	if p.similar < minimumSimilar || p.answer.Level == estimate.Unknown {
 		return
 	}
-	s.WithKin++
-	e := logError(median, ran)
-	s.errs += e
+	s.WithSimilar++
+	off := logError(median, ran)
+	s.logErrors += off
 	for i, f := range factors {
-		if e <= math.Log(f.by)+1e-12 {
+		if off <= math.Log(f.by)+rounding {
 			s.within[i]++
 		}
 	}
 	for i := range intervals {
-		if d := l.ran(); d >= a.Low[i] && d <= a.High[i] {
-			s.inside[i]++
+		if d := l.runTime(); d >= p.answer.Low[i] && d <= p.answer.High[i] {
+			s.covered[i]++
 		}
 	}
 	if l.ExpectS > 0 {
-		s.owners++
-		s.ownerErrs += logError(l.ExpectS, ran)
+		s.withUserEstimate++
+		s.userLogErrors += logError(l.ExpectS, ran)
 	}
-	s.Points = append(s.Points, Point{l.Ended, ran, median, float64(a.Low[1]) / 1e6, float64(a.High[1]) / 1e6, l.ExpectS})
+	s.Points = append(s.Points, Point{
+		Ended:  l.Ended,
+		Ran:    ran,
+		Median: median,
+		Low:    float64(p.answer.Low[1]) / 1e6,
+		High:   float64(p.answer.High[1]) / 1e6,
+		User:   l.ExpectS,
+	})
 }
 
-func (s *score) result() ClassResult {
+// addFirstSeen scores the estimate of a run without similar ones, by its error if there
+// was an estimate.
+func (s *classScore) addFirstSeen(a *estimate.Answer, off float64) {
+	s.FirstSeen.Jobs++
+	if a.Level == estimate.Unknown {
+		s.FirstSeen.Unknown++
+		return
+	}
+	s.firstEstimated++
+	s.firstLogErrors += off
+	if off <= math.Ln2 {
+		s.firstWithin++
+	}
+}
+
+// rounding is what an error may exceed a factor by.
+const rounding = 1e-12
+
+func (s *classScore) result() ClassResult {
 	r := s.ClassResult
-	r.Within, r.Coverage = map[string]float64{}, map[string]float64{}
+	r.Within = map[string]float64{}
+	r.Coverage = map[string]float64{}
 	for i, f := range factors {
-		r.Within[f.name] = share(s.within[i], r.WithKin)
+		r.Within[f.name] = share(s.within[i], r.WithSimilar)
 	}
 	for i, name := range intervals {
-		r.Coverage[name] = share(s.inside[i], r.WithKin)
+		r.Coverage[name] = share(s.covered[i], r.WithSimilar)
 	}
-	r.LogError, r.OwnerLogError = mean(s.errs, r.WithKin), mean(s.ownerErrs, s.owners)
-	r.FirstSeen.Within2, r.FirstSeen.LogError = share(s.firstWithin, s.firstTold), mean(s.firstErrs, s.firstTold)
+	r.LogError = mean(s.logErrors, r.WithSimilar)
+	r.UserLogError = mean(s.userLogErrors, s.withUserEstimate)
+	r.FirstSeen.Within2 = share(s.firstWithin, s.firstEstimated)
+	r.FirstSeen.LogError = mean(s.firstLogErrors, s.firstEstimated)
 	return r
 }
 
+// share returns a fraction rounded to four places.
 func share(n, of int) float64 { return mean(float64(n), of) }
 
+// mean returns a mean rounded to four places, 0 of nothing.
 func mean(sum float64, n int) float64 {
 	if n == 0 {
 		return 0
--- a/internal/startbound/bound.go
+++ b/internal/startbound/bound.go
@@ -39,28 +39,28 @@
 // largest tenth of its jobs and the others.
 type Bound struct{ StartShare map[string]float64 }
 
-// largestPart is the part of a class that counts as its largest jobs.
-const largestPart = 0.1
+// largestFraction is the part of a class that counts as its largest jobs.
+const largestFraction = 0.1
 
 // group is jobs that are alike, and came in the same period.
 type group struct {
-	class   string
-	largest bool
-	tasks   int
-	gpus    float64
-	run     int // periods
-	from    int // period
-	count   float64
+	class      string
+	largest    bool
+	tasks      int
+	gpus       float64
+	runPeriods int // periods
+	arrival    int // period
+	count      float64
 }
 
-// needs is what one of the group takes to begin.
-func (g *group) needs() float64 { return float64(g.tasks) * g.gpus }
+// gpusToStart is what one of the group takes to begin.
+func (g *group) gpusToStart() float64 { return float64(g.tasks) * g.gpus }
 
 // ErrTooLarge tells that a day has too many kinds of jobs for its bound to be reckoned.
 var ErrTooLarge = errors.New("too many kinds of jobs")
 
-// mostColumns bounds the linear program.
-const mostColumns = 6000
+// maxColumns bounds the linear program.
+const maxColumns = 6000
 
 // Solve returns the bound of a day for each class of gangs; what isn't a gang begins first, with
 // one task.
@@ -76,15 +76,15 @@
 			byClass[j.Class] = append(byClass[j.Class], j)
 			continue
 		}
-		d.take(free, &j)
+		d.startAtOnce(free, &j)
 	}
 	// Classes are reckoned one by one, each as if it had what the others leave it that don't
 	// wait: the bound of one flood beside ordinary work. The least demanding come first.
 	names := slices.SortedFunc(maps.Keys(byClass), func(a, b string) int {
-		return cmp.Or(cmp.Compare(work(byClass[a]), work(byClass[b])), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(gpuSeconds(byClass[a]), gpuSeconds(byClass[b])), cmp.Compare(a, b))
 	})
 	for _, name := range names {
-		share, used, err := d.class(byClass[name], free)
+		share, used, err := d.solveClass(byClass[name], free)
 		if err != nil {
 			return out, fmt.Errorf("planner: class %s: %w", name, err)
 		}
@@ -96,7 +96,7 @@
 	return out, nil
 }
 
-func work(jobs []Job) float64 {
+func gpuSeconds(jobs []Job) float64 {
 	sum := 0.0
 	for _, j := range jobs {
 		sum += float64(j.Tasks) * j.GPUs * j.RunS
@@ -104,8 +104,8 @@
 	return sum
 }
 
-// take has a job that is no gang begin when it comes.
-func (d *Workload) take(free []float64, j *Job) {
+// startAtOnce has a job that is no gang begin when it comes.
+func (d *Workload) startAtOnce(free []float64, j *Job) {
 	first := int(j.At / d.PeriodS)
 	last := len(free)
 	amount := j.GPUs
@@ -119,11 +119,11 @@
 	}
 }
 
-// groups puts jobs that are alike together.
-func (d *Workload) groups(jobs []Job) []*group {
+// groupJobs puts jobs that are alike together.
+func (d *Workload) groupJobs(jobs []Job) []*group {
 	sorted := slices.Clone(jobs)
 	slices.SortStableFunc(sorted, func(a, b Job) int { return cmp.Compare(b.Tasks, a.Tasks) })
-	top := max(1, int(float64(len(sorted))*largestPart))
+	top := max(1, int(float64(len(sorted))*largestFraction))
 	least := sorted[top-1].Tasks
 	// Owners' estimates differ from job to job: alike are those of a size and of a period, and
 	// all run for as long as the class does on average.
@@ -136,7 +136,7 @@
 	var out []*group
 	for _, j := range jobs {
 		k := group{class: j.Class, largest: j.Tasks >= least, tasks: j.Tasks, gpus: j.GPUs,
-			run: run, from: int(j.At / d.PeriodS)}
+			runPeriods: run, arrival: int(j.At / d.PeriodS)}
 		g := byKey[k]
 		if g == nil {
 			c := k
@@ -147,7 +147,7 @@
 		g.count++
 	}
 	slices.SortFunc(out, func(a, b *group) int {
-		return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.tasks, b.tasks), cmp.Compare(a.run, b.run), cmp.Compare(a.gpus, b.gpus))
+		return cmp.Or(cmp.Compare(a.arrival, b.arrival), cmp.Compare(a.tasks, b.tasks), cmp.Compare(a.runPeriods, b.runPeriods), cmp.Compare(a.gpus, b.gpus))
 	})
 	return out
 }
@@ -155,22 +155,22 @@
 // column is how many of a group begin in a period.
 type column struct {
 	*group
-	begin int
+	start int
 }
 
-// class solves for one class: as large a share z as possible, such that z of its largest jobs and z
+// solveClass solves for one class: as large a share z as possible, such that z of its largest jobs and z
 // of all of them begin in time and no more runs in any period than there are GPUs. It returns the
 // share and what it takes of each period.
-func (d *Workload) class(jobs []Job, free []float64) (float64, []float64, error) {
-	groups := d.groups(jobs)
+func (d *Workload) solveClass(jobs []Job, free []float64) (float64, []float64, error) {
+	groups := d.groupJobs(jobs)
 	within := int(d.WithinS / d.PeriodS)
 	var cols []column
 	for _, g := range groups {
-		for q := g.from; q < min(len(free), g.from+within); q++ {
+		for q := g.arrival; q < min(len(free), g.arrival+within); q++ {
 			cols = append(cols, column{g, q})
 		}
 	}
-	if len(cols) > mostColumns {
+	if len(cols) > maxColumns {
 		return 0, nil, ErrTooLarge
 	}
 	all, top := 0.0, 0.0
@@ -191,8 +191,8 @@
 		h[at[x]] = x.count
 	}
 	for i, c := range cols {
-		for t := c.begin; t < min(len(free), c.begin+c.run); t++ {
-			g.Set(t, i, c.needs())
+		for t := c.start; t < min(len(free), c.start+c.runPeriods); t++ {
+			g.Set(t, i, c.gpusToStart())
 		}
 		g.Set(at[c.group], i, 1)
 		g.Set(rows-2, i, -1)
@@ -221,8 +221,8 @@
 	}
 	used := make([]float64, len(free))
 	for i, c := range cols {
-		for t := c.begin; t < min(len(free), c.begin+c.run); t++ {
-			used[t] += x[i] * c.needs()
+		for t := c.start; t < min(len(free), c.start+c.runPeriods); t++ {
+			used[t] += x[i] * c.gpusToStart()
 		}
 	}
 	return min(x[z], 1), used, nil
--- a/internal/startbound/log.go
+++ b/internal/startbound/log.go
@@ -29,17 +29,17 @@
 type Log struct {
 	jobs             map[string]*Job
 	firstPlacedAfter map[string]float64 // when a job was placed first, from its acceptance
-	machines         []machines
+	machines         []machineCount
 	start            time.Time
 }
 
-type machines struct {
-	at float64
-	n  int
+type machineCount struct {
+	atS   float64
+	count int
 }
 
-// longest is the longest line that is read.
-const longest = 1 << 20
+// maxLineBytes is the longest line that is read.
+const maxLineBytes = 1 << 20
 
 // Read takes the lines of a node's debug log. Lines of other kinds, and what comes before the time of a
 // line, are passed over.
@@ -48,11 +48,11 @@
 		l.jobs, l.firstPlacedAfter = map[string]*Job{}, map[string]float64{}
 	}
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, longest)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		line := s.Text()
 		if i := strings.Index(line, "time="); i >= 0 && strings.Contains(line, "level=") {
-			l.line(line[i:])
+			l.parseLine(line[i:])
 		}
 	}
 	if err := s.Err(); err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (l *Log) line(text string) {
+func (l *Log) parseLine(text string) {
 	d := logfmt.NewDecoder(strings.NewReader(text))
 	of := map[string]string{}
 	for d.ScanRecord() {
@@ -90,14 +90,14 @@
 			l.firstPlacedAfter[of["job"]] = number("age_ms") / 1000
 		}
 	case "leader statistics", "leader": // the latter by earlier versions
-		l.machines = append(l.machines, machines{now, int(number("usable"))})
+		l.machines = append(l.machines, machineCount{now, int(number("usable"))})
 	}
 }
 
 const (
-	period = 20.0 // seconds
-	// settle is left out at the end of a log: what came then may begin in time after it.
-	settle = 1
+	periodS = 20.0 // seconds
+	// openPeriods is left out at the end of a log: what came then may begin in time after it.
+	openPeriods = 1
 )
 
 // Rows reckons, for machines with so many GPUs each and jobs that are to begin within so many
@@ -106,14 +106,14 @@
 	if len(l.machines) == 0 || len(l.jobs) == 0 {
 		return nil, fmt.Errorf("the log has no lines of a leader, or of accepted jobs: was LOG_LEVEL debug?")
 	}
-	end := l.machines[len(l.machines)-1].at
-	d := Workload{PeriodS: period, WithinS: within, GPUs: make([]float64, int(end/period)+settle)}
+	end := l.machines[len(l.machines)-1].atS
+	d := Workload{PeriodS: periodS, WithinS: within, GPUs: make([]float64, int(end/periodS)+openPeriods)}
 	k := 0
 	for t := range d.GPUs {
-		for k+1 < len(l.machines) && l.machines[k+1].at <= float64(t+1)*period {
+		for k+1 < len(l.machines) && l.machines[k+1].atS <= float64(t+1)*periodS {
 			k++
 		}
-		d.GPUs[t] = float64(l.machines[k].n) * gpus
+		d.GPUs[t] = float64(l.machines[k].count) * gpus
 	}
 	rows := map[string]*Row{}
 	of := map[string][]string{}
@@ -135,7 +135,7 @@
 		slices.SortStableFunc(ids, func(a, b string) int { return cmp.Compare(l.jobs[b].Tasks, l.jobs[a].Tasks) })
 		row.Jobs = len(ids)
 		row.Started = l.startedShare(ids, within)
-		row.Largest = l.startedShare(ids[:max(1, int(float64(len(ids))*largestPart))], within)
+		row.Largest = l.startedShare(ids[:max(1, int(float64(len(ids))*largestFraction))], within)
 		if row.Gang {
 			row.Bound = bound.StartShare[class]
 		}
