--- a/internal/startbound/bound.go
+++ b/internal/startbound/bound.go
@@ -1,7 +1,8 @@
-// Package startbound reckons which part of the jobs of a day anyone could have begun in time, with
-// all that comes known from the start: the bound that what was served is held against. It is an
-// upper bound: machines are one pool of GPUs, jobs may be parted, and an array or a service has begun
-// with its first task and needs no more.
+// Package startbound computes which fraction of the jobs of a workload any scheduler could
+// have started in time, if it had known all arrivals from the beginning. The start-time
+// attainment of a run is compared with this bound. It is an upper bound: machines are one
+// pool of GPUs, jobs may be split, and an array or a service has started with its first
+// task.
 package startbound
 
 import (
@@ -19,81 +20,81 @@
 // Job is a job that was accepted. Times are in seconds.
 type Job struct {
 	Class string
-	At    float64
+	At    float64 // when it was accepted
 	Tasks int
-	GPUs  float64 // of a task
+	GPUs  float64 // of each task
 	RunS  float64
 	Gang  bool
-	Ends  bool // a service doesn't
+	Ends  bool // false for a service
 }
 
-// Workload is what came, and the GPUs there were, period by period.
+// Workload is the jobs that arrived and the GPUs that were available, by period.
 type Workload struct {
-	PeriodS float64
-	WithinS float64 // a job is to begin within
-	GPUs    []float64
+	PeriodS float64   // length of a period
+	WithinS float64   // time within which a job is to start
+	GPUs    []float64 // of each period
 	Jobs    []Job
 }
 
-// Bound is the largest share that every lane of a class could have had at the same time, the
-// largest tenth of its jobs and the others.
+// Bound is the largest fraction of the jobs of each class of gangs that could have started
+// in time, both of all its jobs and of its largest ones.
 type Bound struct{ StartShare map[string]float64 }
 
-// largestFraction is the part of a class that counts as its largest jobs.
+// largestFraction is the fraction of a class's jobs that counts as its largest ones.
 const largestFraction = 0.1
 
-// group is jobs that are alike, and came in the same period.
+// group is jobs of a class that are equal for the bound and arrived in the same period.
 type group struct {
 	class      string
 	largest    bool
 	tasks      int
-	gpus       float64
-	runPeriods int // periods
+	gpus       float64 // of each task
+	runPeriods int
 	arrival    int // period
 	count      float64
 }
 
-// gpusToStart is what one of the group takes to begin.
+// gpusToStart returns the GPUs that a job of the group takes.
 func (g *group) gpusToStart() float64 { return float64(g.tasks) * g.gpus }
 
-// ErrTooLarge tells that a day has too many kinds of jobs for its bound to be reckoned.
+// ErrTooLarge is returned by Solve for a workload with too many different jobs.
 var ErrTooLarge = errors.New("too many kinds of jobs")
 
-// maxColumns bounds the linear program.
+// maxColumns bounds the size of the linear program.
 const maxColumns = 6000
 
-// Solve returns the bound of a day for each class of gangs; what isn't a gang begins first, with
-// one task.
-func Solve(d *Workload) (Bound, error) {
-	out := Bound{StartShare: map[string]float64{}}
-	if d.PeriodS <= 0 || d.WithinS <= 0 || len(d.GPUs) == 0 {
-		return out, fmt.Errorf("planner: a day needs periods, a time to begin and machines")
+// Solve returns the bound for each class of gangs. Other jobs have priority and start on
+// arrival, with one task.
+func Solve(w *Workload) (Bound, error) {
+	bound := Bound{StartShare: map[string]float64{}}
+	if w.PeriodS <= 0 || w.WithinS <= 0 || len(w.GPUs) == 0 {
+		return bound, fmt.Errorf("planner: a day needs periods, a time to begin and machines")
 	}
-	free := slices.Clone(d.GPUs)
-	byClass := map[string][]Job{}
-	for _, j := range d.Jobs {
+	free := slices.Clone(w.GPUs)
+	gangs := map[string][]Job{}
+	for _, j := range w.Jobs {
 		if j.Gang {
-			byClass[j.Class] = append(byClass[j.Class], j)
+			gangs[j.Class] = append(gangs[j.Class], j)
 			continue
 		}
-		d.startAtOnce(free, &j)
+		w.startAtOnce(free, &j)
 	}
-	// Classes are reckoned one by one, each as if it had what the others leave it that don't
-	// wait: the bound of one flood beside ordinary work. The least demanding come first.
-	names := slices.SortedFunc(maps.Keys(byClass), func(a, b string) int {
-		return cmp.Or(cmp.Compare(gpuSeconds(byClass[a]), gpuSeconds(byClass[b])), cmp.Compare(a, b))
+	// Classes are solved one by one, the least demanding first, each with what those before
+	// leave: the bound of a burst of one class beside ordinary work.
+	classes := slices.SortedFunc(maps.Keys(gangs), func(a, b string) int {
+		return cmp.Or(cmp.Compare(gpuSeconds(gangs[a]), gpuSeconds(gangs[b])), cmp.Compare(a, b))
 	})
-	for _, name := range names {
-		share, used, err := d.solveClass(byClass[name], free)
+	for _, class := range classes {
+		share, used, err := w.solveClass(gangs[class], free)
 		if err != nil {
-			return out, fmt.Errorf("planner: class %s: %w", name, err)
+			return bound, fmt.Errorf("planner: class %s: %w", class, err)
 		}
-		out.StartShare[name] = share
+		bound.StartShare[class] = share
 		for t := range free {
 			free[t] = max(0, free[t]-used[t])
 		}
 	}
-	return out, nil
+	return bound, nil
 }
 
 func gpuSeconds(jobs []Job) float64 {
@@ -104,126 +105,177 @@
 	return sum
 }
 
-// startAtOnce has a job that is no gang begin when it comes.
-func (d *Workload) startAtOnce(free []float64, j *Job) {
-	first := int(j.At / d.PeriodS)
-	last := len(free)
-	amount := j.GPUs
+// startAtOnce subtracts what a job that is no gang takes from its arrival on.
+func (w *Workload) startAtOnce(free []float64, j *Job) {
+	first := int(j.At / w.PeriodS)
+	end := len(free)
+	gpus := j.GPUs
 	if j.Ends {
-		last = min(last, first+int(math.Ceil(j.RunS/d.PeriodS)))
+		end = min(end, first+int(math.Ceil(j.RunS/w.PeriodS)))
 	} else {
-		amount *= float64(j.Tasks)
+		gpus *= float64(j.Tasks)
 	}
-	for t := max(first, 0); t < last; t++ {
-		free[t] = max(0, free[t]-amount)
+	for t := max(first, 0); t < end; t++ {
+		free[t] = max(0, free[t]-gpus)
 	}
 }
 
-// groupJobs puts jobs that are alike together.
-func (d *Workload) groupJobs(jobs []Job) []*group {
-	sorted := slices.Clone(jobs)
-	slices.SortStableFunc(sorted, func(a, b Job) int { return cmp.Compare(b.Tasks, a.Tasks) })
-	top := max(1, int(float64(len(sorted))*largestFraction))
-	least := sorted[top-1].Tasks
-	// Owners' estimates differ from job to job: alike are those of a size and of a period, and
-	// all run for as long as the class does on average.
-	sum := 0.0
-	for _, j := range jobs {
-		sum += j.RunS
-	}
-	run := max(1, int(math.Round(sum/float64(len(jobs))/d.PeriodS)))
+// groupJobs groups the jobs of a class by size and arrival. Users' estimates differ from
+// job to job: to keep groups few, all jobs run for the mean of the class.
+func (w *Workload) groupJobs(jobs []Job) []*group {
+	leastTasks := leastOfLargest(jobs)
+	run := w.meanRunPeriods(jobs)
 	byKey := map[group]*group{}
-	var out []*group
+	var groups []*group
 	for _, j := range jobs {
-		k := group{class: j.Class, largest: j.Tasks >= least, tasks: j.Tasks, gpus: j.GPUs,
-			runPeriods: run, arrival: int(j.At / d.PeriodS)}
-		g := byKey[k]
+		key := group{
+			class:      j.Class,
+			largest:    j.Tasks >= leastTasks,
+			tasks:      j.Tasks,
+			gpus:       j.GPUs,
+			runPeriods: run,
+			arrival:    int(j.At / w.PeriodS),
+		}
+		g := byKey[key]
 		if g == nil {
-			c := k
-			g = &c
-			byKey[k] = g
-			out = append(out, g)
+			created := key
+			g = &created
+			byKey[key] = g
+			groups = append(groups, g)
 		}
 		g.count++
 	}
-	slices.SortFunc(out, func(a, b *group) int {
+	slices.SortFunc(groups, func(a, b *group) int {
 		return cmp.Or(cmp.Compare(a.arrival, b.arrival), cmp.Compare(a.tasks, b.tasks), cmp.Compare(a.runPeriods, b.runPeriods), cmp.Compare(a.gpus, b.gpus))
 	})
-	return out
+	return groups
 }
 
-// column is how many of a group begin in a period.
+// largestCount returns how many of a number of jobs count as the largest ones.
+func largestCount(jobs int) int { return max(1, int(float64(jobs)*largestFraction)) }
+
+// leastOfLargest returns the number of tasks from which on a job counts as one of the
+// largest.
+func leastOfLargest(jobs []Job) int {
+	sorted := slices.Clone(jobs)
+	slices.SortStableFunc(sorted, func(a, b Job) int { return cmp.Compare(b.Tasks, a.Tasks) })
+	return sorted[largestCount(len(sorted))-1].Tasks
+}
+
+func (w *Workload) meanRunPeriods(jobs []Job) int {
+	sum := 0.0
+	for _, j := range jobs {
+		sum += j.RunS
+	}
+	return max(1, int(math.Round(sum/float64(len(jobs))/w.PeriodS)))
+}
+
+// column is a variable of the linear program: how many jobs of a group start in a period.
 type column struct {
 	*group
 	start int
 }
 
-// solveClass solves for one class: as large a share z as possible, such that z of its largest jobs and z
-// of all of them begin in time and no more runs in any period than there are GPUs. It returns the
-// share and what it takes of each period.
-func (d *Workload) solveClass(jobs []Job, free []float64) (float64, []float64, error) {
-	groups := d.groupJobs(jobs)
-	within := int(d.WithinS / d.PeriodS)
-	var cols []column
+// end returns the period in which the jobs have ended.
+func (c *column) end(periods int) int { return min(periods, c.start+c.runPeriods) }
+
+// simplexTolerance is the tolerance of the linear program.
+const simplexTolerance = 1e-9
+
+// solveClass returns the largest share such that this share of the class's largest jobs
+// and of all its jobs start in time, and no more GPUs are used in any period than are
+// free. It also returns the GPUs that this takes of each period.
+func (w *Workload) solveClass(jobs []Job, free []float64) (share float64, used []float64, err error) {
+	groups := w.groupJobs(jobs)
+	columns, err := w.columns(groups, len(free))
+	if err != nil {
+		return 0, nil, err
+	}
+	constraints, limits := buildConstraints(groups, columns, free)
+	x, err := maximizeLast(constraints, limits)
+	if err != nil {
+		return 0, nil, err
+	}
+	used = make([]float64, len(free))
+	for i, c := range columns {
+		for t := c.start; t < c.end(len(free)); t++ {
+			used[t] += x[i] * c.gpusToStart()
+		}
+	}
+	return min(x[len(columns)], 1), used, nil
+}
+
+// columns returns a column for each group and each period in which its jobs start in time.
+func (w *Workload) columns(groups []*group, periods int) ([]column, error) {
+	within := int(w.WithinS / w.PeriodS)
+	var columns []column
 	for _, g := range groups {
-		for q := g.arrival; q < min(len(free), g.arrival+within); q++ {
-			cols = append(cols, column{g, q})
+		for t := g.arrival; t < min(periods, g.arrival+within); t++ {
+			columns = append(columns, column{g, t})
 		}
 	}
-	if len(cols) > maxColumns {
-		return 0, nil, ErrTooLarge
+	if len(columns) > maxColumns {
+		return nil, ErrTooLarge
 	}
-	all, top := 0.0, 0.0
-	for _, g := range groups {
+	return columns, nil
+}
+
+// buildConstraints returns the constraints of the linear program, all of the kind "at most
+// the limit". The rows are the GPUs of each period, the jobs of each group, and for all
+// jobs and for the largest ones: the share of the jobs less those that start is at most 0.
+// The last row bounds the share, which is the last column, by 1.
+func buildConstraints(groups []*group, columns []column, free []float64) (constraints *mat.Dense, limits []float64) {
+	var (
+		share      = len(columns)
+		firstGroup = len(free)
+		allRow     = firstGroup + len(groups)
+		largestRow = allRow + 1
+		shareRow   = allRow + 2
+	)
+	constraints = mat.NewDense(shareRow+1, share+1, nil)
+	limits = make([]float64, shareRow+1)
+	copy(limits, free)
+	groupRow := map[*group]int{}
+	all, largest := 0.0, 0.0
+	for i, g := range groups {
+		groupRow[g] = firstGroup + i
+		limits[firstGroup+i] = g.count
 		all += g.count
 		if g.largest {
-			top += g.count
+			largest += g.count
 		}
 	}
-	// Rows, all of the kind "at most": GPUs of each period, jobs of each group, and the two
-	// lanes: z times the jobs less those that begin is at most nothing. The last column is z.
-	z := len(cols)
-	rows := len(free) + len(groups) + 2
-	g, h := mat.NewDense(rows+1, z+1, nil), make([]float64, rows+1)
-	at := map[*group]int{}
-	for i, x := range groups {
-		at[x] = len(free) + i
-		h[at[x]] = x.count
-	}
-	for i, c := range cols {
-		for t := c.start; t < min(len(free), c.start+c.runPeriods); t++ {
-			g.Set(t, i, c.gpusToStart())
+	for i, c := range columns {
+		for t := c.start; t < c.end(len(free)); t++ {
+			constraints.Set(t, i, c.gpusToStart())
 		}
-		g.Set(at[c.group], i, 1)
-		g.Set(rows-2, i, -1)
+		constraints.Set(groupRow[c.group], i, 1)
+		constraints.Set(allRow, i, -1)
 		if c.largest {
-			g.Set(rows-1, i, -1)
+			constraints.Set(largestRow, i, -1)
 		}
 	}
-	copy(h, free)
-	g.Set(rows-2, z, all)
-	g.Set(rows-1, z, top)
-	g.Set(rows, z, 1)
-	h[rows] = 1
-	// The standard form has a slack for each row, and starts with all of them.
-	cost := make([]float64, z+1+rows+1)
-	cost[z] = -1
-	a := mat.NewDense(rows+1, len(cost), nil)
-	a.Slice(0, rows+1, 0, z+1).(*mat.Dense).Copy(g)
-	basis := make([]int, rows+1)
-	for i := range rows + 1 {
-		a.Set(i, z+1+i, 1)
-		basis[i] = z + 1 + i
-	}
-	_, x, err := lp.Simplex(cost, a, h, 1e-9, basis)
-	if err != nil {
-		return 0, nil, err
-	}
-	used := make([]float64, len(free))
-	for i, c := range cols {
-		for t := c.start; t < min(len(free), c.start+c.runPeriods); t++ {
-			used[t] += x[i] * c.gpusToStart()
-		}
+	constraints.Set(allRow, share, all)
+	constraints.Set(largestRow, share, largest)
+	constraints.Set(shareRow, share, 1)
+	limits[shareRow] = 1
+	return constraints, limits
+}
+
+// maximizeLast returns the variables, none below 0, that maximize the last one within the
+// constraints. The program is solved in standard form: each row has a slack variable, and
+// the slack variables are the initial basis.
+func maximizeLast(constraints *mat.Dense, limits []float64) ([]float64, error) {
+	rows, variables := constraints.Dims()
+	cost := make([]float64, variables+rows)
+	cost[variables-1] = -1
+	standard := mat.NewDense(rows, len(cost), nil)
+	standard.Slice(0, rows, 0, variables).(*mat.Dense).Copy(constraints)
+	basis := make([]int, rows)
+	for i := range rows {
+		standard.Set(i, variables+i, 1)
+		basis[i] = variables + i
 	}
-	return min(x[z], 1), used, nil
+	_, x, err := lp.Simplex(cost, standard, limits, simplexTolerance, basis)
+	return x, err
 }
--- a/internal/startbound/bound_test.go
+++ b/internal/startbound/bound_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Days whose bound can be reckoned by hand.
-func TestReckon(t *testing.T) {
+// The bounds of small workloads agree with those worked out by hand.
+func TestSolve(t *testing.T) {
 	gpus := func(n float64, periods int) []float64 {
 		out := make([]float64, periods)
 		for i := range out {
@@ -21,28 +21,28 @@
 		}
 		return out
 	}
-	join := func(a ...[]Job) []Job {
+	concat := func(lists ...[]Job) []Job {
 		var out []Job
-		for _, x := range a {
-			out = append(out, x...)
+		for _, jobs := range lists {
+			out = append(out, jobs...)
 		}
 		return out
 	}
 	for _, tt := range []struct {
-		name string
-		day  Workload
-		want float64
+		name     string
+		workload Workload
+		want     float64
 	}{
-		{"room for all", Workload{20, 200, gpus(100, 20), gang(10, 4, 0)}, 1},
+		{"capacity for all", Workload{20, 200, gpus(100, 20), gang(10, 4, 0)}, 1},
 		// Ten GPUs, 100 s a run, 200 s to begin: two rounds of ten.
 		{"half of them", Workload{20, 200, gpus(10, 20), gang(40, 1, 0)}, 0.5},
 		{"one size", Workload{20, 200, gpus(10, 20), gang(8, 5, 0)}, 0.5},
-		// Twenty GPU rounds: z of 2 wide ones take 20 z, the others of z of the 18 narrow ones 20 z - 2 z.
-		{"two sizes", Workload{20, 200, gpus(10, 20), join(gang(2, 10, 0), gang(18, 1, 0))}, 20.0 / 38},
-		{"beside a service", Workload{20, 200, gpus(10, 20), join(gang(40, 1, 0), []Job{{Class: "s", Tasks: 5, GPUs: 1}})}, 0.25},
+		// Twenty GPU rounds: a share z of the 2 wide jobs takes 20 z, and z of all 20 jobs the rest: 20 z - 2 z narrow ones.
+		{"two sizes", Workload{20, 200, gpus(10, 20), concat(gang(2, 10, 0), gang(18, 1, 0))}, 20.0 / 38},
+		{"beside a service", Workload{20, 200, gpus(10, 20), concat(gang(40, 1, 0), []Job{{Class: "s", Tasks: 5, GPUs: 1}})}, 0.25},
 		{"late capacity", Workload{20, 200, append(gpus(0, 10), gpus(10, 10)...), gang(10, 1, 0)}, 0},
 	} {
-		got, err := Solve(&tt.day)
+		got, err := Solve(&tt.workload)
 		if err != nil {
 			t.Errorf("%s: %v", tt.name, err)
 			continue
@@ -52,6 +52,6 @@
 		}
 	}
 	if _, err := Solve(&Workload{}); err == nil {
-		t.Error("a day of nothing has a bound")
+		t.Error("an empty workload has a bound")
 	}
 }
--- a/internal/startbound/log.go
+++ b/internal/startbound/log.go
@@ -16,36 +16,39 @@
 	"coralhub/wire"
 )
 
-// Row is a class as a log tells of it: what anyone could have begun in time, and what had.
+// Row is a class in a log: the fraction of its jobs that could have started in time, and
+// the fraction that did.
 type Row struct {
 	Class            string
 	Jobs             int
 	Gang             bool
-	Bound            float64 // of gangs; 1 for what begins with one task
-	Started, Largest float64
+	Bound            float64 // for gangs; 1 for others, which start with one task
+	Started, Largest float64 // of all its jobs, of its largest ones
 }
 
-// Log is what the debug logs of the nodes tell of a day.
+// Log is what the debug logs of the nodes contain of a workload.
 type Log struct {
 	jobs             map[string]*Job
-	firstPlacedAfter map[string]float64 // when a job was placed first, from its acceptance
+	firstPlacedAfter map[string]float64 // seconds from the acceptance of a job to its first placement
 	machines         []machineCount
-	start            time.Time
+	start            time.Time // of the first line
 }
 
+// machineCount is the number of usable machines at a time, in seconds from the start.
 type machineCount struct {
 	atS   float64
 	count int
 }
 
-// maxLineBytes is the longest line that is read.
+// maxLineBytes bounds the length of a line.
 const maxLineBytes = 1 << 20
 
-// Read takes the lines of a node's debug log. Lines of other kinds, and what comes before the time of a
-// line, are passed over.
+// Read reads a node's debug log; it may be called for several nodes. Other lines and
+// whatever precedes the time of a line are ignored.
 func (l *Log) Read(r io.Reader) error {
 	if l.jobs == nil {
-		l.jobs, l.firstPlacedAfter = map[string]*Job{}, map[string]float64{}
+		l.jobs = map[string]*Job{}
+		l.firstPlacedAfter = map[string]float64{}
 	}
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLineBytes)
@@ -61,16 +64,11 @@
 	return nil
 }
 
+// parseLine takes a line from its time on.
 func (l *Log) parseLine(text string) {
-	d := logfmt.NewDecoder(strings.NewReader(text))
-	of := map[string]string{}
-	for d.ScanRecord() {
-		for d.ScanKeyval() {
-			of[string(d.Key())] = string(d.Value())
-		}
-	}
-	at, err := time.Parse(time.RFC3339Nano, of["time"])
-	if err != nil || d.Err() != nil {
+	values, err := parseLogfmt(text)
+	at, timeErr := time.Parse(time.RFC3339Nano, values["time"])
+	if timeErr != nil || err != nil {
 		return
 	}
 	if l.start.IsZero() {
@@ -78,78 +76,107 @@
 	}
 	now := at.Sub(l.start).Seconds()
 	number := func(key string) float64 {
-		x, _ := strconv.ParseFloat(of[key], 64) // absent: 0
+		x, _ := strconv.ParseFloat(values[key], 64) // 0 if it is absent
 		return x
 	}
-	switch of["msg"] {
+	switch values["msg"] {
 	case "accepted":
-		l.jobs[of["job"]] = &Job{Class: of["class"], At: max(now, 0), Tasks: max(1, int(number("tasks"))), GPUs: number("gpus"),
-			RunS: number("estimate_s"), Gang: of["shape"] == wire.Gang, Ends: of["shape"] != wire.Service}
+		l.jobs[values["job"]] = &Job{
+			Class: values["class"],
+			At:    max(now, 0),
+			Tasks: max(1, int(number("tasks"))),
+			GPUs:  number("gpus"),
+			RunS:  number("estimate_s"),
+			Gang:  values["shape"] == wire.Gang,
+			Ends:  values["shape"] != wire.Service,
+		}
 	case "placing":
-		if _, had := l.firstPlacedAfter[of["job"]]; !had {
-			l.firstPlacedAfter[of["job"]] = number("age_ms") / 1000
+		if _, placed := l.firstPlacedAfter[values["job"]]; !placed {
+			l.firstPlacedAfter[values["job"]] = number("age_ms") / 1000
 		}
-	case "leader statistics", "leader": // the latter by earlier versions
+	case "leader statistics", "leader": // earlier versions wrote the latter
 		l.machines = append(l.machines, machineCount{now, int(number("usable"))})
 	}
 }
 
+// parseLogfmt returns the values of a line by their keys.
+func parseLogfmt(text string) (map[string]string, error) {
+	d := logfmt.NewDecoder(strings.NewReader(text))
+	values := map[string]string{}
+	for d.ScanRecord() {
+		for d.ScanKeyval() {
+			values[string(d.Key())] = string(d.Value())
+		}
+	}
+	return values, d.Err()
+}
+
 const (
-	periodS = 20.0 // seconds
-	// openPeriods is left out at the end of a log: what came then may begin in time after it.
+	// periodS is the length of a period in seconds.
+	periodS = 20.0
+	// openPeriods are added after the end of the log: jobs that arrived last may start in
+	// time after it.
 	openPeriods = 1
 )
 
-// Rows reckons, for machines with so many GPUs each and jobs that are to begin within so many
-// seconds.
+// Rows returns the classes by name, for machines with the given number of GPUs each and
+// jobs that are to start within so many seconds. It fails if the log contains no jobs or
+// no statistics of a leader.
 func (l *Log) Rows(gpus, within float64) ([]Row, error) {
 	if len(l.machines) == 0 || len(l.jobs) == 0 {
 		return nil, fmt.Errorf("the log has no lines of a leader, or of accepted jobs: was LOG_LEVEL debug?")
 	}
-	end := l.machines[len(l.machines)-1].atS
-	d := Workload{PeriodS: periodS, WithinS: within, GPUs: make([]float64, int(end/periodS)+openPeriods)}
-	k := 0
-	for t := range d.GPUs {
-		for k+1 < len(l.machines) && l.machines[k+1].atS <= float64(t+1)*periodS {
-			k++
-		}
-		d.GPUs[t] = float64(l.machines[k].count) * gpus
-	}
-	rows := map[string]*Row{}
-	of := map[string][]string{}
+	workload := Workload{PeriodS: periodS, WithinS: within, GPUs: l.gpusByPeriod(gpus)}
+	rowOf := map[string]*Row{}
+	jobsOf := map[string][]string{}
 	for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
 		j := l.jobs[id]
-		d.Jobs = append(d.Jobs, *j)
-		of[j.Class] = append(of[j.Class], id)
-		if rows[j.Class] == nil {
-			rows[j.Class] = &Row{Class: j.Class, Gang: j.Gang, Bound: 1}
+		workload.Jobs = append(workload.Jobs, *j)
+		jobsOf[j.Class] = append(jobsOf[j.Class], id)
+		if rowOf[j.Class] == nil {
+			rowOf[j.Class] = &Row{Class: j.Class, Gang: j.Gang, Bound: 1}
 		}
 	}
-	bound, err := Solve(&d)
+	bound, err := Solve(&workload)
 	if err != nil {
 		return nil, err
 	}
-	var out []Row
-	for _, class := range slices.Sorted(maps.Keys(rows)) {
-		row, ids := rows[class], of[class]
+	var rows []Row
+	for _, class := range slices.Sorted(maps.Keys(rowOf)) {
+		row, ids := rowOf[class], jobsOf[class]
 		slices.SortStableFunc(ids, func(a, b string) int { return cmp.Compare(l.jobs[b].Tasks, l.jobs[a].Tasks) })
 		row.Jobs = len(ids)
 		row.Started = l.startedShare(ids, within)
-		row.Largest = l.startedShare(ids[:max(1, int(float64(len(ids))*largestFraction))], within)
+		row.Largest = l.startedShare(ids[:largestCount(len(ids))], within)
 		if row.Gang {
 			row.Bound = bound.StartShare[class]
 		}
-		out = append(out, *row)
+		rows = append(rows, *row)
+	}
+	return rows, nil
+}
+
+// gpusByPeriod returns the GPUs of the usable machines in each period.
+func (l *Log) gpusByPeriod(gpus float64) []float64 {
+	end := l.machines[len(l.machines)-1].atS
+	byPeriod := make([]float64, int(end/periodS)+openPeriods)
+	k := 0
+	for t := range byPeriod {
+		for k+1 < len(l.machines) && l.machines[k+1].atS <= float64(t+1)*periodS {
+			k++
+		}
+		byPeriod[t] = float64(l.machines[k].count) * gpus
 	}
-	return out, nil
+	return byPeriod
 }
 
+// startedShare returns the fraction of jobs that started in time.
 func (l *Log) startedShare(ids []string, within float64) float64 {
-	n := 0
+	started := 0
 	for _, id := range ids {
-		if age, ok := l.firstPlacedAfter[id]; ok && age <= within {
-			n++
+		if age, placed := l.firstPlacedAfter[id]; placed && age <= within {
+			started++
 		}
 	}
-	return float64(n) / float64(len(ids))
+	return float64(started) / float64(len(ids))
 }
--- a/internal/startbound/log_test.go
+++ b/internal/startbound/log_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// A log of a day with twice the gangs that there is room for.
-func TestLog(t *testing.T) {
+// Rows are computed from logs of this and earlier versions, here of a day with twice the
+// gangs that there is capacity for.
+func TestRowsFromLog(t *testing.T) {
 	var b strings.Builder
 	line := func(at, rest string) {
 		b.WriteString("  12.5 n1 time=2026-09-21T14:" + at + ".000Z level=DEBUG msg=" + rest + "\n")
 	}
-	line("00:00", "leader passes=1 usable=10") // as earlier versions wrote it
+	line("00:00", "leader passes=1 usable=10") // the form of earlier versions
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		line("00:00", "accepted job=j-"+id+" class=train team=north tasks=5 shape=group gpus=1 estimate_s=120")
 	}
