--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// The page and the slopes don't part.
-func TestPageIsWritten(t *testing.T) {
+// docs/CAPACITY.md is what the slopes give.
+func TestPageIsUpToDate(t *testing.T) {
 	var page bytes.Buffer
 	if err := Write(&page); err != nil {
 		t.Fatal(err)
 	}
-	kept, err := os.ReadFile("../../docs/CAPACITY.md")
+	committed, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(kept, page.Bytes()) {
+	if !bytes.Equal(committed, page.Bytes()) {
 		t.Error("docs/CAPACITY.md is not what the slopes give: coralhub capacity --write docs/CAPACITY.md")
 	}
 }
@@ -70,7 +70,8 @@
 	}
 }
 
-func TestBadData(t *testing.T) {
+// Invalid data are rejected with an error that names the entry.
+func TestInvalidDataIsRejected(t *testing.T) {
 	for change, want := range map[string]string{
 		`id = "a"|id = ""`:                                        "slope",
 		`[[1, 12], [2, 14], [3, 16]]|[[1, 12]]`:                   "three points",
@@ -81,8 +82,8 @@
 		`limit = 20|only = ["night"]`:                             `no situation "night"`,
 		`unit = "ms"|unit = 5`:                                    "capacity",
 	} {
-		old, now, _ := strings.Cut(change, "|")
-		if _, err := Parse([]byte(strings.Replace(small, old, now, 1))); err == nil || !strings.Contains(err.Error(), want) {
+		valid, invalid, _ := strings.Cut(change, "|")
+		if _, err := Parse([]byte(strings.Replace(small, valid, invalid, 1))); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", change, err)
 		}
 	}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -11,10 +11,10 @@
 	"strings"
 )
 
-// Page writes the data, the fits and the totals as a page of Markdown, below a text that stands first.
-func (d *Data) Page(out io.Writer, first string) error {
+// Page writes the totals, slopes and fits as a page of Markdown, after a preface.
+func (d *Data) Page(out io.Writer, preface string) error {
 	var b strings.Builder
-	b.WriteString(strings.TrimRight(first, "\n") + "\n")
+	b.WriteString(strings.TrimRight(preface, "\n") + "\n")
 	for i := range d.Situations {
 		s := &d.Situations[i]
 		fmt.Fprintf(&b, "\n## %s\n\n%s\n\n", s.Name, s.About)
@@ -35,7 +35,7 @@
 	return err
 }
 
-// Number writes an amount with three digits that count.
+// Number formats an amount with three significant digits.
 func Number(v float64) string {
 	if v == 0 {
 		return "0"
@@ -48,11 +48,11 @@
 }
 
 func drivers(s *Situation) string {
-	var out []string
+	var amounts []string
 	for _, name := range slices.Sorted(maps.Keys(s.Drivers)) {
-		out = append(out, name+" "+Number(s.Drivers[name]))
+		amounts = append(amounts, name+" "+Number(s.Drivers[name]))
 	}
-	return strings.Join(out, ", ")
+	return strings.Join(amounts, ", ")
 }
 
 func limit(r *Row) string {
@@ -62,7 +62,7 @@
 	return Number(r.Limit) + " " + r.Unit + " (" + r.LimitFrom + ")"
 }
 
-// ofLimit makes what is over its limit stand out.
+// ofLimit formats the ratio to the limit, in bold if the limit is exceeded.
 func ofLimit(t *Total) string {
 	switch over := t.Over(); {
 	case over == 0:
@@ -74,6 +74,7 @@
 	}
 }
 
+// beyond formats how far a total goes beyond what was measured.
 func beyond(t *Total) string {
 	switch {
 	case t.Stretched == 0:
@@ -86,21 +87,21 @@
 }
 
 func points(s *Slope) string {
-	var out []string
+	var amounts []string
 	for _, p := range s.Points {
-		out = append(out, Number(p[0]))
+		amounts = append(amounts, Number(p[0]))
 	}
-	return strings.Join(out, ", ")
+	return strings.Join(amounts, ", ")
 }
 
 //go:embed page.md
-var preface string
+var capacityPreface string
 
-// Write writes the page of the data that come with the program.
+// Write writes the page of the embedded data.
 func Write(out io.Writer) error {
 	d, err := Load()
 	if err != nil {
 		return err
 	}
-	return d.Page(out, preface)
+	return d.Page(out, capacityPreface)
 }
