--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,5 +1,5 @@
-// Package chart draws what a replay of a history found: as a PNG, or as a page of HTML
-// that needs nothing else.
+// Package chart draws the result of a replay of a history, as a PNG or as a self-contained
+// HTML page.
 package chart
 
 import (
@@ -20,61 +20,91 @@
 
 const (
 	width, height = 1000, 360
-	// mostPoints bounds what a chart shows: the last ones.
-	mostPoints = 2000
+	// maxPoints is how many points a chart shows: the last ones.
+	maxPoints = 2000
 )
 
-// classChart shows by how many times runs took longer than the median stated for them,
-// beside the interval stated: as far as estimates are good, dots lie evenly around 1
-// and four fifths of them between the lines. Times are drawn by their logarithm.
-func classChart(c *history.ClassResult) gochart.Chart {
-	points := c.Points[max(0, len(c.Points)-mostPoints):]
-	var at, ran, low, high, one []float64
-	times := func(s, of float64) float64 { return math.Log10(math.Max(s, 0.01) / math.Max(of, 0.01)) }
-	for _, p := range points {
-		at, one = append(at, p.Ended), append(one, 0)
-		ran = append(ran, times(p.Ran, p.Median))
-		low, high = append(low, times(p.Low, p.Median)), append(high, times(p.High, p.Median))
+// shortestS bounds times from below, in seconds, so that they have a logarithm.
+const shortestS = 0.01
+
+// series is the data of a chart: for each run its end and decimal logarithms of multiples
+// of the estimated median.
+type series struct{ end, ran, low, high, median []float64 }
+
+func newSeries(points []history.Point) *series {
+	multiple := func(seconds, median float64) float64 {
+		return math.Log10(math.Max(seconds, shortestS) / math.Max(median, shortestS))
 	}
-	line := func(name string, ys []float64, color drawing.Color) gochart.ContinuousSeries {
-		return gochart.ContinuousSeries{Name: name, XValues: at, YValues: ys, Style: gochart.Style{StrokeColor: color, StrokeWidth: 1}}
+	s := &series{}
+	for _, p := range points {
+		s.end = append(s.end, p.Ended)
+		s.ran = append(s.ran, multiple(p.Ran, p.Median))
+		s.low = append(s.low, multiple(p.Low, p.Median))
+		s.high = append(s.high, multiple(p.High, p.Median))
+		s.median = append(s.median, 0)
 	}
-	format := func(layout string, of func(float64) float64) gochart.ValueFormatter {
-		return func(v any) string {
-			f, _ := v.(float64)
-			return fmt.Sprintf(layout, of(f))
-		}
+	return s
+}
+
+// line draws values of the series as a line.
+func (s *series) line(name string, values []float64, color drawing.Color) gochart.ContinuousSeries {
+	return gochart.ContinuousSeries{Name: name, XValues: s.end, YValues: values, Style: gochart.Style{StrokeColor: color, StrokeWidth: 1}}
+}
+
+// dots draws values of the series as dots.
+func (s *series) dots(name string, values []float64, color drawing.Color) gochart.ContinuousSeries {
+	return gochart.ContinuousSeries{Name: name, XValues: s.end, YValues: values,
+		Style: gochart.Style{StrokeWidth: gochart.Disabled, StrokeColor: color, DotWidth: 1.5, DotColor: color}}
+}
+
+// formatter formats the labels of an axis.
+func formatter(layout string, convert func(float64) float64) gochart.ValueFormatter {
+	return func(v any) string {
+		f, _ := v.(float64)
+		return fmt.Sprintf(layout, convert(f))
 	}
-	g := gochart.Chart{Title: fmt.Sprintf("%s: %d runs with kin, by the stated median", c.Class, c.WithSimilar), Width: width, Height: height,
-		TitleStyle: gochart.Style{FontSize: 11}, Background: gochart.Style{Padding: gochart.Box{Top: 70, Left: 20, Right: 20, Bottom: 10}},
-		XAxis: gochart.XAxis{Name: "end, s", ValueFormatter: format("%.0f", func(f float64) float64 { return f })},
-		YAxis: gochart.YAxis{Name: "times", ValueFormatter: format("%.2g", func(f float64) float64 { return math.Pow(10, f) })},
+}
+
+// classChart shows the run times of a class as multiples of their estimated medians, with
+// the 0.8 interval. If the estimates are good the dots lie evenly around 1, and four
+// fifths of them between the lines. The multiples are drawn by their logarithm.
+func classChart(c *history.ClassResult) gochart.Chart {
+	s := newSeries(c.Points[max(0, len(c.Points)-maxPoints):])
+	g := gochart.Chart{
+		Title:      fmt.Sprintf("%s: %d runs with kin, by the stated median", c.Class, c.WithSimilar),
+		Width:      width,
+		Height:     height,
+		TitleStyle: gochart.Style{FontSize: 11},
+		Background: gochart.Style{Padding: gochart.Box{Top: 70, Left: 20, Right: 20, Bottom: 10}},
+		XAxis:      gochart.XAxis{Name: "end, s", ValueFormatter: formatter("%.0f", func(f float64) float64 { return f })},
+		YAxis:      gochart.YAxis{Name: "times", ValueFormatter: formatter("%.2g", func(f float64) float64 { return math.Pow(10, f) })},
 		Series: []gochart.Series{
-			gochart.ContinuousSeries{Name: "ran", XValues: at, YValues: ran,
-				Style: gochart.Style{StrokeWidth: gochart.Disabled, StrokeColor: gochart.ColorOrange, DotWidth: 1.5, DotColor: gochart.ColorOrange}},
-			line("0.8 interval, low", low, gochart.ColorAlternateGray), line("0.8 interval, high", high, gochart.ColorAlternateGray),
-			line("median", one, gochart.ColorBlue),
-		}}
+			s.dots("ran", s.ran, gochart.ColorOrange),
+			s.line("0.8 interval, low", s.low, gochart.ColorAlternateGray),
+			s.line("0.8 interval, high", s.high, gochart.ColorAlternateGray),
+			s.line("median", s.median, gochart.ColorBlue),
+		},
+	}
 	g.Elements = []gochart.Renderable{gochart.Legend(&g, gochart.Style{FontSize: 8})}
 	return g
 }
 
-// drawable are the classes that have something to show.
-func drawable(r *history.Result) []*history.ClassResult {
-	var out []*history.ClassResult
+// classesWithPoints returns the classes with enough points for a chart.
+func classesWithPoints(r *history.Result) []*history.ClassResult {
+	var classes []*history.ClassResult
 	for i := range r.Classes {
 		if len(r.Classes[i].Points) >= 2 {
-			out = append(out, &r.Classes[i])
+			classes = append(classes, &r.Classes[i])
 		}
 	}
-	return out
+	return classes
 }
 
-// PNG draws the classes one below the other.
+// PNG writes the charts of the classes one below the other.
 func PNG(w io.Writer, r *history.Result) error {
-	classes := drawable(r)
-	whole := image.NewRGBA(image.Rect(0, 0, width, max(1, len(classes))*height))
-	draw.Draw(whole, whole.Bounds(), image.White, image.Point{}, draw.Src)
+	classes := classesWithPoints(r)
+	canvas := image.NewRGBA(image.Rect(0, 0, width, max(1, len(classes))*height))
+	draw.Draw(canvas, canvas.Bounds(), image.White, image.Point{}, draw.Src)
 	for i, c := range classes {
 		g := classChart(c)
 		var raw bytes.Buffer
@@ -85,11 +115,12 @@
 		if err != nil {
 			return fmt.Errorf("chart of %s: %w", c.Class, err)
 		}
-		draw.Draw(whole, image.Rect(0, i*height, width, (i+1)*height), img, image.Point{}, draw.Over)
+		draw.Draw(canvas, image.Rect(0, i*height, width, (i+1)*height), img, image.Point{}, draw.Over)
 	}
-	return png.Encode(w, whole)
+	return png.Encode(w, canvas)
 }
 
+// page is the HTML page; its data are Result and Charts.
 var page = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>Estimates of run times</title>
 <style>body{font:14px sans-serif;margin:2em}table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}</style>
@@ -102,17 +133,17 @@
 </html>
 `))
 
-// HTML writes a page with a table and the charts.
+// HTML writes a page with a table of the classes and their charts.
 func HTML(w io.Writer, r *history.Result) error {
 	var charts []template.HTML
-	for _, c := range drawable(r) {
+	for _, c := range classesWithPoints(r) {
 		g := classChart(c)
 		g.Title = template.HTMLEscapeString(g.Title)
 		var svg bytes.Buffer
 		if err := g.Render(gochart.SVG, &svg); err != nil {
 			return fmt.Errorf("chart of %s: %w", c.Class, err)
 		}
-		charts = append(charts, template.HTML(svg.String())) //nolint:gosec // made here, its one foreign text escaped
+		charts = append(charts, template.HTML(svg.String())) //nolint:gosec // rendered here; the title, its only external text, is escaped
 	}
 	return page.Execute(w, map[string]any{"Result": r, "Charts": charts})
 }
--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -1,11 +1,11 @@
-// Command knownred judges a run of the tests when some are known to fail for a real fault that
-// could not be mended yet. It reads what "go test" printed from standard input:
+// Command knownred judges a test run when some tests are known to fail for a real fault that
+// could not be mended yet. It reads the output of "go test" from standard input:
 //
 //	go test ./... 2>&1 | knownred -list KNOWN-RED.txt -status 1
 //
-// A line of the list is "package test | cause | issue". It passes over exactly those tests and prints them. It
-// fails if anything else failed, if the list is longer than three lines or can't be read, and if a
-// test that is listed has not failed, be it that it passes or that there is none of that name.
+// A line of the list is "package test | cause | issue". The command ignores the failures of exactly
+// those tests and prints them. It fails if anything else failed, if the list is longer than three
+// lines or can't be read, and if a listed test has not failed, whether it passes or doesn't exist.
 package main
 
 import (
@@ -20,8 +20,8 @@
 	"strings"
 )
 
-// most is how many tests may be known to fail.
-const most = 3
+// maxKnown is how many tests may be listed.
+const maxKnown = 3
 
 func main() {
 	list := flag.String("list", "KNOWN-RED.txt", "the tests that are known to fail")
@@ -33,9 +33,9 @@
 	}
 }
 
-// run judges a log by the list; nil: but for what is known, all is well.
+// run judges a test log by the list. It returns nil if nothing failed but the listed tests.
 func run(list string, status int, log io.Reader, out io.Writer) error {
-	known, err := read(list)
+	known, err := readList(list)
 	if err != nil {
 		return err
 	}
@@ -43,30 +43,30 @@
 	if err != nil {
 		return err
 	}
-	for _, k := range known {
-		if !slices.Contains(failed, k.test) {
-			return fmt.Errorf("%s is listed and has not failed: it passes, or there is no such test", k.test)
+	for _, listed := range known {
+		if !slices.Contains(failed, listed.test) {
+			return fmt.Errorf("%s is listed and has not failed: it passes, or there is no such test", listed.test)
 		}
 	}
-	for _, f := range failed {
-		if !slices.ContainsFunc(known, func(k entry) bool { return k.test == f }) {
-			return fmt.Errorf("%s has failed", f)
+	for _, test := range failed {
+		if !slices.ContainsFunc(known, func(listed entry) bool { return listed.test == test }) {
+			return fmt.Errorf("%s has failed", test)
 		}
 	}
 	if status != 0 && len(failed) == 0 {
 		return fmt.Errorf("the test command ended with status %d", status)
 	}
-	for _, k := range known {
-		fmt.Fprintf(out, "known red: %s: %s (%s)\n", k.test, k.cause, k.issue)
+	for _, listed := range known {
+		fmt.Fprintf(out, "known red: %s: %s (%s)\n", listed.test, listed.cause, listed.issue)
 	}
 	return nil
 }
 
-// entry is a line of the list. A test is told as "package test".
+// entry is a line of the list. A test is written as "package test".
 type entry struct{ test, cause, issue string }
 
-// read takes the list; a file that isn't there lists nothing.
-func read(path string) ([]entry, error) {
+// readList reads the list. A file that doesn't exist is an empty list.
+func readList(path string) ([]entry, error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -79,17 +79,17 @@
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		f := strings.Split(line, "|")
-		for i := range f {
-			f[i] = strings.TrimSpace(f[i])
+		fields := strings.Split(line, "|")
+		for i := range fields {
+			fields[i] = strings.TrimSpace(fields[i])
 		}
-		if len(f) != 3 || len(strings.Fields(f[0])) != 2 || f[1] == "" || f[2] == "" {
+		if len(fields) != 3 || len(strings.Fields(fields[0])) != 2 || fields[1] == "" || fields[2] == "" {
 			return nil, fmt.Errorf("%s line %d is not \"package test | cause | issue\"", path, i+1)
 		}
-		known = append(known, entry{f[0], f[1], f[2]})
+		known = append(known, entry{fields[0], fields[1], fields[2]})
 	}
-	if len(known) > most {
-		return nil, fmt.Errorf("%s lists %d tests, %d may be", path, len(known), most)
+	if len(known) > maxKnown {
+		return nil, fmt.Errorf("%s lists %d tests, %d may be", path, len(known), maxKnown)
 	}
 	return known, nil
 }
@@ -100,34 +100,37 @@
 	brokenPackage = regexp.MustCompile(`^(panic: |fatal error: |FAIL\s+\S+ \[(build|setup) failed\])`)
 )
 
-// failures lists the tests of a log that failed by themselves, not by a test below them.
+// maxLineBytes bounds the length of a line of the log.
+const maxLineBytes = 16 << 20
+
+// failures returns the tests of a log that failed by themselves, not by a subtest. It fails if
+// something other than a test failed.
 func failures(log io.Reader) ([]string, error) {
-	var all, inPackage []string
+	var failed, failedInPackage []string
 	broken := ""
 	lines := bufio.NewScanner(log)
-	lines.Buffer(nil, 16<<20)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		line := lines.Text()
 		if brokenPackage.MatchString(line) && broken == "" {
-			broken = line // no test's word for the others of its package counts any more
+			broken = line // the other tests of the package have no results
 		}
-		if m := failedTest.FindStringSubmatch(line); m != nil {
-			inPackage = append(inPackage, m[1])
+		if match := failedTest.FindStringSubmatch(line); match != nil {
+			failedInPackage = append(failedInPackage, match[1])
 			continue
 		}
-		m := endOfPackage.FindStringSubmatch(line)
-		if m == nil {
+		match := endOfPackage.FindStringSubmatch(line)
+		if match == nil {
 			continue
 		}
-		if m[1] == "FAIL" && len(inPackage) == 0 && broken == "" {
+		status, name := match[1], match[2]
+		if status == "FAIL" && len(failedInPackage) == 0 && broken == "" {
 			broken = line
 		}
-		for _, test := range inPackage {
-			if !slices.ContainsFunc(inPackage, func(o string) bool { return strings.HasPrefix(o, test+"/") }) {
-				all = append(all, m[2]+" "+test)
-			}
+		for _, test := range withoutParents(failedInPackage) {
+			failed = append(failed, name+" "+test)
 		}
-		inPackage = nil
+		failedInPackage = nil
 	}
 	if err := lines.Err(); err != nil {
 		return nil, err
@@ -135,8 +138,20 @@
 	if broken != "" {
 		return nil, fmt.Errorf("not a test's failure: %s", broken)
 	}
-	if len(inPackage) > 0 {
-		return nil, fmt.Errorf("the log ends before the package of %s", inPackage[0])
+	if len(failedInPackage) > 0 {
+		return nil, fmt.Errorf("the log ends before the package of %s", failedInPackage[0])
+	}
+	return failed, nil
+}
+
+// withoutParents returns the tests that have no subtest among them.
+func withoutParents(tests []string) []string {
+	var leaves []string
+	for _, test := range tests {
+		isSubtest := func(other string) bool { return strings.HasPrefix(other, test+"/") }
+		if !slices.ContainsFunc(tests, isSubtest) {
+			leaves = append(leaves, test)
+		}
 	}
-	return all, nil
+	return leaves
 }
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -15,7 +15,7 @@
 	line  = "coralhub/a TestX/sub/7 | a fault of ours | issue 1\n"
 )
 
-// The script that CI runs, with commands in the place of the tests.
+// The script that CI runs judges a test run by the list. Commands stand for the tests.
 func TestScript(t *testing.T) {
 	for _, c := range []struct {
 		name, list, log, status string
@@ -44,7 +44,7 @@
 			list, log := filepath.Join(dir, "KNOWN-RED.txt"), filepath.Join(dir, "log")
 			for path, text := range map[string]string{list: c.list, log: c.log} {
 				if path == list && text == "" {
-					continue // a list that isn't there
+					continue // the list doesn't exist
 				}
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 					t.Fatal(err)
--- a/internal/jobclient/client.go
+++ b/internal/jobclient/client.go
@@ -1,4 +1,5 @@
-// Package jobclient asks a service as the protocol lets users.
+// Package jobclient is a client of the service's job API that retries as the protocol asks
+// users to.
 package jobclient
 
 import (
@@ -14,92 +15,100 @@
 	"coralhub/wire"
 )
 
-// How long users wait, and how long they try.
+// Timeouts and intervals of requests.
 const (
-	SubmitWait  = 5 * time.Second
-	PollWait    = 2 * time.Second
-	TryFor      = 60 * time.Second
-	PollEvery   = 5 * time.Second
-	leastPause  = time.Second
-	longestWait = 30 * time.Second
+	SubmitWait = 5 * time.Second  // timeout of a submission
+	PollWait   = 2 * time.Second  // timeout of a poll
+	TryFor     = 60 * time.Second // how long requests are retried
+	PollEvery  = 5 * time.Second  // poll interval of users who follow a job
+
+	// Bounds of the pause before a retry, whatever Retry-After says.
+	minPause = time.Second
+	maxPause = 30 * time.Second
 )
 
-// Answer is what a user hears.
+// Answer is the answer to a request.
 type Answer struct {
-	Status     int // of HTTP; 0: there was no answer
+	Status     int // HTTP status; 0: there was no answer
 	Job        wire.JobStatus
 	RetryAfter time.Duration
 }
 
-// Accepted tells whether the request was done.
+// Accepted reports whether the request succeeded.
 func (a *Answer) Accepted() bool { return a.Status == http.StatusOK || a.Status == http.StatusCreated }
 
-// Refused tells whether it never will be.
+// Refused reports whether a retry is useless.
 func (a *Answer) Refused() bool {
 	return a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity || a.Status == http.StatusNotFound
 }
 
-// Client makes requests to addresses that pick chooses for each.
+// Client makes requests, each to the address that PickNode returns. It is safe for concurrent
+// use if its functions are.
 type Client struct {
 	HTTP     *http.Client
 	PickNode func() string
-	Failed   func(error) // hears why a request got no answer; nil: nobody does
+	Failed   func(error) // called with the reason if a request got no answer; may be nil
 }
 
-// Request makes one request.
-func (u *Client) Request(ctx context.Context, longest time.Duration, method, path string, body []byte) (a Answer) {
-	ctx, cancel := context.WithTimeout(ctx, longest)
+// Request makes one request. The zero Answer means that there was none.
+func (c *Client) Request(ctx context.Context, timeout time.Duration, method, path string, body []byte) (a Answer) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+u.PickNode()+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.PickNode()+path, bytes.NewReader(body))
 	if err != nil {
 		return a
 	}
-	res, err := u.HTTP.Do(req)
+	res, err := c.HTTP.Do(req)
 	if err != nil {
-		if u.Failed != nil {
-			u.Failed(err)
+		if c.Failed != nil {
+			c.Failed(err)
 		}
 		return a
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(res.Body, wire.MaxBody))
-	if err != nil || res.StatusCode < 300 && wire.Unmarshal(raw, &a.Job) != nil {
+	if err != nil {
+		return Answer{}
+	}
+	succeeded := res.StatusCode < http.StatusMultipleChoices
+	if succeeded && wire.Unmarshal(raw, &a.Job) != nil {
 		return Answer{}
 	}
 	a.Status = res.StatusCode
-	after, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64) // none: the usual pause
-	a.RetryAfter = time.Duration(after * 1e9)
+	retryAfterS, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64) // 0 if it is absent
+	a.RetryAfter = time.Duration(retryAfterS * 1e9)
 	return a
 }
 
-// Repeat makes a request until it is taken or refused for good, or the time to try is
-// over. Each answer is told; it returns whether the request was taken.
-func (u *Client) Repeat(ctx context.Context, method, path string, body []byte, told func(*Answer)) bool {
-	for began := time.Now(); ctx.Err() == nil; {
-		a := u.Request(ctx, SubmitWait, method, path, body)
+// Repeat makes a request and retries it until it is accepted or refused, TryFor would be
+// exceeded or ctx ends. It calls onAnswer with each answer and reports whether the request
+// was accepted.
+func (c *Client) Repeat(ctx context.Context, method, path string, body []byte, onAnswer func(*Answer)) bool {
+	for start := time.Now(); ctx.Err() == nil; {
+		a := c.Request(ctx, SubmitWait, method, path, body)
 		if ctx.Err() != nil {
 			return false
 		}
-		told(&a)
-		pause := min(max(a.RetryAfter, leastPause), longestWait)
+		onAnswer(&a)
+		pause := min(max(a.RetryAfter, minPause), maxPause)
 		switch {
 		case a.Accepted():
 			return true
-		case a.Refused(), time.Since(began)+pause > TryFor, !wait.For(ctx, pause):
+		case a.Refused(), time.Since(start)+pause > TryFor, !wait.For(ctx, pause):
 			return false
 		}
 	}
 	return false
 }
 
-// Poll asks for a job's state.
-func (u *Client) Poll(ctx context.Context, id string) Answer {
-	return u.Request(ctx, PollWait, http.MethodGet, wire.PathJobs+"/"+id, nil)
+// Poll requests the status of a job.
+func (c *Client) Poll(ctx context.Context, id string) Answer {
+	return c.Request(ctx, PollWait, http.MethodGet, wire.PathJobs+"/"+id, nil)
 }
 
-// Follow polls a job until it is over or ctx ends, and has it cancelled once, some time after the call,
-// if cancelIn is above 0. Each answer to a poll is told.
-func (u *Client) Follow(ctx context.Context, id string, cancelIn time.Duration, told func(*Answer), cancel func()) {
+// Follow polls a job until it has ended or ctx ends, and calls onAnswer with each answer. If
+// cancelIn is above 0 it calls cancel once, that long after the call.
+func (c *Client) Follow(ctx context.Context, id string, cancelIn time.Duration, onAnswer func(*Answer), cancel func()) {
 	var cancelAt <-chan time.Time
 	if cancelIn > 0 {
 		t := time.NewTimer(cancelIn)
@@ -116,11 +125,12 @@
 			cancelAt = nil
 			cancel()
 		case <-poll.C:
-			a := u.Poll(ctx, id)
+			a := c.Poll(ctx, id)
 			if ctx.Err() != nil {
 				return
 			}
-			if told(&a); a.Over() {
+			onAnswer(&a)
+			if a.Over() {
 				return
 			}
 			poll.Reset(PollEvery)
@@ -128,17 +138,17 @@
 	}
 }
 
-// Over tells whether an answer says that a job is over.
+// Over reports whether the job has ended, according to the answer.
 func (a *Answer) Over() bool {
 	return a.Status == http.StatusOK && (a.Job.Status == wire.Done || a.Job.Status == wire.Cancelled)
 }
 
-// readyWait is how long a node may take to tell that it takes requests.
-const readyWait = time.Second
+// readyTimeout is the timeout of a readiness probe.
+const readyTimeout = time.Second
 
-// Ready tells whether the node at an address takes requests, as a balancer asks it.
+// Ready reports whether the node at an address is ready, by the probe that load balancers use.
 func Ready(ctx context.Context, client *http.Client, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+wire.PathReady, nil)
 	if err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,7 @@
-// Package load submits jobs to a service at set times, whatever the answers take, and
-// measures what users would have met. A submission's time counts from when it was due:
-// a slow answer delays nobody else's.
+// Package load is an open-loop load generator: it submits jobs to a service at random times
+// that don't depend on the answers, and measures the latency that users would have
+// observed. A submission's latency counts from when it was due: a slow answer delays no
+// other submission.
 package load
 
 import (
@@ -20,113 +21,137 @@
 	"coralhub/wire"
 )
 
-// Options say what load is made.
+// Options describe the load.
 type Options struct {
-	To    []string // HOST:PORT of nodes or of a balancer
+	To    []string // HOST:PORT of nodes or of a load balancer
 	Jobs  int
-	Rate  float64 // a second
+	Rate  float64 // mean submissions per second
 	Seed  uint64
-	First int // number of the first id
+	First int // number in the first job's id
 	Spec  wire.Job
-	// Limit bounds the requests at a time; what is due beyond it is counted as missed.
+	// Limit bounds the concurrent jobs; submissions that are due beyond it are counted as missed.
 	Limit int
-	Wait  bool // follow the jobs to their end
+	Wait  bool // follow jobs until they end
 }
 
-// Result is what came of it; times are in seconds.
+// Result is what was measured; times are in seconds.
 type Result struct {
 	Jobs     int            `json:"jobs"`
 	Accepted int            `json:"accepted"`
 	Ended    int            `json:"ended"`
-	Missed   int            `json:"missed"` // due while too many were on their way
+	Missed   int            `json:"missed"` // due while Limit was reached
 	Statuses map[string]int `json:"statuses"`
 	Submit   quantile.Times `json:"submit_s"`
 	End      quantile.Times `json:"end_s"`
 }
 
 const (
-	pollEvery = time.Second
-	longest   = int64(time.Hour / time.Microsecond)
+	pollInterval      = time.Second
+	maxMicros         = int64(time.Hour / time.Microsecond) // of a recorded time
+	significantDigits = 3
 )
 
+// generator is the state of a run.
 type generator struct {
-	opt    Options
-	ask    *jobclient.Client
-	mu     sync.Mutex
-	res    Result
-	submit *hdrhistogram.Histogram
-	end    *hdrhistogram.Histogram
+	options     Options
+	client      *jobclient.Client
+	mu          sync.Mutex
+	result      Result
+	submitTimes *hdrhistogram.Histogram
+	endTimes    *hdrhistogram.Histogram
 }
 
-// Run makes the load and returns when all its jobs are answered, and over if that is
-// asked for.
-func Run(ctx context.Context, opt Options) (*Result, error) {
-	if len(opt.To) == 0 || opt.Jobs < 1 || !(opt.Rate > 0) || opt.Limit < 1 {
-		return nil, fmt.Errorf("load: %d jobs at %v a second, %d at a time, to %d addresses", opt.Jobs, opt.Rate, opt.Limit, len(opt.To))
+// Run generates the load and returns when all jobs are answered, or with Options.Wait
+// ended. It returns an error if the options are invalid or ctx ends.
+func Run(ctx context.Context, options Options) (*Result, error) {
+	if len(options.To) == 0 || options.Jobs < 1 || !(options.Rate > 0) || options.Limit < 1 {
+		return nil, fmt.Errorf("load: %d jobs at %v a second, %d at a time, to %d addresses", options.Jobs, options.Rate, options.Limit, len(options.To))
 	}
-	g := &generator{opt: opt, res: Result{Jobs: opt.Jobs, Statuses: map[string]int{}},
-		ask: &jobclient.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: opt.Limit}},
-			PickNode: func() string { return opt.To[rand.IntN(len(opt.To))] }},
-		submit: hdrhistogram.New(1, longest, 3), end: hdrhistogram.New(1, longest, 3)}
-	defer g.ask.HTTP.CloseIdleConnections()
-	rnd := rand.New(rand.NewPCG(opt.Seed, 1))
-	sem := make(chan struct{}, opt.Limit)
-	var wg sync.WaitGroup
+	g := newGenerator(options)
+	defer g.client.HTTP.CloseIdleConnections()
+	if !g.submitAll(ctx) {
+		return nil, ctx.Err()
+	}
+	g.result.Submit = quantile.Of(g.submitTimes, 1)
+	g.result.End = quantile.Of(g.endTimes, 1)
+	return &g.result, ctx.Err()
+}
+
+func newGenerator(options Options) *generator {
+	return &generator{
+		options: options,
+		result:  Result{Jobs: options.Jobs, Statuses: map[string]int{}},
+		client: &jobclient.Client{
+			HTTP:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: options.Limit}},
+			PickNode: func() string { return options.To[rand.IntN(len(options.To))] },
+		},
+		submitTimes: hdrhistogram.New(1, maxMicros, significantDigits),
+		endTimes:    hdrhistogram.New(1, maxMicros, significantDigits),
+	}
+}
+
+// submitAll starts each job when it is due and waits for all of them. It returns false if
+// ctx ends before all are due.
+func (g *generator) submitAll(ctx context.Context) bool {
+	rnd := rand.New(rand.NewPCG(g.options.Seed, 1))
+	slots := make(chan struct{}, g.options.Limit)
+	var jobs sync.WaitGroup
+	defer jobs.Wait()
 	due := time.Now()
-	for i := range opt.Jobs {
-		due = due.Add(time.Duration(rnd.ExpFloat64() / opt.Rate * 1e9))
+	for i := range g.options.Jobs {
+		due = due.Add(time.Duration(rnd.ExpFloat64() / g.options.Rate * 1e9))
 		if !wait.For(ctx, time.Until(due)) {
-			wg.Wait()
-			return nil, ctx.Err()
+			return false
 		}
 		select {
-		case sem <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			g.count(func(r *Result) { r.Missed++ })
+			g.update(func(r *Result) { r.Missed++ })
 			continue
 		}
-		j := opt.Spec
-		j.ID = fmt.Sprintf("j-%09d", opt.First+i)
-		at := due
-		wg.Go(func() {
-			defer func() { <-sem }()
-			g.user(ctx, &j, at)
+		job := g.options.Spec
+		job.ID = fmt.Sprintf("j-%09d", g.options.First+i)
+		jobDue := due
+		jobs.Go(func() {
+			defer func() { <-slots }()
+			g.runJob(ctx, &job, jobDue)
 		})
 	}
-	wg.Wait()
-	g.res.Submit, g.res.End = quantile.Of(g.submit, 1), quantile.Of(g.end, 1)
-	return &g.res, ctx.Err()
+	return true
 }
 
-func (g *generator) count(f func(*Result)) {
+// update changes the result.
+func (g *generator) update(change func(*Result)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f(&g.res)
+	change(&g.result)
 }
 
-func (g *generator) took(h *hdrhistogram.Histogram, due time.Time) {
+// recordSince records the time since a submission was due.
+func (g *generator) recordSince(h *hdrhistogram.Histogram, due time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_ = h.RecordValue(min(max(time.Since(due).Microseconds(), 1), longest)) // within its bounds
+	_ = h.RecordValue(min(max(time.Since(due).Microseconds(), 1), maxMicros)) // within its range
 }
 
-// user submits a job and follows it.
-func (g *generator) user(ctx context.Context, j *wire.Job, due time.Time) {
+// runJob submits a job and, with Options.Wait, follows it until it ends.
+func (g *generator) runJob(ctx context.Context, j *wire.Job, due time.Time) {
 	raw, err := wire.Marshal(j)
 	if err != nil {
 		return
 	}
-	if !g.ask.Repeat(ctx, http.MethodPost, wire.PathJobs, raw, func(a *jobclient.Answer) {
-		g.count(func(r *Result) { r.Statuses[strconv.Itoa(a.Status)]++ })
-	}) {
+	accepted := g.client.Repeat(ctx, http.MethodPost, wire.PathJobs, raw, func(a *jobclient.Answer) {
+		g.update(func(r *Result) { r.Statuses[strconv.Itoa(a.Status)]++ })
+	})
+	if !accepted {
 		return
 	}
-	g.took(g.submit, due)
-	g.count(func(r *Result) { r.Accepted++ })
-	for g.opt.Wait && j.Shape != wire.Service && wait.For(ctx, pollEvery) {
-		if a := g.ask.Poll(ctx, j.ID); a.Over() {
-			g.took(g.end, due)
-			g.count(func(r *Result) { r.Ended++ })
+	g.recordSince(g.submitTimes, due)
+	g.update(func(r *Result) { r.Accepted++ })
+	for g.options.Wait && j.Shape != wire.Service && wait.For(ctx, pollInterval) {
+		if a := g.client.Poll(ctx, j.ID); a.Over() {
+			g.recordSince(g.endTimes, due)
+			g.update(func(r *Result) { r.Ended++ })
 			return
 		}
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,19 +12,19 @@
 	"coralhub/wire"
 )
 
-// service takes submissions, the first of each job only after a refusal, and says that
-// jobs are done.
+// service simulates a service: it accepts submissions, those with an id that ends in 5 only
+// on a retry, and reports all jobs as done.
 type service struct {
-	mu      sync.Mutex
-	refused map[string]bool
-	gate    chan struct{} // nil, or closed when answers may be given
-	came    chan struct{} // told of each request that waits at the gate
+	mu       sync.Mutex
+	rejected map[string]bool
+	gate     chan struct{} // if not nil, requests wait until it is closed
+	arrived  chan struct{} // receives for each request that waits for the gate
 }
 
 func (s *service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.gate != nil {
 		select {
-		case s.came <- struct{}{}:
+		case s.arrived <- struct{}{}:
 		case <-s.gate:
 		}
 		<-s.gate
@@ -38,10 +38,10 @@
 			return
 		}
 		s.mu.Lock()
-		again := s.refused[j.ID]
-		s.refused[j.ID] = true
+		retried := s.rejected[j.ID]
+		s.rejected[j.ID] = true
 		s.mu.Unlock()
-		if !again && strings.HasSuffix(j.ID, "5") {
+		if !retried && strings.HasSuffix(j.ID, "5") {
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -58,8 +58,9 @@
 		Spec: wire.Job{Class: "c", Team: "t", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i"}}
 }
 
+// Rejected submissions are retried, and jobs are followed until they end.
 func TestLoadRetriesAndFollows(t *testing.T) {
-	h := httptest.NewServer(&service{refused: map[string]bool{}})
+	h := httptest.NewServer(&service{rejected: map[string]bool{}})
 	defer h.Close()
 	res, err := Run(t.Context(), options(h.URL))
 	if err != nil {
@@ -69,14 +70,14 @@
 		t.Errorf("%+v", res)
 	}
 	if res.Submit.Max < 1 || res.Submit.P50 > res.Submit.Max {
-		t.Errorf("a submission that was told to come back in a second took %v", res.Submit)
+		t.Errorf("a submission that was to be retried after a second took %v", res.Submit)
 	}
 }
 
-// A service that doesn't answer slows nobody down: what is due is sent, as far as the
-// limit goes, and the rest is counted.
-func TestLoadIsNotSlowedDown(t *testing.T) {
-	s := &service{refused: map[string]bool{}, gate: make(chan struct{}), came: make(chan struct{})}
+// A service that doesn't answer delays no submission: those due are sent up to the limit,
+// and the others are counted as missed.
+func TestSlowAnswersDelayNoSubmissions(t *testing.T) {
+	s := &service{rejected: map[string]bool{}, gate: make(chan struct{}), arrived: make(chan struct{})}
 	h := httptest.NewServer(s)
 	defer h.Close()
 	opt := options(h.URL)
@@ -89,8 +90,8 @@
 		}
 		done <- res
 	}()
-	for range opt.Limit { // all that may be on their way are, and none is answered
-		<-s.came
+	for range opt.Limit { // the limit is reached, and none is answered
+		<-s.arrived
 	}
 	opened := time.AfterFunc(time.Second, func() { close(s.gate) }) // twenty are due within a twentieth of that
 	defer opened.Stop()
@@ -98,6 +99,6 @@
 		t.Errorf("%+v", res)
 	}
 	if _, err := Run(t.Context(), Options{}); err == nil {
-		t.Error("load without anything was made")
+		t.Error("empty options are accepted")
 	}
 }
--- a/internal/load/names_test.go
+++ b/internal/load/names_test.go
@@ -6,6 +6,7 @@
 	"coralhub/internal/golden"
 )
 
-func TestNamesOfResult(t *testing.T) {
+// The JSON names of results don't change.
+func TestJSONNames(t *testing.T) {
 	golden.Check(t, "result-names.txt", golden.Names("json", Result{}))
 }
--- a/internal/process/port.go
+++ b/internal/process/port.go
@@ -8,18 +8,22 @@
 )
 
 // FreeAddress returns a loopback address that nobody listens on. A process binds it a moment
-// later, and again whenever it is restarted: so it is none of those that the system
-// hands out by itself, to the next connection or listener that asks for any.
+// later, and again whenever it is restarted: so its port is not one of the ephemeral ports,
+// which the system could assign to another connection or listener in between.
 func FreeAddress() (string, error) {
-	const from, to, tries = 16_000, 32_000, 100 // systems hand out ports above
-	var last error
+	const (
+		from  = 16_000
+		to    = 32_000 // ephemeral ports are above
+		tries = 100
+	)
+	var lastErr error
 	for range tries {
 		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", fmt.Sprintf("127.0.0.1:%d", from+rand.IntN(to-from)))
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		return l.Addr().String(), l.Close()
 	}
-	return "", fmt.Errorf("no free port: %w", last)
+	return "", fmt.Errorf("no free port: %w", lastErr)
 }
--- a/internal/process/proc.go
+++ b/internal/process/proc.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// ResidentMB is the memory that a process holds, in MB of 2^20 bytes; 0 if that can't be told.
+// ResidentMB returns the resident memory of a process, in MB of 2^20 bytes; 0 if it is unknown.
 func ResidentMB(pid int) float64 {
-	return field(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:") / 1024
+	return readField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:") / 1024
 }
 
-// TotalMB is the machine's memory, in MB of 2^20 bytes; 0 if that can't be told.
-func TotalMB() float64 { return field("/proc/meminfo", "MemTotal:") / 1024 }
+// TotalMB returns the machine's memory, in MB of 2^20 bytes; 0 if it is unknown.
+func TotalMB() float64 { return readField("/proc/meminfo", "MemTotal:") / 1024 }
 
-// field reads the number after a name at the start of a line; 0 if there is none.
-func field(file, name string) float64 {
+// readField returns the number after a name at the start of a line; 0 if there is none.
+func readField(file, name string) float64 {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return 0
@@ -37,24 +37,32 @@
 	return 0
 }
 
-// CPU is the processor time that a process has taken, to a hundredth of a second; 0 if that
-// can't be told.
+const (
+	// Fields of /proc/PID/stat after the command's name.
+	userTimeField   = 11
+	systemTimeField = 12
+	// clockTick is the unit of these times.
+	clockTick = 10 * time.Millisecond
+)
+
+// CPU returns the processor time of a process, to a hundredth of a second; 0 if it is
+// unknown.
 func CPU(pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
 	_, rest, _ := strings.Cut(string(raw), ") ")
-	f := strings.Fields(rest)
-	if len(f) < 13 {
+	fields := strings.Fields(rest)
+	if len(fields) <= systemTimeField {
 		return 0
 	}
-	user, _ := strconv.ParseInt(f[11], 10, 64)
-	system, _ := strconv.ParseInt(f[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond
+	user, _ := strconv.ParseInt(fields[userTimeField], 10, 64)
+	system, _ := strconv.ParseInt(fields[systemTimeField], 10, 64)
+	return time.Duration(user+system) * clockTick
 }
 
-// OpenFiles is how many files and sockets a process has open; 0 if that can't be told.
+// OpenFiles returns the number of open files and sockets of a process; 0 if it is unknown.
 func OpenFiles(pid int) int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -63,18 +71,18 @@
 	return len(entries)
 }
 
-// FileLimit is how many files a process of this one's may have open.
+// FileLimit returns how many files this process, or a child of it, may have open.
 func FileLimit() (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, err
 	}
-	const most = 1 << 30 // more is as good as no limit
-	return int(min(limit.Cur, most)), nil
+	const unlimited = 1 << 30 // more is as good as no limit
+	return int(min(limit.Cur, unlimited)), nil
 }
 
-// OutOfFiles tells whether an error says that this process, or the machine, has no more files
-// to open.
+// OutOfFiles reports whether an error means that this process or the machine has reached its
+// limit of open files.
 func OutOfFiles(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts child processes and tells what they take of the machine, from the
-// kernel's accounts under /proc.
+// Package process starts child processes and measures what they take of the machine, from
+// the kernel's statistics under /proc.
 package process
 
 import (
@@ -13,28 +13,29 @@
 	"time"
 )
 
-// Options say what to start.
+// Options describe a process.
 type Options struct {
 	Program string    // path of the executable
 	Args    []string  // its arguments
 	Env     []string  // added to this process's own
-	Log     string    // file that its standard error, and its output unless Output is set, are appended to
-	Output  io.Writer // where its standard output goes; nil: into the log
+	Log     string    // file that its standard error, and its standard output unless Output is set, are appended to
+	Output  io.Writer // destination of its standard output; nil: the log
 }
 
-// Process is a child process. Its standard input is a pipe that lasts as long as it does, so
-// that a child which ends with its input is never left behind.
+// Process is a child process. Its standard input is a pipe that stays open as long as this
+// process lives, so that a child which ends with its input never outlives it. It is safe
+// for concurrent use.
 type Process struct {
 	input io.WriteCloser
-	gone  chan struct{}
+	done  chan struct{}
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd // nil once it has ended
-	cpu    time.Duration
-	peakMB float64
+	mu       sync.Mutex
+	running  *exec.Cmd // nil once it has ended
+	finalCPU time.Duration
+	peakMB   float64
 }
 
-// Start starts a process. The error says what could not be opened or started.
+// Start starts a process. The error names what could not be opened or started.
 func Start(opt Options) (*Process, error) {
 	log, err := os.OpenFile(opt.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -54,64 +55,65 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", opt.Program, err)
 	}
-	p := &Process{input: input, gone: make(chan struct{}), cmd: cmd}
+	p := &Process{input: input, done: make(chan struct{}), running: cmd}
 	go p.wait(cmd)
 	return p, nil
 }
 
-// wait notes the end of the process.
+// wait waits for the end of the process.
 func (p *Process) wait(cmd *exec.Cmd) {
 	_ = cmd.Wait() // how it ended is in its log
 	_ = p.input.Close()
 	p.mu.Lock()
-	p.cpu = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-	p.cmd = nil
+	p.finalCPU = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+	p.running = nil
 	p.mu.Unlock()
-	close(p.gone)
+	close(p.done)
 }
 
-// Input is the process's standard input.
+// Input returns the pipe to the process's standard input.
 func (p *Process) Input() io.Writer { return p.input }
 
-// Gone is closed when the process has ended.
-func (p *Process) Gone() <-chan struct{} { return p.gone }
+// Gone returns a channel that is closed when the process has ended.
+func (p *Process) Gone() <-chan struct{} { return p.done }
 
-// Signal sends a signal; a process that has ended gets none.
+// Signal sends a signal. It does nothing if the process has ended.
 func (p *Process) Signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil {
+	if p.running == nil {
 		return nil
 	}
-	if err := p.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
+	if err := p.running.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
 	return nil
 }
 
-// pid is the process's number; 0 once it has ended.
+// pid returns the process's id; 0 once it has ended.
 func (p *Process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil {
+	if p.running == nil {
 		return 0
 	}
-	return p.cmd.Process.Pid
+	return p.running.Process.Pid
 }
 
-// CPU is the processor time taken so far, to a hundredth of a second while it runs.
+// CPU returns the processor time so far, to a hundredth of a second while the process runs.
 func (p *Process) CPU() time.Duration {
 	if pid := p.pid(); pid != 0 {
-		if spent := CPU(pid); spent > 0 {
-			return spent
+		if used := CPU(pid); used > 0 {
+			return used
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cpu
+	return p.finalCPU
 }
 
-// Measure reads how much memory the process holds, in MB of 2^20 bytes, and keeps the peak.
+// Measure returns the resident memory of the process, in MB of 2^20 bytes, and updates the
+// peak; 0 if the process has ended.
 func (p *Process) Measure() (residentMB float64) {
 	pid := p.pid()
 	if pid == 0 {
@@ -124,14 +126,14 @@
 	return residentMB
 }
 
-// PeakMB is the most that Measure has read.
+// PeakMB returns the largest value that Measure has returned.
 func (p *Process) PeakMB() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.peakMB
 }
 
-// Files is how many files and sockets the process has open.
+// Files returns the number of open files and sockets of the process; 0 once it has ended.
 func (p *Process) Files() int {
 	if pid := p.pid(); pid != 0 {
 		return OpenFiles(pid)
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -1,4 +1,4 @@
-// Package recorder writes the runs that end in a running service as a history.
+// Package recorder writes the runs that end in a running service to a history.
 package recorder
 
 import (
@@ -17,81 +17,94 @@
 )
 
 const (
-	pause   = time.Second // between questions when there is nothing new
-	maxPage = 8 << 20
+	pollInterval = time.Second // while there is nothing new
+	maxPageBytes = 8 << 20
+	// reportAfter is after how many rounds of the nodes without a leader that is reported.
+	reportAfter = 10
 )
 
-// Recorder asks the node that leads for the runs that have ended since it asked last.
+// Recorder polls the leader for the runs that have ended since the last poll.
 type Recorder struct {
-	Nodes  []string
+	Nodes  []string // HOST:PORT
 	Client *http.Client
-	Tell   func(string)
+	Report func(string) // called with problems that don't end the recording
 
-	at     int // the node that was asked last
-	from   uint64
-	leader string
+	current int    // index of the node that is polled
+	next    uint64 // number of the first run that wasn't received
+	leader  string // the node that answered last as the leader
 }
 
-var errElsewhere = errors.New("not the leader")
+var errNotLeader = errors.New("not the leader")
 
-// Run records until ctx ends, which is no error.
+// Run records until ctx ends, which is no error, or writing fails.
 func (r *Recorder) Run(ctx context.Context, w io.Writer) error {
 	enc := json.NewEncoder(w)
 	failures := 0
 	for ctx.Err() == nil {
-		page, err := r.page(ctx)
+		page, err := r.fetch(ctx)
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
-			if failures++; failures%(10*len(r.Nodes)) == 0 {
-				r.Tell(fmt.Sprintf("no node answers as the leader; the last: %v", err))
+			failures++
+			if failures%(reportAfter*len(r.Nodes)) == 0 {
+				r.Report(fmt.Sprintf("no node answers as the leader; the last: %v", err))
 			}
-			r.at = (r.at + 1) % len(r.Nodes)
-			wait.For(ctx, pause/time.Duration(len(r.Nodes)))
+			r.current = (r.current + 1) % len(r.Nodes)
+			wait.For(ctx, pollInterval/time.Duration(len(r.Nodes)))
 			continue
 		}
 		failures = 0
-		if page.Missed > 0 {
-			r.Tell(fmt.Sprintf("%d runs were missed", page.Missed))
+		if err := r.write(enc, page); err != nil {
+			return err
 		}
-		for i := range page.Runs {
-			if err := enc.Encode(&page.Runs[i]); err != nil {
-				return err
-			}
-		}
-		r.from = page.Next
 		if len(page.Runs) == 0 {
-			wait.For(ctx, pause)
+			wait.For(ctx, pollInterval)
+		}
+	}
+	return nil
+}
+
+// write writes the runs of a page and reports those that the leader no longer had.
+func (r *Recorder) write(enc *json.Encoder, page *leader.Runs) error {
+	if page.Missed > 0 {
+		r.Report(fmt.Sprintf("%d runs were missed", page.Missed))
+	}
+	for i := range page.Runs {
+		if err := enc.Encode(&page.Runs[i]); err != nil {
+			return err
 		}
 	}
+	r.next = page.Next
 	return nil
 }
 
-func (r *Recorder) page(ctx context.Context) (*leader.Runs, error) {
-	node := r.Nodes[r.at]
+// fetch gets the next page of runs from the current node. It returns errNotLeader if the
+// node doesn't lead.
+func (r *Recorder) fetch(ctx context.Context) (*leader.Runs, error) {
+	node := r.Nodes[r.current]
 	if node != r.leader {
-		r.from = 0 // another leader counts anew
+		r.next = 0 // each leader numbers its runs from 0
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node+httpapi.PathRuns+"?from="+strconv.FormatUint(r.from, 10), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node+httpapi.PathRuns+"?from="+strconv.FormatUint(r.next, 10), nil)
 	if err != nil {
 		return nil, err
 	}
-	res, err := r.Client.Do(req)
+	response, err := r.Client.Do(req)
 	if err != nil {
 		return nil, err
 	}
-	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, maxPage))
+	defer response.Body.Close()
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	if err != nil {
 		return nil, err
 	}
-	if res.StatusCode != http.StatusOK {
+	if response.StatusCode != http.StatusOK {
 		var e leader.AdminError
 		if json.Unmarshal(raw, &e) != nil || e.Error == "" {
-			return nil, fmt.Errorf("%s: %w: status %d", node, errElsewhere, res.StatusCode)
+			return nil, fmt.Errorf("%s: %w: status %d", node, errNotLeader, response.StatusCode)
 		}
-		return nil, fmt.Errorf("%s: %w: %s", node, errElsewhere, e.Error)
+		return nil, fmt.Errorf("%s: %w: %s", node, errNotLeader, e.Error)
 	}
 	page := &leader.Runs{}
 	if err := json.Unmarshal(raw, page); err != nil {
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -15,7 +15,7 @@
 	"coralhub/internal/history"
 )
 
-// server plays a node: it leads or not, and knows runs from first on.
+// server simulates a node, which leads or not and has the runs from first on.
 type server struct {
 	leads func() bool
 	runs  func() (first uint64, lines []history.Line)
@@ -47,18 +47,18 @@
 	return out
 }
 
-// The recorder finds the leader, takes each run once, tells what it has missed, and
-// goes on with the next leader when that changes.
+// The recorder finds the leader, records each run once, reports the runs that it missed,
+// and continues with the next leader after a change.
 func TestRecorderFollowsTheLeader(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	asked := 0
-	first := &server{leads: func() bool { return asked < 4 }, runs: func() (uint64, []history.Line) {
-		asked++
-		return 3, lines("a", min(asked, 2)) // three are gone already, and one comes with each question
+	polls := 0
+	first := &server{leads: func() bool { return polls < 4 }, runs: func() (uint64, []history.Line) {
+		polls++
+		return 3, lines("a", min(polls, 2)) // three are no longer kept, and one more ends with each poll
 	}}
-	second := &server{leads: func() bool { return asked >= 4 }, runs: func() (uint64, []history.Line) {
-		if asked++; asked > 7 {
+	second := &server{leads: func() bool { return polls >= 4 }, runs: func() (uint64, []history.Line) {
+		if polls++; polls > 7 {
 			cancel()
 		}
 		return 0, lines("b", 1)
@@ -70,8 +70,8 @@
 		nodes = append(nodes, strings.TrimPrefix(h.URL, "http://"))
 	}
 	var out bytes.Buffer
-	var told []string
-	r := &Recorder{Nodes: nodes, Client: http.DefaultClient, Tell: func(s string) { told = append(told, s) }}
+	var reported []string
+	r := &Recorder{Nodes: nodes, Client: http.DefaultClient, Report: func(s string) { reported = append(reported, s) }}
 	if err := r.Run(ctx, &out); err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	for _, l := range got {
 		refs = append(refs, l.Ref)
 	}
-	if strings.Join(refs, " ") != "a0 a1 b0" || len(told) == 0 || told[0] != "3 runs were missed" {
-		t.Errorf("recorded %v, told %q", refs, told)
+	if strings.Join(refs, " ") != "a0 a1 b0" || len(reported) == 0 || reported[0] != "3 runs were missed" {
+		t.Errorf("recorded %v, reported %q", refs, reported)
 	}
 }
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,4 +1,4 @@
-// Package schema holds documents against JSON schemas, with errors of one line.
+// Package schema validates documents against JSON schemas, with errors of one line.
 package schema
 
 import (
@@ -11,38 +11,39 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Check holds a JSON document against a schema. Its error names what is wrong first.
+// Check validates a JSON document against a schema. Its error is the first violation, or that
+// the document or the schema is invalid.
 func Check(schema, doc []byte) error {
-	plain, err := jsonschema.UnmarshalJSON(bytes.NewReader(doc))
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(doc))
 	if err != nil {
 		return fmt.Errorf("not JSON: %s", OneLine(err.Error()))
 	}
-	text, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
+	schemaDocument, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
 	const name = "schema.json"
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource(name, text); err != nil {
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource(name, schemaDocument); err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
-	compiled, err := c.Compile(name)
+	compiled, err := compiler.Compile(name)
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
-	err = compiled.Validate(plain)
-	var ve *jsonschema.ValidationError
-	if !errors.As(err, &ve) {
+	err = compiled.Validate(document)
+	var validationError *jsonschema.ValidationError
+	if !errors.As(err, &validationError) {
 		return err
 	}
-	for len(ve.Causes) > 0 {
-		ve = ve.Causes[0]
+	for len(validationError.Causes) > 0 {
+		validationError = validationError.Causes[0]
 	}
-	lines := strings.Split(ve.Error(), "\n")
+	lines := strings.Split(validationError.Error(), "\n")
 	return errors.New(strings.TrimPrefix(strings.TrimSpace(lines[len(lines)-1]), "- "))
 }
 
-// CheckValue does the same for a document of another form, as JSON has it.
+// CheckValue validates a value against a schema, by its encoding as JSON.
 func CheckValue(schema []byte, doc any) error {
 	raw, err := json.Marshal(doc)
 	if err != nil {
@@ -51,5 +52,5 @@
 	return Check(schema, raw)
 }
 
-// OneLine joins the words of a text.
+// OneLine returns a text with all white space replaced by single spaces.
 func OneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,4 +1,4 @@
-// Package view shows in a terminal how a rehearsal stands.
+// Package view shows the progress of a fault test in a terminal.
 package view
 
 import (
@@ -14,26 +14,26 @@
 	"coralhub/internal/faulttest"
 )
 
-// Screen is a terminal that a rehearsal is shown in.
+// Screen is a terminal that shows a fault test.
 type Screen struct {
 	program *tea.Program
 	done    chan struct{}
 }
 
-// Open takes the terminal over. If somebody presses q or Ctrl-C there, stop is called.
+// Open takes over the terminal f. It calls stop if somebody presses q or Ctrl-C there.
 func Open(ctx context.Context, f *os.File, stop func(), title string) *Screen {
 	s := &Screen{program: tea.NewProgram(model{title: title, stop: stop}, tea.WithContext(ctx), tea.WithOutput(f)), done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
-		_, _ = s.program.Run() // without a terminal there is nothing to see, and the run goes on
+		_, _ = s.program.Run() // without a terminal the test continues unseen
 	}()
 	return s
 }
 
-// Show shows how a run stands.
+// Show shows the status of a test.
 func (s *Screen) Show(st faulttest.Status) { s.program.Send(st) }
 
-// Close gives the terminal back. A nil Screen has none.
+// Close releases the terminal. It does nothing for a nil Screen.
 func (s *Screen) Close() {
 	if s != nil {
 		s.program.Quit()
@@ -41,18 +41,21 @@
 	}
 }
 
+// model is the state of the view.
 type model struct {
-	title string
-	stop  func()
-	last  faulttest.Status
+	title  string
+	stop   func()
+	status faulttest.Status
 }
 
+// Init is part of tea.Model.
 func (m model) Init() tea.Cmd { return nil }
 
+// Update is part of tea.Model.
 func (m model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch x := msg.(type) {
 	case faulttest.Status:
-		m.last = x
+		m.status = x
 	case tea.KeyPressMsg:
 		if k := x.String(); k == "q" || k == "ctrl+c" {
 			m.stop()
@@ -62,22 +65,37 @@
 	return m, nil
 }
 
-func (m model) View() tea.View { return tea.NewView(render(m.title, &m.last)) }
+// View is part of tea.Model.
+func (m model) View() tea.View { return tea.NewView(render(m.title, &m.status)) }
 
 const (
-	barWidth  = 40
-	lastMarks = 6
+	barWidth   = 40
+	shownMarks = 6
 )
 
-// render draws how a run stands.
+// render returns the view of a status.
 func render(title string, s *faulttest.Status) string {
 	var b strings.Builder
-	part := 0.0
+	renderProgress(&b, title, s)
+	renderNodes(&b, s)
+	renderClasses(&b, s)
+	renderMachines(&b, s)
+	for _, m := range s.Marks[max(0, len(s.Marks)-shownMarks):] {
+		fmt.Fprintf(&b, "  %s\n", m.What)
+	}
+	return b.String()
+}
+
+func renderProgress(b *strings.Builder, title string, s *faulttest.Status) {
+	done := 0.0
 	if s.DurationS > 0 {
-		part = min(s.ElapsedS/s.DurationS, 1)
+		done = min(s.ElapsedS/s.DurationS, 1)
 	}
-	full := int(part * barWidth)
-	fmt.Fprintf(&b, "%s\n[%s%s] %.0f of %.0f s\n\n", title, strings.Repeat("#", full), strings.Repeat(".", barWidth-full), s.ElapsedS, s.DurationS)
+	filled := int(done * barWidth)
+	fmt.Fprintf(b, "%s\n[%s%s] %.0f of %.0f s\n\n", title, strings.Repeat("#", filled), strings.Repeat(".", barWidth-filled), s.ElapsedS, s.DurationS)
+}
+
+func renderNodes(b *strings.Builder, s *faulttest.Status) {
 	for _, n := range s.Nodes {
 		state := "down"
 		if n.Ready {
@@ -86,19 +104,21 @@
 		if n.Name == s.Leader {
 			state += ", leads"
 		}
-		fmt.Fprintf(&b, "%-8s in %-8s %-14s %6.1f s cpu %5.0f MB %2d restarts\n", n.Name, n.Zone, state, n.CPUS, n.PeakMB, n.Restarts)
+		fmt.Fprintf(b, "%-8s in %-8s %-14s %6.1f s cpu %5.0f MB %2d restarts\n", n.Name, n.Zone, state, n.CPUS, n.PeakMB, n.Restarts)
 	}
-	fmt.Fprintf(&b, "\n%-20s %9s %9s %9s %9s %9s\n", "class", "submitted", "accepted", "started", "done", "cancelled")
+}
+
+func renderClasses(b *strings.Builder, s *faulttest.Status) {
+	fmt.Fprintf(b, "\n%-20s %9s %9s %9s %9s %9s\n", "class", "submitted", "accepted", "started", "done", "cancelled")
 	for _, c := range s.Classes {
-		fmt.Fprintf(&b, "%-20s %9d %9d %9d %9d %9d\n", c.Class, c.Submitted, c.Accepted, c.Started, c.Done, c.Off)
+		fmt.Fprintf(b, "%-20s %9d %9d %9d %9d %9d\n", c.Class, c.Submitted, c.Accepted, c.Started, c.Done, c.Off)
 	}
+}
+
+func renderMachines(b *strings.Builder, s *faulttest.Status) {
 	b.WriteString("\nmachines:")
 	for _, state := range slices.Sorted(maps.Keys(s.Machines)) {
-		fmt.Fprintf(&b, " %d %s", s.Machines[state], state)
+		fmt.Fprintf(b, " %d %s", s.Machines[state], state)
 	}
-	fmt.Fprintf(&b, "; %d tasks on them\n\n", s.OnMachines)
-	for _, m := range s.Marks[max(0, len(s.Marks)-lastMarks):] {
-		fmt.Fprintf(&b, "  %s\n", m.What)
-	}
-	return b.String()
+	fmt.Fprintf(b, "; %d tasks on them\n\n", s.OnMachines)
 }
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -7,6 +7,7 @@
 	"coralhub/internal/faulttest"
 )
 
+// The view shows the progress, the nodes, the machines and the marks, and needs none of them.
 func TestRender(t *testing.T) {
 	got := render("night: an election", &faulttest.Status{ElapsedS: 15, DurationS: 60, Leader: "node-1",
 		Nodes:    []faulttest.NodeStatus{{Name: "node-0", Zone: "a"}, {Name: "node-1", Zone: "b", Ready: true, CPUS: 1.25, PeakMB: 30, Restarts: 2}},
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for time to pass, or for a context to end.
+// Package wait waits for time to pass or for a context to end.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits so long; false if ctx ends first.
+// For waits for d. It returns false if ctx ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -18,7 +18,7 @@
 	}
 }
 
-// Every calls f each time that so long has passed, until ctx ends.
+// Every calls f at intervals of d until ctx ends.
 func Every(ctx context.Context, d time.Duration, f func()) {
 	t := time.NewTicker(d)
 	defer t.Stop()
