--- a/internal/scenario/chaos_test.go
+++ b/internal/scenario/chaos_test.go
@@ -20,7 +20,7 @@
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			chaos(t, NewSim(3), rand.New(rand.NewPCG(seed, 99)), 0, 120, 4)
+			runRandomFaults(t, newSim(3), rand.New(rand.NewPCG(seed, 99)), 0, 120, 4)
 		})
 	}
 }
@@ -31,7 +31,7 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			chaos(t, newSim(3, 24, 25), rand.New(rand.NewPCG(seed, 77)), 30, 50, 70)
+			runRandomFaults(t, newSimOfScale(3, 24, 25), rand.New(rand.NewPCG(seed, 77)), 30, 50, 70)
 		})
 	}
 }
@@ -40,18 +40,18 @@
 // up to three leases late, nodes and machines that are back in a moment, and nodes that have
 // nothing but their workers.
 func TestChaosOfLinks(t *testing.T) {
-	for seed := range uint64(*linkSeeds) {
+	for seed := range uint64(*linkFaultSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := newSim(3+2*int(seed%2), 1+int(seed%3), []float64{0, 25}[seed%2])
-			s.copies = &copies{late: 3 * s.world.Lease}
-			chaos(t, s, rand.New(rand.NewPCG(seed, 11)), 5, 120, 8)
+			s := newSimOfScale(3+2*int(seed%2), 1+int(seed%3), []float64{0, 25}[seed%2])
+			s.heartbeatCopies = &heartbeatCopies{maxAge: 3 * s.env.Lease}
+			runRandomFaults(t, s, rand.New(rand.NewPCG(seed, 11)), 5, 120, 8)
 		})
 	}
 }
 
-// linkSeeds is how many days TestChaosOfLinks plays; the usual ones take a few seconds.
-var linkSeeds = flag.Int("links", 40, "days of TestChaosOfLinks")
+// linkFaultSeeds is how many days TestChaosOfLinks plays; the usual ones take a few seconds.
+var linkFaultSeeds = flag.Int("links", 40, "days of TestChaosOfLinks")
 
 // TestChaosInUpgrade begins with every node held to the older format. They are
 // upgraded one by one while all else goes on, jobs that need others are submitted
@@ -61,7 +61,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			quota := []float64{0, 25}[seed%2]
-			chaos(t, newSimFor(3, 2, quota, []string{"n1", "n2", "n3"}), rand.New(rand.NewPCG(seed, 55)), 5, 120, 70)
+			runRandomFaults(t, newSimWithUpgrade(3, 2, quota, []string{"n1", "n2", "n3"}), rand.New(rand.NewPCG(seed, 55)), 5, 120, 70)
 		})
 	}
 }
@@ -75,9 +75,9 @@
 			t.Parallel()
 			var sums [2]uint64
 			for i := range sums {
-				s := newSimFor(3, 4, 25, []string{"n1", "n2", "n3"})
+				s := newSimWithUpgrade(3, 4, 25, []string{"n1", "n2", "n3"})
 				s.effects = fnv.New64a()
-				chaos(t, s, rand.New(rand.NewPCG(seed, 33)), 10, 60, 70)
+				runRandomFaults(t, s, rand.New(rand.NewPCG(seed, 33)), 10, 60, 70)
 				sums[i] = s.effects.Sum64()
 			}
 			if sums[0] != sums[1] {
@@ -88,21 +88,21 @@
 	}
 }
 
-func chaos(t *testing.T, s *Sim, rnd *rand.Rand, early, events, tasks int) {
+func runRandomFaults(t *testing.T, s *Sim, rnd *rand.Rand, early, events, tasks int) {
 	t.Helper()
-	s.Run(2 * emulator.Second)
+	s.run(2 * emulator.Second)
 	var needable []string // accepted, and no service
 	accepted := map[string]bool{}
 	services := map[string]bool{}
 	for i := range early + events {
 		n := s.nodes[rnd.IntN(3)]
 		kinds := 14
-		if s.copies != nil {
+		if s.heartbeatCopies != nil {
 			kinds = 20
 		}
 		kind := rnd.IntN(kinds)
-		if s.announced && i >= early {
-			s.progress(n, i-early, events)
+		if s.limitsAnnounced && i >= early {
+			s.advanceUpgrade(n, i-early, events)
 		}
 		if i < early { // jobs alone, one after the other
 			kind = 0
@@ -110,11 +110,11 @@
 		switch kind {
 		case 0, 1, 2, 3:
 			j := randomJob(rnd, fmt.Sprintf("j-%d", i), tasks)
-			for s.announced && len(needable) > 0 && len(j.Needs) < 4 && rnd.IntN(2) == 0 {
+			for s.limitsAnnounced && len(needable) > 0 && len(j.Needs) < 4 && rnd.IntN(2) == 0 {
 				j.Needs = append(j.Needs, needable[rnd.IntN(len(needable))])
 			}
 			services[j.ID] = j.Shape == wire.Service
-			if a := s.Submit(n, j); a.Status == 201 || a.Status == 200 {
+			if a := s.submit(n, j); a.Status == 201 || a.Status == 200 {
 				accepted[j.ID] = true
 				if j.Shape != wire.Service {
 					needable = append(needable, j.ID)
@@ -124,12 +124,12 @@
 			}
 		case 4:
 			id := fmt.Sprintf("j-%d", rnd.IntN(i+1))
-			if s.world.Jobs[id] != nil {
-				s.Cancel(n, id)
+			if s.env.Jobs[id] != nil {
+				s.cancel(n, id)
 			}
 		case 5, 6:
 			id := fmt.Sprintf("j-%d", rnd.IntN(i+1))
-			s.Poll(n, id)
+			s.poll(n, id)
 		case 7:
 			n.alive = false
 		case 8:
@@ -138,90 +138,90 @@
 			}
 		case 9:
 			links := []string{"state", "workers", "peers", "cloud"}
-			n.cut[links[rnd.IntN(4)]] = []string{"drop", "hold"}[rnd.IntN(2)]
+			n.cutLinks[links[rnd.IntN(4)]] = []string{"drop", "hold"}[rnd.IntN(2)]
 		case 10:
-			n.cut = map[string]string{}
+			n.cutLinks = map[string]string{}
 			if rnd.IntN(3) == 0 {
-				s.Release()
+				s.releaseHeld()
 			}
 		case 11:
 			s.state.SetDown(s.now, rnd.IntN(2) == 0)
 		case 12:
-			s.world.CloudOff = rnd.IntN(3) == 0
+			s.env.CloudOff = rnd.IntN(3) == 0
 		case 13:
-			if names := s.world.Names(); len(names) > 0 {
-				m := s.world.Machines[names[rnd.IntN(len(names))]]
+			if names := s.env.Names(); len(names) > 0 {
+				m := s.env.Machines[names[rnd.IntN(len(names))]]
 				m.Hang = !m.Hang
 			}
 		default:
-			s.trouble(n, rnd)
+			s.injectLinkFault(n, rnd)
 		}
 		if i >= early {
-			s.Run(emulator.Micros(rnd.IntN(30)) * tick)
+			s.run(emulator.Micros(rnd.IntN(30)) * tick)
 		}
 	}
 	s.state.SetDown(s.now, false)
-	s.world.CloudOff = false
+	s.env.CloudOff = false
 	for _, n := range s.nodes {
-		n.cut = map[string]string{}
-		if n.held {
-			n.alive, n.held = false, false
+		n.cutLinks = map[string]string{}
+		if n.formatHeld {
+			n.alive, n.formatHeld = false, false
 		}
 		if !n.alive {
 			s.start(n)
 		}
 	}
-	for _, name := range s.world.Names() {
-		s.world.Machines[name].InboundLost = ""
+	for _, name := range s.env.Names() {
+		s.env.Machines[name].InboundLost = ""
 	}
-	s.Release()
-	if s.copies != nil {
-		s.again(s.node(s.Leader()), rnd, 30)
+	s.releaseHeld()
+	if s.heartbeatCopies != nil {
+		s.deliverCopies(s.node(s.leader()), rnd, 30)
 	}
-	s.allAnswered(t, accepted)
-	s.Run(60 * emulator.Second)
+	s.requireAnswers(t, accepted)
+	s.run(60 * emulator.Second)
 	for _, id := range slices.Sorted(maps.Keys(accepted)) {
-		for try := 0; services[id] && s.told[id] != wire.Cancelled && try < 20; try++ {
-			s.Cancel(s.nodes[0], id)
+		for try := 0; services[id] && s.lastStatus[id] != wire.Cancelled && try < 20; try++ {
+			s.cancel(s.nodes[0], id)
 		}
 	}
-	s.Run(120 * emulator.Second)
+	s.run(120 * emulator.Second)
 	for _, id := range slices.Sorted(maps.Keys(accepted)) {
 		told := accepted[id]
-		a := s.Poll(s.nodes[1], id)
+		a := s.poll(s.nodes[1], id)
 		st, _ := a.Body.(wire.JobStatus)
 		if told && st.Status != wire.Done && st.Status != wire.Cancelled {
-			t.Errorf("%s (%s, %d tasks) has not ended: %s", id, s.world.Jobs[id].Shape, s.world.Jobs[id].Tasks, describe(a))
+			t.Errorf("%s (%s, %d tasks) has not ended: %s", id, s.env.Jobs[id].Shape, s.env.Jobs[id].Tasks, formatResponse(a))
 		}
 	}
-	for _, wrong := range append(s.sameAccounts(), s.world.Broken...) {
+	for _, wrong := range append(s.compareUsage(), s.env.Broken...) {
 		t.Error(wrong)
 	}
 	if s.state.Refused > 0 {
 		t.Errorf("%d transactions refused for their size", s.state.Refused)
 	}
-	t.Logf("%d machines rented, %d changes", s.world.Rented, s.state.Revision())
+	t.Logf("%d machines rented, %d changes", s.env.Rented, s.state.Revision())
 	if t.Failed() {
-		t.Log(s.Show())
+		t.Log(s.show())
 	}
 }
 
-// sameAccounts holds the accounts of all nodes against each other's, and against those of one
+// compareUsage holds the accounts of all nodes against each other's, and against those of one
 // that has just read the records. It returns what differs.
-func (s *Sim) sameAccounts() (wrong []string) {
+func (s *Sim) compareUsage() (wrong []string) {
 	s.start(s.nodes[0])
-	s.Run(5 * emulator.Second)
+	s.run(5 * emulator.Second)
 	for _, n := range s.nodes[1:] {
 		if !n.core.UsageLedger().Equal(s.nodes[0].core.UsageLedger()) {
-			wrong = append(wrong, fmt.Sprintf("accounts of %s and of one that has just begun differ: %s and %s", n.name, accountsOf(n), accountsOf(s.nodes[0])))
+			wrong = append(wrong, fmt.Sprintf("accounts of %s and of one that has just begun differ: %s and %s", n.name, formatUsage(n), formatUsage(s.nodes[0])))
 		}
 	}
 	return wrong
 }
 
-// allAnswered asks about every job, each time at the next node, until it has had an answer. No
+// requireAnswers asks about every job, each time at the next node, until it has had an answer. No
 // job may be without one for longer than this once all troubles are over.
-func (s *Sim) allAnswered(t *testing.T, jobs map[string]bool) {
+func (s *Sim) requireAnswers(t *testing.T, jobs map[string]bool) {
 	t.Helper()
 	const forgottenAfter = 75 * emulator.Second
 	over := s.now
@@ -234,33 +234,33 @@
 	slices.Sort(left)
 	for round := 0; len(left) > 0; round++ {
 		left = slices.DeleteFunc(left, func(id string) bool {
-			a := s.Poll(s.nodes[round%len(s.nodes)], id)
+			a := s.poll(s.nodes[round%len(s.nodes)], id)
 			return a.Status == 200
 		})
 		if s.now-over > forgottenAfter {
 			t.Errorf("nobody answers for %v", left)
 			return
 		}
-		s.Run(emulator.Second)
+		s.run(emulator.Second)
 	}
 	t.Logf("all answered for after %d ms", (s.now-over)/1000)
 }
 
-// progress upgrades a node when its turn has come, one in each seventh of the
+// advanceUpgrade upgrades a node when its turn has come, one in each seventh of the
 // events, and lets the limits fall after the last.
-func (s *Sim) progress(n *node, at, events int) {
+func (s *Sim) advanceUpgrade(n *node, at, events int) {
 	upgraded := 0
 	for _, x := range s.nodes {
-		if !x.held {
+		if !x.formatHeld {
 			upgraded++
 		}
 	}
 	switch {
-	case n.held && at > events/7*(upgraded+1):
-		n.held = false
+	case n.formatHeld && at > events/7*(upgraded+1):
+		n.formatHeld = false
 		s.start(n)
 	case upgraded == len(s.nodes) && at > events*5/7:
-		s.SetLimits(true)
+		s.setStateLimits(true)
 	}
 }
 
--- a/internal/scenario/client_requests_test.go
+++ b/internal/scenario/client_requests_test.go
@@ -11,34 +11,34 @@
 
 // What users ask, and whether they hear anything that is older than what they heard before.
 
-// Ask has a user make a request to a node and returns the answer, waiting for
+// request has a user make a request to a node and returns the answer, waiting for
 // it as users do.
-func (s *Sim) Ask(n *node, input func(req uint64) msg.Input) msg.Respond {
+func (s *Sim) request(n *node, input func(req uint64) msg.Input) msg.Respond {
 	if !n.alive {
 		return msg.Respond{}
 	}
-	s.req++
-	req := s.req
+	s.lastRequestID++
+	req := s.lastRequestID
 	s.post(n, input(req))
-	s.settle()
+	s.deliverAll()
 	for range 40 {
 		if a, ok := n.answers[req]; ok {
 			delete(n.answers, req)
 			return a
 		}
-		s.Run(tick)
+		s.run(tick)
 	}
 	return msg.Respond{}
 }
 
-// Submit submits a job.
-func (s *Sim) Submit(n *node, j *emulator.SubmittedJob) msg.Respond {
-	if s.world.Jobs[j.ID] == nil {
-		s.world.Jobs[j.ID] = j
-	}
-	floor := s.told[j.ID]
-	a := s.Ask(n, s.submission(j))
-	s.judge(j.ID, floor, a)
+// submit submits a job.
+func (s *Sim) submit(n *node, j *emulator.SubmittedJob) msg.Respond {
+	if s.env.Jobs[j.ID] == nil {
+		s.env.Jobs[j.ID] = j
+	}
+	floor := s.lastStatus[j.ID]
+	a := s.request(n, s.submission(j))
+	s.checkAnswer(j.ID, floor, a)
 	return a
 }
 
@@ -51,34 +51,34 @@
 	return func(req uint64) msg.Input { return msg.SubmitIn{RequestID: req, WallClock: s.now, Body: raw} }
 }
 
-// Cancel has a user cancel a job.
-func (s *Sim) Cancel(n *node, id string) msg.Respond {
-	if j := s.world.Jobs[id]; j != nil {
+// cancel has a user cancel a job.
+func (s *Sim) cancel(n *node, id string) msg.Respond {
+	if j := s.env.Jobs[id]; j != nil {
 		j.Asked = true
 	}
-	floor := s.told[id]
-	a := s.Ask(n, func(req uint64) msg.Input { return msg.CancelIn{RequestID: req, JobID: id} })
-	s.judge(id, floor, a)
+	floor := s.lastStatus[id]
+	a := s.request(n, func(req uint64) msg.Input { return msg.CancelIn{RequestID: req, JobID: id} })
+	s.checkAnswer(id, floor, a)
 	return a
 }
 
-// Poll has a user ask about a job.
-func (s *Sim) Poll(n *node, id string) msg.Respond {
-	floor := s.told[id]
-	a := s.Ask(n, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} })
-	s.judge(id, floor, a)
+// poll has a user ask about a job.
+func (s *Sim) poll(n *node, id string) msg.Respond {
+	floor := s.lastStatus[id]
+	a := s.request(n, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} })
+	s.checkAnswer(id, floor, a)
 	return a
 }
 
-// final tells whether a state is a last word.
-func final(status string) bool { return status == wire.Done || status == wire.Cancelled }
+// isFinal tells whether a state is a last word.
+func isFinal(status string) bool { return status == wire.Done || status == wire.Cancelled }
 
-// judge watches what users are told. What anybody had heard of the job before this question was
+// checkAnswer watches what users are told. What anybody had heard of the job before this question was
 // asked is its floor: no node may answer something older, whichever told it. An answer to a
 // question from before that may.
-func (s *Sim) judge(id, floor string, a msg.Respond) {
+func (s *Sim) checkAnswer(id, floor string, a msg.Respond) {
 	broken := func(rule string) {
-		s.world.Broken = append(s.world.Broken, fmt.Sprintf("%s %s: %s after %q", rule, id, strings.TrimSpace(describe(a)), floor))
+		s.env.Broken = append(s.env.Broken, fmt.Sprintf("%s %s: %s after %q", rule, id, strings.TrimSpace(formatResponse(a)), floor))
 	}
 	if floor != "" && (a.Status == 404 || a.Status == 400 || a.Status == 422) {
 		broken("forgotten")
@@ -90,35 +90,35 @@
 	if !ok {
 		return
 	}
-	j := s.world.Jobs[id]
+	j := s.env.Jobs[id]
 	if j == nil {
 		broken("invented")
 		return
 	}
-	if final(floor) && st.Status != floor || final(s.told[id]) && final(st.Status) && st.Status != s.told[id] {
+	if isFinal(floor) && st.Status != floor || isFinal(s.lastStatus[id]) && isFinal(st.Status) && st.Status != s.lastStatus[id] {
 		broken("went_back")
 	}
-	if st.Status == wire.Cancelled && !s.world.MayBeCancelled(id) {
+	if st.Status == wire.Cancelled && !s.env.MayBeCancelled(id) {
 		broken("went_back (nobody has asked for it)")
 	}
-	if at := s.world.CancelledAt(id); at != 0 && s.now-at > s.world.CancelIn && !final(st.Status) {
+	if at := s.env.CancelledAt(id); at != 0 && s.now-at > s.env.CancelIn && !isFinal(st.Status) {
 		broken("orphaned")
 	}
-	if st.Status == wire.Done && !s.world.Done(id) {
+	if st.Status == wire.Done && !s.env.Done(id) {
 		broken("not_done")
 	}
 	if st.Status == wire.Cancelled && j.Cancelled == 0 {
 		j.Cancelled = s.now
 	}
-	if final(s.told[id]) {
+	if isFinal(s.lastStatus[id]) {
 		return
 	}
-	if s.told[id] == "" {
-		s.known[id] = s.now
+	if s.lastStatus[id] == "" {
+		s.acceptedAt[id] = s.now
 	}
-	news := s.told[id] == "" || final(st.Status)
-	s.told[id] = st.Status
+	news := s.lastStatus[id] == "" || isFinal(st.Status)
+	s.lastStatus[id] = st.Status
 	if news {
-		s.lookClosely(id)
+		s.pollClosely(id)
 	}
 }
--- a/internal/scenario/concurrent_faults_test.go
+++ b/internal/scenario/concurrent_faults_test.go
@@ -18,151 +18,153 @@
 	"coralhub/wire"
 )
 
-// meetingSeeds is how many days TestMeetings plays of each kind; the usual ones take a few seconds.
-var meetingSeeds = flag.Int("meetings", 4, "days of TestMeetings, of each kind")
+// combinationSeeds is how many days TestMeetings plays of each kind; the usual ones take a few seconds.
+var combinationSeeds = flag.Int("meetings", 4, "days of TestMeetings, of each kind")
 
-// meetingFrom is the first seed.
-var meetingFrom = flag.Int("from", 0, "first seed of TestMeetings")
+// firstSeed is the first seed.
+var firstSeed = flag.Int("from", 0, "first seed of TestMeetings")
 
-// shrinkTries is how often a day that fails is played with lines left out.
-var shrinkTries = flag.Int("shrink", 300, "tries to make a failing day of TestMeetings smaller")
+// maxShrinkTries is how often a day that fails is played with lines left out.
+var maxShrinkTries = flag.Int("shrink", 300, "tries to make a failing day of TestMeetings smaller")
 
 // replayFile is a day as TestMeetings prints it, to be played instead of drawn ones.
 var replayFile = flag.String("replay", "", "file with a day for TestMeetings to play again")
 
-// moment is a line of a script and when it is played.
-type moment struct {
+// scriptLine is a line of a script and when it is played.
+type scriptLine struct {
 	at   emulator.Micros
 	line string
 }
 
-// drawing is a day that is being drawn.
-type drawing struct {
-	rnd   *rand.Rand
-	nodes int
-	lease float64
-	in    float64 // a cancellation's time
-	jobs  int     // those of the day itself: j-0 and on
-	more  int     // those that a meeting brings: j-1000 and on
-	day   []moment
+// dayGenerator is a day that is being drawn.
+type dayGenerator struct {
+	rnd        *rand.Rand
+	nodes      int
+	lease      float64
+	cancelTime float64 // a cancellation's time
+	jobs       int     // those of the day itself: j-0 and on
+	extraJobs  int     // those that a meeting brings: j-1000 and on
+	lines      []scriptLine
 }
 
 // submit has a job of a meeting's own submitted, and returns its id.
-func (d *drawing) submit(at float64, format string, args ...any) string {
-	id := fmt.Sprintf("j-%d", 1000+d.more)
-	d.more++
-	d.say(at, "submit id=%s node=%s %s", id, d.node(), fmt.Sprintf(format, args...))
+func (d *dayGenerator) submit(at float64, format string, args ...any) string {
+	id := fmt.Sprintf("j-%d", 1000+d.extraJobs)
+	d.extraJobs++
+	d.add(at, "submit id=%s node=%s %s", id, d.node(), fmt.Sprintf(format, args...))
 	return id
 }
 
-func (d *drawing) say(at float64, format string, args ...any) {
-	d.day = append(d.day, moment{emulator.Micros(at*10) * tick, fmt.Sprintf(format, args...)})
+func (d *dayGenerator) add(at float64, format string, args ...any) {
+	d.lines = append(d.lines, scriptLine{emulator.Micros(at*10) * tick, fmt.Sprintf(format, args...)})
 }
 
-// within draws a time.
-func (d *drawing) within(least, most float64) float64 { return least + d.rnd.Float64()*(most-least) }
+// uniform draws a time.
+func (d *dayGenerator) uniform(least, most float64) float64 {
+	return least + d.rnd.Float64()*(most-least)
+}
 
-func (d *drawing) node() string { return fmt.Sprintf("n%d", 1+d.rnd.IntN(d.nodes)) }
+func (d *dayGenerator) node() string { return fmt.Sprintf("n%d", 1+d.rnd.IntN(d.nodes)) }
 
-func (d *drawing) mode() string { return []string{"drop", "hold"}[d.rnd.IntN(2)] }
+func (d *dayGenerator) mode() string { return []string{"drop", "hold"}[d.rnd.IntN(2)] }
 
-func (d *drawing) job() string { return fmt.Sprintf("j-%d", d.rnd.IntN(d.jobs)) }
+func (d *dayGenerator) job() string { return fmt.Sprintf("j-%d", d.rnd.IntN(d.jobs)) }
 
-// withdraw has jobs cancelled over a while.
-func (d *drawing) withdraw(from, to float64, count int) {
+// cancelJobs has jobs cancelled over a while.
+func (d *dayGenerator) cancelJobs(from, to float64, count int) {
 	for range 2 * count {
-		d.say(d.within(from, to), "withdraw id=%s", d.job())
+		d.add(d.uniform(from, to), "withdraw id=%s", d.job())
 	}
 }
 
 // outage has the state service down for everybody, for a little less or much longer than a
 // cancellation has.
-func (d *drawing) outage(at float64) float64 {
-	end := at + d.in*d.within(0.6, 1.6)
-	d.say(at, "state down")
-	d.say(end, "state up")
+func (d *dayGenerator) outage(at float64) float64 {
+	end := at + d.cancelTime*d.uniform(0.6, 1.6)
+	d.add(at, "state down")
+	d.add(end, "state up")
 	return end
 }
 
-// apart has some workers, all of them or none reach nobody but the leader of that moment.
-func (d *drawing) apart(at float64) {
-	from := at - d.within(0, 3)
+// isolateWorkers has some workers, all of them or none reach nobody but the leader of that moment.
+func (d *dayGenerator) isolateWorkers(at float64) {
+	from := at - d.uniform(0, 3)
 	if d.rnd.IntN(2) == 0 { // or what is silent is deleted
-		d.say(from, "cloud down")
-		d.say(at+d.within(10, 40), "cloud up")
+		d.add(from, "cloud down")
+		d.add(at+d.uniform(10, 40), "cloud up")
 	}
 	for range d.rnd.IntN(4) { // what they said before comes to the heir
-		d.say(d.within(at+2, at+9), "again node=heir count=%d", 1+d.rnd.IntN(40))
+		d.add(d.uniform(at+2, at+9), "again node=heir count=%d", 1+d.rnd.IntN(40))
 	}
 	switch d.rnd.IntN(4) {
 	case 0:
 		for range 1 + d.rnd.IntN(8) {
-			d.say(from, "machine nth=%d only=leader", d.rnd.IntN(12))
+			d.add(from, "machine nth=%d only=leader", d.rnd.IntN(12))
 		}
 	case 1:
-		d.say(from, "cut node=others link=workers mode=%s", d.mode())
+		d.add(from, "cut node=others link=workers mode=%s", d.mode())
 	case 2:
-		d.say(d.within(at, at+8), "cut node=heir link=workers mode=%s", d.mode())
+		d.add(d.uniform(at, at+8), "cut node=heir link=workers mode=%s", d.mode())
 	}
 }
 
 // The meetings of two troubles that are drawn. Each returns when its troubles are over.
-var meetings = map[string]func(d *drawing, at float64) float64{
+var faultCombinations = map[string]func(d *dayGenerator, at float64) float64{
 	// The state service refuses the leader alone; others confirm cancellations; then it is down for all.
-	"gap": func(d *drawing, at float64) float64 {
-		d.say(at, "cut node=leader link=state")
+	"gap": func(d *dayGenerator, at float64) float64 {
+		d.add(at, "cut node=leader link=state")
 		if d.rnd.IntN(3) == 0 {
-			d.say(at, "cut node=old link=peers mode=%s", d.mode())
+			d.add(at, "cut node=old link=peers mode=%s", d.mode())
 		}
-		down := at + d.within(0, 12)
-		d.apart(at)
-		d.withdraw(at, down+2, 1+d.rnd.IntN(6))
+		down := at + d.uniform(0, 12)
+		d.isolateWorkers(at)
+		d.cancelJobs(at, down+2, 1+d.rnd.IntN(6))
 		if d.rnd.IntN(3) == 0 {
-			d.say(d.within(at, down+5), "node node=leader kill")
-			d.say(d.within(down, down+10), "revive")
+			d.add(d.uniform(at, down+5), "node node=leader kill")
+			d.add(d.uniform(down, down+10), "revive")
 		}
 		if d.rnd.IntN(3) == 0 { // what was confirmed is confirmed by one that is back within a second
-			again := d.within(at+4, down+8)
-			d.say(again, "node node=heir kill")
-			d.say(again+d.within(0.1, 0.9), "revive")
+			again := d.uniform(at+4, down+8)
+			d.add(again, "node node=heir kill")
+			d.add(again+d.uniform(0.1, 0.9), "revive")
 		}
 		end := d.outage(down)
-		d.withdraw(down, end, d.rnd.IntN(4))
-		d.say(max(end, at+14), "heal node=all")
+		d.cancelJobs(down, end, d.rnd.IntN(4))
+		d.add(max(end, at+14), "heal node=all")
 		return max(end, at+14)
 	},
 	// The state service goes down for all between an heir's claim and its listing, or soon after.
-	"claimed": func(d *drawing, at float64) float64 {
+	"claimed": func(d *dayGenerator, at float64) float64 {
 		if d.rnd.IntN(3) == 0 {
-			d.say(at-1, "cut node=%s link=peers mode=%s", d.node(), d.mode())
+			d.add(at-1, "cut node=%s link=peers mode=%s", d.node(), d.mode())
 		}
-		d.apart(at)
+		d.isolateWorkers(at)
 		if d.rnd.IntN(4) == 0 {
-			d.say(at, "node node=leader kill")
+			d.add(at, "node node=leader kill")
 		} else {
-			d.say(at, "cut node=leader link=state")
+			d.add(at, "cut node=leader link=state")
 		}
-		d.withdraw(at, at+0.2, d.rnd.IntN(4))
+		d.cancelJobs(at, at+0.2, d.rnd.IntN(4))
 		down := at + 0.2
-		d.say(down, "await heir")
+		d.add(down, "await heir")
 		if late := d.rnd.IntN(5); late > 2 {
 			down += float64(late-2) * 0.3
 		} else if late == 2 {
-			d.withdraw(down, down+3, 2)
-			down += d.within(0.5, 6)
+			d.cancelJobs(down, down+3, 2)
+			down += d.uniform(0.5, 6)
 		}
 		end := d.outage(down)
-		d.withdraw(down, end, d.rnd.IntN(4))
+		d.cancelJobs(down, end, d.rnd.IntN(4))
 		if d.rnd.IntN(3) == 0 {
-			d.say(d.within(down, end), "node node=heir kill")
-			d.say(d.within(down, end)+1, "revive")
+			d.add(d.uniform(down, end), "node node=heir kill")
+			d.add(d.uniform(down, end)+1, "revive")
 		}
-		d.say(end+d.within(0, 5), "heal node=all")
-		d.say(end+6, "revive")
+		d.add(end+d.uniform(0, 5), "heal node=all")
+		d.add(end+6, "revive")
 		return end + 6
 	},
 	// The leader ends while machines with long tasks are not reached, or don't hear the heir.
-	"unreached": func(d *drawing, at float64) float64 {
+	"unreached": func(d *dayGenerator, at float64) float64 {
 		for range 1 + d.rnd.IntN(4) {
 			how, back := "hang", "resume"
 			switch d.rnd.IntN(3) {
@@ -172,357 +174,357 @@
 				how = "deaf mode=hold"
 				back = "hears"
 			}
-			i, from := d.rnd.IntN(12), d.within(at-2, at+2)
-			d.say(from, "machine nth=%d %s", i, how)
-			d.say(from+d.within(0.5, 2*d.lease), "machine nth=%d %s", i, back)
-		}
-		d.withdraw(at-2, at+8, 1+d.rnd.IntN(4))
-		d.say(at, "node node=leader kill")
-		end := at + d.within(0.2, 12)
-		d.say(end, "revive")
+			i, from := d.rnd.IntN(12), d.uniform(at-2, at+2)
+			d.add(from, "machine nth=%d %s", i, how)
+			d.add(from+d.uniform(0.5, 2*d.lease), "machine nth=%d %s", i, back)
+		}
+		d.cancelJobs(at-2, at+8, 1+d.rnd.IntN(4))
+		d.add(at, "node node=leader kill")
+		end := at + d.uniform(0.2, 12)
+		d.add(end, "revive")
 		return max(end, at+2*d.lease+2)
 	},
 	// Controllers hand over and back, all end, one returns, also within a second.
-	"handover": func(d *drawing, at float64) float64 {
+	"handover": func(d *dayGenerator, at float64) float64 {
 		for range 2 + d.rnd.IntN(4) {
-			d.say(at, "node node=leader kill")
-			at += d.within(0.1, 5)
-			d.withdraw(at-1, at+1, 1)
-			d.say(at, "revive")
-			at += d.within(0.1, 6)
+			d.add(at, "node node=leader kill")
+			at += d.uniform(0.1, 5)
+			d.cancelJobs(at-1, at+1, 1)
+			d.add(at, "revive")
+			at += d.uniform(0.1, 6)
 		}
 		if d.rnd.IntN(2) == 0 {
 			for i := range d.nodes {
-				d.say(at, "node node=n%d kill", i+1)
+				d.add(at, "node node=n%d kill", i+1)
 			}
-			at += d.within(0.1, 1)
-			d.say(at, "node node=%s start", d.node())
-			at += d.within(0.1, 10)
-			d.say(at, "revive")
+			at += d.uniform(0.1, 1)
+			d.add(at, "node node=%s start", d.node())
+			at += d.uniform(0.1, 10)
+			d.add(at, "revive")
 		}
 		return at
 	},
 	// A leader has nothing but its workers and users, and jobs are cancelled through the heir.
-	"alone": func(d *drawing, at float64) float64 {
+	"alone": func(d *dayGenerator, at float64) float64 {
 		mode := d.mode()
-		d.say(at, "cut node=leader link=state mode=%s", []string{mode, "stall"}[d.rnd.IntN(2)])
-		d.say(at, "cut node=old link=peers mode=%s", mode)
-		d.apart(at)
-		end := at + d.within(4, d.in*1.5)
-		d.withdraw(at, end, 2+d.rnd.IntN(5))
-		d.say(end, "heal node=all")
+		d.add(at, "cut node=leader link=state mode=%s", []string{mode, "stall"}[d.rnd.IntN(2)])
+		d.add(at, "cut node=old link=peers mode=%s", mode)
+		d.isolateWorkers(at)
+		end := at + d.uniform(4, d.cancelTime*1.5)
+		d.cancelJobs(at, end, 2+d.rnd.IntN(5))
+		d.add(end, "heal node=all")
 		return end
 	},
 	// A zone's home loses the leader, or everybody, and jobs are cancelled.
-	"homes": func(d *drawing, at float64) float64 {
+	"homes": func(d *dayGenerator, at float64) float64 {
 		n := d.node()
 		for _, link := range []string{"peers", "state"} {
 			if d.rnd.IntN(3) > 0 {
-				d.say(d.within(at, at+3), "cut node=%s link=%s mode=%s", n, link, d.mode())
+				d.add(d.uniform(at, at+3), "cut node=%s link=%s mode=%s", n, link, d.mode())
 			}
 		}
 		if d.rnd.IntN(2) == 0 {
-			d.say(at, "cut node=leader link=workers mode=%s", d.mode())
+			d.add(at, "cut node=leader link=workers mode=%s", d.mode())
 		}
-		end := at + d.within(4, d.in*1.5)
-		d.withdraw(at, end, 2+d.rnd.IntN(5))
-		d.say(end, "heal node=%s", n)
-		d.say(end, "heal node=old")
+		end := at + d.uniform(4, d.cancelTime*1.5)
+		d.cancelJobs(at, end, 2+d.rnd.IntN(5))
+		d.add(end, "heal node=%s", n)
+		d.add(end, "heal node=old")
 		return end
 	},
 	// Copies of reports come late, to whichever node, also after a takeover.
-	"copies": func(d *drawing, at float64) float64 {
+	"copies": func(d *dayGenerator, at float64) float64 {
 		if d.rnd.IntN(2) == 0 {
-			d.say(at, "node node=leader kill")
-			d.say(at+d.within(0.1, 4), "revive")
+			d.add(at, "node node=leader kill")
+			d.add(at+d.uniform(0.1, 4), "revive")
 		}
 		for range 6 + d.rnd.IntN(10) {
-			d.say(at+d.within(0, 10), "again node=%s count=%d", []string{"leader", d.node()}[d.rnd.IntN(2)], 1+d.rnd.IntN(20))
+			d.add(at+d.uniform(0, 10), "again node=%s count=%d", []string{"leader", d.node()}[d.rnd.IntN(2)], 1+d.rnd.IntN(20))
 		}
 		for range d.rnd.IntN(3) {
-			d.say(at+d.within(0, 10), "machine nth=%d restart", d.rnd.IntN(12))
+			d.add(at+d.uniform(0, 10), "machine nth=%d restart", d.rnd.IntN(12))
 		}
-		d.withdraw(at, at+10, d.rnd.IntN(4))
+		d.cancelJobs(at, at+10, d.rnd.IntN(4))
 		return at + 10
 	},
 	// The state service refuses the leader, and then all, while users cancel and ask: the second
 	// trouble comes before the first is over, or after.
-	"refused": func(d *drawing, at float64) float64 {
-		d.say(at, "cut node=leader link=state")
-		healed := at + d.within(1, 14)
-		d.say(healed, "heal node=old")
-		end := d.outage(at + d.within(0, 16))
-		d.withdraw(at, end, 4+d.rnd.IntN(4))
+	"refused": func(d *dayGenerator, at float64) float64 {
+		d.add(at, "cut node=leader link=state")
+		healed := at + d.uniform(1, 14)
+		d.add(healed, "heal node=old")
+		end := d.outage(at + d.uniform(0, 16))
+		d.cancelJobs(at, end, 4+d.rnd.IntN(4))
 		return max(end, healed)
 	},
 	// A node ends with a transaction: a claim, a placement, a mark, an end, a line of the log.
-	"struck": func(d *drawing, at float64) float64 {
+	"struck": func(d *dayGenerator, at float64) float64 {
 		for range 1 + d.rnd.IntN(3) {
 			key := []string{"ch/leader", "ch/job", "ch/part", "ch/ended", "ch/mail"}[d.rnd.IntN(5)]
-			d.say(at, "node kill on=%s%s", key, []string{"", " after"}[d.rnd.IntN(2)])
-			d.withdraw(at, at+3, 1)
-			at += d.within(0.5, 6)
-			d.say(at, "revive")
+			d.add(at, "node kill on=%s%s", key, []string{"", " after"}[d.rnd.IntN(2)])
+			d.cancelJobs(at, at+3, 1)
+			at += d.uniform(0.5, 6)
+			d.add(at, "revive")
 		}
 		return at
 	},
 	// Users ask closely, at all nodes, right after a job was accepted, ended or confirmed as cancelled,
 	// and repeat its submission; some cancel then. In some worlds answers are lost or held.
-	"looks": func(d *drawing, at float64) float64 {
-		d.say(0, "looks cancel=%.2f at_end=%.2f seed=%d", d.within(0, 0.5), d.within(0, 0.8), d.rnd.IntN(1000))
+	"looks": func(d *dayGenerator, at float64) float64 {
+		d.add(0, "looks cancel=%.2f at_end=%.2f seed=%d", d.uniform(0, 0.5), d.uniform(0, 0.8), d.rnd.IntN(1000))
 		if d.rnd.IntN(3) == 0 {
-			d.say(at, "node node=leader kill")
-			d.say(at+d.within(0.1, 3), "revive")
+			d.add(at, "node node=leader kill")
+			d.add(at+d.uniform(0.1, 3), "revive")
 		}
 		for range d.rnd.IntN(6) {
-			d.submit(d.within(at, at+8), "tasks=%d run=%ds", 1+d.rnd.IntN(2), 1+d.rnd.IntN(4))
+			d.submit(d.uniform(at, at+8), "tasks=%d run=%ds", 1+d.rnd.IntN(2), 1+d.rnd.IntN(4))
 		}
 		return at + 10
 	},
 	// Jobs are cancelled, asked about and repeated as their last task ends, with no other trouble of the kind's own.
-	"at_end": func(d *drawing, at float64) float64 {
-		d.say(0, "looks at_end=1 seed=%d", d.rnd.IntN(1000))
+	"at_end": func(d *dayGenerator, at float64) float64 {
+		d.add(0, "looks at_end=1 seed=%d", d.rnd.IntN(1000))
 		for range 6 {
-			d.submit(d.within(at, at+4), "tasks=%d run=%dms steps=%dms", 1+d.rnd.IntN(3), 500+100*d.rnd.IntN(30), 100*d.rnd.IntN(20))
+			d.submit(d.uniform(at, at+4), "tasks=%d run=%dms steps=%dms", 1+d.rnd.IntN(3), 500+100*d.rnd.IntN(30), 100*d.rnd.IntN(20))
 		}
 		return at + 10
 	},
 	// Every team is at its limit; jobs are cancelled whose machines hang or are cut off, and the leader changes.
-	"limits": func(d *drawing, at float64) float64 {
+	"limits": func(d *dayGenerator, at float64) float64 {
 		var ids []string
 		for i := range 8 {
-			ids = append(ids, d.submit(d.within(0, 2), "shape=%s tasks=%d gpus=%d team=%s run=%ds", []string{"array", "service", "gang", "array"}[i%4],
+			ids = append(ids, d.submit(d.uniform(0, 2), "shape=%s tasks=%d gpus=%d team=%s run=%ds", []string{"array", "service", "gang", "array"}[i%4],
 				[]int{40, 8, 4, 70}[i%4], 1+d.rnd.IntN(2), []string{"red", "blue"}[i/4], []int{20, 200}[d.rnd.IntN(2)]))
 		}
 		at = max(at, 10)
 		for range 2 + d.rnd.IntN(6) {
-			i, from := d.rnd.IntN(16), d.within(at-1, at+1)
+			i, from := d.rnd.IntN(16), d.uniform(at-1, at+1)
 			how, back := "hang", "resume"
 			if d.rnd.IntN(2) == 0 {
 				how, back = "deaf mode="+d.mode(), "hears"
 			}
-			d.say(from, "machine nth=%d %s", i, how)
-			d.say(from+d.within(0.5, 2*d.lease), "machine nth=%d %s", i, back)
+			d.add(from, "machine nth=%d %s", i, how)
+			d.add(from+d.uniform(0.5, 2*d.lease), "machine nth=%d %s", i, back)
 		}
 		if d.rnd.IntN(2) == 0 {
-			d.say(at-1, "cloud down")
-			d.say(at+d.lease, "cloud up")
+			d.add(at-1, "cloud down")
+			d.add(at+d.lease, "cloud up")
 		}
 		for _, id := range ids {
 			if d.rnd.IntN(2) == 0 {
-				d.say(d.within(at, at+4), "withdraw id=%s", id)
+				d.add(d.uniform(at, at+4), "withdraw id=%s", id)
 			}
 		}
-		end := at + d.within(1, 8)
+		end := at + d.uniform(1, 8)
 		if d.rnd.IntN(2) == 0 {
-			d.say(at+d.within(0, 3), "node node=leader kill")
-			d.say(end, "revive")
+			d.add(at+d.uniform(0, 3), "node node=leader kill")
+			d.add(end, "revive")
 		} else {
-			d.say(at+d.within(0, 3), "cut node=leader link=state mode=%s", d.mode())
-			d.say(end+6, "heal node=all")
+			d.add(at+d.uniform(0, 3), "cut node=leader link=state mode=%s", d.mode())
+			d.add(end+6, "heal node=all")
 		}
-		d.say(at+2*d.lease+2, "machine nth=0 resume")
+		d.add(at+2*d.lease+2, "machine nth=0 resume")
 		return max(end+6, at+2*d.lease+2)
 	},
 	// Jobs are cancelled in the seconds in which one controller's work changes hands: the leader's or a home's.
-	"hands": func(d *drawing, at float64) float64 {
+	"hands": func(d *dayGenerator, at float64) float64 {
 		who := []string{"leader", "leader", "other"}[d.rnd.IntN(3)]
 		switch d.rnd.IntN(3) {
 		case 0:
-			d.say(at, "node node=%s kill", who)
+			d.add(at, "node node=%s kill", who)
 		case 1:
-			d.say(at, "cut node=%s link=state", who)
-			d.say(at, "cut node=old link=peers mode=%s", d.mode())
+			d.add(at, "cut node=%s link=state", who)
+			d.add(at, "cut node=old link=peers mode=%s", d.mode())
 		case 2:
-			d.say(at, "cut node=%s link=workers mode=%s", who, d.mode())
-			d.say(at+d.within(0, 2), "node node=%s kill", who)
+			d.add(at, "cut node=%s link=workers mode=%s", who, d.mode())
+			d.add(at+d.uniform(0, 2), "node node=%s kill", who)
 		}
 		for i := range d.jobs {
 			if d.rnd.IntN(2) == 0 {
-				d.say(d.within(at-0.5, at+6), "withdraw id=j-%d", i)
+				d.add(d.uniform(at-0.5, at+6), "withdraw id=j-%d", i)
 			}
 		}
-		d.say(at+8, "revive")
-		d.say(at+8, "heal node=all")
+		d.add(at+8, "revive")
+		d.add(at+8, "heal node=all")
 		return at + 8
 	},
 	// New machines are up within two seconds, before the cloud lists them, and get work at once while writes lag,
 	// and the leader ends.
-	"newborn": func(d *drawing, at float64) float64 {
+	"newborn": func(d *dayGenerator, at float64) float64 {
 		for range 4 {
-			d.submit(at+d.within(0, 1), "shape=%s tasks=%d gpus=2 run=%ds", []string{"array", "gang", "service"}[d.rnd.IntN(3)], 2+d.rnd.IntN(6), []int{5, 60}[d.rnd.IntN(2)])
+			d.submit(at+d.uniform(0, 1), "shape=%s tasks=%d gpus=2 run=%ds", []string{"array", "gang", "service"}[d.rnd.IntN(3)], 2+d.rnd.IntN(6), []int{5, 60}[d.rnd.IntN(2)])
 		}
-		d.say(at+d.within(0.3, 4), "node node=leader kill")
+		d.add(at+d.uniform(0.3, 4), "node node=leader kill")
 		if d.rnd.IntN(2) == 0 {
-			d.say(at+d.within(4, 8), "node node=leader kill")
+			d.add(at+d.uniform(4, 8), "node node=leader kill")
 		}
-		d.withdraw(at, at+8, d.rnd.IntN(3))
-		d.say(at+10, "revive")
+		d.cancelJobs(at, at+8, d.rnd.IntN(3))
+		d.add(at+10, "revive")
 		return at + 10
 	},
 	// An old report reaches every controller just as a new leader begins.
-	"old_word": func(d *drawing, at float64) float64 {
+	"old_word": func(d *dayGenerator, at float64) float64 {
 		for range 1 + d.rnd.IntN(3) {
 			if d.rnd.IntN(2) == 0 {
-				d.say(at, "node node=leader kill")
+				d.add(at, "node node=leader kill")
 			} else {
-				d.say(at, "cut node=leader link=state")
+				d.add(at, "cut node=leader link=state")
 			}
-			d.say(at, "machine nth=%d restart", d.rnd.IntN(12))
-			d.withdraw(at-1, at+3, d.rnd.IntN(3))
-			d.say(at+0.3, "until leads")
+			d.add(at, "machine nth=%d restart", d.rnd.IntN(12))
+			d.cancelJobs(at-1, at+3, d.rnd.IntN(3))
+			d.add(at+0.3, "until leads")
 			for range 4 {
-				d.say(at+0.3+d.within(0, 2), "again node=all count=%d", 1+d.rnd.IntN(15))
+				d.add(at+0.3+d.uniform(0, 2), "again node=all count=%d", 1+d.rnd.IntN(15))
 			}
-			d.say(at+4, "revive")
-			d.say(at+4, "heal node=all")
+			d.add(at+4, "revive")
+			d.add(at+4, "heal node=all")
 			at += 6
 		}
 		return at
 	},
 	// One-task jobs come four a second, a quarter of them cancelled.
-	"flood": func(d *drawing, at float64) float64 {
+	"flood": func(d *dayGenerator, at float64) float64 {
 		for i := range 4 * (10 + d.rnd.IntN(30)) {
 			when := at + float64(i)/4
 			id := d.submit(when, "tasks=1 team=%s run=%ds", []string{"red", "blue"}[i%2], 1+d.rnd.IntN(4))
 			if i%4 == 0 {
-				d.say(when+d.within(0, 5), "withdraw id=%s", id)
+				d.add(when+d.uniform(0, 5), "withdraw id=%s", id)
 			}
 		}
 		if d.rnd.IntN(2) == 0 {
-			d.say(at+d.within(1, 10), "node node=leader kill")
-			d.say(at+d.within(11, 14), "revive")
+			d.add(at+d.uniform(1, 10), "node node=leader kill")
+			d.add(at+d.uniform(11, 14), "revive")
 		}
 		return at + 40
 	},
 	// Workers reach no controller, while direct commands reach them.
-	"mute": func(d *drawing, at float64) float64 {
+	"mute": func(d *dayGenerator, at float64) float64 {
 		end := at
 		for range 1 + d.rnd.IntN(5) {
-			i, from := d.rnd.IntN(12), d.within(at, at+2)
-			back := from + d.within(1, 3*d.lease)
-			d.say(from, "machine nth=%d mute", i)
-			d.say(back, "machine nth=%d speaks", i)
+			i, from := d.rnd.IntN(12), d.uniform(at, at+2)
+			back := from + d.uniform(1, 3*d.lease)
+			d.add(from, "machine nth=%d mute", i)
+			d.add(back, "machine nth=%d speaks", i)
 			end = max(end, back)
 		}
 		if d.rnd.IntN(2) == 0 {
-			d.say(at+d.within(0, 4), "node node=leader kill")
-			d.say(at+d.within(4, 9), "revive")
+			d.add(at+d.uniform(0, 4), "node node=leader kill")
+			d.add(at+d.uniform(4, 9), "revive")
 		}
-		d.withdraw(at, at+10, d.rnd.IntN(4))
+		d.cancelJobs(at, at+10, d.rnd.IntN(4))
 		return end
 	},
 	// Jobs bound to one zone lose machines.
-	"bound": func(d *drawing, at float64) float64 {
+	"bound": func(d *dayGenerator, at float64) float64 {
 		for range 5 {
-			d.submit(d.within(0, 2), "shape=%s tasks=%d gpus=%d zone=%s run=%ds save=%d", []string{"array", "gang", "service"}[d.rnd.IntN(3)],
+			d.submit(d.uniform(0, 2), "shape=%s tasks=%d gpus=%d zone=%s run=%ds save=%d", []string{"array", "gang", "service"}[d.rnd.IntN(3)],
 				2+d.rnd.IntN(6), 1+d.rnd.IntN(2), []string{"a", "b"}[d.rnd.IntN(2)], []int{20, 60}[d.rnd.IntN(2)], 2*d.rnd.IntN(2))
 		}
 		at = max(at, 8)
 		for range 2 + d.rnd.IntN(5) {
-			d.say(d.within(at, at+6), "machine nth=%d %s", d.rnd.IntN(12), []string{"die", "hang", "restart", "fail"}[d.rnd.IntN(4)])
+			d.add(d.uniform(at, at+6), "machine nth=%d %s", d.rnd.IntN(12), []string{"die", "hang", "restart", "fail"}[d.rnd.IntN(4)])
 		}
 		if d.rnd.IntN(3) == 0 {
-			d.say(at+d.within(0, 6), "node node=leader kill")
-			d.say(at+8, "revive")
+			d.add(at+d.uniform(0, 6), "node node=leader kill")
+			d.add(at+8, "revive")
 		}
 		for i := range 16 {
-			d.say(at+10+d.within(0, d.lease), "machine nth=%d resume", i)
+			d.add(at+10+d.uniform(0, d.lease), "machine nth=%d resume", i)
 		}
 		return at + 10 + d.lease
 	},
 	// All controllers are away for longer than a lease; one may be back before the others.
-	"away": func(d *drawing, at float64) float64 {
+	"away": func(d *dayGenerator, at float64) float64 {
 		for i := range d.nodes {
-			d.say(at, "node node=n%d kill", i+1)
+			d.add(at, "node node=n%d kill", i+1)
 		}
 		if d.rnd.IntN(2) == 0 {
-			d.withdraw(at-1, at, 3)
+			d.cancelJobs(at-1, at, 3)
 		}
-		end := at + d.lease*d.within(1.05, 1.6)
-		d.say(end, "node node=%s start", d.node())
-		d.say(end+d.within(0, 4), "revive")
+		end := at + d.lease*d.uniform(1.05, 1.6)
+		d.add(end, "node node=%s start", d.node())
+		d.add(end+d.uniform(0, 4), "revive")
 		return end + 4
 	},
 	// The leader changes ten times in two minutes, also inside an outage.
-	"ten": func(d *drawing, at float64) float64 {
+	"ten": func(d *dayGenerator, at float64) float64 {
 		out := d.rnd.IntN(12)
 		for i := range 10 {
-			d.say(at, "node node=leader kill")
+			d.add(at, "node node=leader kill")
 			if i == out {
-				d.say(at+0.5, "state down")
-				d.say(at+9, "state up")
+				d.add(at+0.5, "state down")
+				d.add(at+9, "state up")
 			}
-			d.say(at+d.within(0.1, 10), "revive")
-			d.withdraw(at, at+10, d.rnd.IntN(2))
+			d.add(at+d.uniform(0.1, 10), "revive")
+			d.cancelJobs(at, at+10, d.rnd.IntN(2))
 			at += 12
 		}
 		return at
 	},
 	// A zone with its workers and a controller is cut off from everything for longer than a lease.
-	"zone": func(d *drawing, at float64) float64 {
+	"zone": func(d *dayGenerator, at float64) float64 {
 		n, mode := 1+d.rnd.IntN(d.nodes), d.mode()
 		zone := location(fmt.Sprintf("n%d", n))
-		end := at + d.lease*d.within(1.05, 2)
-		d.say(at, "zone name=%s cut mode=%s", zone, mode)
-		d.withdraw(at-1, end, 1+d.rnd.IntN(5))
+		end := at + d.lease*d.uniform(1.05, 2)
+		d.add(at, "zone name=%s cut mode=%s", zone, mode)
+		d.cancelJobs(at-1, end, 1+d.rnd.IntN(5))
 		if d.rnd.IntN(3) == 0 {
-			d.say(d.within(at, end), "node node=leader kill")
-			d.say(end, "revive")
+			d.add(d.uniform(at, end), "node node=leader kill")
+			d.add(end, "revive")
 		}
-		d.say(end, "heal node=all")
+		d.add(end, "heal node=all")
 		return end
 	},
 	// Jobs are cancelled just as they are placed, with their starts on the way over slow links.
-	"just_placed": func(d *drawing, at float64) float64 {
-		d.say(0, "weather seed=%d slow_reports=%.2f held_calls=%.2f lost_calls=%.2f slow_there=%.2f", d.rnd.IntN(1000), d.within(0.3, 1), d.within(0, 0.3), d.within(0, 0.3), d.within(0, 0.3))
+	"just_placed": func(d *dayGenerator, at float64) float64 {
+		d.add(0, "weather seed=%d slow_reports=%.2f held_calls=%.2f lost_calls=%.2f slow_there=%.2f", d.rnd.IntN(1000), d.uniform(0.3, 1), d.uniform(0, 0.3), d.uniform(0, 0.3), d.uniform(0, 0.3))
 		for range 12 {
-			when := at + d.within(0, 10)
+			when := at + d.uniform(0, 10)
 			id := d.submit(when, "shape=%s tasks=%d run=60s", []string{"array", "array", "gang", "service"}[d.rnd.IntN(4)], 1+d.rnd.IntN(5))
-			d.say(when+d.within(0.1, 3), "withdraw id=%s", id)
+			d.add(when+d.uniform(0.1, 3), "withdraw id=%s", id)
 		}
 		if d.rnd.IntN(3) == 0 {
-			d.say(at+d.within(0, 10), "node node=leader kill")
-			d.say(at+12, "revive")
+			d.add(at+d.uniform(0, 10), "node node=leader kill")
+			d.add(at+12, "revive")
 		}
 		return at + 14
 	},
 	// There is more work than room, urgent and not, over slow links.
-	"crowd": func(d *drawing, at float64) float64 {
-		d.say(0, "weather seed=%d slow_reports=%.2f slow_beats=%.2f slow_writes=%.2f slow_there=%.2f", d.rnd.IntN(1000), d.within(0.2, 0.6), d.within(0.2, 0.6), d.within(0, 0.4), d.within(0, 0.3))
+	"crowd": func(d *dayGenerator, at float64) float64 {
+		d.add(0, "weather seed=%d slow_reports=%.2f slow_beats=%.2f slow_writes=%.2f slow_there=%.2f", d.rnd.IntN(1000), d.uniform(0.2, 0.6), d.uniform(0.2, 0.6), d.uniform(0, 0.4), d.uniform(0, 0.3))
 		for range 25 {
-			d.submit(d.within(0, 12), "shape=%s tasks=%d gpus=%d team=%s rank=%s run=%ds", []string{"array", "array", "gang", "service"}[d.rnd.IntN(4)],
+			d.submit(d.uniform(0, 12), "shape=%s tasks=%d gpus=%d team=%s rank=%s run=%ds", []string{"array", "array", "gang", "service"}[d.rnd.IntN(4)],
 				1+d.rnd.IntN(8), 1+d.rnd.IntN(4), []string{"red", "blue"}[d.rnd.IntN(2)], []string{"production", "high", "normal", "low"}[d.rnd.IntN(4)], 2+d.rnd.IntN(10))
 		}
-		d.withdraw(at, at+10, 3)
+		d.cancelJobs(at, at+10, 3)
 		return at + 15
 	},
 	// A machine's worker begins with the next session while its node ends. One that counts sessions
 	// from the start again is not in the protocol: a late report of its earlier life is the newer one then.
-	"machines": func(d *drawing, at float64) float64 {
+	"machines": func(d *dayGenerator, at float64) float64 {
 		for range 1 + d.rnd.IntN(4) {
-			d.say(d.within(at, at+4), "machine nth=%d restart", d.rnd.IntN(12))
+			d.add(d.uniform(at, at+4), "machine nth=%d restart", d.rnd.IntN(12))
 		}
 		if d.rnd.IntN(2) == 0 {
-			d.say(at, "node node=leader kill")
-			d.say(at+d.within(0.1, 5), "revive")
+			d.add(at, "node node=leader kill")
+			d.add(at+d.uniform(0.1, 5), "revive")
 		}
-		d.withdraw(at, at+5, d.rnd.IntN(3))
+		d.cancelJobs(at, at+5, d.rnd.IntN(3))
 		return at + 5
 	},
 }
 
-// timings of workers: lease and a cancellation's time, as they are at the operators', at a
+// workerTimings of workers: lease and a cancellation's time, as they are at the operators', at a
 // fifth of it, and where the two are hardly apart or the wrong way round.
-var timings = [][2]float64{{4, 20}, {10, 40}, {16, 36}, {26.5, 46.5}, {26.5, 56.5}, {4, 9}, {4, 8}, {5, 5.5}, {6, 4}}
+var workerTimings = [][2]float64{{4, 20}, {10, 40}, {16, 36}, {26.5, 46.5}, {26.5, 56.5}, {4, 9}, {4, 8}, {5, 5.5}, {6, 4}}
 
-// draw makes a day of so many troubles of a kind, others and weather thrown in.
-func draw(seed uint64, kind string) string {
+// drawDay makes a day of so many troubles of a kind, others and weather thrown in.
+func drawDay(seed uint64, kind string) string {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(kind))
 	rnd := rand.New(rand.NewPCG(seed, sum.Sum64()))
-	pair := timings[rnd.IntN(len(timings))]
-	d := &drawing{rnd: rnd, nodes: []int{3, 3, 5}[rnd.IntN(3)], lease: pair[0], in: pair[1], jobs: 6 + rnd.IntN(10)}
+	pair := workerTimings[rnd.IntN(len(workerTimings))]
+	d := &dayGenerator{rnd: rnd, nodes: []int{3, 3, 5}[rnd.IntN(3)], lease: pair[0], cancelTime: pair[1], jobs: 6 + rnd.IntN(10)}
 	report := []string{"1s", "2s"}[rnd.IntN(2)]
 	quota := []int{0, 0, 25}[rnd.IntN(3)]
 	if kind == "flood" && rnd.IntN(2) == 0 { // cancellations meet admission: the state service takes fewer changes than come
@@ -532,7 +534,7 @@
 	if kind == "newborn" || rnd.IntN(6) == 0 {
 		young = fmt.Sprintf(" boot=%dms unlisted=%ds", 100*(1+rnd.IntN(20)), rnd.IntN(9))
 	}
-	head := fmt.Sprintf("world nodes=%d scale=%d quota=%d lease=%gs cancel=%gs report=%s", d.nodes, 1+rnd.IntN(3), quota, d.lease, d.in, report) + young
+	head := fmt.Sprintf("world nodes=%d scale=%d quota=%d lease=%gs cancel=%gs report=%s", d.nodes, 1+rnd.IntN(3), quota, d.lease, d.cancelTime, report) + young
 	weather := "weather seed=" + fmt.Sprint(seed)
 	for _, w := range []string{"late_writes", "lost_writes", "slow_writes", "slow_there", "slow_watch", "late_copies", "slow_reports", "slow_beats", "held_calls", "lost_calls"} {
 		if rnd.IntN(3) == 0 {
@@ -540,9 +542,9 @@
 		}
 	}
 	for i := range d.jobs {
-		at := d.within(0, 4)
+		at := d.uniform(0, 4)
 		if i > 4 {
-			at = d.within(0, 60)
+			at = d.uniform(0, 60)
 		}
 		shape := []string{"array", "array", "gang", "service"}[rnd.IntN(4)]
 		tasks := []int{1, 2, 3, 2 + rnd.IntN(8), 33 + rnd.IntN(30)}[rnd.IntN(5)]
@@ -556,28 +558,28 @@
 		if i > 0 && rnd.IntN(5) == 0 { // one that may be a service, or not have come yet, is refused
 			line += fmt.Sprintf(" needs=j-%d", rnd.IntN(i))
 		}
-		d.say(at, "%s", line)
+		d.add(at, "%s", line)
 	}
-	at := d.within(6, 20)
+	at := d.uniform(6, 20)
 	kinds := []string{kind}
-	names := sortedMeetings()
+	names := combinationNames()
 	for rnd.IntN(2) == 0 && len(kinds) < 3 {
 		kinds = append(kinds, names[rnd.IntN(len(names))])
 	}
 	end := at
 	for _, k := range kinds {
-		end = max(end, meetings[k](d, at+d.within(0, 6)*float64(rnd.IntN(2))))
+		end = max(end, faultCombinations[k](d, at+d.uniform(0, 6)*float64(rnd.IntN(2))))
 	}
 	if rnd.IntN(3) == 0 {
-		end = max(end, meetings[kinds[rnd.IntN(len(kinds))]](d, end+d.within(0, 5)))
+		end = max(end, faultCombinations[kinds[rnd.IntN(len(kinds))]](d, end+d.uniform(0, 5)))
 	}
-	d.withdraw(0, end, rnd.IntN(5))
-	slices.SortStableFunc(d.day, func(a, b moment) int { return cmp.Compare(a.at, b.at) })
+	d.cancelJobs(0, end, rnd.IntN(5))
+	slices.SortStableFunc(d.lines, func(a, b scriptLine) int { return cmp.Compare(a.at, b.at) })
 	var b strings.Builder
 	fmt.Fprintln(&b, head)
 	now := emulator.Micros(0)
 	fmt.Fprintln(&b, weather)
-	for _, m := range d.day {
+	for _, m := range d.lines {
 		if at := max(m.at, 0); at > now {
 			fmt.Fprintf(&b, "run for=%dms\n", (at-now)/1000)
 			now = at
@@ -587,9 +589,9 @@
 	return b.String()
 }
 
-func sortedMeetings() []string {
-	names := make([]string, 0, len(meetings))
-	for name := range meetings {
+func combinationNames() []string {
+	names := make([]string, 0, len(faultCombinations))
+	for name := range faultCombinations {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -611,12 +613,12 @@
 		}
 		return
 	}
-	for _, kind := range sortedMeetings() {
-		for i := range uint64(*meetingSeeds) {
-			seed := uint64(*meetingFrom) + i
+	for _, kind := range combinationNames() {
+		for i := range uint64(*combinationSeeds) {
+			seed := uint64(*firstSeed) + i
 			t.Run(fmt.Sprintf("%s/%d", kind, seed), func(t *testing.T) {
 				t.Parallel()
-				script := draw(seed, kind)
+				script := drawDay(seed, kind)
 				wrong := playDay(t, script)
 				if len(wrong) == 0 {
 					return
@@ -642,83 +644,83 @@
 		}
 		d := &datadriven.TestData{Cmd: cmd, CmdArgs: args, Pos: line}
 		if cmd == "world" {
-			s = newWorld(t, d)
+			s = newScriptSim(t, d)
 			continue
 		}
-		out := command(t, s, d)
+		out := runCommand(t, s, d)
 		if cmd == "submit" {
 			if strings.HasPrefix(out, "400") {
 				t.Fatalf("%s: a drawn submission is malformed", line)
 			}
 			id := ""
 			d.ScanArgs(t, "id", &id)
-			s.Watch(id)
+			s.pollUntilFinal(id)
 		}
 	}
-	return s.calm()
+	return s.endFaults()
 }
 
-// mostTold bounds how much of what is wrong is told: a task that stays breaks a rule with every tick.
-const mostTold = 8
+// maxProblems bounds how much of what is wrong is told: a task that stays breaks a rule with every tick.
+const maxProblems = 8
 
-// forgottenAfter is how long a question may go unanswered once all troubles are over.
-const forgottenAfter = 75 * emulator.Second
+// maxUnanswered is how long a question may go unanswered once all troubles are over.
+const maxUnanswered = 75 * emulator.Second
 
-// calm ends all troubles and returns what is wrong then.
-func (s *Sim) calm() (wrong []string) {
-	s.weather, s.strike = nil, strike{}
+// endFaults ends all troubles and returns what is wrong then.
+func (s *Sim) endFaults() (wrong []string) {
+	s.messageFaults, s.crash = nil, crashTrigger{}
 	s.state.SetDown(s.now, false)
-	s.world.CloudOff = false
-	clear(s.only)
-	s.apart = ""
+	s.env.CloudOff = false
+	clear(s.reachableOnlyBy)
+	s.isolatedZone = ""
 	for _, n := range s.nodes {
-		n.cut = map[string]string{}
+		n.cutLinks = map[string]string{}
 		if !n.alive {
 			s.start(n)
 		}
 	}
-	for _, name := range s.world.Names() {
-		m := s.world.Machines[name]
+	for _, name := range s.env.Names() {
+		m := s.env.Machines[name]
 		m.InboundLost, m.Hang, m.OutboundLost = "", false, false
 	}
-	s.Release()
+	s.releaseHeld()
 	over := s.now
-	s.Run(emulator.Second)
-	waits := idle{}
-	for ; s.now-over < 250*emulator.Second; s.Run(emulator.Second) {
+	s.run(emulator.Second)
+	waits := waitingSince{}
+	for ; s.now-over < 250*emulator.Second; s.run(emulator.Second) {
 		for _, u := range s.users {
-			if s.told[u.id] == "" && !u.cancel {
+			if s.lastStatus[u.id] == "" && !u.cancel {
 				continue // it may never have been accepted
 			}
-			if s.told[u.id] != "" && s.now-max(over, u.answered, s.known[u.id]) > forgottenAfter {
+			if s.lastStatus[u.id] != "" && s.now-max(over, u.answeredAt, s.acceptedAt[u.id]) > maxUnanswered {
 				wrong = append(wrong, fmt.Sprintf("forgotten %s: no answer for 75 s", u.id))
 			}
 		}
-		wrong = append(wrong, waits.look(s)...)
+		wrong = append(wrong, waits.check(s)...)
 		if len(wrong) > 0 {
 			break
 		}
-		if !slices.ContainsFunc(s.users, func(u *user) bool { return s.told[u.id] != "" }) {
+		if !slices.ContainsFunc(s.users, func(u *user) bool { return s.lastStatus[u.id] != "" }) {
 			break // every job that was accepted is over, and its user knows
 		}
 		if s.now-over > 40*emulator.Second && len(waits) == 0 { // what never ends by itself, or not in time
-			for _, id := range slices.Sorted(maps.Keys(s.world.Jobs)) {
-				if j := s.world.Jobs[id]; s.told[id] != "" && (j.Shape == wire.Service || j.RunOf(j.Tasks) > 10*emulator.Second) {
-					s.Withdraw(id)
+			for _, id := range slices.Sorted(maps.Keys(s.env.Jobs)) {
+				if j := s.env.Jobs[id]; s.lastStatus[id] != "" && (j.Shape == wire.Service || j.RunOf(j.Tasks) > 10*emulator.Second) {
+					s.cancelUntilFinal(id)
 				}
 			}
 		}
 	}
 	for _, u := range s.users {
-		if st := s.told[u.id]; st != "" && st != wire.Done && st != wire.Cancelled {
+		if st := s.lastStatus[u.id]; st != "" && st != wire.Done && st != wire.Cancelled {
 			wrong = append(wrong, fmt.Sprintf("%s has not ended: %s", u.id, st))
 		}
 	}
-	wrong = append(slices.Clone(s.world.Broken), wrong...)
+	wrong = append(slices.Clone(s.env.Broken), wrong...)
 	if len(wrong) == 0 {
-		wrong = s.sameAccounts()
+		wrong = s.compareUsage()
 	}
-	return wrong[:min(len(wrong), mostTold)]
+	return wrong[:min(len(wrong), maxProblems)]
 }
 
 // shrink leaves out lines of a script as long as the same thing goes wrong, a bounded number
@@ -727,7 +729,7 @@
 	t.Helper()
 	kind := symptom(wrong)
 	lines := strings.Split(strings.TrimSpace(script), "\n")
-	tries := *shrinkTries
+	tries := *maxShrinkTries
 	for size := len(lines) / 2; size >= 1; size /= 2 {
 		for i := 1; i < len(lines) && tries > 0; {
 			to := min(i+size, len(lines))
--- a/internal/scenario/flood_test.go
+++ b/internal/scenario/flood_test.go
@@ -22,15 +22,15 @@
 		jobs  = 400
 		tasks = 16
 	)
-	s := newSim(3, scale, 150)
-	s.Run(3 * emulator.Second)
-	leader := s.Leader()
+	s := newSimOfScale(3, scale, 150)
+	s.run(3 * emulator.Second)
+	leader := s.leader()
 	began := s.state.Revision()
 	submit := func(i int) bool {
 		j := &emulator.SubmittedJob{Run: 3 * emulator.Second}
 		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i+1), Class: "flood", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: tasks,
 			CPUs: 1, GPUs: 1, MemoryGB: 1, Image: fmt.Sprint("i", i%3), ImageGB: 1, EstimateS: 3}
-		a := s.Submit(s.nodes[i%3], j)
+		a := s.submit(s.nodes[i%3], j)
 		return a.Status == 201 || a.Status == 200
 	}
 	var again []int
@@ -39,15 +39,15 @@
 			again = append(again, i)
 		}
 		if i%6 == 5 {
-			s.Run(tick)
+			s.run(tick)
 		}
 		if i == jobs/2 {
-			s.node(leader).busy = s.now + 5*emulator.Second
+			s.node(leader).busyUntil = s.now + 5*emulator.Second
 		}
 	}
 	left := func() (n int) {
 		for i := range jobs {
-			if !s.world.Done(fmt.Sprintf("j-%d", i+1)) {
+			if !s.env.Done(fmt.Sprintf("j-%d", i+1)) {
 				n++
 			}
 		}
@@ -55,11 +55,11 @@
 	}
 	seconds := 0
 	for ; left() > 0 && seconds < 60; seconds++ {
-		s.Run(emulator.Second)
+		s.run(emulator.Second)
 		again = slices.DeleteFunc(again, submit) // as users do who were refused
 		for i, n := range s.nodes {
 			id := fmt.Sprintf("j-%d", (seconds*3+i)%jobs+1)
-			if a := s.Ask(n, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} }); a.Status != 200 {
+			if a := s.request(n, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} }); a.Status != 200 {
 				t.Errorf("poll of %s: %d", id, a.Status)
 			}
 		}
@@ -67,14 +67,14 @@
 	if n := left(); n > 0 {
 		t.Errorf("%d jobs are not done after %d s", n, seconds)
 	}
-	if s.Leader() != leader || s.state.Get(job.KeyRoot+"leader").Version > began {
-		t.Errorf("%s leads by revision %d; %s did by one before %d", s.Leader(), s.state.Get(job.KeyRoot+"leader").Version, leader, began)
+	if s.leader() != leader || s.state.Get(job.KeyRoot+"leader").Version > began {
+		t.Errorf("%s leads by revision %d; %s did by one before %d", s.leader(), s.state.Get(job.KeyRoot+"leader").Version, leader, began)
 	}
 	if changes := float64(s.state.Revision()-began) / jobs; changes > 4 {
 		t.Errorf("%.1f changes a job", changes)
 	}
 	t.Logf("%d jobs in %d s, %.1f changes each", jobs, seconds, float64(s.state.Revision()-began)/jobs)
-	for _, b := range s.world.Broken {
+	for _, b := range s.env.Broken {
 		t.Error(b)
 	}
 }
--- a/internal/scenario/generated_faults_test.go
+++ b/internal/scenario/generated_faults_test.go
@@ -13,39 +13,39 @@
 	"coralhub/wire"
 )
 
-// weather has messages take their time: parts of them, by kind, are late or lost. What the
+// messageFaults has messages take their time: parts of them, by kind, are late or lost. What the
 // runner does at once without it happens between half a second and well over a lease later.
-type weather struct {
+type messageFaults struct {
 	rnd *rand.Rand
 
-	lateWrites  float64 // transactions carried out 2 to 12 s later, without an answer
-	lostWrites  float64 // carried out at once, without an answer
-	slowWrites  float64 // carried out at once, answered up to 2 s later
-	slowThere   float64 // carried out, and checked, up to 2 s later, and answered then
-	slowWatch   float64 // answers of listings and watches that come up to 2 s later
-	lateCopies  float64 // reports of which a copy arrives again, 2 s to three leases later, at whichever node
-	slowReports float64 // reports and their answers that take up to 6 s, both ways together
-	slowBeats   float64 // answers to beats
-	heldCalls   float64 // direct commands carried out 1 to 9 s later, without an answer
-	lostCalls   float64 // carried out at once, without one
+	lateWrites     float64 // transactions carried out 2 to 12 s later, without an answer
+	lostWrites     float64 // carried out at once, without an answer
+	slowWrites     float64 // carried out at once, answered up to 2 s later
+	slowCommits    float64 // carried out, and checked, up to 2 s later, and answered then
+	slowWatch      float64 // answers of listings and watches that come up to 2 s later
+	lateCopies     float64 // reports of which a copy arrives again, 2 s to three leases later, at whichever node
+	slowHeartbeats float64 // reports and their answers that take up to 6 s, both ways together
+	slowBatches    float64 // answers to beats
+	lateCommands   float64 // direct commands carried out 1 to 9 s later, without an answer
+	lostCommands   float64 // carried out at once, without one
 }
 
-// readWeather takes the parts that a script names.
-func readWeather(t *testing.T, d *datadriven.TestData) *weather {
+// messageFaultsArg takes the parts that a script names.
+func messageFaultsArg(t *testing.T, d *datadriven.TestData) *messageFaults {
 	t.Helper()
 	seed := uint64(1)
-	w := &weather{}
+	w := &messageFaults{}
 	d.MaybeScanArgs(t, "seed", &seed)
 	w.rnd = rand.New(rand.NewPCG(seed, 4711))
-	for name, to := range map[string]*float64{"late_writes": &w.lateWrites, "lost_writes": &w.lostWrites, "slow_writes": &w.slowWrites, "slow_there": &w.slowThere,
-		"slow_watch": &w.slowWatch, "late_copies": &w.lateCopies, "slow_reports": &w.slowReports, "slow_beats": &w.slowBeats, "held_calls": &w.heldCalls, "lost_calls": &w.lostCalls} {
-		*to = share(t, d, name)
+	for name, to := range map[string]*float64{"late_writes": &w.lateWrites, "lost_writes": &w.lostWrites, "slow_writes": &w.slowWrites, "slow_there": &w.slowCommits,
+		"slow_watch": &w.slowWatch, "late_copies": &w.lateCopies, "slow_reports": &w.slowHeartbeats, "slow_beats": &w.slowBatches, "held_calls": &w.lateCommands, "lost_calls": &w.lostCommands} {
+		*to = fractionArg(t, d, name)
 	}
 	return w
 }
 
-// share is a part from 0 to 1 that a script names; 0 if it doesn't.
-func share(t *testing.T, d *datadriven.TestData, name string) float64 {
+// fractionArg is a part from 0 to 1 that a script names; 0 if it doesn't.
+func fractionArg(t *testing.T, d *datadriven.TestData, name string) float64 {
 	t.Helper()
 	text := "0"
 	d.MaybeScanArgs(t, name, &text)
@@ -57,112 +57,112 @@
 }
 
 const (
-	patience       = 2 * emulator.Second // how long a node waits for the state service
-	callPatience   = 3 * emulator.Second // and for a worker
-	reportPatience = 4 * emulator.Second // how long a worker waits for a node
+	stateTimeout     = 2 * emulator.Second // how long a node waits for the state service
+	commandTimeout   = 3 * emulator.Second // and for a worker
+	heartbeatTimeout = 4 * emulator.Second // how long a worker waits for a node
 )
 
-// fate is what becomes of a message.
-type fate int
+// messageFate is what becomes of a message.
+type messageFate int
 
 const (
-	prompt fate = iota
-	lateAct
-	lostAnswer
-	slowAnswer
-	slowAct
+	onTime messageFate = iota
+	executedLate
+	answerLost
+	answerSlow
+	executedSlowly
 )
 
-// draw picks a fate by the shares of each, and how long it takes.
-func (w *weather) draw(late, lost, slow float64, least, most emulator.Micros) (fate, emulator.Micros) {
+// drawFate picks a fate by the shares of each, and how long it takes.
+func (w *messageFaults) drawFate(late, lost, slow float64, least, most emulator.Micros) (messageFate, emulator.Micros) {
 	switch x := w.rnd.Float64(); {
 	case x < late:
-		return lateAct, w.between(least, most)
+		return executedLate, w.duration(least, most)
 	case x < late+lost:
-		return lostAnswer, 0
+		return answerLost, 0
 	case x < late+lost+slow:
-		return slowAnswer, w.between(tick, patience-tick)
+		return answerSlow, w.duration(tick, stateTimeout-tick)
 	}
-	return prompt, 0
+	return onTime, 0
 }
 
-// between draws a time in whole ticks.
-func (w *weather) between(least, most emulator.Micros) emulator.Micros {
+// duration draws a time in whole ticks.
+func (w *messageFaults) duration(least, most emulator.Micros) emulator.Micros {
 	return least + w.rnd.Int64N((most-least)/tick+1)*tick
 }
 
-func (w *weather) commit(t *wire.Transaction) (fate, emulator.Micros) {
+func (w *messageFaults) commit(t *wire.Transaction) (messageFate, emulator.Micros) {
 	if w == nil {
-		return prompt, 0
+		return onTime, 0
 	}
-	if w.slowThere > 0 && w.rnd.Float64() < w.slowThere {
-		return slowAct, w.between(tick, patience-tick)
+	if w.slowCommits > 0 && w.rnd.Float64() < w.slowCommits {
+		return executedSlowly, w.duration(tick, stateTimeout-tick)
 	}
 	if len(t.Changes) == 0 { // one without an answer tells nothing, whenever it takes effect
-		return w.draw(0, w.lostWrites, w.slowWrites, 0, 0)
+		return w.drawFate(0, w.lostWrites, w.slowWrites, 0, 0)
 	}
-	return w.draw(w.lateWrites, w.lostWrites, w.slowWrites, 2*emulator.Second, 12*emulator.Second)
+	return w.drawFate(w.lateWrites, w.lostWrites, w.slowWrites, 2*emulator.Second, 12*emulator.Second)
 }
 
-func (w *weather) command() (fate, emulator.Micros) {
+func (w *messageFaults) command() (messageFate, emulator.Micros) {
 	if w == nil {
-		return prompt, 0
+		return onTime, 0
 	}
-	return w.draw(w.heldCalls, w.lostCalls, w.heldCalls, emulator.Second, 9*emulator.Second)
+	return w.drawFate(w.lateCommands, w.lostCommands, w.lateCommands, emulator.Second, 9*emulator.Second)
 }
 
-// report draws how long a report and its answer take.
-func (w *weather) report() (there, back emulator.Micros) {
-	if w == nil || w.rnd.Float64() >= w.slowReports {
+// heartbeat draws how long a report and its answer take.
+func (w *messageFaults) heartbeat() (there, back emulator.Micros) {
+	if w == nil || w.rnd.Float64() >= w.slowHeartbeats {
 		return 0, 0
 	}
-	return w.between(0, 3*emulator.Second), w.between(tick, 3*emulator.Second)
+	return w.duration(0, 3*emulator.Second), w.duration(tick, 3*emulator.Second)
 }
 
-// copies draws whether a copy of a report comes again, and when.
-func (w *weather) copies(lease emulator.Micros) (again bool, after emulator.Micros) {
+// copyAgain draws whether a copy of a report comes again, and when.
+func (w *messageFaults) copyAgain(lease emulator.Micros) (again bool, after emulator.Micros) {
 	if w == nil || w.lateCopies == 0 || w.rnd.Float64() >= w.lateCopies {
 		return false, 0
 	}
-	return true, w.between(2*emulator.Second, 3*lease)
+	return true, w.duration(2*emulator.Second, 3*lease)
 }
 
-func (w *weather) slowNews() emulator.Micros {
+func (w *messageFaults) watchDelay() emulator.Micros {
 	if w == nil || w.rnd.Float64() >= w.slowWatch {
 		return 0
 	}
-	return w.between(tick, patience)
+	return w.duration(tick, stateTimeout)
 }
 
-func (w *weather) slowBeat() emulator.Micros {
-	if w == nil || w.rnd.Float64() >= w.slowBeats {
+func (w *messageFaults) batchDelay() emulator.Micros {
+	if w == nil || w.rnd.Float64() >= w.slowBatches {
 		return 0
 	}
-	return w.between(tick, patience)
+	return w.duration(tick, stateTimeout)
 }
 
-// due is something that happens later.
-type due struct {
-	at emulator.Micros
-	do func()
+// scheduledEvent is something that happens later.
+type scheduledEvent struct {
+	at  emulator.Micros
+	run func()
 }
 
-// news is what a node's watch hears, on its way to it.
-type news struct {
-	at emulator.Micros
-	in msg.Input
+// watchResult is what a node's watch hears, on its way to it.
+type watchResult struct {
+	at    emulator.Micros
+	input msg.Input
 }
 
-// in has something happen after a while.
-func (s *Sim) in(after emulator.Micros, do func()) {
+// schedule has something happen after a while.
+func (s *Sim) schedule(after emulator.Micros, do func()) {
 	at := s.now + after
-	i, _ := slices.BinarySearchFunc(s.later, at, func(d due, at emulator.Micros) int {
+	i, _ := slices.BinarySearchFunc(s.scheduled, at, func(d scheduledEvent, at emulator.Micros) int {
 		if d.at <= at { // what was asked for earlier comes first
 			return -1
 		}
 		return 1
 	})
-	s.later = slices.Insert(s.later, i, due{at, do})
+	s.scheduled = slices.Insert(s.scheduled, i, scheduledEvent{at, do})
 }
 
 // reply hands an answer to a node after a while, unless its process has ended by then.
@@ -172,55 +172,55 @@
 		return
 	}
 	core := n.core
-	s.in(after, func() {
+	s.schedule(after, func() {
 		if n.alive && n.core == core {
 			s.post(n, in)
-			s.settle()
+			s.deliverAll()
 		}
 	})
 }
 
-// comeLate does what is due.
-func (s *Sim) comeLate() {
-	for len(s.later) > 0 && s.later[0].at <= s.now {
-		d := s.later[0]
-		s.later = s.later[1:]
-		d.do()
+// runScheduled does what is due.
+func (s *Sim) runScheduled() {
+	for len(s.scheduled) > 0 && s.scheduled[0].at <= s.now {
+		d := s.scheduled[0]
+		s.scheduled = s.scheduled[1:]
+		d.run()
 	}
 }
 
 // commitLate carries out a transaction whose sender has given up.
 func (s *Sim) commitLate(t wire.Transaction) {
 	if s.state.Down {
-		s.in(emulator.Second, func() { s.commitLate(t) })
+		s.schedule(emulator.Second, func() { s.commitLate(t) })
 		return
 	}
-	s.guarded(&t)
+	s.checkCommit(&t)
 	s.state.Commit(t)
 }
 
 // commitSlowly carries out a transaction after a while, and answers then.
 func (s *Sim) commitSlowly(n *node, x msg.Commit, after emulator.Micros) {
 	core := n.core
-	s.in(after, func() {
-		s.guarded(&x.Transaction)
+	s.schedule(after, func() {
+		s.checkCommit(&x.Transaction)
 		status, a := s.state.Commit(x.Transaction)
 		if n.alive && n.core == core {
 			s.post(n, msg.CommitDone{ID: x.ID, Outcome: outcome(status, a.Error), Revision: a.Revision, Failed: a.Failed})
-			s.settle()
+			s.deliverAll()
 		}
 	})
 }
 
-// runLate carries out a direct command whose sender has given up, once its machine is awake
+// commandLate carries out a direct command whose sender has given up, once its machine is awake
 // and is reached.
-func (s *Sim) runLate(machine string, run func() (int, wire.Heartbeat)) {
-	m := s.world.Machines[machine]
+func (s *Sim) commandLate(machine string, run func() (int, wire.Heartbeat)) {
+	m := s.env.Machines[machine]
 	if m == nil {
 		return
 	}
 	if m.Hang || m.InboundLost == "hold" {
-		s.in(tick, func() { s.runLate(machine, run) })
+		s.schedule(tick, func() { s.commandLate(machine, run) })
 		return
 	}
 	if m.InboundLost == "" {
@@ -228,14 +228,14 @@
 	}
 }
 
-// slowReport has a report come after a while, and its answer after another. The worker gives
+// sendSlowHeartbeat has a report come after a while, and its answer after another. The worker gives
 // up after its patience, and the report comes all the same.
-func (s *Sim) slowReport(n *node, m *emulator.Machine, r wire.Heartbeat, there, back emulator.Micros) {
+func (s *Sim) sendSlowHeartbeat(n *node, m *emulator.Machine, r wire.Heartbeat, there, back emulator.Micros) {
 	sent, core, open := s.now, n.core, true
 	m.Wait(true)
 	// over tells whether the worker still waits for the answer to this report.
 	over := func() bool {
-		if !open || s.world.Machines[m.Name] != m {
+		if !open || s.env.Machines[m.Name] != m {
 			return false
 		}
 		if m.Hang { // it looks when it is awake again
@@ -248,28 +248,28 @@
 	var giveUp func()
 	giveUp = func() {
 		if m.Hang && open {
-			s.in(tick, giveUp)
+			s.schedule(tick, giveUp)
 			return
 		}
 		if over() {
-			s.answered(n, m, &r, sent, msg.Respond{})
+			s.answerHeartbeat(n, m, &r, sent, msg.Respond{})
 		}
 	}
-	s.in(reportPatience, giveUp)
-	s.in(there, func() {
-		if !n.alive || n.core != core || n.cut["workers"] != "" || !s.reaches(n, m) || m.OutboundLost {
+	s.schedule(heartbeatTimeout, giveUp)
+	s.schedule(there, func() {
+		if !n.alive || n.core != core || n.cutLinks["workers"] != "" || !s.reaches(n, m) || m.OutboundLost {
 			return
 		}
-		s.req++
-		req := s.req
+		s.lastRequestID++
+		req := s.lastRequestID
 		s.post(n, msg.HeartbeatIn{RequestID: req, Heartbeat: r})
-		s.settle()
+		s.deliverAll()
 		a, ok := n.answers[req]
 		delete(n.answers, req)
 		if ok {
-			s.in(back, func() {
-				if s.now-sent < reportPatience && over() {
-					s.answered(n, m, &r, sent, a)
+			s.schedule(back, func() {
+				if s.now-sent < heartbeatTimeout && over() {
+					s.answerHeartbeat(n, m, &r, sent, a)
 				}
 			})
 		}
@@ -278,114 +278,114 @@
 
 // user asks about a job, or asks to cancel it, or submits it once more, until there is nothing more to ask.
 type user struct {
-	id       string
-	cancel   bool
-	again    bool   // it repeats the submission
-	left     int    // how often it still asks; 0: until it has had the last word
-	floor    string // what anybody had been told when it asked
-	req      uint64
-	at       *node // whom it has asked
-	core     any
-	sent     emulator.Micros
-	next     emulator.Micros
-	tries    int
-	answered emulator.Micros // when it last had an answer that tells something
+	id          string
+	cancel      bool
+	resubmit    bool   // it repeats the submission
+	remaining   int    // how often it still asks; 0: until it has had the last word
+	knownStatus string // what anybody had been told when it asked
+	requestID   uint64
+	askedNode   *node // whom it has asked
+	askedCore   any
+	askedAt     emulator.Micros
+	nextAt      emulator.Micros
+	attempts    int
+	answeredAt  emulator.Micros // when it last had an answer that tells something
 }
 
 const (
-	pollWait   = 2 * emulator.Second
-	pollEvery  = 5 * emulator.Second
-	cancelWait = 5 * emulator.Second
+	pollTimeout   = 2 * emulator.Second
+	pollInterval  = 5 * emulator.Second
+	cancelTimeout = 5 * emulator.Second
 )
 
-// patience is how long a user waits for an answer, and then before it asks again.
-func (u *user) patience() (wait, every emulator.Micros) {
+// timing is how long a user waits for an answer, and then before it asks again.
+func (u *user) timing() (wait, every emulator.Micros) {
 	switch {
-	case u.left > 0:
-		return pollWait, 0
-	case u.cancel || u.again:
-		return cancelWait, emulator.Second
+	case u.remaining > 0:
+		return pollTimeout, 0
+	case u.cancel || u.resubmit:
+		return cancelTimeout, emulator.Second
 	}
-	return pollWait, pollEvery
+	return pollTimeout, pollInterval
 }
 
-// Withdraw has a job's user cancel it, at whichever node, again and again until it is told.
-func (s *Sim) Withdraw(id string) {
-	if j := s.world.Jobs[id]; j != nil && !j.Asked {
+// cancelUntilFinal has a job's user cancel it, at whichever node, again and again until it is told.
+func (s *Sim) cancelUntilFinal(id string) {
+	if j := s.env.Jobs[id]; j != nil && !j.Asked {
 		j.Asked = true
-		s.users = append(s.users, &user{id: id, cancel: true, next: s.now, answered: s.now, tries: len(s.users)})
+		s.users = append(s.users, &user{id: id, cancel: true, nextAt: s.now, answeredAt: s.now, attempts: len(s.users)})
 	}
 }
 
-// Watch has a job's user poll it until it is over, and somebody else too: at once, at other nodes.
-func (s *Sim) Watch(id string) {
+// pollUntilFinal has a job's user poll it until it is over, and somebody else too: at once, at other nodes.
+func (s *Sim) pollUntilFinal(id string) {
 	for range 2 {
-		s.users = append(s.users, &user{id: id, next: s.now + tick, answered: s.now, tries: len(s.users)})
+		s.users = append(s.users, &user{id: id, nextAt: s.now + tick, answeredAt: s.now, attempts: len(s.users)})
 	}
-	if s.looks != nil && s.told[id] == "" { // and its submission is repeated until it has an answer
-		s.users = append(s.users, &user{id: id, again: true, next: s.now + tick, answered: s.now, tries: len(s.users)})
+	if s.closePolling != nil && s.lastStatus[id] == "" { // and its submission is repeated until it has an answer
+		s.users = append(s.users, &user{id: id, resubmit: true, nextAt: s.now + tick, answeredAt: s.now, attempts: len(s.users)})
 	}
 }
 
-// ask lets the users hear answers and ask again. All of them ask before any is answered.
-func (s *Sim) ask() {
+// askUsers lets the users hear answers and ask again. All of them ask before any is answered.
+func (s *Sim) askUsers() {
 	users := s.users
 	s.users = nil
 	var left []*user
 	for _, u := range users {
-		if u.req != 0 && s.heard(u) {
+		if u.requestID != 0 && s.takeAnswer(u) {
 			continue
 		}
 		left = append(left, u)
-		if u.req != 0 || s.now < u.next {
+		if u.requestID != 0 || s.now < u.nextAt {
 			continue
 		}
-		u.tries++
-		n := s.nodes[u.tries%len(s.nodes)]
+		u.attempts++
+		n := s.nodes[u.attempts%len(s.nodes)]
 		if !n.alive {
-			u.next = s.now + tick // the balancer picks another
+			u.nextAt = s.now + tick // the balancer picks another
 			continue
 		}
-		s.req++
-		u.req, u.at, u.core, u.sent, u.floor = s.req, n, n.core, s.now, s.told[u.id]
+		s.lastRequestID++
+		u.requestID, u.askedNode, u.askedCore, u.askedAt, u.knownStatus = s.lastRequestID, n, n.core, s.now, s.lastStatus[u.id]
 		switch {
 		case u.cancel:
-			s.post(n, msg.CancelIn{RequestID: u.req, JobID: u.id})
-		case u.again:
-			s.post(n, s.submission(s.world.Jobs[u.id])(u.req))
+			s.post(n, msg.CancelIn{RequestID: u.requestID, JobID: u.id})
+		case u.resubmit:
+			s.post(n, s.submission(s.env.Jobs[u.id])(u.requestID))
 		default:
-			s.post(n, msg.PollIn{RequestID: u.req, JobID: u.id})
+			s.post(n, msg.PollIn{RequestID: u.requestID, JobID: u.id})
 		}
-		if s.looks == nil {
-			s.settle()
+		if s.closePolling == nil {
+			s.deliverAll()
 		}
 	}
-	s.settle()
+	s.deliverAll()
 	s.users = append(left, s.users...) // those that what was heard has brought come last
 }
 
-// heard takes what a user is told; it returns whether it asks no more.
-func (s *Sim) heard(u *user) bool {
-	a, ok := u.at.answers[u.req]
-	wait, every := u.patience()
+// takeAnswer takes what a user is told; it returns whether it asks no more.
+func (s *Sim) takeAnswer(u *user) bool {
+	a, ok := u.askedNode.answers[u.requestID]
+	wait, every := u.timing()
 	switch {
 	case ok:
-		delete(u.at.answers, u.req)
-		s.judge(u.id, u.floor, a)
+		delete(u.askedNode.answers, u.requestID)
+		s.checkAnswer(u.id, u.knownStatus, a)
 		if a.Status == 200 {
-			u.answered = s.now
+			u.answeredAt = s.now
 		}
-		u.next = s.now + every
-	case s.now-u.sent >= wait || !u.at.alive || any(u.at.core) != u.core:
-		u.next = s.now + emulator.Second
+		u.nextAt = s.now + every
+	case s.now-u.askedAt >= wait || !u.askedNode.alive || any(u.askedNode.core) != u.askedCore:
+		u.nextAt = s.now + emulator.Second
 	default:
 		return false
 	}
-	u.req = 0
-	if u.left > 0 {
-		u.left--
-		return u.left == 0
+	u.requestID = 0
+	if u.remaining > 0 {
+		u.remaining--
+		return u.remaining == 0
 	}
 	st, _ := a.Body.(wire.JobStatus)
-	return final(st.Status) || u.again && (ok && a.Status >= 200 && a.Status < 300 || s.told[u.id] != "")
+	return isFinal(st.Status) || u.resubmit && (ok && a.Status >= 200 && a.Status < 300 || s.lastStatus[u.id] != "")
 }
--- a/internal/scenario/guards_test.go
+++ b/internal/scenario/guards_test.go
@@ -12,35 +12,35 @@
 
 // What transactions have to be guarded by.
 
-// guards are what a transaction that writes a key has to be guarded by, by the key's prefix: the
+// requiredConditions are what a transaction that writes a key has to be guarded by, by the key's prefix: the
 // version of what it replaces, the claim that it is written under, or both. Which interleaving would break a rule
 // without one takes luck to draw.
-var guards = map[string]struct{ own, claim bool }{
+var requiredConditions = map[string]struct{ own, claim bool }{
 	"job/": {own: true}, "part/": {true, true}, "ended/": {true, true}, "leader": {own: true}, "standing/": {claim: true},
 	"mail/": {claim: true}, "format": {true, true}, "placed/": {true, true},
 }
 
-// allGuarded checks that a transaction has the guards that its keys ask for.
-func (s *Sim) allGuarded(t *wire.Transaction) {
+// checkConditions checks that a transaction has the guards that its keys ask for.
+func (s *Sim) checkConditions(t *wire.Transaction) {
 	by := map[string]bool{}
 	for _, g := range t.Conditions {
 		by[g.Key] = true
 	}
 	for _, c := range t.Changes {
 		key := c.Put + c.Delete
-		for prefix, need := range guards {
+		for prefix, need := range requiredConditions {
 			if strings.HasPrefix(key, job.KeyRoot+prefix) && (need.own && !by[key] || need.claim && !by[job.KeyRoot+"leader"]) {
-				s.world.Broken = append(s.world.Broken, "written without its guards: "+key)
+				s.env.Broken = append(s.env.Broken, "written without its guards: "+key)
 			}
 		}
 	}
 }
 
-// guarded checks what a scenario can hardly bring about: that a transaction
+// checkCommit checks what a scenario can hardly bring about: that a transaction
 // which places tasks can't take effect once its sender's claim is gone, and that
 // no task is placed that has a place. It tells whether any is placed.
-func (s *Sim) guarded(t *wire.Transaction) (places bool) {
-	s.allGuarded(t)
+func (s *Sim) checkCommit(t *wire.Transaction) (places bool) {
+	s.checkConditions(t)
 	claimed := false
 	for _, g := range t.Conditions {
 		if s.state.Get(g.Key).Version != g.Version {
@@ -53,44 +53,44 @@
 		added := false
 		switch _, _, isJob := job.ParseKey(c.Put); {
 		case isJob:
-			added = s.placesInRecord(c)
-		case strings.HasPrefix(c.Put, sharedPrefix):
-			added = s.placesInPage(c, t)
+			added = s.checkRecord(c)
+		case strings.HasPrefix(c.Put, placementPagePrefix):
+			added = s.checkPlacementPage(c, t)
 		}
 		if places = places || added; added && !claimed {
-			s.world.Broken = append(s.world.Broken, "placement without a claim in "+c.Put)
+			s.env.Broken = append(s.env.Broken, "placement without a claim in "+c.Put)
 		}
 	}
 	return places
 }
 
-// placesInRecord checks a record or a part that is written, and tells whether it places tasks.
-func (s *Sim) placesInRecord(c *wire.Change) bool {
+// checkRecord checks a record or a part that is written, and tells whether it places tasks.
+func (s *Sim) checkRecord(c *wire.Change) bool {
 	var was, is job.Record
 	_ = job.DecodeRecord(s.state.Get(c.Put).Value, &was) // absent: nothing open
 	if err := job.DecodeRecord(c.Value, &is); err != nil {
-		s.world.Broken = append(s.world.Broken, "unreadable value for "+c.Put)
+		s.env.Broken = append(s.env.Broken, "unreadable value for "+c.Put)
 	}
 	tasks := map[int]bool{}
 	for _, o := range is.Open {
 		if tasks[o.Task] {
-			s.world.Broken = append(s.world.Broken, fmt.Sprintf("task %d placed twice in %s", o.Task, c.Put))
+			s.env.Broken = append(s.env.Broken, fmt.Sprintf("task %d placed twice in %s", o.Task, c.Put))
 		}
 		tasks[o.Task] = true
 	}
 	return len(is.Open) > len(was.Open)
 }
 
-// sharedPrefix is where pages of shared parts are.
-const sharedPrefix = job.KeyRoot + "placed/"
+// placementPagePrefix is where pages of shared parts are.
+const placementPagePrefix = job.KeyRoot + "placed/"
 
-// placesInPage checks a page of shared parts that is written, and tells whether it places tasks: each
+// checkPlacementPage checks a page of shared parts that is written, and tells whether it places tasks: each
 // job's record has to be guarded, and no task may have a place, by whichever value.
-func (s *Sim) placesInPage(c *wire.Change, t *wire.Transaction) (placed bool) {
+func (s *Sim) checkPlacementPage(c *wire.Change, t *wire.Transaction) (placed bool) {
 	was, err := records.DecodePlacementPage(s.state.Get(c.Put).Value)
 	is, wrong := records.DecodePlacementPage(c.Value)
 	if wrong != nil || err != nil && s.state.Get(c.Put).Version != 0 {
-		s.world.Broken = append(s.world.Broken, "unreadable value for "+c.Put)
+		s.env.Broken = append(s.env.Broken, "unreadable value for "+c.Put)
 		return false
 	}
 	had := map[job.AttemptKey]bool{}
@@ -99,7 +99,7 @@
 			had[o.AttemptKey(was[i].Job)] = true
 		}
 	}
-	var stored *places
+	var stored *storedPlacements
 	for i := range is {
 		p := &is[i]
 		for _, o := range p.Open {
@@ -107,35 +107,35 @@
 				continue
 			}
 			if stored == nil {
-				stored = s.places()
+				stored = s.storedPlacements()
 			}
 			placed = true
 			if !slices.ContainsFunc(t.Conditions, func(g wire.Condition) bool { return g.Key == job.RecordKey(p.Job) }) {
-				s.world.Broken = append(s.world.Broken, "placed without a guard on its record: "+p.Job+" in "+c.Put)
+				s.env.Broken = append(s.env.Broken, "placed without a guard on its record: "+p.Job+" in "+c.Put)
 			}
-			if where := stored.of(s, p.Job, o.Task); where != "" {
-				s.world.Broken = append(s.world.Broken, fmt.Sprintf("%s/%d placed in %s and is placed in %s", p.Job, o.Task, c.Put, where))
+			if where := stored.locate(s, p.Job, o.Task); where != "" {
+				s.env.Broken = append(s.env.Broken, fmt.Sprintf("%s/%d placed in %s and is placed in %s", p.Job, o.Task, c.Put, where))
 			}
 		}
 	}
 	return placed
 }
 
-// places is what pages and the log of ended attempts say by all that is stored.
-type places struct {
+// storedPlacements is what pages and the log of ended attempts say by all that is stored.
+type storedPlacements struct {
 	ended map[records.CompletionEntry]bool
 	pages map[job.AttemptKey]string // by job and task: the page that has it open
 }
 
-func (s *Sim) places() *places {
-	p := &places{ended: map[records.CompletionEntry]bool{}, pages: map[job.AttemptKey]string{}}
+func (s *Sim) storedPlacements() *storedPlacements {
+	p := &storedPlacements{ended: map[records.CompletionEntry]bool{}, pages: map[job.AttemptKey]string{}}
 	for _, it := range s.state.List(job.KeyRoot + "ended/") {
 		lines, _ := records.DecodeCompletionPage(it.Value) // what can't be read shows elsewhere
 		for _, l := range lines {
 			p.ended[records.CompletionEntry{Job: l.Job, Task: l.Task, Attempt: l.Attempt, Machine: l.Machine}] = true
 		}
 	}
-	for _, it := range s.state.List(sharedPrefix) {
+	for _, it := range s.state.List(placementPagePrefix) {
 		parts, _ := records.DecodePlacementPage(it.Value)
 		for i := range parts {
 			for _, o := range parts[i].Open {
@@ -148,12 +148,12 @@
 	return p
 }
 
-func (p *places) isOpen(id string, o *job.Placement) bool {
+func (p *storedPlacements) isOpen(id string, o *job.Placement) bool {
 	return !p.ended[records.CompletionEntry{Job: id, Task: o.Task, Attempt: o.Attempt, Machine: o.Machine}]
 }
 
-// of finds the value that has a task open; "": none has.
-func (p *places) of(s *Sim, id string, task int) string {
+// locate finds the value that has a task open; "": none has.
+func (p *storedPlacements) locate(s *Sim, id string, task int) string {
 	if page := p.pages[job.AttemptKey{Job: id, Task: task}]; page != "" {
 		return page
 	}
--- a/internal/scenario/idle_capacity_test.go
+++ b/internal/scenario/idle_capacity_test.go
@@ -8,17 +8,17 @@
 	"coralhub/wire"
 )
 
-// idle notes since when jobs wait though there is room for them. It is reckoned from the records
+// waitingSince notes since when jobs wait though there is room for them. It is reckoned from the records
 // and the machines alone, with no question to any node: no node's own opinion of a machine counts.
-type idle map[string]emulator.Micros
+type waitingSince map[string]emulator.Micros
 
-// idleLimit is how long that may last once all troubles are over.
-const idleLimit = 90 * emulator.Second
+// maxIdleWait is how long that may last once all troubles are over.
+const maxIdleWait = 90 * emulator.Second
 
-// look looks at all jobs, and returns those that have waited too long.
-func (w idle) look(s *Sim) (wrong []string) {
-	open := s.openByRecords()
-	free := s.freeRoom(open)
+// check looks at all jobs, and returns those that have waited too long.
+func (w waitingSince) check(s *Sim) (wrong []string) {
+	open := s.recordedJobs()
+	free := s.freeGPUs(open)
 	for _, id := range s.jobIDs() {
 		if !s.couldStart(id, open, free) {
 			delete(w, id)
@@ -27,29 +27,29 @@
 		if w[id] == 0 {
 			w[id] = s.now
 		}
-		if s.now-w[id] > idleLimit {
-			wrong = append(wrong, fmt.Sprintf("idle_room %s (%s, %d tasks) waits while there is room", id, s.world.Jobs[id].Shape, s.world.Jobs[id].Tasks))
+		if s.now-w[id] > maxIdleWait {
+			wrong = append(wrong, fmt.Sprintf("idle_room %s (%s, %d tasks) waits while there is room", id, s.env.Jobs[id].Shape, s.env.Jobs[id].Tasks))
 		}
 	}
 	return wrong
 }
 
-// openJob is what the records say of a job.
-type openJob struct {
-	known, over bool
-	on          []job.Placement
+// recordedJob is what the records say of a job.
+type recordedJob struct {
+	accepted, ended bool
+	placements      []job.Placement
 }
 
-// openByRecords reads all records as they are committed.
-func (s *Sim) openByRecords() map[string]*openJob {
-	out := map[string]*openJob{}
+// recordedJobs reads all records as they are committed.
+func (s *Sim) recordedJobs() map[string]*recordedJob {
+	out := map[string]*recordedJob{}
 	for _, it := range s.state.List(job.KeyRoot) {
 		id, n, ok := job.ParseKey(it.Key)
 		if !ok {
 			continue
 		}
 		if out[id] == nil {
-			out[id] = &openJob{}
+			out[id] = &recordedJob{}
 		}
 		var part job.Shard
 		if n == 0 {
@@ -57,27 +57,27 @@
 			if job.DecodeRecord(it.Value, &rec) != nil {
 				continue
 			}
-			out[id].known, out[id].over = true, rec.Final() || rec.CancelRequested
+			out[id].accepted, out[id].ended = true, rec.Final() || rec.CancelRequested
 			part = rec.Shard
 		} else if job.DecodeShard(it.Value, &part) != nil {
 			continue
 		}
-		out[id].on = append(out[id].on, part.Open...)
+		out[id].placements = append(out[id].placements, part.Open...)
 	}
 	return out
 }
 
-// freeRoom is what each machine that is up has left beside all that is open there and all that is on it.
-func (s *Sim) freeRoom(open map[string]*openJob) map[string]float64 {
+// freeGPUs is what each machine that is up has left beside all that is open there and all that is on it.
+func (s *Sim) freeGPUs(open map[string]*recordedJob) map[string]float64 {
 	free := map[string]float64{}
-	for _, name := range s.world.Names() {
-		if m := s.world.Machines[name]; s.now >= m.Up && s.world.Fails[name] == 0 {
-			free[name] = s.world.Types[0].GPUs
+	for _, name := range s.env.Names() {
+		if m := s.env.Machines[name]; s.now >= m.Up && s.env.Fails[name] == 0 {
+			free[name] = s.env.Types[0].GPUs
 		}
 	}
 	for id, o := range open {
-		if j := s.world.Jobs[id]; j != nil {
-			for _, p := range o.on {
+		if j := s.env.Jobs[id]; j != nil {
+			for _, p := range o.placements {
 				free[p.Machine] -= j.GPUs
 			}
 		}
@@ -87,36 +87,36 @@
 
 // couldStart tells whether more of a job could start: one task of an array or a service, all of a gang that has no
 // place. What has places already and is bound by them is left out.
-func (s *Sim) couldStart(id string, open map[string]*openJob, free map[string]float64) bool {
-	j, o := s.world.Jobs[id], open[id]
-	if o == nil || !o.known || o.over || s.world.Done(id) {
+func (s *Sim) couldStart(id string, open map[string]*recordedJob, free map[string]float64) bool {
+	j, o := s.env.Jobs[id], open[id]
+	if o == nil || !o.accepted || o.ended || s.env.Done(id) {
 		return false
 	}
-	has := max(len(o.on), len(s.world.On(id, true)))
-	if has > 0 && (j.Shape == wire.Gang || j.OneZone || j.Spread || s.world.DoneTasks(id)+has >= j.Tasks) {
+	has := max(len(o.placements), len(s.env.On(id, true)))
+	if has > 0 && (j.Shape == wire.Gang || j.OneZone || j.Spread || s.env.DoneTasks(id)+has >= j.Tasks) {
 		return false
 	}
 	for _, need := range j.Needs {
-		if !s.world.Done(need) {
+		if !s.env.Done(need) {
 			return false
 		}
 	}
 	used := 0.0
 	for other, oo := range open {
-		if oj := s.world.Jobs[other]; oj != nil && oj.Team == j.Team {
-			used += oj.GPUs * float64(max(len(oo.on), len(s.world.On(other, true))))
+		if oj := s.env.Jobs[other]; oj != nil && oj.Team == j.Team {
+			used += oj.GPUs * float64(max(len(oo.placements), len(s.env.On(other, true))))
 		}
 	}
 	tasks := 1
 	if j.Shape == wire.Gang {
 		tasks = j.Tasks
 	}
-	if used+j.GPUs*float64(tasks) > s.limits[j.Team] {
+	if used+j.GPUs*float64(tasks) > s.teamLimits[j.Team] {
 		return false
 	}
 	fits := map[string]int{} // how many tasks have room, by zone
 	for name, f := range free {
-		m := s.world.Machines[name]
+		m := s.env.Machines[name]
 		if m == nil || j.Zone != "" && j.Zone != m.Zone || m.Spot && !j.Spot {
 			continue
 		}
--- a/internal/scenario/preemption_test.go
+++ b/internal/scenario/preemption_test.go
@@ -16,14 +16,14 @@
 func TestNobodyYieldsInVain(t *testing.T) {
 	vain := 0
 	for seed := range uint64(60) {
-		vain += yields(t, seed, nil)
+		vain += preemptedInVain(t, seed, nil)
 	}
 	if vain > 0 {
 		t.Errorf("%d tasks yielded in vain", vain)
 	}
 	before := 0
 	for seed := range uint64(60) {
-		before += yields(t, seed, []string{"n1", "n2", "n3", "n4", "n5"})
+		before += preemptedInVain(t, seed, []string{"n1", "n2", "n3", "n4", "n5"})
 	}
 	t.Logf("%d yielded in vain while decisions aren't committed, as in the format before", before)
 	if before == 0 {
@@ -31,29 +31,29 @@
 	}
 }
 
-// yields plays one such day and returns how many tasks yielded in vain. Nodes that are held to
+// preemptedInVain plays one such day and returns how many tasks yielded in vain. Nodes that are held to
 // the first format commit no decisions.
-func yields(t *testing.T, seed uint64, held []string) int {
+func preemptedInVain(t *testing.T, seed uint64, held []string) int {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 5))
-	s := newSimFor(5, 1, 0, held)
-	s.announced = false
-	s.world.Lease = 12 * emulator.Second // what is lost without a leader is no yielding
+	s := newSimWithUpgrade(5, 1, 0, held)
+	s.limitsAnnounced = false
+	s.env.Lease = 12 * emulator.Second // what is lost without a leader is no yielding
 	for _, n := range s.nodes {
 		s.start(n)
 	}
-	s.Run(3 * emulator.Second)
+	s.run(3 * emulator.Second)
 	filler := &emulator.SubmittedJob{Run: 900 * emulator.Second}
 	filler.Job = wire.Job{ID: "j-1", Class: "idle", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 16, CPUs: 16, MemoryGB: 1,
 		Image: "i", ImageGB: 1, EstimateS: 900, CheckpointS: 3, SaveS: 3}
-	s.Submit(s.nodes[0], filler)
-	for try := 0; len(s.world.On("j-1", true)) < 16; try++ {
+	s.submit(s.nodes[0], filler)
+	for try := 0; len(s.env.On("j-1", true)) < 16; try++ {
 		if try > 200 {
 			t.Fatalf("seed %d: machines are not full", seed)
 		}
-		s.Run(tick)
+		s.run(tick)
 	}
-	s.Run(5 * emulator.Second)
+	s.run(5 * emulator.Second)
 	var gangs []string
 	places := 0
 	for i := range 1 + rnd.IntN(3) {
@@ -62,19 +62,19 @@
 			CPUs: 16, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 900}
 		gangs = append(gangs, g.ID)
 		places += g.Tasks
-		s.Submit(s.nodes[rnd.IntN(5)], g)
+		s.submit(s.nodes[rnd.IntN(5)], g)
 	}
 	// Two of the five die, so that there is always somebody to lead.
 	for range 2 {
 		if rnd.IntN(2) == 0 {
-			s.strike = strike{preemption.KeyPrefix, rnd.IntN(2) == 0}
+			s.crash = crashTrigger{preemption.KeyPrefix, rnd.IntN(2) == 0}
 		}
-		s.Run(emulator.Micros(rnd.IntN(50)) * tick)
-		s.strike = strike{}
-		if n := s.node(s.Leader()); n.alive {
+		s.run(emulator.Micros(rnd.IntN(50)) * tick)
+		s.crash = crashTrigger{}
+		if n := s.node(s.leader()); n.alive {
 			n.alive = false
 		}
-		s.Run(emulator.Micros(rnd.IntN(60)) * tick)
+		s.run(emulator.Micros(rnd.IntN(60)) * tick)
 		for _, n := range s.nodes {
 			if !n.alive {
 				s.start(n)
@@ -84,19 +84,19 @@
 	for try := 0; ; try++ {
 		on := 0
 		for _, id := range gangs {
-			on += len(s.world.On(id, true))
+			on += len(s.env.On(id, true))
 		}
 		if on == places {
 			break
 		}
 		if try > 600 {
-			t.Errorf("seed %d: %d of %d tasks of the gangs run after a minute\n%s", seed, on, places, s.Show())
+			t.Errorf("seed %d: %d of %d tasks of the gangs run after a minute\n%s", seed, on, places, s.show())
 			break
 		}
-		s.Run(tick)
+		s.run(tick)
 	}
-	s.Run(15 * emulator.Second)
-	for _, b := range s.world.Broken {
+	s.run(15 * emulator.Second)
+	for _, b := range s.env.Broken {
 		t.Errorf("seed %d: %s", seed, b)
 	}
 	return filler.Starts - 16
--- a/internal/scenario/read_consistency_test.go
+++ b/internal/scenario/read_consistency_test.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// looks has users ask again and again within a moment after a job was accepted, ended or
+// closePolling has users ask again and again within a moment after a job was accepted, ended or
 // confirmed as cancelled, at all nodes at once, and repeat its submission; some cancel it then.
 // What is on its way comes in any order meanwhile, as it does on real links.
-type looks struct {
+type closePolling struct {
 	rnd *rand.Rand
 	// cancel is the part of the jobs that are cancelled by one who looks, atEnd of those that are
 	// just as their last task ends.
@@ -17,15 +17,15 @@
 	ended         map[string]bool // jobs whose last task has ended
 }
 
-// looksEach is how often each looks.
-const looksEach = 4
+// pollsEach is how often each looks.
+const pollsEach = 4
 
-func newLooks(seed uint64, cancel, atEnd float64) *looks {
-	return &looks{rnd: rand.New(rand.NewPCG(seed, 31)), cancel: cancel, atEnd: atEnd, ended: map[string]bool{}}
+func newClosePolling(seed uint64, cancel, atEnd float64) *closePolling {
+	return &closePolling{rnd: rand.New(rand.NewPCG(seed, 31)), cancel: cancel, atEnd: atEnd, ended: map[string]bool{}}
 }
 
-// pick picks which of n messages comes next.
-func (l *looks) pick(n int) int {
+// next picks which of n messages comes next.
+func (l *closePolling) next(n int) int {
 	if l == nil {
 		return 0
 	}
@@ -33,7 +33,7 @@
 }
 
 // shuffled are the nodes in the order in which they get the processor.
-func (l *looks) shuffled(nodes []*node) []*node {
+func (l *closePolling) shuffled(nodes []*node) []*node {
 	if l == nil {
 		return nodes
 	}
@@ -42,36 +42,36 @@
 	return out
 }
 
-// lookClosely has users ask about a job at every node, now.
-func (s *Sim) lookClosely(id string) {
-	if s.looks == nil {
+// pollClosely has users ask about a job at every node, now.
+func (s *Sim) pollClosely(id string) {
+	if s.closePolling == nil {
 		return
 	}
 	for i := range s.nodes {
-		s.users = append(s.users, &user{id: id, left: looksEach, next: s.now, answered: s.now, tries: i},
-			&user{id: id, again: true, left: 2, next: s.now, answered: s.now, tries: i})
+		s.users = append(s.users, &user{id: id, remaining: pollsEach, nextAt: s.now, answeredAt: s.now, attempts: i},
+			&user{id: id, resubmit: true, remaining: 2, nextAt: s.now, answeredAt: s.now, attempts: i})
 	}
-	if !final(s.told[id]) && s.looks.rnd.Float64() < s.looks.cancel {
-		s.Withdraw(id)
+	if !isFinal(s.lastStatus[id]) && s.closePolling.rnd.Float64() < s.closePolling.cancel {
+		s.cancelUntilFinal(id)
 	}
 }
 
-// atEnd has users cancel jobs, ask and repeat the submission just as their last task ends.
-func (s *Sim) atEnd() {
-	if s.looks == nil {
+// actOnEndedJobs has users cancel jobs, ask and repeat the submission just as their last task ends.
+func (s *Sim) actOnEndedJobs() {
+	if s.closePolling == nil {
 		return
 	}
 	for _, id := range s.jobIDs() {
-		if s.looks.ended[id] || !s.world.Done(id) {
+		if s.closePolling.ended[id] || !s.env.Done(id) {
 			continue
 		}
-		s.looks.ended[id] = true
-		s.lookClosely(id)
-		if s.looks.rnd.Float64() < s.looks.atEnd {
-			s.Withdraw(id)
+		s.closePolling.ended[id] = true
+		s.pollClosely(id)
+		if s.closePolling.rnd.Float64() < s.closePolling.atEnd {
+			s.cancelUntilFinal(id)
 		}
 	}
 }
 
 // jobIDs lists the jobs that users have submitted, in order.
-func (s *Sim) jobIDs() []string { return slices.Sorted(maps.Keys(s.world.Jobs)) }
+func (s *Sim) jobIDs() []string { return slices.Sorted(maps.Keys(s.env.Jobs)) }
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -12,17 +12,17 @@
 )
 
 // The sizes that are compared: about 36 and 400 machines.
-var sizes = []struct {
+var fleetSizes = []struct {
 	name  string
 	scale int
 }{{"earlier", 6}, {"grown", 67}}
 
-// busy returns a world whose machines are all in use, with jobs that wait for
+// newBusySim returns a world whose machines are all in use, with jobs that wait for
 // their team's limit, and its leader and another node.
-func busy(tb testing.TB, scale int) (s *Sim, leader, other *node) {
+func newBusySim(tb testing.TB, scale int) (s *Sim, leader, other *node) {
 	tb.Helper()
-	s = newSim(3, scale, 0)
-	s.Run(3 * emulator.Second)
+	s = newSimOfScale(3, scale, 0)
+	s.run(3 * emulator.Second)
 	for i := range 3 * scale {
 		j := &emulator.SubmittedJob{Run: 1000 * emulator.Second}
 		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: 8,
@@ -30,40 +30,40 @@
 		if i%10 == 9 {
 			j.Tasks = 40 // beyond the limit
 		}
-		if a := s.Submit(s.nodes[i%3], j); a.Status != 201 {
+		if a := s.submit(s.nodes[i%3], j); a.Status != 201 {
 			tb.Fatalf("not accepted: %v", a)
 		}
 	}
-	s.Run(15 * emulator.Second)
-	leader = s.node(s.Leader())
+	s.run(15 * emulator.Second)
+	leader = s.node(s.leader())
 	for _, n := range s.nodes {
 		if n != leader {
 			other = n
 		}
 	}
-	if used := s.world.Used("red"); used < s.limits["red"] {
-		tb.Fatalf("%v GPUs in use of %v", used, s.limits["red"])
+	if used := s.env.Used("red"); used < s.teamLimits["red"] {
+		tb.Fatalf("%v GPUs in use of %v", used, s.teamLimits["red"])
 	}
 	return s, leader, other
 }
 
 // stepper hands inputs to a node at ever later times.
 func (s *Sim) stepper(n *node) func(emulator.Micros, msg.Input) []msg.Effect {
-	at := s.now - n.born + 1
+	at := s.now - n.startedAt + 1
 	return func(after emulator.Micros, in msg.Input) []msg.Effect {
 		at += after
 		return n.core.Step(at, in)
 	}
 }
 
-// reporter returns a report of a machine that repeats what it said before.
-func (s *Sim) reporter() func() msg.Input {
-	m := s.world.Machines[s.world.Names()[0]]
+// heartbeats returns a report of a machine that repeats what it said before.
+func (s *Sim) heartbeats() func() msg.Input {
+	m := s.env.Machines[s.env.Names()[0]]
 	return func() msg.Input { return msg.HeartbeatIn{RequestID: 1, Heartbeat: m.Status(), Forwarded: true} }
 }
 
-// news returns a new version of the record of a job that waits.
-func (s *Sim) news(tb testing.TB) func() wire.Change {
+// recordChanges returns a new version of the record of a job that waits.
+func (s *Sim) recordChanges(tb testing.TB) func() wire.Change {
 	tb.Helper()
 	key := job.RecordKey("j-0")
 	it := s.state.Get(key)
@@ -77,12 +77,12 @@
 	}
 }
 
-// atBothSizes measures what prepare returns.
-func atBothSizes(b *testing.B, prepare func(s *Sim, leader, other *node) func()) {
+// benchmarkSizes measures what prepare returns.
+func benchmarkSizes(b *testing.B, prepare func(s *Sim, leader, other *node) func()) {
 	b.Helper()
-	for _, size := range sizes {
+	for _, size := range fleetSizes {
 		b.Run(size.name, func(b *testing.B) {
-			run := prepare(busy(b, size.scale))
+			run := prepare(newBusySim(b, size.scale))
 			b.ReportAllocs()
 			for b.Loop() {
 				run()
@@ -92,29 +92,29 @@
 }
 
 func BenchmarkReport(b *testing.B) {
-	atBothSizes(b, func(s *Sim, leader, _ *node) func() {
-		step, report := s.stepper(leader), s.reporter()
+	benchmarkSizes(b, func(s *Sim, leader, _ *node) func() {
+		step, report := s.stepper(leader), s.heartbeats()
 		return func() { step(1, report()) }
 	})
 }
 
 func BenchmarkPass(b *testing.B) {
-	atBothSizes(b, func(s *Sim, leader, _ *node) func() {
-		step, news := s.stepper(leader), s.news(b)
+	benchmarkSizes(b, func(s *Sim, leader, _ *node) func() {
+		step, news := s.stepper(leader), s.recordChanges(b)
 		return func() { step(100*1000, msg.PeerUpdate{Change: news()}) }
 	})
 }
 
 func BenchmarkChange(b *testing.B) {
-	atBothSizes(b, func(s *Sim, _, other *node) func() {
-		step, news := s.stepper(other), s.news(b)
+	benchmarkSizes(b, func(s *Sim, _, other *node) func() {
+		step, news := s.stepper(other), s.recordChanges(b)
 		return func() { step(1, msg.Changed{Events: []wire.Change{news()}}) }
 	})
 }
 
 // BenchmarkTakeover reads all records, claims and reads them again.
 func BenchmarkTakeover(b *testing.B) {
-	atBothSizes(b, func(s *Sim, _, other *node) func() {
+	benchmarkSizes(b, func(s *Sim, _, other *node) func() {
 		var kept []wire.KeyValue
 		for _, it := range s.state.List(job.KeyRoot) {
 			if it.Key != job.KeyRoot+"leader" {
@@ -145,9 +145,9 @@
 // Memory reserved is counted, for it needs no clock.
 func TestWorkDoesNotGrowWithTheFleet(t *testing.T) {
 	var report, quiet [2]float64
-	for i, size := range sizes {
-		s, leader, _ := busy(t, size.scale)
-		step, next := s.stepper(leader), s.reporter()
+	for i, size := range fleetSizes {
+		s, leader, _ := newBusySim(t, size.scale)
+		step, next := s.stepper(leader), s.heartbeats()
 		report[i] = testing.AllocsPerRun(200, func() { step(1, next()) })
 		quiet[i] = testing.AllocsPerRun(5, func() { step(1, msg.PeerAlive{Node: "n9"}) })
 	}
@@ -166,27 +166,27 @@
 	const jobs = 4
 	var records [2]int
 	for i, tasks := range []int{3, 30} {
-		s := newSim(3, 24, 0)
-		s.Run(3 * emulator.Second)
+		s := newSimOfScale(3, 24, 0)
+		s.run(3 * emulator.Second)
 		began := s.now
 		for k := range jobs {
 			j := &emulator.SubmittedJob{Run: 2 * emulator.Second, Steps: emulator.Second / 2}
 			j.Job = wire.Job{ID: fmt.Sprintf("j-%d", k), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
 				CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 2}
-			s.Submit(s.nodes[0], j)
+			s.submit(s.nodes[0], j)
 		}
 		for range 600 {
-			if s.Run(tick); s.world.Done("j-0") && s.world.Done("j-1") && s.world.Done("j-2") && s.world.Done("j-3") {
+			if s.run(tick); s.env.Done("j-0") && s.env.Done("j-1") && s.env.Done("j-2") && s.env.Done("j-3") {
 				break
 			}
 		}
-		s.Run(5 * emulator.Second)
+		s.run(5 * emulator.Second)
 		seconds := int((s.now - began) / emulator.Second)
 		records[i] = len(s.state.Since(job.KeyRoot+"job/", 0))
 		if pages := len(s.state.Since(job.KeyRoot+"ended/", 0)); pages > 10*(seconds+1)+4 {
 			t.Errorf("%d changes of the log in %d s", pages, seconds)
 		}
-		for _, b := range s.world.Broken {
+		for _, b := range s.env.Broken {
 			t.Error(b)
 		}
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -83,11 +83,11 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			t.Helper()
 			if d.Cmd == "world" {
-				s = newWorld(t, d)
-				return "leader " + s.Leader() + "\n"
+				s = newScriptSim(t, d)
+				return "leader " + s.leader() + "\n"
 			}
-			out := command(t, s, d)
-			for _, b := range s.world.Broken {
+			out := runCommand(t, s, d)
+			for _, b := range s.env.Broken {
 				out += "BROKEN " + b + "\n"
 			}
 			if out == "" {
@@ -98,37 +98,37 @@
 	})
 }
 
-// newWorld makes the world of a script and runs it until there is a leader.
-func newWorld(t *testing.T, d *datadriven.TestData) *Sim {
+// newScriptSim makes the world of a script and runs it until there is a leader.
+func newScriptSim(t *testing.T, d *datadriven.TestData) *Sim {
 	t.Helper()
 	nodes, scale, quota, held := 3, 1, 0, ""
 	d.MaybeScanArgs(t, "nodes", &nodes)
 	d.MaybeScanArgs(t, "scale", &scale)
 	d.MaybeScanArgs(t, "quota", &quota)
-	s := newSim(nodes, scale, float64(quota))
+	s := newSimOfScale(nodes, scale, float64(quota))
 	if d.HasArg("held") {
 		d.MaybeScanArgs(t, "held", &held)
-		s = newSimFor(nodes, scale, float64(quota), strings.Split(held, "+"))
+		s = newSimWithUpgrade(nodes, scale, float64(quota), strings.Split(held, "+"))
 	}
-	s.world.Lease = length(t, d, "lease", "4s")
-	s.world.CancelIn = length(t, d, "cancel", "20s")
-	s.world.Boot = length(t, d, "boot", "2s")
-	s.world.Types[0].BootS = float64(s.world.Boot) / 1e6
-	s.world.Unlisted = length(t, d, "unlisted", "0s")
-	s.world.HangKeeps = d.HasArg("hang_keeps")
-	s.copies = &copies{late: 3 * s.world.Lease}
-	s.world.ReportEvery = length(t, d, "report", "1s")
+	s.env.Lease = durationArg(t, d, "lease", "4s")
+	s.env.CancelIn = durationArg(t, d, "cancel", "20s")
+	s.env.Boot = durationArg(t, d, "boot", "2s")
+	s.env.Types[0].BootS = float64(s.env.Boot) / 1e6
+	s.env.Unlisted = durationArg(t, d, "unlisted", "0s")
+	s.env.HangKeeps = d.HasArg("hang_keeps")
+	s.heartbeatCopies = &heartbeatCopies{maxAge: 3 * s.env.Lease}
+	s.env.ReportEvery = durationArg(t, d, "report", "1s")
 	if d.HasArg("lease") || d.HasArg("cancel") || d.HasArg("report") || d.HasArg("unshared") {
 		for _, n := range s.nodes {
-			n.unshared = d.HasArg("unshared")
+			n.noPlacementPages = d.HasArg("unshared")
 			s.start(n) // it is told of it
 		}
 	}
-	s.Run(3 * emulator.Second)
+	s.run(3 * emulator.Second)
 	return s
 }
 
-func pick(t *testing.T, s *Sim, d *datadriven.TestData) *node {
+func nodeArg(t *testing.T, s *Sim, d *datadriven.TestData) *node {
 	t.Helper()
 	name := "n1"
 	d.MaybeScanArgs(t, "node", &name)
@@ -137,25 +137,25 @@
 	if !known {
 		t.Fatalf("%s: there is no node %q", d.Pos, name)
 	}
-	return s.pick(name)
+	return s.resolveNode(name)
 }
 
-// pick returns the node that a script's word stands for.
-func (s *Sim) pick(name string) *node {
+// resolveNode returns the node that a script's word stands for.
+func (s *Sim) resolveNode(name string) *node {
 	switch name {
 	case "leader":
-		name = s.Leader()
+		name = s.leader()
 	case "old": // the last that was cut off as the leader
-		if s.old != nil {
-			name = s.old.name
+		if s.deposedLeader != nil {
+			name = s.deposedLeader.name
 		}
 	case "heir": // who leads by the records, if it isn't that one
-		if name = s.Leader(); s.old != nil && name == s.old.name {
+		if name = s.leader(); s.deposedLeader != nil && name == s.deposedLeader.name {
 			name = "none"
 		}
 	case "other":
 		for _, n := range s.nodes {
-			if n.name != s.Leader() && n.alive {
+			if n.name != s.leader() && n.alive {
 				name = n.name
 			}
 		}
@@ -163,7 +163,7 @@
 	return s.node(name)
 }
 
-func length(t *testing.T, d *datadriven.TestData, key, def string) emulator.Micros {
+func durationArg(t *testing.T, d *datadriven.TestData, key, def string) emulator.Micros {
 	t.Helper()
 	d.MaybeScanArgs(t, key, &def)
 	x, err := time.ParseDuration(def)
@@ -176,7 +176,7 @@
 	return x.Microseconds()
 }
 
-func describe(a msg.Respond) string {
+func formatResponse(a msg.Respond) string {
 	out := strconv.Itoa(a.Status)
 	if a.Status == 0 {
 		return "no answer\n"
@@ -190,16 +190,16 @@
 	return out + "\n"
 }
 
-func command(t *testing.T, s *Sim, d *datadriven.TestData) string {
+func runCommand(t *testing.T, s *Sim, d *datadriven.TestData) string {
 	t.Helper()
 	id := "j-1"
 	d.MaybeScanArgs(t, "id", &id)
 	switch d.Cmd {
 	case "served":
-		a := s.Ask(s.node(s.Leader()), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryGauges} })
+		a := s.request(s.node(s.leader()), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryGauges} })
 		g, ok := a.Body.(leader.Gauges)
 		if !ok {
-			return describe(a)
+			return formatResponse(a)
 		}
 		out := ""
 		shares := g.CompletedInTime
@@ -213,55 +213,55 @@
 		}
 		return out
 	case "waits":
-		a := s.Ask(pick(t, s, d), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryWaitReason, JobID: id} })
+		a := s.request(nodeArg(t, s, d), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryWaitReason, JobID: id} })
 		w, ok := a.Body.(leader.WaitReason)
 		if !ok {
-			return describe(a)
+			return formatResponse(a)
 		}
 		return fmt.Sprintf("%s; rank %d of %d, before it %v, kept %v, yield %v\n", w.Reason, w.Rank, w.QueueLength, w.Ahead, w.ReservedMachines, w.PreemptedJobs)
 	case "accounts":
-		return accountsOf(pick(t, s, d))
+		return formatUsage(nodeArg(t, s, d))
 	case "busy":
-		n := pick(t, s, d)
-		n.busy = s.now + length(t, d, "for", "3s")
+		n := nodeArg(t, s, d)
+		n.busyUntil = s.now + durationArg(t, d, "for", "3s")
 		return ""
 	case "submit":
 		count := 1
 		d.MaybeScanArgs(t, "count", &count)
-		out := describe(s.Submit(pick(t, s, d), description(t, d, id)))
+		out := formatResponse(s.submit(nodeArg(t, s, d), jobArg(t, d, id)))
 		for n := 1; n < count; n++ {
-			s.Submit(pick(t, s, d), description(t, d, fmt.Sprintf("%s%d", id, n)))
+			s.submit(nodeArg(t, s, d), jobArg(t, d, fmt.Sprintf("%s%d", id, n)))
 		}
 		return out
 	case "poll":
 		asked := s.now
-		a := s.Poll(pick(t, s, d), id)
-		if s.now-asked >= pollWait {
-			return "too late: " + describe(a)
+		a := s.poll(nodeArg(t, s, d), id)
+		if s.now-asked >= pollTimeout {
+			return "too late: " + formatResponse(a)
 		}
-		return describe(a)
+		return formatResponse(a)
 	case "cancel":
-		return describe(s.Cancel(pick(t, s, d), id))
+		return formatResponse(s.cancel(nodeArg(t, s, d), id))
 	case "announce": // nodes that start from now on are told of the coming limits
-		s.announced = true
+		s.limitsAnnounced = true
 		return ""
 	case "limits":
-		s.SetLimits(d.HasArg("next"))
+		s.setStateLimits(d.HasArg("next"))
 		return ""
 	case "keys":
 		under := ""
 		d.MaybeScanArgs(t, "under", &under)
 		return fmt.Sprintf("%d keys, %d refused for their size\n", len(s.state.List(under)), s.state.Refused)
 	case "withdraw":
-		s.Withdraw(id)
+		s.cancelUntilFinal(id)
 		return ""
 	case "weather":
-		s.weather = readWeather(t, d)
+		s.messageFaults = messageFaultsArg(t, d)
 		return ""
 	case "looks":
 		seed := uint64(1)
 		d.MaybeScanArgs(t, "seed", &seed)
-		s.looks = newLooks(seed, share(t, d, "cancel"), share(t, d, "at_end"))
+		s.closePolling = newClosePolling(seed, fractionArg(t, d, "cancel"), fractionArg(t, d, "at_end"))
 		return ""
 	case "revive":
 		for _, n := range s.nodes {
@@ -274,78 +274,78 @@
 		count := 1
 		d.MaybeScanArgs(t, "count", &count)
 		if named := ""; d.MaybeScanArgs(t, "node", &named) && named == "all" { // each of some copies reaches every node
-			s.againEverywhere(rand.New(rand.NewPCG(uint64(s.now), 1)), count)
+			s.deliverCopiesToAll(rand.New(rand.NewPCG(uint64(s.now), 1)), count)
 			return ""
 		}
-		s.again(pick(t, s, d), rand.New(rand.NewPCG(uint64(s.now), 1)), count)
+		s.deliverCopies(nodeArg(t, s, d), rand.New(rand.NewPCG(uint64(s.now), 1)), count)
 		return ""
 	case "run":
-		s.Run(length(t, d, "for", "1s"))
+		s.run(durationArg(t, d, "for", "1s"))
 		return ""
 	case "await": // the heir's claim, if it comes soon
 		for range 80 {
-			if condition(t, s, d, id) {
+			if conditionMet(t, s, d, id) {
 				return ""
 			}
-			s.Run(tick)
+			s.run(tick)
 		}
 		return ""
 	case "until":
 		for range 1200 {
-			if condition(t, s, d, id) {
+			if conditionMet(t, s, d, id) {
 				return ""
 			}
-			s.Run(tick)
+			s.run(tick)
 		}
 		return "never\n"
 	case "node":
-		n := pick(t, s, d)
+		n := nodeArg(t, s, d)
 		switch {
 		case d.HasArg("kill") && d.HasArg("on"): // with its next transaction that writes there
-			d.ScanArgs(t, "on", &s.strike.under)
-			s.strike.after = d.HasArg("after")
+			d.ScanArgs(t, "on", &s.crash.keyPrefix)
+			s.crash.afterCommit = d.HasArg("after")
 		case d.HasArg("kill"):
 			n.alive = false
 		case d.HasArg("unshared"), d.HasArg("shared"): // it is set so, and restarted
-			n.unshared = d.HasArg("unshared")
+			n.noPlacementPages = d.HasArg("unshared")
 			s.start(n)
 		case d.HasArg("upgrade"):
-			n.held = false
+			n.formatHeld = false
 			s.start(n)
 		default:
 			s.start(n)
 		}
 		return n.name + "\n"
 	case "cut":
-		n, link, mode := pick(t, s, d), "state", "drop"
+		n, link, mode := nodeArg(t, s, d), "state", "drop"
 		d.MaybeScanArgs(t, "link", &link)
 		d.MaybeScanArgs(t, "mode", &mode)
 		if named := ""; d.MaybeScanArgs(t, "node", &named) && named == "others" { // all but the leader
 			for _, o := range s.nodes {
-				if o != s.pick("leader") && o != s.old {
-					o.cut[link] = mode
+				if o != s.resolveNode("leader") && o != s.deposedLeader {
+					o.cutLinks[link] = mode
 				}
 			}
 			return ""
 		}
 		if named := ""; d.MaybeScanArgs(t, "node", &named) && named == "leader" {
-			s.old = n
+			s.deposedLeader = n
 		}
-		n.cut[link] = mode
+		n.cutLinks[link] = mode
 		return n.name + "\n"
 	case "heal":
 		if named := ""; d.MaybeScanArgs(t, "node", &named) && named == "all" {
 			for _, n := range s.nodes {
-				n.cut = map[string]string{}
+				n.cutLinks = map[string]string{}
 			}
-			clear(s.only)
-			s.apart = ""
-			s.Release()
+			clear(s.reachableOnlyBy)
+			s.isolatedZone = ""
+			s.releaseHeld()
 			return ""
 		}
-		pick(t, s, d).cut = map[string]string{}
+		nodeArg(t, s, d).cutLinks = map[string]string{}
 		if !d.HasArg("keep") {
-			s.Release()
+			s.releaseHeld()
 		}
 		return ""
 	case "zone": // it has nothing but its own nodes and machines
@@ -358,33 +358,33 @@
 		s.state.SetDown(s.now, d.HasArg("down"))
 		return ""
 	case "cloud":
-		s.world.CloudOff = d.HasArg("down")
+		s.env.CloudOff = d.HasArg("down")
 		return ""
 	case "machine":
-		return machine(t, s, d)
+		return machineCommand(t, s, d)
 	case "report":
-		return report(s, d)
+		return reportCommand(s, d)
 	case "starts":
-		return fmt.Sprintf("%d starts, %d machines rented so far\n", s.world.Jobs[id].Starts, s.world.Rented)
+		return fmt.Sprintf("%d starts, %d machines rented so far\n", s.env.Jobs[id].Starts, s.env.Rented)
 	case "estimates":
-		return estimates(s, pick(t, s, d))
+		return formatEstimates(s, nodeArg(t, s, d))
 	case "outlook":
-		return outlook(s, pick(t, s, d), id)
+		return formatOutlook(s, nodeArg(t, s, d), id)
 	case "show":
-		return s.Show()
+		return s.show()
 	}
 	t.Fatalf("%s: unknown command %s", d.Pos, d.Cmd)
 	return ""
 }
 
-func condition(t *testing.T, s *Sim, d *datadriven.TestData, id string) bool {
+func conditionMet(t *testing.T, s *Sim, d *datadriven.TestData, id string) bool {
 	t.Helper()
 	if d.HasArg("heir") { // another than the one that was cut off has the claim
-		return s.Leader() != "none" && s.old != nil && s.Leader() != s.old.name
+		return s.leader() != "none" && s.deposedLeader != nil && s.leader() != s.deposedLeader.name
 	}
 	if d.HasArg("leads") { // somebody does
-		n := s.node(s.Leader())
-		return s.Leader() != "none" && n.alive
+		n := s.node(s.leader())
+		return s.leader() != "none" && n.alive
 	}
 	count := -1
 	d.MaybeScanArgs(t, "on", &count)
@@ -392,7 +392,7 @@
 	d.MaybeScanArgs(t, "state", &state)
 	if count >= 0 {
 		n := 0
-		for _, line := range s.world.On(id, true) {
+		for _, line := range s.env.On(id, true) {
 			if strings.HasSuffix(line, state) {
 				n++
 			}
@@ -403,15 +403,15 @@
 	d.MaybeScanArgs(t, "status", &want)
 	d.MaybeScanArgs(t, "machines", &rented)
 	if rented >= 0 {
-		return len(s.world.Machines) == rented
+		return len(s.env.Machines) == rented
 	}
-	a := s.Poll(pick(t, s, d), id)
+	a := s.poll(nodeArg(t, s, d), id)
 	st, ok := a.Body.(wire.JobStatus)
 	return ok && st.Status == want
 }
 
-// accountsOf lists what a node's records say was used.
-func accountsOf(n *node) string {
+// formatUsage lists what a node's records say was used.
+func formatUsage(n *node) string {
 	var b strings.Builder
 	n.core.UsageLedger().Each(func(k accounting.Key, u job.ResourceUsage) {
 		kind := "batch"
@@ -424,19 +424,21 @@
 	return b.String()
 }
 
-// report holds a worker's report back, or has it arrive at last.
-func report(s *Sim, d *datadriven.TestData) string {
+// reportCommand holds a worker's report back, or has it arrive at last.
+func reportCommand(s *Sim, d *datadriven.TestData) string {
 	if d.HasArg("hold") {
-		m := s.world.Machines[s.world.Names()[0]]
-		s.late = m.Status()
+		m := s.env.Machines[s.env.Names()[0]]
+		s.heldHeartbeat = m.Status()
 		return m.Name + "\n"
 	}
-	return describe(s.Ask(s.node(s.Leader()), func(req uint64) msg.Input { return msg.HeartbeatIn{RequestID: req, Heartbeat: s.late, Forwarded: true} }))
+	return formatResponse(s.request(s.node(s.leader()), func(req uint64) msg.Input {
+		return msg.HeartbeatIn{RequestID: req, Heartbeat: s.heldHeartbeat, Forwarded: true}
+	}))
 }
 
-// estimates lists what a node knows of run times.
-func estimates(s *Sim, n *node) string {
-	a := s.Ask(n, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryEstimates} })
+// formatEstimates lists what a node knows of run times.
+func formatEstimates(s *Sim, n *node) string {
+	a := s.request(n, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryEstimates} })
 	if e, ok := a.Body.(leader.AdminError); ok {
 		return fmt.Sprintln(a.Status, e.Error, e.Leader)
 	}
@@ -449,9 +451,9 @@
 	return b.String()
 }
 
-// outlook tells what a node knows of a job's deadline.
-func outlook(s *Sim, n *node, id string) string {
-	a := s.Ask(n, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryJob, JobID: id} })
+// formatOutlook tells what a node knows of a job's deadline.
+func formatOutlook(s *Sim, n *node, id string) string {
+	a := s.request(n, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryJob, JobID: id} })
 	o, ok := a.Body.(leader.JobOutlook)
 	if !ok {
 		return fmt.Sprintln(a.Status)
@@ -459,23 +461,23 @@
 	return fmt.Sprintf("%s %s\n", o.Job.Status, o.Verdict)
 }
 
-func machine(t *testing.T, s *Sim, d *datadriven.TestData) string {
+func machineCommand(t *testing.T, s *Sim, d *datadriven.TestData) string {
 	t.Helper()
 	name, of := "", ""
 	d.MaybeScanArgs(t, "name", &name)
 	d.MaybeScanArgs(t, "of", &of)
 	if of != "" { // the machine that a task is on
-		for _, line := range s.world.On(of, true) {
+		for _, line := range s.env.On(of, true) {
 			name = strings.Fields(line)[1]
 			break
 		}
 	}
 	if nth := 0; d.MaybeScanArgs(t, "nth", &nth) {
-		if names := s.world.Names(); len(names) > 0 {
+		if names := s.env.Names(); len(names) > 0 {
 			name = names[nth%len(names)]
 		}
 	}
-	m := s.world.Machines[name]
+	m := s.env.Machines[name]
 	if m == nil {
 		return "no such machine\n"
 	}
@@ -483,14 +485,14 @@
 	case d.HasArg("only"):
 		to := ""
 		d.ScanArgs(t, "only", &to)
-		if s.only[name] = s.pick(to); to == "any" {
-			delete(s.only, name)
+		if s.reachableOnlyBy[name] = s.resolveNode(to); to == "any" {
+			delete(s.reachableOnlyBy, name)
 		}
 	case d.HasArg("hang"):
 		m.Hang = true
 	case d.HasArg("resume"):
 		m.Hang = false
-		s.Release()
+		s.releaseHeld()
 	case d.HasArg("deaf"):
 		m.InboundLost = "drop"
 		d.MaybeScanArgs(t, "mode", &m.InboundLost)
@@ -501,21 +503,21 @@
 	case d.HasArg("speaks"):
 		m.OutboundLost = false
 	case d.HasArg("restart"):
-		s.world.Restart(s.now, emulator.Second/2, m, d.HasArg("anew"))
+		s.env.Restart(s.now, emulator.Second/2, m, d.HasArg("anew"))
 	case d.HasArg("fail"):
-		s.world.Fails[name] = s.now
+		s.env.Fails[name] = s.now
 	case d.HasArg("sound"):
-		delete(s.world.Fails, name)
+		delete(s.env.Fails, name)
 	case d.HasArg("die"):
-		s.world.Release(s.now, []string{name})
+		s.env.Release(s.now, []string{name})
 	}
 	return name + "\n"
 }
 
-// ranks are the usual names of priorities; scripts may use those of the wire as well.
-var ranks = map[string]string{"production": wire.Production, "normal": wire.Normal, "low": wire.Low}
+// priorities are the usual names of priorities; scripts may use those of the wire as well.
+var priorities = map[string]string{"production": wire.Production, "normal": wire.Normal, "low": wire.Low}
 
-func description(t *testing.T, d *datadriven.TestData, id string) *emulator.SubmittedJob {
+func jobArg(t *testing.T, d *datadriven.TestData, id string) *emulator.SubmittedJob {
 	t.Helper()
 	shape, team, rank := wire.Array, "red", wire.Normal
 	tasks, gpus, save := 1, 1, 0
@@ -527,8 +529,8 @@
 		shape = wire.Gang
 	}
 	d.MaybeScanArgs(t, "team", &team)
-	if d.MaybeScanArgs(t, "rank", &rank); ranks[rank] != "" {
-		rank = ranks[rank]
+	if d.MaybeScanArgs(t, "rank", &rank); priorities[rank] != "" {
+		rank = priorities[rank]
 	}
 	d.MaybeScanArgs(t, "tasks", &tasks)
 	d.MaybeScanArgs(t, "gpus", &gpus)
@@ -537,7 +539,7 @@
 	d.MaybeScanArgs(t, "zone", &zone)
 	d.MaybeScanArgs(t, "needs", &needs)
 	d.MaybeScanArgs(t, "cpus", &cpus)
-	j := &emulator.SubmittedJob{Run: length(t, d, "run", "3s"), Steps: length(t, d, "steps", "0s"), Mistaken: d.HasArg("mistaken")}
+	j := &emulator.SubmittedJob{Run: durationArg(t, d, "run", "3s"), Steps: durationArg(t, d, "steps", "0s"), Mistaken: d.HasArg("mistaken")}
 	j.Job = wire.Job{ID: id, Class: "c", Team: team, Shape: shape, Priority: rank, Tasks: tasks, CPUs: float64(cpus), GPUs: float64(gpus),
 		MemoryGB: 1, Image: "i", ImageGB: 1, Zone: zone, OneZone: d.HasArg("one_zone"), Spread: d.HasArg("spread"),
 		Spot: d.HasArg("spot"), EstimateS: float64(j.Run) / 1e6, SaveS: float64(save), CheckpointS: float64(save)}
@@ -549,7 +551,7 @@
 		}
 	}
 	if d.HasArg("due") {
-		due := float64(length(t, d, "due", "1s")) / 1e6
+		due := float64(durationArg(t, d, "due", "1s")) / 1e6
 		j.DeadlineS = &due
 	}
 	if needs != "" {
--- a/internal/scenario/submissions_test.go
+++ b/internal/scenario/submissions_test.go
@@ -11,16 +11,16 @@
 	"coralhub/wire"
 )
 
-// sound is a submission that may run, by the wire's names.
-func sound(id string) map[string]any {
+// validSubmission is a submission that may run, by the wire's names.
+func validSubmission(id string) map[string]any {
 	return map[string]any{"ref": id, "docket": "c", "desk": "red", "shape": wire.Array, "rank": wire.Normal, "lots": 2, "cores": 1.0, "gpus": 1.0,
 		"ram_gb": 1.0, "build": "i", "pull_gb": 1.0, "rigs": []string{"t4"}, "yard": "a", "one_zone": false, "spread": false, "loaners": true,
 		"expect_s": 3.0, "bookmark_s": 0.0, "stash_s": 0.0, "due_s": 60.0}
 }
 
-// with is a sound submission with some fields changed; absent ones are taken out.
-func with(id string, change map[string]any) map[string]any {
-	m := sound(id)
+// changedSubmission is a sound submission with some fields changed; absent ones are taken out.
+func changedSubmission(id string, change map[string]any) map[string]any {
+	m := validSubmission(id)
 	for name, v := range change {
 		if m[name] = v; v == absent {
 			delete(m, name)
@@ -32,9 +32,9 @@
 // absent stands for a field that isn't there.
 const absent = "\x00absent"
 
-// badSubmissions are submissions that lack a field, hold a bad one or can never run, by the
+// invalidSubmissions are submissions that lack a field, hold a bad one or can never run, by the
 // protocol's list of fields and statuses; the name is what the answer has to mention.
-func badSubmissions() map[string]struct {
+func invalidSubmissions() map[string]struct {
 	change map[string]any
 	status int
 	says   string
@@ -86,12 +86,12 @@
 	return out
 }
 
-// newOddWorld is a world with a second machine type, which one zone alone has.
-func newOddWorld() *Sim {
-	s := NewSim(3)
-	s.world.Types = append(s.world.Types, wire.MachineType{Name: "only-b", CPUs: 32, GPUs: 16, MemoryGB: 64, CacheGB: 100, FetchGBs: 1,
+// newTwoTypeSim is a world with a second machine type, which one zone alone has.
+func newTwoTypeSim() *Sim {
+	s := newSim(3)
+	s.env.Types = append(s.env.Types, wire.MachineType{Name: "only-b", CPUs: 32, GPUs: 16, MemoryGB: 64, CacheGB: 100, FetchGBs: 1,
 		Price: 9, SpotPrice: 5, BootS: 2, Zones: []string{"b"}})
-	s.Run(3 * emulator.Second)
+	s.run(3 * emulator.Second)
 	return s
 }
 
@@ -101,23 +101,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s.Ask(n, func(req uint64) msg.Input { return msg.SubmitIn{RequestID: req, WallClock: s.now, Body: raw} })
+	return s.request(n, func(req uint64) msg.Input { return msg.SubmitIn{RequestID: req, WallClock: s.now, Body: raw} })
 }
 
 // A submission that can't run or lacks a field gets its status and one clear line, at every node, and leaves
 // nothing behind; the same as a repetition of one that was accepted gets 200, whatever it holds.
 func TestSubmissionsThatCantRun(t *testing.T) {
-	s := newOddWorld()
-	if a := s.submitRaw(t, s.nodes[0], sound("j-1")); a.Status != 201 {
-		t.Fatalf("the sound one: %s", describe(a))
+	s := newTwoTypeSim()
+	if a := s.submitRaw(t, s.nodes[0], validSubmission("j-1")); a.Status != 201 {
+		t.Fatalf("the sound one: %s", formatResponse(a))
 	}
-	s.world.Jobs["j-1"] = &emulator.SubmittedJob{Job: wire.Job{ID: "j-1", Team: "red", Shape: wire.Array, Tasks: 2, GPUs: 1, Zone: "a", Spot: true}, Run: 200 * emulator.Second}
+	s.env.Jobs["j-1"] = &emulator.SubmittedJob{Job: wire.Job{ID: "j-1", Team: "red", Shape: wire.Array, Tasks: 2, GPUs: 1, Zone: "a", Spot: true}, Run: 200 * emulator.Second}
 	before := len(s.state.List(job.KeyRoot + "job/"))
 	number := 1
-	for name, bad := range badSubmissions() {
+	for name, bad := range invalidSubmissions() {
 		number++
 		for _, n := range s.nodes {
-			a := s.submitRaw(t, n, with(fmt.Sprint("j-", number), bad.change))
+			a := s.submitRaw(t, n, changedSubmission(fmt.Sprint("j-", number), bad.change))
 			e, _ := a.Body.(wire.Error)
 			if a.Status != bad.status || !strings.Contains(e.Error, bad.says) || e.Error == "" || strings.Contains(e.Error, "\n") {
 				t.Errorf("%s at %s: %d %q, want %d about %q", name, n.name, a.Status, e.Error, bad.status, bad.says)
@@ -125,8 +125,8 @@
 			if _, named := bad.change["ref"]; named {
 				continue // it is no repetition of anything
 			}
-			if a := s.submitRaw(t, n, with("j-1", bad.change)); a.Status != 200 {
-				t.Errorf("%s as a repetition at %s: %s", name, n.name, describe(a))
+			if a := s.submitRaw(t, n, changedSubmission("j-1", bad.change)); a.Status != 200 {
+				t.Errorf("%s as a repetition at %s: %s", name, n.name, formatResponse(a))
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 
 // What the protocol lets a submission leave out or hold may be left out or held.
 func TestSubmissionsThatMayRun(t *testing.T) {
-	s := newOddWorld()
+	s := newTwoTypeSim()
 	for name, change := range map[string]map[string]any{
 		"nothing optional":        {"rigs": absent, "yard": absent, "due_s": absent},
 		"all of that null":        {"rigs": nil, "yard": nil, "due_s": nil},
@@ -154,9 +154,9 @@
 			"shape": wire.Service, "expect_s": 9.0},
 	} {
 		id := fmt.Sprint("j-", len(s.state.List(job.KeyRoot+"job/")))
-		if a := s.submitRaw(t, s.nodes[1], with(id, change)); a.Status != 201 {
+		if a := s.submitRaw(t, s.nodes[1], changedSubmission(id, change)); a.Status != 201 {
 			e, _ := a.Body.(wire.Error)
-			t.Errorf("%s: %s%s", name, describe(a), e.Error)
+			t.Errorf("%s: %s%s", name, formatResponse(a), e.Error)
 		}
 	}
 }
