--- a/internal/scenario/chaos_test.go
+++ b/internal/scenario/chaos_test.go
@@ -13,9 +13,8 @@
 	"coralhub/wire"
 )
 
-// TestChaos plays days of random troubles, several at once, by fixed seeds: no
-// rule may be broken while they last, and once they are over every accepted job
-// must end.
+// TestChaos runs random faults, several at a time, with fixed seeds: no invariant may be
+// violated meanwhile, and once the faults have ended every accepted job must end.
 func TestChaos(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -25,8 +24,9 @@
 	}
 }
 
-// TestChaosAtScale does the same with some two hundred machines, jobs of up to
-// seventy tasks, thirty of them before the first trouble, and a state service that takes 25 changes a second from all.
+// TestChaosAtScale does the same with some two hundred machines, jobs of up to seventy
+// tasks, thirty of them before the first fault, and a state service that accepts 25 changes
+// per second in total.
 func TestChaosAtScale(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestChaosOfLinks adds machines that nothing reaches though they are heard, copies of reports
-// up to three leases late, nodes and machines that are back in a moment, and nodes that have
-// nothing but their workers.
+// TestChaosOfLinks adds machines whose heartbeats arrive though nothing reaches them, copies
+// of heartbeats up to three leases late, nodes and machines that restart at once, and nodes
+// that reach nothing but their workers.
 func TestChaosOfLinks(t *testing.T) {
 	for seed := range uint64(*linkFaultSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -50,12 +50,12 @@
 	}
 }
 
-// linkFaultSeeds is how many days TestChaosOfLinks plays; the usual ones take a few seconds.
+// linkFaultSeeds is the number of seeds of TestChaosOfLinks; the default takes a few seconds.
 var linkFaultSeeds = flag.Int("links", 40, "days of TestChaosOfLinks")
 
-// TestChaosInUpgrade begins with every node held to the older format. They are
-// upgraded one by one while all else goes on, jobs that need others are submitted
-// throughout, and the state service's limits fall at some moment after that.
+// TestChaosInUpgrade starts with every node held to the older format. They are upgraded one
+// by one during the faults, jobs with dependencies are submitted throughout, and the state
+// service's limits are lowered some time after that.
 func TestChaosInUpgrade(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestSameInputsSameEffects plays days twice: nothing that a node does may depend on the
-// order of a map or on anything else but its inputs. The digests also tell whether a change
-// of the code has changed what nodes do (go test -run SameInputs -v).
+// TestSameInputsSameEffects runs each seed twice: nothing that a node does may depend on the
+// iteration order of a map or on anything else but its inputs. The digests also show whether
+// a change of the code has changed what nodes do (go test -run SameInputs -v).
 func TestSameInputsSameEffects(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -88,12 +88,22 @@
 	}
 }
 
-func runRandomFaults(t *testing.T, s *Sim, rnd *rand.Rand, early, events, tasks int) {
+// chaosRun is the state of a run of random faults.
+type chaosRun struct {
+	*Sim
+	rnd       *rand.Rand
+	maxTasks  int
+	needable  []string        // accepted jobs that others may depend on: no services
+	submitted map[string]bool // whether a job is known to be accepted; if not it may be all the same
+	services  map[string]bool
+}
+
+// runRandomFaults submits some jobs without faults, runs random events, ends all faults and
+// checks that every accepted job ends.
+func runRandomFaults(t *testing.T, s *Sim, rnd *rand.Rand, early, events, maxTasks int) {
 	t.Helper()
 	s.run(2 * emulator.Second)
-	var needable []string // accepted, and no service
-	accepted := map[string]bool{}
-	services := map[string]bool{}
+	c := &chaosRun{Sim: s, rnd: rnd, maxTasks: maxTasks, submitted: map[string]bool{}, services: map[string]bool{}}
 	for i := range early + events {
 		n := s.nodes[rnd.IntN(3)]
 		kinds := 14
@@ -104,150 +114,181 @@
 		if s.limitsAnnounced && i >= early {
 			s.advanceUpgrade(n, i-early, events)
 		}
-		if i < early { // jobs alone, one after the other
+		if i < early { // submissions only, without any time between them
 			kind = 0
 		}
-		switch kind {
-		case 0, 1, 2, 3:
-			j := randomJob(rnd, fmt.Sprintf("j-%d", i), tasks)
-			for s.limitsAnnounced && len(needable) > 0 && len(j.Needs) < 4 && rnd.IntN(2) == 0 {
-				j.Needs = append(j.Needs, needable[rnd.IntN(len(needable))])
-			}
-			services[j.ID] = j.Shape == wire.Service
-			if a := s.submit(n, j); a.Status == 201 || a.Status == 200 {
-				accepted[j.ID] = true
-				if j.Shape != wire.Service {
-					needable = append(needable, j.ID)
-				}
-			} else if j.Cancelled == 0 {
-				accepted[j.ID] = false // it may be known all the same
-			}
-		case 4:
-			id := fmt.Sprintf("j-%d", rnd.IntN(i+1))
-			if s.env.Jobs[id] != nil {
-				s.cancel(n, id)
-			}
-		case 5, 6:
-			id := fmt.Sprintf("j-%d", rnd.IntN(i+1))
-			s.poll(n, id)
-		case 7:
-			n.alive = false
-		case 8:
-			if !n.alive {
-				s.start(n)
-			}
-		case 9:
-			links := []string{"state", "workers", "peers", "cloud"}
-			n.cutLinks[links[rnd.IntN(4)]] = []string{"drop", "hold"}[rnd.IntN(2)]
-		case 10:
-			n.cutLinks = map[string]string{}
-			if rnd.IntN(3) == 0 {
-				s.releaseHeld()
-			}
-		case 11:
-			s.state.SetDown(s.now, rnd.IntN(2) == 0)
-		case 12:
-			s.env.CloudOff = rnd.IntN(3) == 0
-		case 13:
-			if names := s.env.Names(); len(names) > 0 {
-				m := s.env.Machines[names[rnd.IntN(len(names))]]
-				m.Hang = !m.Hang
-			}
-		default:
-			s.injectLinkFault(n, rnd)
-		}
+		c.event(kind, i, n)
 		if i >= early {
 			s.run(emulator.Micros(rnd.IntN(30)) * tick)
 		}
 	}
-	s.state.SetDown(s.now, false)
-	s.env.CloudOff = false
-	for _, n := range s.nodes {
+	c.healAll()
+	s.requireAnswers(t, c.submitted)
+	c.cancelServices()
+	c.checkEnded(t)
+}
+
+// event runs the random event with number i, of a kind and at a node.
+func (c *chaosRun) event(kind, i int, n *node) {
+	rnd := c.rnd
+	switch kind {
+	case 0, 1, 2, 3:
+		c.submitRandomJob(fmt.Sprintf("j-%d", i), n)
+	case 4:
+		id := fmt.Sprintf("j-%d", rnd.IntN(i+1))
+		if c.env.Jobs[id] != nil {
+			c.cancel(n, id)
+		}
+	case 5, 6:
+		id := fmt.Sprintf("j-%d", rnd.IntN(i+1))
+		c.poll(n, id)
+	case 7:
+		n.alive = false
+	case 8:
+		if !n.alive {
+			c.start(n)
+		}
+	case 9:
+		links := []string{"state", "workers", "peers", "cloud"}
+		n.cutLinks[links[rnd.IntN(4)]] = []string{"drop", "hold"}[rnd.IntN(2)]
+	case 10:
+		n.cutLinks = map[string]string{}
+		if rnd.IntN(3) == 0 {
+			c.releaseHeld()
+		}
+	case 11:
+		c.state.SetDown(c.now, rnd.IntN(2) == 0)
+	case 12:
+		c.env.CloudOff = rnd.IntN(3) == 0
+	case 13:
+		if names := c.env.Names(); len(names) > 0 {
+			m := c.env.Machines[names[rnd.IntN(len(names))]]
+			m.Hang = !m.Hang
+		}
+	default:
+		c.injectLinkFault(n, rnd)
+	}
+}
+
+func (c *chaosRun) submitRandomJob(id string, n *node) {
+	j := randomJob(c.rnd, id, c.maxTasks)
+	for c.limitsAnnounced && len(c.needable) > 0 && len(j.Needs) < 4 && c.rnd.IntN(2) == 0 {
+		j.Needs = append(j.Needs, c.needable[c.rnd.IntN(len(c.needable))])
+	}
+	c.services[j.ID] = j.Shape == wire.Service
+	if a := c.submit(n, j); a.Status == 201 || a.Status == 200 {
+		c.submitted[j.ID] = true
+		if j.Shape != wire.Service {
+			c.needable = append(c.needable, j.ID)
+		}
+	} else if j.Cancelled == 0 {
+		c.submitted[j.ID] = false
+	}
+}
+
+// healAll ends all faults, but for machines that hang, and upgrades the remaining nodes.
+func (c *chaosRun) healAll() {
+	c.state.SetDown(c.now, false)
+	c.env.CloudOff = false
+	for _, n := range c.nodes {
 		n.cutLinks = map[string]string{}
 		if n.formatHeld {
-			n.alive, n.formatHeld = false, false
+			n.alive = false
+			n.formatHeld = false
 		}
 		if !n.alive {
-			s.start(n)
+			c.start(n)
 		}
 	}
-	for _, name := range s.env.Names() {
-		s.env.Machines[name].InboundLost = ""
+	for _, name := range c.env.Names() {
+		c.env.Machines[name].InboundLost = ""
 	}
-	s.releaseHeld()
-	if s.heartbeatCopies != nil {
-		s.deliverCopies(s.node(s.leader()), rnd, 30)
+	c.releaseHeld()
+	if c.heartbeatCopies != nil {
+		c.deliverCopies(c.node(c.leader()), c.rnd, 30)
 	}
-	s.requireAnswers(t, accepted)
-	s.run(60 * emulator.Second)
-	for _, id := range slices.Sorted(maps.Keys(accepted)) {
-		for try := 0; services[id] && s.lastStatus[id] != wire.Cancelled && try < 20; try++ {
-			s.cancel(s.nodes[0], id)
+}
+
+// cancelServices waits a minute and cancels the services, which don't end by themselves.
+func (c *chaosRun) cancelServices() {
+	c.run(60 * emulator.Second)
+	for _, id := range slices.Sorted(maps.Keys(c.submitted)) {
+		for try := 0; c.services[id] && c.lastStatus[id] != wire.Cancelled && try < 20; try++ {
+			c.cancel(c.nodes[0], id)
 		}
 	}
-	s.run(120 * emulator.Second)
-	for _, id := range slices.Sorted(maps.Keys(accepted)) {
-		told := accepted[id]
-		a := s.poll(s.nodes[1], id)
+}
+
+// checkEnded checks after two minutes that all accepted jobs have ended, that the nodes'
+// usage records agree and that no invariant was violated.
+func (c *chaosRun) checkEnded(t *testing.T) {
+	t.Helper()
+	c.run(120 * emulator.Second)
+	for _, id := range slices.Sorted(maps.Keys(c.submitted)) {
+		accepted := c.submitted[id]
+		a := c.poll(c.nodes[1], id)
 		st, _ := a.Body.(wire.JobStatus)
-		if told && st.Status != wire.Done && st.Status != wire.Cancelled {
-			t.Errorf("%s (%s, %d tasks) has not ended: %s", id, s.env.Jobs[id].Shape, s.env.Jobs[id].Tasks, formatResponse(a))
+		if accepted && st.Status != wire.Done && st.Status != wire.Cancelled {
+			t.Errorf("%s (%s, %d tasks) has not ended: %s", id, c.env.Jobs[id].Shape, c.env.Jobs[id].Tasks, formatResponse(a))
 		}
 	}
-	for _, wrong := range append(s.compareUsage(), s.env.Broken...) {
-		t.Error(wrong)
+	for _, problem := range append(c.compareUsage(), c.env.Broken...) {
+		t.Error(problem)
 	}
-	if s.state.Refused > 0 {
-		t.Errorf("%d transactions refused for their size", s.state.Refused)
+	if c.state.Refused > 0 {
+		t.Errorf("%d transactions refused for their size", c.state.Refused)
 	}
-	t.Logf("%d machines rented, %d changes", s.env.Rented, s.state.Revision())
+	t.Logf("%d machines rented, %d changes", c.env.Rented, c.state.Revision())
 	if t.Failed() {
-		t.Log(s.show())
+		t.Log(c.show())
 	}
 }
 
-// compareUsage holds the accounts of all nodes against each other's, and against those of one
-// that has just read the records. It returns what differs.
-func (s *Sim) compareUsage() (wrong []string) {
+// compareUsage compares the usage records of all nodes with those of a node that has just
+// restarted and read them from the state service. It returns the differences.
+func (s *Sim) compareUsage() (problems []string) {
 	s.start(s.nodes[0])
 	s.run(5 * emulator.Second)
 	for _, n := range s.nodes[1:] {
 		if !n.core.UsageLedger().Equal(s.nodes[0].core.UsageLedger()) {
-			wrong = append(wrong, fmt.Sprintf("accounts of %s and of one that has just begun differ: %s and %s", n.name, formatUsage(n), formatUsage(s.nodes[0])))
+			problems = append(problems, fmt.Sprintf("accounts of %s and of one that has just begun differ: %s and %s", n.name, formatUsage(n), formatUsage(s.nodes[0])))
 		}
 	}
-	return wrong
+	return problems
 }
 
-// requireAnswers asks about every job, each time at the next node, until it has had an answer. No
-// job may be without one for longer than this once all troubles are over.
-func (s *Sim) requireAnswers(t *testing.T, jobs map[string]bool) {
+// maxUnanswered is how long users may be without an answer about a job once all faults have
+// ended.
+const maxUnanswered = 75 * emulator.Second
+
+// requireAnswers polls every accepted job, each time at the next node, until there is an
+// answer.
+func (s *Sim) requireAnswers(t *testing.T, accepted map[string]bool) {
 	t.Helper()
-	const forgottenAfter = 75 * emulator.Second
-	over := s.now
-	var left []string
-	for id, told := range jobs {
-		if told {
-			left = append(left, id)
+	faultsEnded := s.now
+	var unanswered []string
+	for id, known := range accepted {
+		if known {
+			unanswered = append(unanswered, id)
 		}
 	}
-	slices.Sort(left)
-	for round := 0; len(left) > 0; round++ {
-		left = slices.DeleteFunc(left, func(id string) bool {
+	slices.Sort(unanswered)
+	for round := 0; len(unanswered) > 0; round++ {
+		unanswered = slices.DeleteFunc(unanswered, func(id string) bool {
 			a := s.poll(s.nodes[round%len(s.nodes)], id)
 			return a.Status == 200
 		})
-		if s.now-over > forgottenAfter {
-			t.Errorf("nobody answers for %v", left)
+		if s.now-faultsEnded > maxUnanswered {
+			t.Errorf("nobody answers for %v", unanswered)
 			return
 		}
 		s.run(emulator.Second)
 	}
-	t.Logf("all answered for after %d ms", (s.now-over)/1000)
+	t.Logf("all answered for after %d ms", (s.now-faultsEnded)/1000)
 }
 
-// advanceUpgrade upgrades a node when its turn has come, one in each seventh of the
-// events, and lets the limits fall after the last.
+// advanceUpgrade upgrades a node if it is time for the next one, which is once in each seventh
+// of the events, and lowers the limits of the state service after the last.
 func (s *Sim) advanceUpgrade(n *node, at, events int) {
 	upgraded := 0
 	for _, x := range s.nodes {
@@ -264,6 +305,7 @@
 	}
 }
 
+// randomJob draws a job.
 func randomJob(rnd *rand.Rand, id string, tasks int) *emulator.SubmittedJob {
 	j := &emulator.SubmittedJob{Run: emulator.Micros(1+rnd.IntN(8)) * emulator.Second}
 	j.Job = wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[rnd.IntN(2)],
--- a/internal/scenario/runner_test.go
+++ b/internal/scenario/runner_test.go
@@ -1,6 +1,8 @@
-// Package scenario plays small text scripts against nodes of the real core on
-// a made-up clock: a few nodes, a state service, a cloud and workers, with
-// links that can be cut. Whatever a script does, the rules are watched.
+// Package scenario tests clusters in a discrete-time simulation: a few nodes that run the
+// real core, with an emulated key-value store, cloud and workers, a simulated clock and
+// links that can be cut. Scripts in testdata and randomly generated days of faults drive
+// the simulation; the invariants of the emulator and of this package are checked all the
+// time.
 package scenario
 
 import (
@@ -22,7 +24,7 @@
 
 const tick = emulator.Second / 10
 
-// Sim is the world of a script.
+// Sim is a simulated cluster with its environment.
 type Sim struct {
 	now           emulator.Micros
 	state         *emulator.State
@@ -30,72 +32,73 @@
 	nodes         []*node
 	lastRequestID uint64
 	inFlight      []delivery
-	heldMessages  []func()
-	lastStatus    map[string]string          // what users were told last
-	acceptedAt    map[string]emulator.Micros // when somebody was first told that a job is accepted
-	teamLimits    map[string]float64
-	scale         int     // how many times the machines and teams' limits of a script
-	writeQuota    float64 // changes a second that the state service takes; 0: any number
-	writeTokens   float64 // what is left of them
-	// The settings tell of the state service's coming limits.
+	heldMessages  []func()                   // what cut links hold back until they heal
+	lastStatus    map[string]string          // the last status that any user was told, by job
+	acceptedAt    map[string]emulator.Micros // when a user was first told that a job is accepted
+	teamLimits    map[string]float64         // GPUs
+	scale         int                        // multiple of the usual machines and team limits
+	writeQuota    float64                    // changes per second that the state service accepts; 0: unlimited
+	writeTokens   float64                    // of the write quota's token bucket
+	// limitsAnnounced means that the settings announce coming limits of the state service.
 	limitsAnnounced bool
-	coresStarted    uint64
+	coresStarted    uint64           // seeds the cores
 	heldHeartbeat   wire.Heartbeat   // held back by a script
-	effects         hash.Hash64      // of all that nodes have done, if anybody wants to know
-	heartbeatCopies *heartbeatCopies // of reports, to come again; nil: none are kept
+	effects         hash.Hash64      // digest of all effects of all nodes; may be nil
+	heartbeatCopies *heartbeatCopies // copies that may be delivered again; nil: none
 	crash           crashTrigger
-	messageFaults   *messageFaults   // nil: everything takes no time, and nothing is late
-	scheduled       []scheduledEvent // what comes late, in the order of its time
-	users           []*user          // who ask again and again
-	isolatedZone    string           // a zone that has nothing but its own nodes and machines
-	closePolling    *closePolling    // nil: nobody asks closely, and what is on its way comes in order
-	deposedLeader   *node            // the last that was cut off as the leader
-	reachableOnlyBy map[string]*node // machines that one node alone reaches, and which
+	messageFaults   *messageFaults   // nil: messages take no time
+	scheduled       []scheduledEvent // ordered by time
+	users           []*user          // users with requests to make
+	isolatedZone    string           // zone whose nodes and machines reach only each other
+	closePolling    *closePolling    // nil: no close polling, and messages are delivered in order
+	deposedLeader   *node            // the last node that was cut off while it led
+	reachableOnlyBy map[string]*node // machines that only one node reaches
 }
 
-// crashTrigger ends a node with its next transaction that writes a key with a prefix, before the
-// transaction takes effect or after it has and before the answer.
+// crashTrigger crashes a node with its next transaction that writes a key with a prefix:
+// before the transaction takes effect, or after it did and before the answer.
 type crashTrigger struct {
-	keyPrefix   string // "": no node
+	keyPrefix   string // "": no crash
 	afterCommit bool
 }
 
-// matches tells whether a transaction is the one.
+// matches reports whether a transaction triggers the crash.
 func (k crashTrigger) matches(t *wire.Transaction) bool {
 	return k.keyPrefix != "" && slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put, k.keyPrefix) })
 }
 
+// node is a simulated node. Its core is replaced when it restarts.
 type node struct {
 	name             string
 	core             *core.Core
 	alive            bool
 	startedAt        emulator.Micros
-	formatHeld       bool              // to the first format, as during an upgrade
-	noPlacementPages bool              // it is set not to place tasks of many jobs by one change
-	cutLinks         map[string]string // link -> "drop" or "hold"
+	formatHeld       bool              // it writes the first format only, as during an upgrade
+	noPlacementPages bool              // placement pages are disabled in its settings
+	cutLinks         map[string]string // link -> mode: "drop", "hold" or "stall"
 	watchRevision    uint64
-	answers          map[uint64]msg.Respond
-	relist           bool
-	busyUntil        emulator.Micros // its loop is at one long step until then
-	backlog          []msg.Input     // what has come meanwhile
+	answers          map[uint64]msg.Respond // by request
+	relist           bool                   // its watch has to list everything again
+	busyUntil        emulator.Micros        // its loop is blocked until then
+	backlog          []msg.Input            // inputs that arrived while the loop was blocked
 	leases           *leaserenewal.Renewer
-	pendingWatch     *watchResult // the answer to its watch, on its way
+	pendingWatch     *watchResult // in flight; nil: none
 }
 
+// delivery is an input in flight to a node. It is lost if the node's process ends.
 type delivery struct {
 	node  *node
-	core  *core.Core // an input for a process that has ended is lost
+	core  *core.Core // the process that it was sent to
 	input msg.Input
 }
 
-// The limits that the state service of an announced change has from SetLimits on.
+// The announced limits of the state service, in force from setStateLimits(true) on.
 const (
 	nextValueKB = 2
 	nextTxnOps  = 4
 )
 
-// setStateLimits has the state service refuse what goes beyond its limits, the present
-// ones or the coming ones.
+// setStateLimits sets the limits that the state service enforces: the present or the announced ones.
 func (s *Sim) setStateLimits(next bool) {
 	s.state.ValueBytes, s.state.TxnOps = 4*1024, 8
 	if next {
@@ -103,20 +106,30 @@
 	}
 }
 
-// newSim returns a world with so many nodes, all running.
+// newSim returns a simulation with the given number of nodes, all running.
 func newSim(nodes int) *Sim { return newSimOfScale(nodes, 1, 0) }
 
-// newSimOfScale returns a world that is scale times the usual one, with a state service
-// that takes no more than quota changes a second, if quota isn't 0.
+// newSimOfScale returns a simulation with scale times the usual machines and team limits, and
+// a state service that accepts no more than quota changes per second, unless quota is 0.
 func newSimOfScale(nodes, scale int, quota float64) *Sim {
 	return newSimWithUpgrade(nodes, scale, quota, nil)
 }
 
-// newSimWithUpgrade does the same for a change of the state service's limits, with some
-// nodes held to the first format; nil: no such change.
+// newSimWithUpgrade returns the same with lower limits of the state service announced, and
+// some nodes held to the first format. If held is nil no limits are announced.
 func newSimWithUpgrade(nodes, scale int, quota float64, held []string) *Sim {
-	s := &Sim{limitsAnnounced: held != nil, now: emulator.Second, state: emulator.NewState(), env: emulator.NewEnvironment(), scale: scale, writeQuota: quota,
-		lastStatus: map[string]string{}, acceptedAt: map[string]emulator.Micros{}, reachableOnlyBy: map[string]*node{}, teamLimits: map[string]float64{"red": float64(24 * scale), "blue": float64(8 * scale)}}
+	s := &Sim{
+		limitsAnnounced: held != nil,
+		now:             emulator.Second,
+		state:           emulator.NewState(),
+		env:             emulator.NewEnvironment(),
+		scale:           scale,
+		writeQuota:      quota,
+		lastStatus:      map[string]string{},
+		acceptedAt:      map[string]emulator.Micros{},
+		reachableOnlyBy: map[string]*node{},
+		teamLimits:      map[string]float64{"red": float64(24 * scale), "blue": float64(8 * scale)},
+	}
 	for z := range s.env.Capacity {
 		s.env.Capacity[z] *= scale
 	}
@@ -131,6 +144,7 @@
 	return s
 }
 
+// config returns the configuration of a node.
 func (s *Sim) config(name string) *config.Config {
 	c := &config.Config{Settings: config.Defaults()}
 	c.Node, c.Location = name, location(name)
@@ -156,7 +170,7 @@
 	return c
 }
 
-// location puts the nodes into the zones in turn.
+// location returns the zone of a node: nodes alternate between the zones.
 func location(name string) string {
 	if strings.Trim(name, "n")[0]%2 == 1 {
 		return "a"
@@ -164,13 +178,21 @@
 	return "b"
 }
 
+// start starts a node with a new process, also in place of a running one.
 func (s *Sim) start(n *node) {
 	s.coresStarted++
 	n.core = core.New(s.config(n.name), s.coresStarted*7919)
-	n.alive, n.startedAt, n.relist, n.answers = true, s.now, true, map[uint64]msg.Respond{}
-	n.busyUntil, n.backlog, n.leases, n.pendingWatch = 0, nil, &leaserenewal.Renewer{}, nil
+	n.alive = true
+	n.startedAt = s.now
+	n.relist = true
+	n.answers = map[uint64]msg.Respond{}
+	n.busyUntil = 0
+	n.backlog = nil
+	n.leases = &leaserenewal.Renewer{}
+	n.pendingWatch = nil
 }
 
+// node returns the node with a name, or the first node if there is none.
 func (s *Sim) node(name string) *node {
 	for _, n := range s.nodes {
 		if n.name == name {
@@ -180,11 +202,12 @@
 	return s.nodes[0]
 }
 
+// post puts an input in flight to a node.
 func (s *Sim) post(n *node, in msg.Input) {
 	s.inFlight = append(s.inFlight, delivery{n, n.core, in})
 }
 
-// step hands an input to a node.
+// step runs a step of a node's core, or queues the input while the node's loop is blocked.
 func (s *Sim) step(n *node, in msg.Input) []msg.Effect {
 	if s.now < n.busyUntil {
 		n.backlog = append(n.backlog, in)
@@ -199,7 +222,7 @@
 	return out
 }
 
-// deliverAll delivers what is on its way.
+// deliverAll delivers the inputs in flight and executes the effects, until nothing is in flight.
 func (s *Sim) deliverAll() {
 	for len(s.inFlight) > 0 {
 		i := s.closePolling.next(len(s.inFlight))
@@ -214,59 +237,75 @@
 	}
 }
 
-// run lets time pass.
+// run advances the simulation by d.
 func (s *Sim) run(d emulator.Micros) {
 	for end := s.now + d; s.now < end; {
 		s.now += tick
-		s.writeTokens = min(s.writeQuota, s.writeTokens+s.writeQuota*float64(tick)/float64(emulator.Second))
-		s.state.Expire(s.now)
-		s.env.Tick(s.now)
-		s.runScheduled()
-		s.sendHeartbeats()
-		s.actOnEndedJobs()
+		s.tickEnvironment()
 		for _, n := range s.closePolling.shuffled(s.nodes) {
-			if n.alive {
-				s.renewDueLeases(n)
-			}
-			if n.alive && s.now >= n.busyUntil {
-				for _, in := range n.backlog {
-					s.post(n, in)
-				}
-				n.backlog = nil
-				s.deliverAll()
-				s.followWatch(n)
-				s.postPeersAlive(n)
-				s.post(n, msg.Tick{WallClock: s.now})
-				s.deliverAll()
-			}
-			if s.closePolling != nil { // between what one node does and the next
+			s.tickNode(n)
+			if s.closePolling != nil { // users' requests arrive between the steps of the nodes
 				s.askUsers()
 			}
 		}
 		s.askUsers()
-		if s.now%emulator.Second < tick { // a second's work has been added up piece by piece
-			for _, n := range s.nodes {
-				if err := n.core.Audit(); n.alive && err != nil {
-					s.env.Broken = append(s.env.Broken, "survey of "+n.name+": "+err.Error())
-				}
+		s.checkInvariants()
+	}
+}
+
+// tickEnvironment runs a tick of everything but the nodes and users.
+func (s *Sim) tickEnvironment() {
+	s.writeTokens = min(s.writeQuota, s.writeTokens+s.writeQuota*float64(tick)/float64(emulator.Second))
+	s.state.Expire(s.now)
+	s.env.Tick(s.now)
+	s.runScheduled()
+	s.sendHeartbeats()
+	s.actOnEndedJobs()
+}
+
+// tickNode runs a tick of a node.
+func (s *Sim) tickNode(n *node) {
+	if n.alive {
+		s.renewDueLeases(n)
+	}
+	if !n.alive || s.now < n.busyUntil {
+		return
+	}
+	for _, in := range n.backlog {
+		s.post(n, in)
+	}
+	n.backlog = nil
+	s.deliverAll()
+	s.followWatch(n)
+	s.postPeersAlive(n)
+	s.post(n, msg.Tick{WallClock: s.now})
+	s.deliverAll()
+}
+
+// checkInvariants checks the incremental state of the nodes once a second, and team limits.
+func (s *Sim) checkInvariants() {
+	if s.now%emulator.Second < tick {
+		for _, n := range s.nodes {
+			if err := n.core.Audit(); n.alive && err != nil {
+				s.env.Broken = append(s.env.Broken, "survey of "+n.name+": "+err.Error())
 			}
 		}
-		for team, limit := range s.teamLimits {
-			if s.env.Used(team) > limit {
-				s.env.Broken = append(s.env.Broken, "quota "+team)
-			}
+	}
+	for team, limit := range s.teamLimits {
+		if s.env.Used(team) > limit {
+			s.env.Broken = append(s.env.Broken, "quota "+team)
 		}
 	}
 }
 
-// renewDueLeases renews a node's lease beside its loop.
+// renewDueLeases renews a node's lease, which is independent of its loop.
 func (s *Sim) renewDueLeases(n *node) {
 	if lease, _ := n.leases.Due(time.UnixMicro(s.now)); lease != 0 && n.cutLinks["state"] == "" {
 		s.renewLease(n, lease)
 	}
 }
 
-// renewLease renews a lease for a node.
+// renewLease renews a lease and posts the result to the node.
 func (s *Sim) renewLease(n *node, lease uint64) {
 	d := msg.LeaseDone{Outcome: msg.Refused, Lease: lease, IsRenewal: true}
 	if n.cutLinks["state"] == "" {
@@ -278,7 +317,7 @@
 	s.post(n, d)
 }
 
-// postPeersAlive lets a node hear the peers that it has a link to.
+// postPeersAlive posts the liveness of the peers that a node has a link to.
 func (s *Sim) postPeersAlive(n *node) {
 	for _, p := range s.nodes {
 		if p != n && p.alive && s.peers(n, p) == "" {
@@ -287,7 +326,8 @@
 	}
 }
 
-// followWatch feeds a node's listing and watch.
+// followWatch posts the next result of a node's listing or watch, or puts it in flight if
+// watches are slow.
 func (s *Sim) followWatch(n *node) {
 	if n.pendingWatch != nil {
 		if s.now >= n.pendingWatch.at {
@@ -318,7 +358,7 @@
 	s.deliverAll()
 }
 
-// leader names the node that holds the claim, or "none".
+// leader returns the name of the node that leads according to the leader key, or "none".
 func (s *Sim) leader() string {
 	var c struct {
 		Node string `msgpack:"node"`
@@ -330,7 +370,7 @@
 	return c.Node
 }
 
-// show describes where everything is.
+// show describes the leader, the machines and the tasks on them.
 func (s *Sim) show() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "leader %s, %d machines\n", s.leader(), len(s.env.Machines))
@@ -343,7 +383,7 @@
 	return b.String()
 }
 
-// releaseHeld delivers what held links have kept back.
+// releaseHeld executes and delivers what cut links have held back.
 func (s *Sim) releaseHeld() {
 	held := s.heldMessages
 	s.heldMessages = nil
