--- a/internal/scenario/flood_test.go
+++ b/internal/scenario/burst_test.go
@@ -11,11 +11,11 @@
 	"coralhub/wire"
 )
 
-// A flood at the fleet's size: 1,250 machines, more than all their work within seconds, a
-// state service with a quota, and a leader whose loop stands still for longer than its lease in
-// the middle. Nobody else comes to lead, every job is accepted and done, every poll is
-// answered, and a job costs no more than four changes.
-func TestFloodAtFleetSize(t *testing.T) {
+// A burst of jobs for 1,250 machines, more than they can run within seconds, with a write quota of
+// the state service and a leader whose loop is blocked for longer than its lease meanwhile:
+// leadership doesn't change, every job is accepted and done, every poll is answered, and a job
+// costs no more than four changes.
+func TestBurstAtFleetSize(t *testing.T) {
 	t.Parallel()
 	const (
 		scale = 208 // of 6 machines, with 4 GPUs each
@@ -24,8 +24,8 @@
 	)
 	s := newSimOfScale(3, scale, 150)
 	s.run(3 * emulator.Second)
-	leader := s.leader()
-	began := s.state.Revision()
+	firstLeader := s.leader()
+	startRevision := s.state.Revision()
 	submit := func(i int) bool {
 		j := &emulator.SubmittedJob{Run: 3 * emulator.Second}
 		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i+1), Class: "flood", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: tasks,
@@ -33,19 +33,19 @@
 		a := s.submit(s.nodes[i%3], j)
 		return a.Status == 201 || a.Status == 200
 	}
-	var again []int
+	var rejected []int
 	for i := range jobs {
 		if !submit(i) {
-			again = append(again, i)
+			rejected = append(rejected, i)
 		}
 		if i%6 == 5 {
 			s.run(tick)
 		}
 		if i == jobs/2 {
-			s.node(leader).busyUntil = s.now + 5*emulator.Second
+			s.node(firstLeader).busyUntil = s.now + 5*emulator.Second
 		}
 	}
-	left := func() (n int) {
+	unfinished := func() (n int) {
 		for i := range jobs {
 			if !s.env.Done(fmt.Sprintf("j-%d", i+1)) {
 				n++
@@ -54,9 +54,9 @@
 		return n
 	}
 	seconds := 0
-	for ; left() > 0 && seconds < 60; seconds++ {
+	for ; unfinished() > 0 && seconds < 60; seconds++ {
 		s.run(emulator.Second)
-		again = slices.DeleteFunc(again, submit) // as users do who were refused
+		rejected = slices.DeleteFunc(rejected, submit) // as users retry who were rejected
 		for i, n := range s.nodes {
 			id := fmt.Sprintf("j-%d", (seconds*3+i)%jobs+1)
 			if a := s.request(n, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} }); a.Status != 200 {
@@ -64,16 +64,16 @@
 			}
 		}
 	}
-	if n := left(); n > 0 {
+	if n := unfinished(); n > 0 {
 		t.Errorf("%d jobs are not done after %d s", n, seconds)
 	}
-	if s.leader() != leader || s.state.Get(job.KeyRoot+"leader").Version > began {
-		t.Errorf("%s leads by revision %d; %s did by one before %d", s.leader(), s.state.Get(job.KeyRoot+"leader").Version, leader, began)
+	if s.leader() != firstLeader || s.state.Get(job.KeyRoot+"leader").Version > startRevision {
+		t.Errorf("%s leads by revision %d; %s did by one before %d", s.leader(), s.state.Get(job.KeyRoot+"leader").Version, firstLeader, startRevision)
 	}
-	if changes := float64(s.state.Revision()-began) / jobs; changes > 4 {
+	if changes := float64(s.state.Revision()-startRevision) / jobs; changes > 4 {
 		t.Errorf("%.1f changes a job", changes)
 	}
-	t.Logf("%d jobs in %d s, %.1f changes each", jobs, seconds, float64(s.state.Revision()-began)/jobs)
+	t.Logf("%d jobs in %d s, %.1f changes each", jobs, seconds, float64(s.state.Revision()-startRevision)/jobs)
 	for _, b := range s.env.Broken {
 		t.Error(b)
 	}
--- a/internal/scenario/client_requests_test.go
+++ b/internal/scenario/client_requests_test.go
@@ -9,10 +9,13 @@
 	"coralhub/wire"
 )
 
-// What users ask, and whether they hear anything that is older than what they heard before.
+// Requests of users, and the checks of their answers.
 
-// request has a user make a request to a node and returns the answer, waiting for
-// it as users do.
+// answerTicks is how many ticks a request without a timeout of its own waits for the answer.
+const answerTicks = 40
+
+// request makes a request to a node and returns the answer; the zero value if there is none
+// within four seconds.
 func (s *Sim) request(n *node, input func(req uint64) msg.Input) msg.Respond {
 	if !n.alive {
 		return msg.Respond{}
@@ -21,7 +24,7 @@
 	req := s.lastRequestID
 	s.post(n, input(req))
 	s.deliverAll()
-	for range 40 {
+	for range answerTicks {
 		if a, ok := n.answers[req]; ok {
 			delete(n.answers, req)
 			return a
@@ -31,22 +34,22 @@
 	return msg.Respond{}
 }
 
-// submit submits a job.
+// submit has a user submit a job.
 func (s *Sim) submit(n *node, j *emulator.SubmittedJob) msg.Respond {
 	if s.env.Jobs[j.ID] == nil {
 		s.env.Jobs[j.ID] = j
 	}
-	floor := s.lastStatus[j.ID]
+	knownStatus := s.lastStatus[j.ID]
 	a := s.request(n, s.submission(j))
-	s.checkAnswer(j.ID, floor, a)
+	s.checkAnswer(j.ID, knownStatus, a)
 	return a
 }
 
-// submission is the request that submits a job.
+// submission returns the input that submits a job, for a request id.
 func (s *Sim) submission(j *emulator.SubmittedJob) func(req uint64) msg.Input {
 	raw, err := wire.Marshal(&j.Job)
 	if err != nil {
-		panic(err) // a description that the runner has made
+		panic(err) // impossible: the runner made it
 	}
 	return func(req uint64) msg.Input { return msg.SubmitIn{RequestID: req, WallClock: s.now, Body: raw} }
 }
@@ -56,35 +59,35 @@
 	if j := s.env.Jobs[id]; j != nil {
 		j.Asked = true
 	}
-	floor := s.lastStatus[id]
+	knownStatus := s.lastStatus[id]
 	a := s.request(n, func(req uint64) msg.Input { return msg.CancelIn{RequestID: req, JobID: id} })
-	s.checkAnswer(id, floor, a)
+	s.checkAnswer(id, knownStatus, a)
 	return a
 }
 
-// poll has a user ask about a job.
+// poll has a user poll a job.
 func (s *Sim) poll(n *node, id string) msg.Respond {
-	floor := s.lastStatus[id]
+	knownStatus := s.lastStatus[id]
 	a := s.request(n, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} })
-	s.checkAnswer(id, floor, a)
+	s.checkAnswer(id, knownStatus, a)
 	return a
 }
 
-// isFinal tells whether a state is a last word.
+// isFinal reports whether a status is final.
 func isFinal(status string) bool { return status == wire.Done || status == wire.Cancelled }
 
-// checkAnswer watches what users are told. What anybody had heard of the job before this question was
-// asked is its floor: no node may answer something older, whichever told it. An answer to a
-// question from before that may.
-func (s *Sim) checkAnswer(id, floor string, a msg.Respond) {
-	broken := func(rule string) {
-		s.env.Broken = append(s.env.Broken, fmt.Sprintf("%s %s: %s after %q", rule, id, strings.TrimSpace(formatResponse(a)), floor))
+// checkAnswer checks what a user is told. knownStatus is what any user had been told of the job
+// before the request was made: no node may answer something older, whichever node told it.
+// The answer to an earlier request may be older.
+func (s *Sim) checkAnswer(id, knownStatus string, a msg.Respond) {
+	violated := func(rule string) {
+		s.env.Broken = append(s.env.Broken, fmt.Sprintf("%s %s: %s after %q", rule, id, strings.TrimSpace(formatResponse(a)), knownStatus))
 	}
-	if floor != "" && (a.Status == 404 || a.Status == 400 || a.Status == 422) {
-		broken("forgotten")
+	if knownStatus != "" && (a.Status == 404 || a.Status == 400 || a.Status == 422) {
+		violated("forgotten")
 	}
-	if floor != "" && a.Status == 201 {
-		broken("went_back accepted twice")
+	if knownStatus != "" && a.Status == 201 {
+		violated("went_back accepted twice")
 	}
 	st, ok := a.Body.(wire.JobStatus)
 	if !ok {
@@ -92,33 +95,41 @@
 	}
 	j := s.env.Jobs[id]
 	if j == nil {
-		broken("invented")
+		violated("invented")
 		return
 	}
-	if isFinal(floor) && st.Status != floor || isFinal(s.lastStatus[id]) && isFinal(st.Status) && st.Status != s.lastStatus[id] {
-		broken("went_back")
+	changedAfterEnd := isFinal(knownStatus) && st.Status != knownStatus
+	endsDiffer := isFinal(s.lastStatus[id]) && isFinal(st.Status) && st.Status != s.lastStatus[id]
+	if changedAfterEnd || endsDiffer {
+		violated("went_back")
 	}
 	if st.Status == wire.Cancelled && !s.env.MayBeCancelled(id) {
-		broken("went_back (nobody has asked for it)")
+		violated("went_back (nobody has asked for it)")
 	}
 	if at := s.env.CancelledAt(id); at != 0 && s.now-at > s.env.CancelIn && !isFinal(st.Status) {
-		broken("orphaned")
+		violated("orphaned")
 	}
 	if st.Status == wire.Done && !s.env.Done(id) {
-		broken("not_done")
+		violated("not_done")
 	}
 	if st.Status == wire.Cancelled && j.Cancelled == 0 {
 		j.Cancelled = s.now
 	}
+	s.recordStatus(id, st.Status)
+}
+
+// recordStatus records what a user was told, unless a final status is known already. Users poll
+// closely after the first answer and after the final one.
+func (s *Sim) recordStatus(id, status string) {
 	if isFinal(s.lastStatus[id]) {
 		return
 	}
 	if s.lastStatus[id] == "" {
 		s.acceptedAt[id] = s.now
 	}
-	news := s.lastStatus[id] == "" || isFinal(st.Status)
-	s.lastStatus[id] = st.Status
-	if news {
+	changed := s.lastStatus[id] == "" || isFinal(status)
+	s.lastStatus[id] = status
+	if changed {
 		s.pollClosely(id)
 	}
 }
--- a/internal/scenario/concurrent_faults_test.go
+++ b/internal/scenario/concurrent_faults_test.go
@@ -76,7 +76,7 @@
 			s = newScriptSim(t, d)
 			continue
 		}
-		out := runCommand(t, s, d)
+		out := executeCommand(t, s, d)
 		if cmd == "submit" {
 			if strings.HasPrefix(out, "400") {
 				t.Fatalf("%s: a drawn submission is malformed", line)
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -10,8 +10,8 @@
 	"coralhub/internal/core/msg"
 )
 
-// effectNumbers number the effects in digests. What types and fields are called has no part in
-// a digest, nor has the log: a digest tells what nodes do, whatever the code calls it.
+// effectNumbers are the numbers of the effects in digests. The names of types and fields are not
+// part of a digest, nor is the log: a digest shows what nodes do, whatever the code calls it.
 var effectNumbers = map[reflect.Type]int{}
 
 func init() {
@@ -21,7 +21,7 @@
 	}
 }
 
-// digestEffect writes what an effect holds, in the order of its fields.
+// digestEffect writes the fields of an effect in their order.
 func digestEffect(w io.Writer, at int64, node string, e msg.Effect) {
 	if _, ok := e.(msg.Log); ok {
 		return
@@ -35,6 +35,7 @@
 	fmt.Fprintln(w)
 }
 
+// digestValue writes a value, without the names of types and fields.
 func digestValue(w io.Writer, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Invalid:
--- a/internal/scenario/direct_calls_test.go
+++ b/internal/scenario/direct_calls_test.go
@@ -8,8 +8,9 @@
 	"coralhub/wire"
 )
 
-// What nodes ask of the state service, the cloud, workers and peers, carried out or not.
+// The execution of nodes' effects: requests to the state service, the cloud, workers and peers.
 
+// outcome returns the outcome of a request to the state service or a worker by its answer.
 func outcome(status int, text string) msg.Outcome {
 	switch {
 	case status == 200:
@@ -24,82 +25,96 @@
 	return msg.Refused
 }
 
-// execute carries out an effect.
-func (s *Sim) execute(n *node, e msg.Effect) {
-	switch x := e.(type) {
+// execute executes an effect of a node.
+func (s *Sim) execute(n *node, effect msg.Effect) {
+	switch e := effect.(type) {
 	case msg.Commit:
-		s.commit(n, x)
+		s.commit(n, e)
 	case msg.Read:
-		d := msg.ReadDone{ID: x.ID, Key: x.Key, Outcome: msg.Refused}
+		d := msg.ReadDone{ID: e.ID, Key: e.Key, Outcome: msg.Refused}
 		if !s.state.Down && n.cutLinks["state"] == "" {
-			d.Outcome, d.Item = msg.OK, s.state.Get(x.Key)
+			d.Outcome, d.Item = msg.OK, s.state.Get(e.Key)
 		}
 		s.post(n, d)
 	case msg.GrantLease:
 		d := msg.LeaseDone{Outcome: msg.Refused}
 		if n.cutLinks["state"] == "" {
-			status, id := s.state.Grant(s.now, x.TTL)
+			status, id := s.state.Grant(s.now, e.TTL)
 			d.Outcome, d.Lease = outcome(status, ""), id
-			n.leases.Adopt(id, time.Duration(x.TTL)*time.Microsecond, time.UnixMicro(s.now))
+			n.leases.Adopt(id, time.Duration(e.TTL)*time.Microsecond, time.UnixMicro(s.now))
 		}
 		s.post(n, d)
 	case msg.ReleaseLease:
-		n.leases.Release(x.Lease)
+		n.leases.Release(e.Lease)
 	case msg.RenewLease:
-		n.leases.Adopt(x.Lease, time.Duration(x.TTL)*time.Microsecond, time.UnixMicro(s.now))
-		s.renewLease(n, x.Lease)
+		n.leases.Adopt(e.Lease, time.Duration(e.TTL)*time.Microsecond, time.UnixMicro(s.now))
+		s.renewLease(n, e.Lease)
 	case msg.Relist:
 		n.relist = true
 	case msg.Respond:
-		n.answers[x.RequestID] = x
+		n.answers[e.RequestID] = e
 	case msg.Command:
-		s.command(n, x)
+		s.command(n, e)
 	case msg.Forward:
-		d := msg.ForwardDone{RequestID: x.RequestID, Heartbeat: x.Heartbeat}
-		if to := s.node(x.Node); to.alive && s.peers(n, to) == "" {
-			s.lastRequestID++
-			req := s.lastRequestID
-			for _, e := range s.step(to, msg.HeartbeatIn{RequestID: req, Heartbeat: x.Heartbeat, Forwarded: true}) {
-				s.execute(to, e)
-			}
-			if a, ok := to.answers[req].Body.(wire.HeartbeatResponse); ok {
-				d.Response = &a
-			}
-			d.Busy = s.now < to.busyUntil
-			delete(to.answers, req)
-		}
-		s.post(n, d)
+		s.forward(n, e)
 	case msg.HeartbeatBatch:
-		if to := s.node(x.Node); to.alive && s.peers(n, to) == "" {
-			s.lastRequestID++
-			for _, e := range s.step(to, msg.HeartbeatBatchIn{RequestID: s.lastRequestID, Node: n.name, Revision: x.Revision, Acks: x.Acks}) {
-				s.execute(to, e)
-			}
-			said, _ := to.answers[s.lastRequestID].Body.(msg.HeartbeatBatchResponse)
-			delete(to.answers, s.lastRequestID)
-			s.reply(n, s.messageFaults.batchDelay(), msg.HeartbeatBatchDone{Batch: x, HeartbeatBatchResponse: said})
-		} else if s.peers(n, to) == "hold" { // it comes late, and nobody hears the answer
-			s.heldMessages = append(s.heldMessages, func() {
-				if to.alive {
-					s.lastRequestID++
-					s.post(to, msg.HeartbeatBatchIn{RequestID: s.lastRequestID, Node: n.name, Revision: x.Revision, Acks: x.Acks})
-				}
-			})
-		}
+		s.sendBatch(n, e)
 	case msg.SendPeerUpdate:
-		if to := s.node(x.Node); to.alive && s.peers(n, to) == "" {
-			s.post(to, msg.PeerUpdate{Change: x.Change})
+		if to := s.node(e.Node); to.alive && s.peers(n, to) == "" {
+			s.post(to, msg.PeerUpdate{Change: e.Change})
 		}
 	default:
 		s.cloud(n, e)
 	}
 }
 
-// commit carries out a transaction; over a held link it is carried out late.
+// forward forwards a heartbeat to another node, which handles it at once.
+func (s *Sim) forward(n *node, f msg.Forward) {
+	d := msg.ForwardDone{RequestID: f.RequestID, Heartbeat: f.Heartbeat}
+	if to := s.node(f.Node); to.alive && s.peers(n, to) == "" {
+		s.lastRequestID++
+		req := s.lastRequestID
+		for _, e := range s.step(to, msg.HeartbeatIn{RequestID: req, Heartbeat: f.Heartbeat, Forwarded: true}) {
+			s.execute(to, e)
+		}
+		if response, ok := to.answers[req].Body.(wire.HeartbeatResponse); ok {
+			d.Response = &response
+		}
+		d.Busy = s.now < to.busyUntil
+		delete(to.answers, req)
+	}
+	s.post(n, d)
+}
+
+// sendBatch sends a batch of heartbeats to another node, which handles it at once. Over a held
+// link it arrives late, and the answer is lost.
+func (s *Sim) sendBatch(n *node, batch msg.HeartbeatBatch) {
+	to := s.node(batch.Node)
+	if to.alive && s.peers(n, to) == "" {
+		s.lastRequestID++
+		in := msg.HeartbeatBatchIn{RequestID: s.lastRequestID, Node: n.name, Revision: batch.Revision, Acks: batch.Acks}
+		for _, e := range s.step(to, in) {
+			s.execute(to, e)
+		}
+		response, _ := to.answers[s.lastRequestID].Body.(msg.HeartbeatBatchResponse)
+		delete(to.answers, s.lastRequestID)
+		s.reply(n, s.messageFaults.batchDelay(), msg.HeartbeatBatchDone{Batch: batch, HeartbeatBatchResponse: response})
+		return
+	}
+	if s.peers(n, to) == "hold" {
+		s.heldMessages = append(s.heldMessages, func() {
+			if to.alive {
+				s.lastRequestID++
+				s.post(to, msg.HeartbeatBatchIn{RequestID: s.lastRequestID, Node: n.name, Revision: batch.Revision, Acks: batch.Acks})
+			}
+		})
+	}
+}
+
+// commit carries out a transaction. Over a held link it is carried out late.
 func (s *Sim) commit(n *node, x msg.Commit) {
 	d := msg.CommitDone{ID: x.ID, Outcome: msg.Refused}
-	hit := s.crash.matches(&x.Transaction)
-	if hit {
+	if s.crash.matches(&x.Transaction) {
 		n.alive = false
 		if !s.crash.afterCommit {
 			s.crash = crashTrigger{}
@@ -129,7 +144,7 @@
 		}
 		status, a := s.state.Commit(x.Transaction)
 		d.Outcome, d.Revision, d.Failed = outcome(status, a.Error), a.Revision, a.Failed
-		if n.cutLinks["answer"] != "" && places { // one answer is lost
+		if n.cutLinks["answer"] != "" && places { // this one answer is lost
 			d = msg.CommitDone{ID: x.ID, Outcome: msg.Unknown}
 			delete(n.cutLinks, "answer")
 		}
@@ -144,7 +159,7 @@
 	case "hold", "stall":
 		d.Outcome = msg.Unknown
 		s.heldMessages = append(s.heldMessages, func() { s.state.Commit(x.Transaction) })
-		if n.cutLinks["state"] == "stall" { // and the node waits as long as it does on real links
+		if n.cutLinks["state"] == "stall" { // the node waits for its timeout, as on real links
 			s.reply(n, stateTimeout, d)
 			return
 		}
@@ -152,8 +167,8 @@
 	s.post(n, d)
 }
 
-// cutZone parts a zone's nodes from the state service, the cloud and nodes elsewhere, and its
-// machines from those.
+// cutZone partitions a zone: its nodes reach neither the state service, the cloud nor nodes and
+// machines elsewhere, and its machines no nodes elsewhere.
 func (s *Sim) cutZone(name, mode string) {
 	s.isolatedZone = name
 	for _, n := range s.nodes {
@@ -163,7 +178,16 @@
 	}
 }
 
-// peers tells whether two nodes have a link, and what becomes of what is sent over it if not.
+// healLinks heals all links of nodes, zones and machines.
+func (s *Sim) healLinks() {
+	for _, n := range s.nodes {
+		n.cutLinks = map[string]string{}
+	}
+	clear(s.reachableOnlyBy)
+	s.isolatedZone = ""
+}
+
+// peers returns "" if two nodes have a link, or else the mode of the cut.
 func (s *Sim) peers(n, to *node) (mode string) {
 	switch {
 	case n.cutLinks["peers"] != "":
@@ -176,7 +200,7 @@
 	return ""
 }
 
-// reaches tells whether a node and a machine have a link at all.
+// reaches reports whether a node and a machine have a link.
 func (s *Sim) reaches(n *node, m *emulator.Machine) bool {
 	if s.isolatedZone != "" && (location(n.name) == s.isolatedZone) != (m.Zone == s.isolatedZone) {
 		return false
@@ -185,6 +209,7 @@
 	return only == nil || only == n
 }
 
+// command sends direct commands to a worker.
 func (s *Sim) command(n *node, x msg.Command) {
 	m := s.env.Machines[x.Addr]
 	d := msg.CommandDone{ID: x.ID, Machine: x.Machine, Outcome: msg.Refused}
@@ -227,6 +252,7 @@
 	s.post(n, d)
 }
 
+// cloud makes a request to the cloud.
 func (s *Sim) cloud(n *node, e msg.Effect) {
 	off := s.env.CloudOff || n.cutLinks["cloud"] != ""
 	if r, ok := e.(msg.ScaleIn); ok && n.cutLinks["cloud"] == "hold" {
@@ -267,7 +293,7 @@
 	}
 }
 
-// sendHeartbeats lets the workers report, as the protocol has it.
+// sendHeartbeats sends the heartbeats of the workers that are due, as in the protocol.
 func (s *Sim) sendHeartbeats() {
 	for _, name := range s.env.Names() {
 		m := s.env.Machines[name]
@@ -275,45 +301,48 @@
 			continue
 		}
 		n := s.nodes[m.Node%len(s.nodes)]
-		r := m.Status()
+		h := m.Status()
 		m.Reported(s.now, s.env.ReportEvery)
-		s.heartbeatCopies.add(s.now, &r)
-		if again, after := s.messageFaults.copyAgain(s.env.Lease); again {
-			to := s.nodes[s.messageFaults.rnd.IntN(len(s.nodes))]
-			s.schedule(after, func() {
-				if to.alive {
-					s.deliverCopy(to, &r)
-				}
-			})
-		}
+		s.heartbeatCopies.add(s.now, &h)
+		s.scheduleCopy(&h)
 		if there, back := s.messageFaults.heartbeat(); there+back > 0 {
-			s.sendSlowHeartbeat(n, m, r, there, back)
+			s.sendSlowHeartbeat(n, m, h, there, back)
 			continue
 		}
 		var a msg.Respond
 		if n.alive && n.cutLinks["workers"] == "" && s.reaches(n, m) && !m.OutboundLost {
-			s.lastRequestID++
-			req := s.lastRequestID
-			s.post(n, msg.HeartbeatIn{RequestID: req, Heartbeat: r})
-			s.deliverAll()
-			a = n.answers[req]
-			delete(n.answers, req)
+			a, _ = s.postHeartbeat(n, &h)
 		}
 		if s.env.Machines[name] == nil {
 			continue
 		}
-		s.answerHeartbeat(n, m, &r, s.now, a)
+		s.answerHeartbeat(n, m, &h, s.now, a)
 	}
 }
 
-// answerHeartbeat has a worker take the answer to a report, or none.
-func (s *Sim) answerHeartbeat(n *node, m *emulator.Machine, r *wire.Heartbeat, sent emulator.Micros, a msg.Respond) {
+// scheduleCopy has a copy of a heartbeat arrive again at a random node, if it is to.
+func (s *Sim) scheduleCopy(h *wire.Heartbeat) {
+	arrives, after := s.messageFaults.copyAgain(s.env.Lease)
+	if !arrives {
+		return
+	}
+	to := s.nodes[s.messageFaults.rnd.IntN(len(s.nodes))]
+	s.schedule(after, func() {
+		if to.alive {
+			s.deliverCopy(to, h)
+		}
+	})
+}
+
+// answerHeartbeat delivers the answer to a heartbeat to the worker; the zero value means that it
+// timed out. The worker follows redirections and tries the next node after a failure.
+func (s *Sim) answerHeartbeat(n *node, m *emulator.Machine, h *wire.Heartbeat, sent emulator.Micros, a msg.Respond) {
 	if m.InboundLost != "" {
 		a = msg.Respond{}
 	}
 	switch body := a.Body.(type) {
 	case wire.HeartbeatResponse:
-		s.env.Answered(s.now, sent, r.Incarnation, m, body)
+		s.env.Answered(s.now, sent, h.Incarnation, m, body)
 	case wire.Redirect:
 		to := s.node(body.Node)
 		for i := range s.nodes {
--- a/internal/scenario/idle_capacity_test.go
+++ b/internal/scenario/idle_capacity_test.go
@@ -8,15 +8,15 @@
 	"coralhub/wire"
 )
 
-// waitingSince notes since when jobs wait though there is room for them. It is reckoned from the records
-// and the machines alone, with no question to any node: no node's own opinion of a machine counts.
+// waitingSince is since when jobs wait though there is free capacity for them. It is computed from
+// the stored records and the machines alone: what nodes know of machines doesn't count.
 type waitingSince map[string]emulator.Micros
 
-// maxIdleWait is how long that may last once all troubles are over.
+// maxIdleWait is how long that may last once all faults have ended.
 const maxIdleWait = 90 * emulator.Second
 
-// check looks at all jobs, and returns those that have waited too long.
-func (w waitingSince) check(s *Sim) (wrong []string) {
+// check updates all jobs and returns a problem for each that has waited too long.
+func (w waitingSince) check(s *Sim) (problems []string) {
 	open := s.recordedJobs()
 	free := s.freeGPUs(open)
 	for _, id := range s.jobIDs() {
@@ -28,46 +28,47 @@
 			w[id] = s.now
 		}
 		if s.now-w[id] > maxIdleWait {
-			wrong = append(wrong, fmt.Sprintf("idle_room %s (%s, %d tasks) waits while there is room", id, s.env.Jobs[id].Shape, s.env.Jobs[id].Tasks))
+			problems = append(problems, fmt.Sprintf("idle_room %s (%s, %d tasks) waits while there is room", id, s.env.Jobs[id].Shape, s.env.Jobs[id].Tasks))
 		}
 	}
-	return wrong
+	return problems
 }
 
-// recordedJob is what the records say of a job.
+// recordedJob is what the stored records contain of a job.
 type recordedJob struct {
 	accepted, ended bool
 	placements      []job.Placement
 }
 
-// recordedJobs reads all records as they are committed.
+// recordedJobs reads all stored records.
 func (s *Sim) recordedJobs() map[string]*recordedJob {
-	out := map[string]*recordedJob{}
+	jobs := map[string]*recordedJob{}
 	for _, it := range s.state.List(job.KeyRoot) {
 		id, n, ok := job.ParseKey(it.Key)
 		if !ok {
 			continue
 		}
-		if out[id] == nil {
-			out[id] = &recordedJob{}
+		if jobs[id] == nil {
+			jobs[id] = &recordedJob{}
 		}
-		var part job.Shard
+		var shard job.Shard
 		if n == 0 {
 			var rec job.Record
 			if job.DecodeRecord(it.Value, &rec) != nil {
 				continue
 			}
-			out[id].accepted, out[id].ended = true, rec.Final() || rec.CancelRequested
-			part = rec.Shard
-		} else if job.DecodeShard(it.Value, &part) != nil {
+			jobs[id].accepted = true
+			jobs[id].ended = rec.Final() || rec.CancelRequested
+			shard = rec.Shard
+		} else if job.DecodeShard(it.Value, &shard) != nil {
 			continue
 		}
-		out[id].placements = append(out[id].placements, part.Open...)
+		jobs[id].placements = append(jobs[id].placements, shard.Open...)
 	}
-	return out
+	return jobs
 }
 
-// freeGPUs is what each machine that is up has left beside all that is open there and all that is on it.
+// freeGPUs returns the GPUs of each machine that is up, without those of the recorded placements.
 func (s *Sim) freeGPUs(open map[string]*recordedJob) map[string]float64 {
 	free := map[string]float64{}
 	for _, name := range s.env.Names() {
@@ -85,45 +86,61 @@
 	return free
 }
 
-// couldStart tells whether more of a job could start: one task of an array or a service, all of a gang that has no
-// place. What has places already and is bound by them is left out.
-func (s *Sim) couldStart(id string, open map[string]*recordedJob, free map[string]float64) bool {
-	j, o := s.env.Jobs[id], open[id]
-	if o == nil || !o.accepted || o.ended || s.env.Done(id) {
+// couldStart reports whether more of a job could start: one task of an array or service, or all of a
+// gang without placements. Jobs whose existing placements constrain the others are left out.
+func (s *Sim) couldStart(id string, recorded map[string]*recordedJob, free map[string]float64) bool {
+	j, r := s.env.Jobs[id], recorded[id]
+	if r == nil || !r.accepted || r.ended || s.env.Done(id) {
 		return false
 	}
-	has := max(len(o.placements), len(s.env.On(id, true)))
-	if has > 0 && (j.Shape == wire.Gang || j.OneZone || j.Spread || s.env.DoneTasks(id)+has >= j.Tasks) {
+	placed := s.placedTasks(id, r)
+	constrained := j.Shape == wire.Gang || j.OneZone || j.Spread
+	if placed > 0 && (constrained || s.env.DoneTasks(id)+placed >= j.Tasks) {
 		return false
 	}
-	for _, need := range j.Needs {
-		if !s.env.Done(need) {
+	for _, dependency := range j.Needs {
+		if !s.env.Done(dependency) {
 			return false
 		}
 	}
-	used := 0.0
-	for other, oo := range open {
-		if oj := s.env.Jobs[other]; oj != nil && oj.Team == j.Team {
-			used += oj.GPUs * float64(max(len(oo.placements), len(s.env.On(other, true))))
-		}
-	}
 	tasks := 1
 	if j.Shape == wire.Gang {
 		tasks = j.Tasks
 	}
-	if used+j.GPUs*float64(tasks) > s.teamLimits[j.Team] {
+	if s.usedByTeam(j.Team, recorded)+j.GPUs*float64(tasks) > s.teamLimits[j.Team] {
 		return false
 	}
-	fits := map[string]int{} // how many tasks have room, by zone
-	for name, f := range free {
+	return s.fittingTasks(j, free) >= tasks
+}
+
+// placedTasks returns the number of a job's tasks with a placement or on a machine.
+func (s *Sim) placedTasks(id string, r *recordedJob) int {
+	return max(len(r.placements), len(s.env.On(id, true)))
+}
+
+// usedByTeam returns the GPUs of a team's placed tasks.
+func (s *Sim) usedByTeam(team string, recorded map[string]*recordedJob) float64 {
+	used := 0.0
+	for id, r := range recorded {
+		if j := s.env.Jobs[id]; j != nil && j.Team == team {
+			used += j.GPUs * float64(s.placedTasks(id, r))
+		}
+	}
+	return used
+}
+
+// fittingTasks returns how many tasks of a job the free capacity suffices for.
+func (s *Sim) fittingTasks(j *emulator.SubmittedJob, free map[string]float64) int {
+	byZone := map[string]int{}
+	for name, gpus := range free {
 		m := s.env.Machines[name]
 		if m == nil || j.Zone != "" && j.Zone != m.Zone || m.Spot && !j.Spot {
 			continue
 		}
-		fits[m.Zone] += max(0, int(f/j.GPUs))
+		byZone[m.Zone] += max(0, int(gpus/j.GPUs))
 	}
 	total := 0
-	for _, n := range fits {
+	for _, n := range byZone {
 		if j.OneZone {
 			total = max(total, n)
 			continue
@@ -133,5 +150,5 @@
 		}
 		total += n
 	}
-	return total >= tasks
+	return total
 }
--- a/internal/scenario/lossy_links_test.go
+++ b/internal/scenario/lossy_links_test.go
@@ -9,34 +9,36 @@
 	"coralhub/wire"
 )
 
-// heartbeatCopies are reports as they were sent. The network may deliver one again, seconds or some
-// leases later, to whichever node.
+// heartbeatCopies are heartbeats as they were sent. The network may deliver one again, seconds or
+// some leases later, to any node.
 type heartbeatCopies struct {
 	kept   []heartbeatCopy
-	maxAge emulator.Micros // the oldest that still comes
+	maxAge emulator.Micros // of a copy that may still arrive
 }
 
+// heartbeatCopy is a heartbeat and when it was sent.
 type heartbeatCopy struct {
 	sentAt    emulator.Micros
 	heartbeat wire.Heartbeat
 }
 
-// maxCopies bounds what is kept of a large fleet.
+// maxCopies bounds the copies of a large fleet.
 const maxCopies = 20_000
 
+// add adds a copy and drops those that are too old or too many.
 func (c *heartbeatCopies) add(now emulator.Micros, r *wire.Heartbeat) {
 	if c == nil {
 		return
 	}
-	old := 0
-	for old < len(c.kept) && now-c.kept[old].sentAt > c.maxAge {
-		old++
+	drop := 0
+	for drop < len(c.kept) && now-c.kept[drop].sentAt > c.maxAge {
+		drop++
 	}
-	old = max(old, len(c.kept)-maxCopies)
-	c.kept = append(slices.Delete(c.kept, 0, old), heartbeatCopy{now, *r})
+	drop = max(drop, len(c.kept)-maxCopies)
+	c.kept = append(slices.Delete(c.kept, 0, drop), heartbeatCopy{now, *r})
 }
 
-// deliverCopies delivers a few copies to a node. What it answers reaches nobody.
+// deliverCopies delivers random copies to a node. Its answers reach nobody.
 func (s *Sim) deliverCopies(n *node, rnd *rand.Rand, count int) {
 	for range count {
 		if len(s.heartbeatCopies.kept) == 0 || !n.alive {
@@ -46,7 +48,7 @@
 	}
 }
 
-// deliverCopiesToAll delivers a few copies to every node.
+// deliverCopiesToAll delivers random copies, each to every node.
 func (s *Sim) deliverCopiesToAll(rnd *rand.Rand, count int) {
 	for range count {
 		if len(s.heartbeatCopies.kept) == 0 {
@@ -61,23 +63,26 @@
 	}
 }
 
-// deliverCopy delivers one report once more.
-func (s *Sim) deliverCopy(n *node, r *wire.Heartbeat) msg.Respond {
+// deliverCopy delivers a heartbeat once more. The answer reaches nobody.
+func (s *Sim) deliverCopy(n *node, h *wire.Heartbeat) { _, _ = s.postHeartbeat(n, h) }
+
+// postHeartbeat delivers a heartbeat to a node, and returns its answer if there is one.
+func (s *Sim) postHeartbeat(n *node, h *wire.Heartbeat) (answer msg.Respond, ok bool) {
 	s.lastRequestID++
 	req := s.lastRequestID
-	s.post(n, msg.HeartbeatIn{RequestID: req, Heartbeat: *r})
+	s.post(n, msg.HeartbeatIn{RequestID: req, Heartbeat: *h})
 	s.deliverAll()
-	a := n.answers[req]
+	answer, ok = n.answers[req]
 	delete(n.answers, req)
-	return a
+	return answer, ok
 }
 
-// injectLinkFault is one of the later kinds of troubles.
+// injectLinkFault injects a random fault of those that TestChaosOfLinks adds.
 func (s *Sim) injectLinkFault(n *node, rnd *rand.Rand) {
 	names := s.env.Names()
 	machine := func() *emulator.Machine { return s.env.Machines[names[rnd.IntN(len(names))]] }
 	switch rnd.IntN(6) {
-	case 0: // a machine is not reached any more, or again
+	case 0: // a machine becomes unreachable, or reachable again
 		if len(names) == 0 {
 			return
 		}
@@ -88,26 +93,26 @@
 		}
 	case 1:
 		s.deliverCopies(n, rnd, 1+rnd.IntN(30))
-	case 2: // a node is back in a moment
+	case 2: // a node restarts within a second
 		n.alive = false
 		s.run(emulator.Micros(1+rnd.IntN(9)) * tick)
 		s.start(n)
 		if rnd.IntN(2) == 0 {
 			s.deliverCopies(n, rnd, 1+rnd.IntN(30))
 		}
-	case 3: // all are, each in its own time
-		for _, x := range s.nodes {
-			x.alive = false
+	case 3: // all nodes restart within seconds
+		for _, other := range s.nodes {
+			other.alive = false
 		}
 		for _, i := range rnd.Perm(len(s.nodes)) {
 			s.run(emulator.Micros(rnd.IntN(5)) * tick)
 			s.start(s.nodes[i])
 			s.deliverCopies(s.nodes[i], rnd, rnd.IntN(10))
 		}
-	case 4: // it has its workers, and nothing else
+	case 4: // a node reaches nothing but its workers
 		mode := []string{"drop", "hold"}[rnd.IntN(2)]
 		n.cutLinks["state"], n.cutLinks["peers"] = mode, mode
-	case 5: // a machine is back in a moment
+	case 5: // a machine restarts within a second
 		if len(names) > 0 {
 			s.env.Restart(s.now, emulator.Micros(1+rnd.IntN(9))*tick, machine(), false)
 		}
--- a/internal/scenario/preemption_test.go
+++ b/internal/scenario/preemption_test.go
@@ -10,35 +10,35 @@
 	"coralhub/wire"
 )
 
-// Urgent gangs come to a full cluster and its leaders die again and again while work yields to
-// them: before a decision is committed, after it, while tasks save, while machines are kept. As
-// many tasks yield as the gangs have, and none in vain.
+// Urgent gangs are submitted to a full cluster whose leaders crash repeatedly while tasks are
+// preempted for them: before a decision is committed, after it, while tasks save checkpoints,
+// while machines are reserved. As many tasks are preempted as the gangs have, and none in vain.
 func TestNobodyYieldsInVain(t *testing.T) {
-	vain := 0
+	inVain := 0
 	for seed := range uint64(60) {
-		vain += preemptedInVain(t, seed, nil)
+		inVain += preemptedInVain(t, seed, nil)
 	}
-	if vain > 0 {
-		t.Errorf("%d tasks yielded in vain", vain)
+	if inVain > 0 {
+		t.Errorf("%d tasks preempted in vain", inVain)
 	}
-	before := 0
+	uncommitted := 0
 	for seed := range uint64(60) {
-		before += preemptedInVain(t, seed, []string{"n1", "n2", "n3", "n4", "n5"})
+		uncommitted += preemptedInVain(t, seed, []string{"n1", "n2", "n3", "n4", "n5"})
 	}
-	t.Logf("%d yielded in vain while decisions aren't committed, as in the format before", before)
-	if before == 0 {
-		t.Error("none did in the format before: the leaders die where it doesn't matter")
+	t.Logf("%d preempted in vain while decisions aren't committed, as in the format before", uncommitted)
+	if uncommitted == 0 {
+		t.Error("none were in the format before: the leaders crash where it doesn't matter")
 	}
 }
 
-// preemptedInVain plays one such day and returns how many tasks yielded in vain. Nodes that are held to
-// the first format commit no decisions.
+// preemptedInVain runs one such day and returns how many tasks were preempted in vain. Nodes that
+// are held to the first format don't commit their decisions.
 func preemptedInVain(t *testing.T, seed uint64, held []string) int {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	s := newSimWithUpgrade(5, 1, 0, held)
 	s.limitsAnnounced = false
-	s.env.Lease = 12 * emulator.Second // what is lost without a leader is no yielding
+	s.env.Lease = 12 * emulator.Second // tasks that end without a leader would count as preempted
 	for _, n := range s.nodes {
 		s.start(n)
 	}
@@ -55,16 +55,16 @@
 	}
 	s.run(5 * emulator.Second)
 	var gangs []string
-	places := 0
+	gangTasks := 0
 	for i := range 1 + rnd.IntN(3) {
 		g := &emulator.SubmittedJob{Run: 900 * emulator.Second}
 		g.Job = wire.Job{ID: fmt.Sprintf("j-2%d", i), Class: "urgent", Team: "red", Shape: wire.Gang, Priority: wire.Production, Tasks: 1 + rnd.IntN(4),
 			CPUs: 16, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 900}
 		gangs = append(gangs, g.ID)
-		places += g.Tasks
+		gangTasks += g.Tasks
 		s.submit(s.nodes[rnd.IntN(5)], g)
 	}
-	// Two of the five die, so that there is always somebody to lead.
+	// Two of the five nodes crash, so that there is always a leader.
 	for range 2 {
 		if rnd.IntN(2) == 0 {
 			s.crash = crashTrigger{preemption.KeyPrefix, rnd.IntN(2) == 0}
@@ -82,15 +82,15 @@
 		}
 	}
 	for try := 0; ; try++ {
-		on := 0
+		running := 0
 		for _, id := range gangs {
-			on += len(s.env.On(id, true))
+			running += len(s.env.On(id, true))
 		}
-		if on == places {
+		if running == gangTasks {
 			break
 		}
 		if try > 600 {
-			t.Errorf("seed %d: %d of %d tasks of the gangs run after a minute\n%s", seed, on, places, s.show())
+			t.Errorf("seed %d: %d of %d tasks of the gangs run after a minute\n%s", seed, running, gangTasks, s.show())
 			break
 		}
 		s.run(tick)
--- a/internal/scenario/read_consistency_test.go
+++ b/internal/scenario/read_consistency_test.go
@@ -6,43 +6,43 @@
 	"slices"
 )
 
-// closePolling has users ask again and again within a moment after a job was accepted, ended or
-// confirmed as cancelled, at all nodes at once, and repeat its submission; some cancel it then.
-// What is on its way comes in any order meanwhile, as it does on real links.
+// closePolling has users send several requests at once to all nodes whenever a job was accepted,
+// ended or confirmed as cancelled: polls and repeated submissions, and some cancel it then.
+// Messages are delivered in any order meanwhile, as on real links.
 type closePolling struct {
 	rnd *rand.Rand
-	// cancel is the part of the jobs that are cancelled by one who looks, atEnd of those that are
-	// just as their last task ends.
+	// cancel is the fraction of jobs that are cancelled by these users, atEnd of those that are
+	// cancelled just as their last task ends.
 	cancel, atEnd float64
 	ended         map[string]bool // jobs whose last task has ended
 }
 
-// pollsEach is how often each looks.
+// pollsEach is how often each of the users polls.
 const pollsEach = 4
 
 func newClosePolling(seed uint64, cancel, atEnd float64) *closePolling {
 	return &closePolling{rnd: rand.New(rand.NewPCG(seed, 31)), cancel: cancel, atEnd: atEnd, ended: map[string]bool{}}
 }
 
-// next picks which of n messages comes next.
-func (l *closePolling) next(n int) int {
-	if l == nil {
+// next draws which of n messages in flight is delivered next; without close polling the first.
+func (c *closePolling) next(n int) int {
+	if c == nil {
 		return 0
 	}
-	return l.rnd.IntN(n)
+	return c.rnd.IntN(n)
 }
 
-// shuffled are the nodes in the order in which they get the processor.
-func (l *closePolling) shuffled(nodes []*node) []*node {
-	if l == nil {
+// shuffled returns the nodes in the order in which they run in a tick.
+func (c *closePolling) shuffled(nodes []*node) []*node {
+	if c == nil {
 		return nodes
 	}
 	out := slices.Clone(nodes)
-	l.rnd.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
+	c.rnd.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
 }
 
-// pollClosely has users ask about a job at every node, now.
+// pollClosely adds users that poll a job and repeat its submission at every node at once.
 func (s *Sim) pollClosely(id string) {
 	if s.closePolling == nil {
 		return
@@ -56,7 +56,8 @@
 	}
 }
 
-// actOnEndedJobs has users cancel jobs, ask and repeat the submission just as their last task ends.
+// actOnEndedJobs adds users that poll jobs, repeat their submission or cancel them just as their last
+// task ends.
 func (s *Sim) actOnEndedJobs() {
 	if s.closePolling == nil {
 		return
@@ -73,5 +74,5 @@
 	}
 }
 
-// jobIDs lists the jobs that users have submitted, in order.
+// jobIDs returns the ids of the submitted jobs in order.
 func (s *Sim) jobIDs() []string { return slices.Sorted(maps.Keys(s.env.Jobs)) }
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -11,14 +11,14 @@
 	"coralhub/wire"
 )
 
-// The sizes that are compared: about 36 and 400 machines.
+// fleetSizes are the sizes that are compared: about 36 and 400 machines.
 var fleetSizes = []struct {
 	name  string
 	scale int
 }{{"earlier", 6}, {"grown", 67}}
 
-// newBusySim returns a world whose machines are all in use, with jobs that wait for
-// their team's limit, and its leader and another node.
+// newBusySim returns a simulation whose machines are all in use, with jobs that wait for their
+// team's limit, and the leader and another node.
 func newBusySim(tb testing.TB, scale int) (s *Sim, leader, other *node) {
 	tb.Helper()
 	s = newSimOfScale(3, scale, 0)
@@ -47,7 +47,7 @@
 	return s, leader, other
 }
 
-// stepper hands inputs to a node at ever later times.
+// stepper returns a function that advances a node's time and runs a step of its core.
 func (s *Sim) stepper(n *node) func(emulator.Micros, msg.Input) []msg.Effect {
 	at := s.now - n.startedAt + 1
 	return func(after emulator.Micros, in msg.Input) []msg.Effect {
@@ -56,13 +56,13 @@
 	}
 }
 
-// heartbeats returns a report of a machine that repeats what it said before.
+// heartbeats returns a function that returns the same heartbeat of a machine again and again.
 func (s *Sim) heartbeats() func() msg.Input {
 	m := s.env.Machines[s.env.Names()[0]]
 	return func() msg.Input { return msg.HeartbeatIn{RequestID: 1, Heartbeat: m.Status(), Forwarded: true} }
 }
 
-// recordChanges returns a new version of the record of a job that waits.
+// recordChanges returns a function that returns ever newer versions of the record of a waiting job.
 func (s *Sim) recordChanges(tb testing.TB) func() wire.Change {
 	tb.Helper()
 	key := job.RecordKey("j-0")
@@ -77,7 +77,7 @@
 	}
 }
 
-// benchmarkSizes measures what prepare returns.
+// benchmarkSizes benchmarks what prepare returns at each size.
 func benchmarkSizes(b *testing.B, prepare func(s *Sim, leader, other *node) func()) {
 	b.Helper()
 	for _, size := range fleetSizes {
@@ -91,58 +91,61 @@
 	}
 }
 
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHeartbeat measures a heartbeat without news at the leader.
+func BenchmarkHeartbeat(b *testing.B) {
 	benchmarkSizes(b, func(s *Sim, leader, _ *node) func() {
-		step, report := s.stepper(leader), s.heartbeats()
-		return func() { step(1, report()) }
+		step, next := s.stepper(leader), s.heartbeats()
+		return func() { step(1, next()) }
 	})
 }
 
-func BenchmarkPass(b *testing.B) {
+// BenchmarkSchedulingCycle measures a scheduling cycle after a change of a record.
+func BenchmarkSchedulingCycle(b *testing.B) {
 	benchmarkSizes(b, func(s *Sim, leader, _ *node) func() {
-		step, news := s.stepper(leader), s.recordChanges(b)
-		return func() { step(100*1000, msg.PeerUpdate{Change: news()}) }
+		step, change := s.stepper(leader), s.recordChanges(b)
+		return func() { step(100*1000, msg.PeerUpdate{Change: change()}) }
 	})
 }
 
+// BenchmarkChange measures a change of a record at a node that doesn't lead.
 func BenchmarkChange(b *testing.B) {
 	benchmarkSizes(b, func(s *Sim, _, other *node) func() {
-		step, news := s.stepper(other), s.recordChanges(b)
-		return func() { step(1, msg.Changed{Events: []wire.Change{news()}}) }
+		step, change := s.stepper(other), s.recordChanges(b)
+		return func() { step(1, msg.Changed{Events: []wire.Change{change()}}) }
 	})
 }
 
-// BenchmarkTakeover reads all records, claims and reads them again.
-func BenchmarkTakeover(b *testing.B) {
+// BenchmarkFailover measures a failover: reading all records, the election, and reading them again.
+func BenchmarkFailover(b *testing.B) {
 	benchmarkSizes(b, func(s *Sim, _, other *node) func() {
-		var kept []wire.KeyValue
+		var items []wire.KeyValue
 		for _, it := range s.state.List(job.KeyRoot) {
 			if it.Key != job.KeyRoot+"leader" {
-				kept = append(kept, it)
+				items = append(items, it)
 			}
 		}
 		rev := s.state.Revision()
 		return func() {
 			c := core.New(s.config(other.name), 0)
-			c.Step(1, msg.Snapshot{Items: kept, Revision: rev})
+			c.Step(1, msg.Snapshot{Items: items, Revision: rev})
 			c.Step(emulator.Second, msg.Tick{WallClock: s.now})
-			ready := false
+			elected := false
 			for _, e := range c.Step(emulator.Second+1, msg.LeaseDone{Outcome: msg.OK, Lease: 99}) {
-				if claim, ok := e.(msg.Commit); ok {
-					c.Step(emulator.Second+2, msg.CommitDone{ID: claim.ID, Outcome: msg.OK, Revision: rev + 1})
-					c.Step(emulator.Second+3, msg.Snapshot{Items: kept, Revision: rev + 1})
-					ready = true
+				if election, ok := e.(msg.Commit); ok {
+					c.Step(emulator.Second+2, msg.CommitDone{ID: election.ID, Outcome: msg.OK, Revision: rev + 1})
+					c.Step(emulator.Second+3, msg.Snapshot{Items: items, Revision: rev + 1})
+					elected = true
 				}
 			}
-			if !ready {
-				b.Fatal("no claim was made")
+			if !elected {
+				b.Fatal("no election was held")
 			}
 		}
 	})
 }
 
-// What a report and a moment without news cost must not grow with the fleet.
-// Memory reserved is counted, for it needs no clock.
+// The cost of a heartbeat and of a step without news must not grow with the fleet. It is measured
+// by allocations, which need no clock.
 func TestWorkDoesNotGrowWithTheFleet(t *testing.T) {
 	var report, quiet [2]float64
 	for i, size := range fleetSizes {
@@ -159,16 +162,15 @@
 	}
 }
 
-// Tasks that end one by one must not cost a change of their job's record each:
-// the changes of all jobs' records go with the jobs, and the log of ended attempts
-// goes with time.
-func TestChangesGoWithJobsNotWithTasks(t *testing.T) {
+// Tasks that end one by one must not cost a change of their job's record each: the changes of
+// records grow with the number of jobs, and those of the completion log with time.
+func TestChangesGrowWithJobsNotWithTasks(t *testing.T) {
 	const jobs = 4
 	var records [2]int
 	for i, tasks := range []int{3, 30} {
 		s := newSimOfScale(3, 24, 0)
 		s.run(3 * emulator.Second)
-		began := s.now
+		start := s.now
 		for k := range jobs {
 			j := &emulator.SubmittedJob{Run: 2 * emulator.Second, Steps: emulator.Second / 2}
 			j.Job = wire.Job{ID: fmt.Sprintf("j-%d", k), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
@@ -181,7 +183,7 @@
 			}
 		}
 		s.run(5 * emulator.Second)
-		seconds := int((s.now - began) / emulator.Second)
+		seconds := int((s.now - start) / emulator.Second)
 		records[i] = len(s.state.Since(job.KeyRoot+"job/", 0))
 		if pages := len(s.state.Since(job.KeyRoot+"ended/", 0)); pages > 10*(seconds+1)+4 {
 			t.Errorf("%d changes of the log in %d s", pages, seconds)
--- /dev/null
+++ b/internal/scenario/script_args_test.go
@@ -0,0 +1,131 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/datadriven"
+
+	"coralhub/internal/emulator"
+	"coralhub/wire"
+)
+
+// nodeArg returns the node that a command names; n1 if it names none.
+func nodeArg(t *testing.T, s *Sim, d *datadriven.TestData) *node {
+	t.Helper()
+	name := "n1"
+	d.MaybeScanArgs(t, "node", &name)
+	known := slices.Contains([]string{"leader", "old", "heir", "other", "others", "all"}, name) ||
+		slices.ContainsFunc(s.nodes, func(n *node) bool { return n.name == name })
+	if !known {
+		t.Fatalf("%s: there is no node %q", d.Pos, name)
+	}
+	return s.resolveNode(name)
+}
+
+// resolveNode returns the node of a name or a role.
+func (s *Sim) resolveNode(name string) *node {
+	switch name {
+	case "leader":
+		name = s.leader()
+	case "old":
+		if s.deposedLeader != nil {
+			name = s.deposedLeader.name
+		}
+	case "heir":
+		if name = s.leader(); s.deposedLeader != nil && name == s.deposedLeader.name {
+			name = "none"
+		}
+	case "other":
+		for _, n := range s.nodes {
+			if n.name != s.leader() && n.alive {
+				name = n.name
+			}
+		}
+	}
+	return s.node(name)
+}
+
+// durationArg returns a duration that a command names, or the default.
+func durationArg(t *testing.T, d *datadriven.TestData, key, def string) emulator.Micros {
+	t.Helper()
+	d.MaybeScanArgs(t, key, &def)
+	x, err := time.ParseDuration(def)
+	if err != nil {
+		t.Fatalf("%s: %v", d.Pos, err)
+	}
+	if x < 0 {
+		t.Fatalf("%s: %s=%s is negative", d.Pos, key, def)
+	}
+	return x.Microseconds()
+}
+
+// fractionArg returns a fraction from 0 to 1 that a command names; 0 if it doesn't.
+func fractionArg(t *testing.T, d *datadriven.TestData, name string) float64 {
+	t.Helper()
+	text := "0"
+	d.MaybeScanArgs(t, name, &text)
+	part, err := strconv.ParseFloat(text, 64)
+	if err != nil || part < 0 || part > 1 {
+		t.Fatalf("%s: %s=%s is not a part from 0 to 1", d.Pos, name, text)
+	}
+	return part
+}
+
+// nodeNamed reports whether the node argument of a command is the given name.
+func nodeNamed(t *testing.T, d *datadriven.TestData, name string) bool {
+	t.Helper()
+	named := ""
+	return d.MaybeScanArgs(t, "node", &named) && named == name
+}
+
+// priorities are the usual names of priorities; scripts may use those of the protocol as well.
+var priorities = map[string]string{"production": wire.Production, "normal": wire.Normal, "low": wire.Low}
+
+// jobArg returns the job that a submission describes.
+func jobArg(t *testing.T, d *datadriven.TestData, id string) *emulator.SubmittedJob {
+	t.Helper()
+	shape, team, rank := wire.Array, "red", wire.Normal
+	tasks, gpus, save := 1, 1, 0
+	d.MaybeScanArgs(t, "shape", &shape)
+	switch shape {
+	case "array":
+		shape = wire.Array
+	case "gang":
+		shape = wire.Gang
+	}
+	d.MaybeScanArgs(t, "team", &team)
+	if d.MaybeScanArgs(t, "rank", &rank); priorities[rank] != "" {
+		rank = priorities[rank]
+	}
+	d.MaybeScanArgs(t, "tasks", &tasks)
+	d.MaybeScanArgs(t, "gpus", &gpus)
+	d.MaybeScanArgs(t, "save", &save)
+	zone, needs, cpus := "", "", 1
+	d.MaybeScanArgs(t, "zone", &zone)
+	d.MaybeScanArgs(t, "needs", &needs)
+	d.MaybeScanArgs(t, "cpus", &cpus)
+	j := &emulator.SubmittedJob{Run: durationArg(t, d, "run", "3s"), Steps: durationArg(t, d, "steps", "0s"), Mistaken: d.HasArg("mistaken")}
+	j.Job = wire.Job{ID: id, Class: "c", Team: team, Shape: shape, Priority: rank, Tasks: tasks, CPUs: float64(cpus), GPUs: float64(gpus),
+		MemoryGB: 1, Image: "i", ImageGB: 1, Zone: zone, OneZone: d.HasArg("one_zone"), Spread: d.HasArg("spread"),
+		Spot: d.HasArg("spot"), EstimateS: float64(j.Run) / 1e6, SaveS: float64(save), CheckpointS: float64(save)}
+	if d.HasArg("wordy") { // the longest strings that are allowed
+		j.Class = strings.Repeat("c", 128)
+		j.Types = []string{"t4"}
+		for i := range 15 {
+			j.Types = append(j.Types, fmt.Sprintf("%0128d", i))
+		}
+	}
+	if d.HasArg("due") {
+		due := float64(durationArg(t, d, "due", "1s")) / 1e6
+		j.DeadlineS = &due
+	}
+	if needs != "" {
+		j.Needs = strings.Split(needs, "+")
+	}
+	return j
+}
--- a/internal/scenario/submissions_test.go
+++ b/internal/scenario/submissions_test.go
@@ -11,41 +11,42 @@
 	"coralhub/wire"
 )
 
-// validSubmission is a submission that may run, by the wire's names.
+// validSubmission returns the fields of a submission that may run.
 func validSubmission(id string) map[string]any {
 	return map[string]any{"ref": id, "docket": "c", "desk": "red", "shape": wire.Array, "rank": wire.Normal, "lots": 2, "cores": 1.0, "gpus": 1.0,
 		"ram_gb": 1.0, "build": "i", "pull_gb": 1.0, "rigs": []string{"t4"}, "yard": "a", "one_zone": false, "spread": false, "loaners": true,
 		"expect_s": 3.0, "bookmark_s": 0.0, "stash_s": 0.0, "due_s": 60.0}
 }
 
-// changedSubmission is a sound submission with some fields changed; absent ones are taken out.
+// changedSubmission returns a valid submission with some fields changed, or removed if absent.
 func changedSubmission(id string, change map[string]any) map[string]any {
 	m := validSubmission(id)
 	for name, v := range change {
-		if m[name] = v; v == absent {
+		m[name] = v
+		if v == absent {
 			delete(m, name)
 		}
 	}
 	return m
 }
 
-// absent stands for a field that isn't there.
+// absent is the value of a field that is to be removed.
 const absent = "\x00absent"
 
-// invalidSubmissions are submissions that lack a field, hold a bad one or can never run, by the
-// protocol's list of fields and statuses; the name is what the answer has to mention.
-func invalidSubmissions() map[string]struct {
+// invalidSubmission is a change that makes a valid submission invalid, and the expected answer.
+type invalidSubmission struct {
 	change map[string]any
 	status int
-	says   string
-} {
-	type bad = struct {
-		change map[string]any
-		status int
-		says   string
+	says   string // part of the error
+}
+
+// invalidSubmissions returns submissions by name that lack a field, have an invalid one or can
+// never run, by the protocol's list of fields and statuses.
+func invalidSubmissions() map[string]invalidSubmission {
+	one := func(status int, says, name string, v any) invalidSubmission {
+		return invalidSubmission{map[string]any{name: v}, status, says}
 	}
-	one := func(status int, says, name string, v any) bad { return bad{map[string]any{name: v}, status, says} }
-	out := map[string]bad{
+	submissions := map[string]invalidSubmission{
 		"no such shape":                 one(400, "shape", "shape", "heap"),
 		"no such rank":                  one(400, "rank", "rank", "urgent"),
 		"no tasks":                      one(400, "lots", "lots", 0),
@@ -73,20 +74,20 @@
 		"spread gang in one zone":       {map[string]any{"shape": wire.Gang, "spread": true, "yard": nil, "one_zone": true}, 422, "zone"},
 		"spread gang, types of a zone":  {map[string]any{"shape": wire.Gang, "spread": true, "yard": nil, "rigs": []string{"only-b"}}, 422, "zone"},
 	}
-	for name, of := range map[string]any{"ref": 7, "docket": 7, "desk": 7, "shape": 7, "rank": 7, "lots": "2", "cores": "1", "gpus": "1", "ram_gb": "1",
+	for name, otherType := range map[string]any{"ref": 7, "docket": 7, "desk": 7, "shape": 7, "rank": 7, "lots": "2", "cores": "1", "gpus": "1", "ram_gb": "1",
 		"build": 7, "pull_gb": "1", "one_zone": 1, "spread": "no", "loaners": "yes", "expect_s": "3", "bookmark_s": "0", "stash_s": true} {
 		says := name
 		if name == "ref" {
 			says = ""
 		}
-		out[name+" absent"] = one(400, says, name, absent)
-		out[name+" null"] = one(400, says, name, nil)
-		out[name+" of another kind"] = one(400, says, name, of)
+		submissions[name+" absent"] = one(400, says, name, absent)
+		submissions[name+" null"] = one(400, says, name, nil)
+		submissions[name+" of another kind"] = one(400, says, name, otherType)
 	}
-	return out
+	return submissions
 }
 
-// newTwoTypeSim is a world with a second machine type, which one zone alone has.
+// newTwoTypeSim returns a simulation with a second machine type that only one zone has.
 func newTwoTypeSim() *Sim {
 	s := newSim(3)
 	s.env.Types = append(s.env.Types, wire.MachineType{Name: "only-b", CPUs: 32, GPUs: 16, MemoryGB: 64, CacheGB: 100, FetchGBs: 1,
@@ -95,6 +96,7 @@
 	return s
 }
 
+// submitRaw submits the fields of a job to a node.
 func (s *Sim) submitRaw(t *testing.T, n *node, m map[string]any) msg.Respond {
 	t.Helper()
 	raw, err := wire.Marshal(m)
@@ -104,12 +106,13 @@
 	return s.request(n, func(req uint64) msg.Input { return msg.SubmitIn{RequestID: req, WallClock: s.now, Body: raw} })
 }
 
-// A submission that can't run or lacks a field gets its status and one clear line, at every node, and leaves
-// nothing behind; the same as a repetition of one that was accepted gets 200, whatever it holds.
+// A submission that can't run or lacks a field gets its status and an error of one line, at every
+// node, and nothing is stored. The same submission with the id of an accepted job gets 200, whatever
+// else it contains.
 func TestSubmissionsThatCantRun(t *testing.T) {
 	s := newTwoTypeSim()
 	if a := s.submitRaw(t, s.nodes[0], validSubmission("j-1")); a.Status != 201 {
-		t.Fatalf("the sound one: %s", formatResponse(a))
+		t.Fatalf("the valid one: %s", formatResponse(a))
 	}
 	s.env.Jobs["j-1"] = &emulator.SubmittedJob{Job: wire.Job{ID: "j-1", Team: "red", Shape: wire.Array, Tasks: 2, GPUs: 1, Zone: "a", Spot: true}, Run: 200 * emulator.Second}
 	before := len(s.state.List(job.KeyRoot + "job/"))
@@ -123,7 +126,7 @@
 				t.Errorf("%s at %s: %d %q, want %d about %q", name, n.name, a.Status, e.Error, bad.status, bad.says)
 			}
 			if _, named := bad.change["ref"]; named {
-				continue // it is no repetition of anything
+				continue // it has no id of an accepted job
 			}
 			if a := s.submitRaw(t, n, changedSubmission("j-1", bad.change)); a.Status != 200 {
 				t.Errorf("%s as a repetition at %s: %s", name, n.name, formatResponse(a))
@@ -135,7 +138,7 @@
 	}
 }
 
-// What the protocol lets a submission leave out or hold may be left out or held.
+// Submissions are accepted without the optional fields, and with all values that the protocol allows.
 func TestSubmissionsThatMayRun(t *testing.T) {
 	s := newTwoTypeSim()
 	for name, change := range map[string]map[string]any{
