--- a/cmd/coralhub/scale.go
+++ b/cmd/coralhub/scale.go
@@ -83,7 +83,7 @@
 	out, began := cmd.OutOrStdout(), time.Now()
 	opt := scale.Options{Program: program, ServeArgs: []string{"serve", "--with-parent"}, HollowArgs: []string{hollowCommandName}, Dir: folder, Log: level}
 	if !asJSON {
-		opt.Say = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(began).Seconds(), line) }
+		opt.Progress = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(began).Seconds(), line) }
 	}
 	res, err := scale.Run(ctx, s, opt)
 	if err != nil {
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -19,26 +19,26 @@
 	"coralhub/wire"
 )
 
-// Host is a process's workers.
+// Host hosts the workers of a process.
 type Host struct {
-	config      Config
-	reportEvery time.Duration
-	lease       time.Duration
-	gangWait    time.Duration
-	gangPeer    time.Duration
-	meter       meter
+	config            Config
+	heartbeatInterval time.Duration
+	lease             time.Duration
+	gangWait          time.Duration
+	gangPeer          time.Duration
+	meter             meter
 
 	outMu sync.Mutex
 	out   *json.Encoder
 
-	mu      sync.Mutex
-	started int // workers, those that are gone too
-	workers map[string]*worker
-	jobs    map[string]*Job
+	mu             sync.Mutex
+	workersStarted int // workers that were ever started
+	workers        map[string]*worker
+	jobs           map[string]*Job
 }
 
-// Run hosts workers until its input ends or ctx does. Input and output are lines of JSON: a
-// Config and then Commands come in, Events go out. The error says which line was wrong.
+// Run hosts workers until its input or ctx ends. Input and output are lines of JSON: a Config and
+// then Commands are read, Events are written. The error says which line was invalid.
 func Run(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -50,8 +50,7 @@
 	if len(config.Nodes) == 0 || config.ReportS <= 0 || config.LeaseS <= 0 {
 		return errors.New("hollow workers: a configuration needs nodes, report_s and lease_s")
 	}
-	h := &Host{config: config, reportEvery: seconds(config.ReportS), lease: seconds(config.LeaseS), gangWait: seconds(config.GangWaitS),
-		gangPeer: seconds(config.GangPeerS), out: json.NewEncoder(out), workers: map[string]*worker{}, jobs: map[string]*Job{}}
+	h := newHost(config, out)
 	for {
 		var c Command
 		err := lines.Decode(&c)
@@ -61,15 +60,28 @@
 		if err != nil {
 			return fmt.Errorf("hollow workers: %w", err)
 		}
-		h.do(ctx, &c)
+		h.handle(ctx, &c)
 	}
 }
 
-// do carries out a command.
-func (h *Host) do(ctx context.Context, c *Command) {
+func newHost(config Config, out io.Writer) *Host {
+	return &Host{
+		config:            config,
+		heartbeatInterval: seconds(config.ReportS),
+		lease:             seconds(config.LeaseS),
+		gangWait:          seconds(config.GangWaitS),
+		gangPeer:          seconds(config.GangPeerS),
+		out:               json.NewEncoder(out),
+		workers:           map[string]*worker{},
+		jobs:              map[string]*Job{},
+	}
+}
+
+// handle executes a command.
+func (h *Host) handle(ctx context.Context, c *Command) {
 	switch {
 	case c.Start != nil:
-		h.up(ctx, *c.Start)
+		h.startMachine(ctx, *c.Start)
 	case c.Remove != "":
 		if w := h.worker(c.Remove); w != nil {
 			w.remove()
@@ -86,38 +98,40 @@
 		h.jobs[c.Job.ID] = c.Job
 		h.mu.Unlock()
 	case c.Run != nil:
-		h.each(func(w *worker) { w.run(c.Run) })
+		h.forEachWorker(func(w *worker) { w.runGang(c.Run) })
 	case c.Break != nil:
-		h.each(func(w *worker) { w.breakUp(c.Break) })
+		h.forEachWorker(func(w *worker) { w.breakGang(c.Break) })
 	case c.Usage:
 		usage := h.meter.usage()
 		h.mu.Lock()
 		usage.Workers = len(h.workers)
 		h.mu.Unlock()
-		h.tell(Event{Usage: &usage})
+		h.emit(Event{Usage: &usage})
 	}
 }
 
-// up starts a machine's worker and tells its address.
-func (h *Host) up(ctx context.Context, m Machine) {
-	w, err := h.start(ctx, m)
+// startMachine starts a machine's worker and emits its address.
+func (h *Host) startMachine(ctx context.Context, m Machine) {
+	w, err := h.startWorker(ctx, m)
 	if err != nil {
-		h.tell(Event{Up: &Up{Machine: m.Name, Why: err.Error()}})
+		h.emit(Event{Up: &Up{Machine: m.Name, Why: err.Error()}})
 		return
 	}
 	h.mu.Lock()
 	h.workers[m.Name] = w
 	h.mu.Unlock()
-	h.tell(Event{Up: &Up{Machine: m.Name, Address: w.address}})
+	h.emit(Event{Up: &Up{Machine: m.Name, Address: w.address}})
 }
 
+// worker returns the worker of a machine, or nil.
 func (h *Host) worker(name string) *worker {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.workers[name]
 }
 
-func (h *Host) each(f func(*worker)) {
+// forEachWorker calls f with each worker, without holding the lock.
+func (h *Host) forEachWorker(f func(*worker)) {
 	h.mu.Lock()
 	all := make([]*worker, 0, len(h.workers))
 	for _, w := range h.workers {
@@ -129,59 +143,63 @@
 	}
 }
 
+// job returns a job, or nil if it is unknown.
 func (h *Host) job(id string) *Job {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.jobs[id]
 }
 
-// tell writes an event. One that can't be written is lost with whoever read them.
-func (h *Host) tell(e Event) {
+// emit writes an event. An event that can't be written is dropped: its reader is gone.
+func (h *Host) emit(e Event) {
 	h.outMu.Lock()
 	defer h.outMu.Unlock()
 	e.At = time.Now().UnixMicro()
 	_ = h.out.Encode(&e)
 }
 
-// nextAddress is where the next worker listens: any port of a loopback address of its own.
+// nextAddress returns the address that the next worker listens on: any port of a loopback address of
+// its own.
 func (h *Host) nextAddress() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.started++
-	const part = 254 // the parts of an address go from 1 to 254
-	return fmt.Sprintf("127.%d.%d.%d:0", h.config.Network, h.started/part%part+1, h.started%part+1)
+	h.workersStarted++
+	const hosts = 254 // the numbers of an address go from 1 to 254
+	return fmt.Sprintf("127.%d.%d.%d:0", h.config.Network, h.workersStarted/hosts%hosts+1, h.workersStarted%hosts+1)
 }
 
-// pickNode is the node that a machine's worker reports to first.
+// pickNode returns the index of the node that gets a machine's first heartbeat.
 func (h *Host) pickNode(machine string) int {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(machine))
 	return int(sum.Sum32() % uint32(len(h.config.Nodes)))
 }
 
-// nodeNamed is a node's place in the configuration; -1 if there is none.
+// nodeNamed returns a node's index in the configuration; -1 if there is none.
 func (h *Host) nodeNamed(name string) int {
 	return slices.IndexFunc(h.config.Nodes, func(n Node) bool { return n.Name == name })
 }
 
-// random is a number from 0 to 1.
+// random returns a random number from 0 to 1.
 func (h *Host) random() float64 { return rand.Float64() }
 
-// nextReport is how long until a report is due by time: the set time, give or take a quarter.
-func (h *Host) nextReport() time.Duration {
-	return time.Duration((0.75 + 0.5*h.random()) * float64(h.reportEvery))
+// nextHeartbeat returns the time until the next heartbeat: the interval, plus or minus up to a quarter.
+func (h *Host) nextHeartbeat() time.Duration {
+	return time.Duration((0.75 + 0.5*h.random()) * float64(h.heartbeatInterval))
 }
 
-// sleep waits; false if ctx ends first.
+// sleep waits for d. It returns false if ctx ends first.
 func (h *Host) sleep(ctx context.Context, d time.Duration) bool {
 	return d <= 0 && ctx.Err() == nil || wait.For(ctx, d)
 }
 
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// post sends a report to a node; a status of 0: there was no answer.
-func (w *worker) post(ctx context.Context, node int, report *wire.Heartbeat) (int, []byte) {
-	raw, err := wire.Marshal(report)
+// postHeartbeat sends a heartbeat to a node and returns the status and body of the response; 0 if
+// there was none.
+func (w *worker) postHeartbeat(ctx context.Context, node int, heartbeat *wire.Heartbeat) (int, []byte) {
+	raw, err := wire.Marshal(heartbeat)
 	if err != nil {
 		return 0, nil
 	}
@@ -202,11 +220,13 @@
 	return res.StatusCode, body
 }
 
+// decode decodes the body of a request. It reports whether that is valid.
 func decode(r *http.Request, v any) bool {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody))
 	return err == nil && wire.Unmarshal(raw, v) == nil
 }
 
+// respond writes a response.
 func respond(out http.ResponseWriter, status int, body any) {
 	raw, err := wire.Marshal(body)
 	if err != nil {
--- a/internal/hollow/meter.go
+++ b/internal/hollow/meter.go
@@ -7,20 +7,22 @@
 	"time"
 )
 
-// dialTimeout is how long a worker waits for a connection.
+// dialTimeout is the timeout of a worker's connection attempt.
 const dialTimeout = time.Second
 
 // meter counts what the workers of a process send and receive.
 type meter struct {
-	in, out                              atomic.Int64 // bytes
-	reports, answered, commands, expired atomic.Int64
+	in, out                                 atomic.Int64 // bytes
+	heartbeats, answered, commands, expired atomic.Int64
 }
 
+// usage returns the counts.
 func (m *meter) usage() Usage {
-	return Usage{BytesIn: m.in.Load(), BytesOut: m.out.Load(), Reports: m.reports.Load(), Answered: m.answered.Load(),
+	return Usage{BytesIn: m.in.Load(), BytesOut: m.out.Load(), Reports: m.heartbeats.Load(), Answered: m.answered.Load(),
 		Commands: m.commands.Load(), LeasesExpired: m.expired.Load()}
 }
 
+// dial opens a counted connection.
 func (m *meter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -30,12 +32,13 @@
 	return &countingConn{conn, m}, nil
 }
 
-// countingListener counts what comes and goes by the connections that it accepts.
+// countingListener counts the bytes of the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	meter *meter
 }
 
+// Accept is part of net.Listener.
 func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -44,17 +47,20 @@
 	return &countingConn{conn, l.meter}, nil
 }
 
+// countingConn counts the bytes of a connection.
 type countingConn struct {
 	net.Conn
 	meter *meter
 }
 
+// Read is part of net.Conn.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.meter.in.Add(int64(n))
 	return n, err
 }
 
+// Write is part of net.Conn.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.meter.out.Add(int64(n))
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -11,88 +11,104 @@
 )
 
 const (
-	// leastReportGap is the least time between two reports.
-	leastReportGap = 500 * time.Millisecond
-	// reportTimeout is how long a worker waits for the answer to a report.
-	reportTimeout = 4 * time.Second
-	// nextNodePause is how long it waits before it tries the next node.
+	// minHeartbeatGap is the least time between two heartbeats.
+	minHeartbeatGap = 500 * time.Millisecond
+	// heartbeatTimeout is the timeout of a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// nextNodePause is the pause before a worker tries the next node.
 	nextNodePause = time.Second
-	// redirectPause is the longest that it waits before it follows a redirection.
-	redirectPause = 500 * time.Millisecond
+	// maxRedirectPause bounds the pause before a worker follows a redirection.
+	maxRedirectPause = 500 * time.Millisecond
 )
 
-// worker is one machine's.
+// worker is the worker of one machine.
 type worker struct {
-	host     *Host
-	machine  Machine
-	address  string
-	listener net.Listener
-	client   *http.Client
-	stop     context.CancelFunc
-	news     chan struct{} // something has changed that a report should tell
-
-	mu          sync.Mutex
-	session     uint64
-	seq         uint64
-	token       uint64
-	tokenToldAt time.Time // when a higher token last counted as news
-	renewedAt   time.Time // when the last answered report was sent, or the session began
-	away        bool      // the machine restarts
-	removed     bool
-	tasks       []*task
-	node        int // which it reports to
+	host         *Host
+	machine      Machine
+	address      string
+	listener     net.Listener
+	client       *http.Client
+	stop         context.CancelFunc
+	heartbeatDue chan struct{} // receives when something has changed that a heartbeat should report
+
+	mu              sync.Mutex
+	incarnation     uint64
+	sequence        uint64
+	token           uint64
+	tokenReportedAt time.Time // when a higher token was last reported at once
+	renewedAt       time.Time // when the last answered heartbeat was sent, or the incarnation started
+	restarting      bool
+	removed         bool
+	tasks           []*task
+	node            int // index of the node that heartbeats go to
 }
 
 // task is a task on a machine.
 type task struct {
 	wire.TaskStatus
-	job    *Job // nil: not known
+	job    *Job // nil: unknown
 	number int
-	timer  *time.Timer // of what comes next; nil: nothing does by time
+	timer  *time.Timer // of its next change of state; may be nil
 }
 
-// start begins to listen and to report.
-func (h *Host) start(ctx context.Context, m Machine) (*worker, error) {
+// startWorker starts a worker, which listens and sends heartbeats until ctx ends.
+func (h *Host) startWorker(ctx context.Context, m Machine) (*worker, error) {
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", h.nextAddress())
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	w := &worker{host: h, machine: m, address: listener.Addr().String(), listener: &countingListener{listener, &h.meter}, stop: stop,
-		news: make(chan struct{}, 1), session: 1, renewedAt: time.Now(), node: h.pickNode(m.Name)}
-	w.client = &http.Client{Timeout: reportTimeout, Transport: &http.Transport{
-		DialContext: h.meter.dial, MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1, DisableCompression: true},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	w := &worker{
+		host:         h,
+		machine:      m,
+		address:      listener.Addr().String(),
+		listener:     &countingListener{listener, &h.meter},
+		stop:         stop,
+		heartbeatDue: make(chan struct{}, 1),
+		incarnation:  1,
+		renewedAt:    time.Now(),
+		node:         h.pickNode(m.Name),
+	}
+	w.client = &http.Client{
+		Timeout: heartbeatTimeout,
+		Transport: &http.Transport{
+			DialContext:         h.meter.dial,
+			MaxConnsPerHost:     1,
+			MaxIdleConnsPerHost: 1,
+			DisableCompression:  true,
+		},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
 	server := &http.Server{Handler: w, ReadHeaderTimeout: 10 * time.Second}
 	go func() { _ = server.Serve(w.listener) }() // ends when it is closed
 	context.AfterFunc(ctx, func() {
 		_ = server.Close()
 		w.client.CloseIdleConnections()
 	})
-	go w.report(ctx)
+	go w.sendHeartbeats(ctx)
 	go w.watchLease(ctx)
 	return w, nil
 }
 
-// report sends reports until ctx ends.
-func (w *worker) report(ctx context.Context) {
-	timer := time.NewTimer(time.Duration(w.host.random() * float64(w.host.reportEvery)))
+// sendHeartbeats sends heartbeats until ctx ends.
+func (w *worker) sendHeartbeats(ctx context.Context) {
+	timer := time.NewTimer(time.Duration(w.host.random() * float64(w.host.heartbeatInterval)))
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-w.news:
+		case <-w.heartbeatDue:
 		}
 		sentAt := time.Now()
-		pause := w.exchange(ctx)
+		pause := w.sendHeartbeat(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if pause == 0 { // the next is due by time, or by news, though not too soon
-			timer.Reset(w.host.nextReport())
-			pause = leastReportGap - time.Since(sentAt)
+		if pause == 0 { // the next is due by time or by a change, though not too soon
+			timer.Reset(w.host.nextHeartbeat())
+			pause = minHeartbeatGap - time.Since(sentAt)
 		} else {
 			timer.Reset(pause)
 		}
@@ -102,33 +118,33 @@
 	}
 }
 
-// exchange sends a report and does what the answer says. It returns how long to wait before
-// the next attempt: 0 if the report was answered.
-func (w *worker) exchange(ctx context.Context) time.Duration {
+// sendHeartbeat sends a heartbeat and applies the response. It returns the pause before the next
+// attempt, or 0 if the heartbeat was answered.
+func (w *worker) sendHeartbeat(ctx context.Context) time.Duration {
 	w.mu.Lock()
-	if w.away {
+	if w.restarting {
 		w.mu.Unlock()
-		return leastReportGap
+		return minHeartbeatGap
 	}
-	report, node := w.status(), w.node
+	heartbeat, node := w.heartbeat(), w.node
 	w.mu.Unlock()
 	sentAt := time.Now()
-	w.host.meter.reports.Add(1)
-	status, body := w.post(ctx, node, &report)
+	w.host.meter.heartbeats.Add(1)
+	status, body := w.postHeartbeat(ctx, node, &heartbeat)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var answer wire.HeartbeatResponse
+	var response wire.HeartbeatResponse
 	var redirect wire.Redirect
 	switch {
-	case status == http.StatusOK && wire.Unmarshal(body, &answer) == nil:
+	case status == http.StatusOK && wire.Unmarshal(body, &response) == nil:
 		w.host.meter.answered.Add(1)
-		w.answered(&answer, report.Incarnation, sentAt)
+		w.applyResponse(&response, heartbeat.Incarnation, sentAt)
 		return 0
 	case status == http.StatusMisdirectedRequest && wire.Unmarshal(body, &redirect) == nil:
 		if to := w.host.nodeNamed(redirect.Node); to >= 0 && to != node {
 			w.client.CloseIdleConnections()
 			w.node = to
-			return time.Duration(1 + w.host.random()*float64(redirectPause))
+			return time.Duration(1 + w.host.random()*float64(maxRedirectPause))
 		}
 	}
 	w.client.CloseIdleConnections()
@@ -136,100 +152,118 @@
 	return nextNodePause
 }
 
-// answered takes a 200 to a report. The lock is held.
-func (w *worker) answered(a *wire.HeartbeatResponse, session uint64, sentAt time.Time) {
-	if a.FencingToken < w.token || session != w.session || w.away || time.Since(sentAt) > reportTimeout {
-		return // dropped: neither carried out nor a renewal
+// applyResponse applies the response to a heartbeat: it renews the lease and executes commands. A
+// response that is late, of an earlier incarnation or of a deposed leader is dropped. The lock is
+// held.
+func (w *worker) applyResponse(r *wire.HeartbeatResponse, incarnation uint64, sentAt time.Time) {
+	deposed := r.FencingToken < w.token
+	outdated := incarnation != w.incarnation || w.restarting
+	late := time.Since(sentAt) > heartbeatTimeout
+	if deposed || outdated || late {
+		return
 	}
-	w.raise(a.FencingToken)
+	w.observeToken(r.FencingToken)
 	w.renewedAt = sentAt
-	w.carryOut(a.Commands)
+	w.executeCommands(r.Commands)
 }
 
-// raise notes a token. One that is higher is news, not too often. The lock is held.
-func (w *worker) raise(token uint64) {
+// observeToken keeps the highest fencing token. A higher one is reported at once, but not too often.
+// The lock is held.
+func (w *worker) observeToken(token uint64) {
 	if token <= w.token {
 		return
 	}
 	w.token = token
-	if time.Since(w.tokenToldAt) > w.host.lease/2 {
-		w.tokenToldAt = time.Now()
-		w.changed()
+	if time.Since(w.tokenReportedAt) > w.host.lease/2 {
+		w.tokenReportedAt = time.Now()
+		w.requestHeartbeat()
 	}
 }
 
-// changed has a report go out soon.
-func (w *worker) changed() {
+// requestHeartbeat has a heartbeat sent soon.
+func (w *worker) requestHeartbeat() {
 	select {
-	case w.news <- struct{}{}:
+	case w.heartbeatDue <- struct{}{}:
 	default:
 	}
 }
 
-// status is the worker's next report. The lock is held.
-func (w *worker) status() wire.Heartbeat {
-	w.seq++
-	r := wire.Heartbeat{Machine: w.machine.Name, Addr: w.address, Type: w.machine.Type, Zone: w.machine.Zone, Spot: w.machine.Spot,
-		Incarnation: w.session, Sequence: w.seq, FencingToken: w.token, Tasks: make([]wire.TaskStatus, 0, len(w.tasks))}
+// heartbeat returns the next heartbeat. The lock is held.
+func (w *worker) heartbeat() wire.Heartbeat {
+	w.sequence++
+	h := wire.Heartbeat{
+		Machine:      w.machine.Name,
+		Addr:         w.address,
+		Type:         w.machine.Type,
+		Zone:         w.machine.Zone,
+		Spot:         w.machine.Spot,
+		Incarnation:  w.incarnation,
+		Sequence:     w.sequence,
+		FencingToken: w.token,
+		Tasks:        make([]wire.TaskStatus, 0, len(w.tasks)),
+	}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, t.TaskStatus)
+		h.Tasks = append(h.Tasks, t.TaskStatus)
 	}
-	return r
+	return h
 }
 
-// watchLease ends the session when no report was answered for a lease.
+// watchLease starts a new incarnation when the lease has expired: no heartbeat was answered for its
+// length.
 func (w *worker) watchLease(ctx context.Context) {
 	for {
 		w.mu.Lock()
-		left := w.host.lease - time.Since(w.renewedAt)
-		if left <= 0 && !w.away {
+		remaining := w.host.lease - time.Since(w.renewedAt)
+		if remaining <= 0 && !w.restarting {
 			w.host.meter.expired.Add(1)
-			w.newSession()
-			left = w.host.lease
+			w.startIncarnation()
+			remaining = w.host.lease
 		}
 		w.mu.Unlock()
-		if !w.host.sleep(ctx, max(left, leastReportGap)) {
+		if !w.host.sleep(ctx, max(remaining, minHeartbeatGap)) {
 			return
 		}
 	}
 }
 
-// newSession kills and forgets all tasks. The lock is held.
-func (w *worker) newSession() {
+// startIncarnation kills and forgets all tasks and starts the next incarnation. The lock is held.
+func (w *worker) startIncarnation() {
 	for _, t := range w.tasks {
-		w.leave(t)
+		w.removeTask(t)
 	}
 	w.tasks = nil
-	w.session++
+	w.incarnation++
 	w.renewedAt = time.Now()
-	w.changed()
+	w.requestHeartbeat()
 }
 
-// restart loses what is on the machine, which is away for a while and goes on with the next session.
-func (w *worker) restart(ctx context.Context, away time.Duration) {
+// restart kills all tasks. The machine is down for a while and continues with the next incarnation.
+func (w *worker) restart(ctx context.Context, downtime time.Duration) {
 	w.mu.Lock()
-	w.newSession()
-	w.away = true
+	w.startIncarnation()
+	w.restarting = true
 	w.mu.Unlock()
 	w.client.CloseIdleConnections()
 	go func() {
-		if !w.host.sleep(ctx, away) {
+		if !w.host.sleep(ctx, downtime) {
 			return
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.away, w.renewedAt = false, time.Now()
-		w.changed()
+		w.restarting = false
+		w.renewedAt = time.Now()
+		w.requestHeartbeat()
 	}()
 }
 
-// remove ends the machine with all that is on it.
+// remove removes the machine with all its tasks.
 func (w *worker) remove() {
 	w.stop()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, t := range w.tasks {
-		w.leave(t)
+		w.removeTask(t)
 	}
-	w.tasks, w.removed = nil, true
+	w.tasks = nil
+	w.removed = true
 }
--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -23,12 +23,12 @@
 	name, zone, listen, peerListen string
 }
 
-// operators are the operators' own settings of the controllers: what is measured is read from
+// controllerSettings are the operators' own settings of the controllers: what is measured is read from
 // their metrics, and an idle machine is kept, since the fleet is to stay as large as it is.
-const operators = `{"metrics": true, "idle_return_s": 3600}`
+const controllerSettings = `{"metrics": true, "idle_return_s": 3600}`
 
-// readyWithin is how long controllers may take until all serve.
-const readyWithin = 60 * time.Second
+// readyTimeout is how long controllers may take until all serve.
+const readyTimeout = 60 * time.Second
 
 // startControllers starts a region's controllers, spread over its zones, and waits until they serve.
 func (r *region) startControllers(ctx context.Context) error {
@@ -36,7 +36,7 @@
 		return err
 	}
 	settings := filepath.Join(r.dir, "operators.json")
-	if err := os.WriteFile(settings, []byte(operators), 0o600); err != nil {
+	if err := os.WriteFile(settings, []byte(controllerSettings), 0o600); err != nil {
 		return err
 	}
 	zones := r.settings.zoneNames()
@@ -60,7 +60,7 @@
 
 func (r *region) startController(c *controller, settings string) error {
 	p := config.Platform{Node: c.name, Location: c.zone, ClientListen: c.listen, PeerListen: c.peerListen, Cluster: r.settings.cluster(),
-		External: config.External{State: r.state, Cloud: r.cloud}}
+		External: config.External{State: r.stateAddress, Cloud: r.cloudAddress}}
 	for _, o := range r.controllers {
 		if o != c {
 			p.Peers = append(p.Peers, config.Peer{Node: o.name, Location: o.zone, Address: o.peerListen})
@@ -74,13 +74,13 @@
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		return err
 	}
-	c.Process, err = process.Start(process.Options{Program: r.options.Program, Args: append(r.options.ServeArgs, "--settings", settings, "--config", file),
-		Env: []string{"LOG_LEVEL=" + r.options.Log}, Log: filepath.Join(r.dir, c.name+".log")})
+	c.Process, err = process.Start(process.Options{Program: r.run.Program, Args: append(r.run.ServeArgs, "--settings", settings, "--config", file),
+		Env: []string{"LOG_LEVEL=" + r.run.Log}, Log: filepath.Join(r.dir, c.name+".log")})
 	return err
 }
 
 func (r *region) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
--- a/internal/scale/gangs.go
+++ b/internal/scale/gangs.go
@@ -23,7 +23,7 @@
 }
 
 type gang struct {
-	on      map[int]bool
+	placed  map[int]bool
 	running bool
 	ended   bool // one of its tasks has completed, so all do; or it is broken
 }
@@ -50,22 +50,22 @@
 	key := hollow.Attempt{Job: t.Job, Attempt: t.Attempt}
 	a := g.attempts[key]
 	if a == nil {
-		a = &gang{on: map[int]bool{}}
+		a = &gang{placed: map[int]bool{}}
 		g.attempts[key] = a
 	}
 	switch t.Kind {
 	case hollow.TaskOn:
-		a.on[t.Task] = true
-		if len(a.on) == size && !a.running && !a.ended {
+		a.placed[t.Task] = true
+		if len(a.placed) == size && !a.running && !a.ended {
 			a.running = true
 			return gangComplete
 		}
 	case hollow.TaskDone:
 		a.ended = true
 	case hollow.TaskOff:
-		delete(a.on, t.Task)
+		delete(a.placed, t.Task)
 		broken := a.running && !a.ended
-		if len(a.on) == 0 {
+		if len(a.placed) == 0 {
 			delete(g.attempts, key)
 		}
 		if broken {
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -27,10 +27,10 @@
 	return h
 }
 
-// tell sends a command, in the order of calls. It never waits: whoever calls may hold a lock that the
+// enqueue sends a command, in the order of calls. It never waits: whoever calls may hold a lock that the
 // process's events need, and a process whose events aren't taken reads no commands. One that
 // has ended is found when its workers are missed.
-func (h *host) tell(c hollow.Command) {
+func (h *host) enqueue(c hollow.Command) {
 	h.mu.Lock()
 	h.queue = append(h.queue, c)
 	h.mu.Unlock()
--- a/internal/scale/machines.go
+++ b/internal/scale/machines.go
@@ -35,7 +35,7 @@
 		up := time.Duration(r.servers.Environment.Machines[e.Machine].Up-r.servers.Now()) * time.Microsecond
 		h := r.assign(e.Machine)
 		m := hollow.Machine{Name: e.Machine, Type: e.Host.Type, Zone: e.Host.Zone, Spot: e.Host.Spot, GPUs: r.settings.Machine.GPUs}
-		start := func() { h.tell(hollow.Command{Start: &m}) }
+		start := func() { h.enqueue(hollow.Command{Start: &m}) }
 		if up <= 0 {
 			start()
 			return
@@ -43,14 +43,14 @@
 		time.AfterFunc(up, start)
 	case invariants.MachineGone:
 		r.mu.Lock()
-		h := r.hostOf[e.Machine]
-		delete(r.hostOf, e.Machine)
+		h := r.hostByMachine[e.Machine]
+		delete(r.hostByMachine, e.Machine)
 		if h != nil {
 			h.workers--
 		}
 		r.mu.Unlock()
 		if h != nil {
-			h.tell(hollow.Command{Remove: e.Machine})
+			h.enqueue(hollow.Command{Remove: e.Machine})
 		}
 	}
 }
@@ -66,18 +66,18 @@
 		}
 	}
 	least.workers++
-	r.hostOf[machine] = least
+	r.hostByMachine[machine] = least
 	return least
 }
 
 // machineUp hears that a machine's worker listens: the cloud lists it as running.
 func (r *region) machineUp(u *hollow.Up) {
 	if u.Why != "" {
-		r.options.failed(fmt.Errorf("worker of %s: %s", u.Machine, u.Why))
+		r.run.fail(fmt.Errorf("worker of %s: %s", u.Machine, u.Why))
 		return
 	}
 	r.mu.Lock()
-	r.up++
+	r.listening++
 	r.mu.Unlock()
 	r.servers.With(func() {
 		if m := r.servers.Environment.Machines[u.Machine]; m != nil {
@@ -86,23 +86,23 @@
 	})
 }
 
-// upWithin is how long workers may take to listen.
-const upWithin = 60 * time.Second
+// listenTimeout is how long workers may take to listen.
+const listenTimeout = 60 * time.Second
 
 // awaitWorkers waits until all workers listen.
 func (r *region) awaitWorkers(ctx context.Context) error {
-	for deadline := time.Now().Add(upWithin); ; {
+	for deadline := time.Now().Add(listenTimeout); ; {
 		r.mu.Lock()
-		up := r.up
+		up := r.listening
 		r.mu.Unlock()
 		if up >= r.settings.Workers {
 			return nil
 		}
-		if err := r.options.broke(); err != nil {
+		if err := r.run.failure(); err != nil {
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s: %d of %d workers listen after %v", r.name, up, r.settings.Workers, upWithin)
+			return fmt.Errorf("%s: %d of %d workers listen after %v", r.name, up, r.settings.Workers, listenTimeout)
 		}
 		if !wait.For(ctx, 50*time.Millisecond) {
 			return ctx.Err()
@@ -110,8 +110,8 @@
 	}
 }
 
-// makeTrouble has machines fail and restart until ctx ends.
-func (r *region) makeTrouble(ctx context.Context, rnd *rand.Rand) {
+// injectFaults has machines fail and restart until ctx ends.
+func (r *region) injectFaults(ctx context.Context, rnd *rand.Rand) {
 	f := &r.settings.Failures
 	const day = 24 * 3600
 	failures, restarts := f.FailedPerDay*f.Times/day, f.RestartedPerDay*f.Times/day // a second
@@ -120,27 +120,27 @@
 		return
 	}
 	for wait.For(ctx, time.Duration(rnd.ExpFloat64()/all*float64(time.Second))) {
-		name, err := r.anyMachine(rnd)
+		name, err := r.randomMachine(rnd)
 		if err != nil {
 			continue
 		}
 		if rnd.Float64()*all < failures {
-			r.fail(name)
+			r.failMachine(name)
 			continue
 		}
 		r.mu.Lock()
-		h := r.hostOf[name]
-		r.troubles.Restarted++
+		h := r.hostByMachine[name]
+		r.faults.Restarted++
 		r.mu.Unlock()
 		if h != nil {
-			h.tell(hollow.Command{Restart: &hollow.Restart{Machine: name, AwayS: f.AwayS}})
+			h.enqueue(hollow.Command{Restart: &hollow.Restart{Machine: name, AwayS: f.AwayS}})
 		}
 	}
 }
 
 var errNoMachine = errors.New("no machine is up")
 
-func (r *region) anyMachine(rnd *rand.Rand) (name string, err error) {
+func (r *region) randomMachine(rnd *rand.Rand) (name string, err error) {
 	r.servers.With(func() {
 		names := r.servers.Environment.Names()
 		if len(names) == 0 {
@@ -152,18 +152,18 @@
 	return name, err
 }
 
-// fail ends a machine by itself: it stays listed, as failed, until it is deleted.
-func (r *region) fail(name string) {
+// failMachine ends a machine by itself: it stays listed, as failed, until it is deleted.
+func (r *region) failMachine(name string) {
 	r.servers.With(func() {
 		if m := r.servers.Environment.Machines[name]; m != nil {
 			m.State = wire.MachineFailed
 		}
 	})
 	r.mu.Lock()
-	h := r.hostOf[name]
-	r.troubles.Failed++
+	h := r.hostByMachine[name]
+	r.faults.Failed++
 	r.mu.Unlock()
 	if h != nil {
-		h.tell(hollow.Command{Remove: name})
+		h.enqueue(hollow.Command{Remove: name})
 	}
 }
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -24,36 +24,36 @@
 // region is a region's controllers, workers, state service and cloud.
 type region struct {
 	settings *Settings
-	options  *run
+	run      *run
 	name     string
 	number   int
 	dir      string
 
-	servers     *emulator.Servers
-	listeners   []*http.Server
-	state       string // addresses
-	cloud       string
-	controllers []*controller
-	hosts       []*host
-	gangs       gangs
-
-	mu       sync.Mutex
-	events   []invariants.Event
-	hostOf   map[string]*host // by machine
-	up       int              // machines whose workers listen
-	troubles troubles
+	servers      *emulator.Servers
+	listeners    []*http.Server
+	stateAddress string // addresses
+	cloudAddress string
+	controllers  []*controller
+	hosts        []*host
+	gangs        gangs
+
+	mu            sync.Mutex
+	events        []invariants.Event
+	hostByMachine map[string]*host // by machine
+	listening     int              // machines whose workers listen
+	faults        faultCounts
 }
 
-// troubles counts what was done to machines.
-type troubles struct {
+// faultCounts counts what was done to machines.
+type faultCounts struct {
 	Failed    int `json:"failed"`
 	Restarted int `json:"restarted"`
 }
 
 func newRegion(s *Settings, opt *run, number int) *region {
 	name := "region-" + strconv.Itoa(number)
-	return &region{settings: s, options: opt, name: name, number: number, dir: filepath.Join(opt.Dir, name), servers: emulator.NewServers(),
-		gangs: newGangs(), hostOf: map[string]*host{}}
+	return &region{settings: s, run: opt, name: name, number: number, dir: filepath.Join(opt.Dir, name), servers: emulator.NewServers(),
+		gangs: newGangs(), hostByMachine: map[string]*host{}}
 }
 
 // start starts everything and returns when all controllers serve and all workers listen.
@@ -82,21 +82,21 @@
 	w.Types, w.Capacity, w.Boot = []wire.MachineType{s.machineType()}, map[string]int{}, config.FromSeconds(s.Cloud.BootS)
 	w.Watch = r.machineChanged
 	for i, zone := range s.zoneNames() {
-		w.Capacity[zone] = part(s.Workers, s.Zones, i)
+		w.Capacity[zone] = shareOf(s.Workers, s.Zones, i)
 	}
 	var err error
-	if r.state, err = r.serve(r.servers.StateHandler()); err != nil {
+	if r.stateAddress, err = r.serve(r.servers.StateHandler()); err != nil {
 		return err
 	}
-	if r.cloud, err = r.serve(r.servers.CloudHandler()); err != nil {
+	if r.cloudAddress, err = r.serve(r.servers.CloudHandler()); err != nil {
 		return err
 	}
-	go wait.Every(ctx, expireEvery, r.servers.Expire)
+	go wait.Every(ctx, expireInterval, r.servers.Expire)
 	return nil
 }
 
-// expireEvery is how often leases of the state service are looked at.
-const expireEvery = 50 * time.Millisecond
+// expireInterval is how often leases of the state service are looked at.
+const expireInterval = 50 * time.Millisecond
 
 func (r *region) serve(h http.Handler) (string, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -119,10 +119,10 @@
 	for _, n := range r.controllers {
 		c.Nodes = append(c.Nodes, hollow.Node{Name: n.name, Address: n.listen})
 	}
-	for i := range r.options.hostsPerRegion {
-		c.Network = firstNetwork + r.number*r.options.hostsPerRegion + i
+	for i := range r.run.hostsPerRegion {
+		c.Network = firstNetwork + r.number*r.run.hostsPerRegion + i
 		read, write := io.Pipe()
-		p, err := process.Start(process.Options{Program: r.options.Program, Args: r.options.HollowArgs, Output: write,
+		p, err := process.Start(process.Options{Program: r.run.Program, Args: r.run.HollowArgs, Output: write,
 			Log: filepath.Join(r.dir, fmt.Sprintf("hollow-%d.log", i))})
 		if err != nil {
 			return err
@@ -132,7 +132,7 @@
 		}
 		h := newHost(p)
 		r.hosts = append(r.hosts, h)
-		go r.read(h, read)
+		go r.readEvents(h, read)
 		go func() {
 			<-p.Gone()
 			_ = write.Close()
@@ -141,15 +141,15 @@
 	return nil
 }
 
-// tellAll sends a command to all of them.
-func (r *region) tellAll(c hollow.Command) {
+// enqueueAll sends a command to all of them.
+func (r *region) enqueueAll(c hollow.Command) {
 	for _, h := range r.hosts {
-		h.tell(c)
+		h.enqueue(c)
 	}
 }
 
-// read takes what hollow workers tell until their process ends.
-func (r *region) read(h *host, from io.Reader) {
+// readEvents takes what hollow workers tell until their process ends.
+func (r *region) readEvents(h *host, from io.Reader) {
 	events := json.NewDecoder(from)
 	for {
 		var e hollow.Event
@@ -174,9 +174,9 @@
 	attempt := hollow.Attempt{Job: t.Job, Attempt: t.Attempt}
 	switch r.gangs.taskChanged(t) {
 	case gangComplete:
-		r.tellAll(hollow.Command{Run: &attempt})
+		r.enqueueAll(hollow.Command{Run: &attempt})
 	case gangBroken:
-		r.tellAll(hollow.Command{Break: &attempt})
+		r.enqueueAll(hollow.Command{Break: &attempt})
 	}
 }
 
@@ -202,8 +202,8 @@
 	}
 }
 
-// part is what the i-th of n gets of a whole.
-func part(whole, n, i int) int {
+// shareOf is what the i-th of n gets of a whole.
+func shareOf(whole, n, i int) int {
 	out := whole / n
 	if i < whole%n {
 		out++
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -48,7 +48,7 @@
 	ChangesPerStart float64                `json:"changes_per_start"`
 	Controllers     []ControllerResult     `json:"controllers"`
 	Workers         WorkerResult           `json:"workers"`
-	Troubles        troubles               `json:"troubles"`
+	Faults          faultCounts            `json:"troubles"`
 	Errors          map[string]int         `json:"errors,omitempty"` // what users met, by request and status
 	Broken          []invariants.Violation `json:"rules_broken"`
 }
@@ -88,7 +88,7 @@
 }
 
 func newResult(s *Settings, regions []*region, results []RegionResult, took time.Duration) *Result {
-	return &Result{Settings: *s, Cores: runtime.NumCPU(), MemoryMB: process.TotalMB(), HeldMB: memoryHeld(regions), TookS: took.Seconds(),
+	return &Result{Settings: *s, Cores: runtime.NumCPU(), MemoryMB: process.TotalMB(), HeldMB: memoryInUse(regions), TookS: took.Seconds(),
 		Processes: 1 + s.Regions*s.Controllers + s.Regions*len(regions[0].hosts), Regions: results}
 }
 
@@ -98,18 +98,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	res := &RegionResult{Region: r.name, AskedPerS: r.settings.StartsPerS, RefusedPerS: float64(last.refused-first.refused) / over,
-		RequestsPerS: map[string]float64{}, ChangesPerS: map[string]float64{}, Troubles: r.troubles, Broken: []invariants.Violation{}}
-	jobs := u.all()
+		RequestsPerS: map[string]float64{}, ChangesPerS: map[string]float64{}, Faults: r.faults, Broken: []invariants.Violation{}}
+	jobs := u.submissions()
 	for _, s := range jobs {
 		res.Jobs.Submitted++
-		if s.accepted != 0 {
+		if s.acceptedAt != 0 {
 			res.Jobs.Accepted++
 		}
-		if s.over {
+		if s.ended {
 			res.Jobs.Over++
 		}
 	}
-	r.starts(res, jobs, first.at.UnixMicro(), last.at.UnixMicro())
+	r.addStarts(res, jobs, first.at.UnixMicro(), last.at.UnixMicro())
 	for i := range last.controllers {
 		a, b := &first.controllers[i], &last.controllers[i]
 		addRates(res.RequestsPerS, a.requests, b.requests, over)
@@ -123,12 +123,12 @@
 	u.mu.Lock()
 	res.Errors = maps.Clone(u.errors)
 	u.mu.Unlock()
-	res.Broken = append(res.Broken, invariants.Check(r.terms(), r.events)...)
+	res.Broken = append(res.Broken, invariants.Check(r.rules(), r.events)...)
 	return res
 }
 
-// terms are the rules that the history is held against.
-func (r *region) terms() invariants.Rules {
+// rules are the rules that the history is held against.
+func (r *region) rules() invariants.Rules {
 	s := r.settings
 	terms := invariants.Rules{CancelIn: config.FromSeconds(s.Protocol.CancelS), Silence: 90 * config.Second, Unanswered: 75 * config.Second,
 		Teams: map[string]invariants.Limit{}}
@@ -138,17 +138,19 @@
 	return terms
 }
 
-// longestS bounds the times in histograms, in seconds.
-const longestS = 3600
+// maxRecordedS bounds the times in histograms, in seconds.
+const maxRecordedS = 3600
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestS*config.Second, 3) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxRecordedS*config.Second, 3)
+}
 
-func observe(h *hdrhistogram.Histogram, micros int64) {
-	_ = h.RecordValue(min(max(micros, 1), longestS*config.Second)) // within its bounds
+func recordMicros(h *hdrhistogram.Histogram, micros int64) {
+	_ = h.RecordValue(min(max(micros, 1), maxRecordedS*config.Second)) // within its bounds
 }
 
-// starts fills in what began between two moments. The lock is held.
-func (r *region) starts(res *RegionResult, jobs map[string]submission, from, to int64) {
+// addStarts fills in what began between two moments. The lock is held.
+func (r *region) addStarts(res *RegionResult, jobs map[string]submission, from, to int64) {
 	type taskOf struct {
 		job  string
 		task int
@@ -173,15 +175,15 @@
 				continue // started again
 			}
 			seen[key] = true
-			if job.at < from || job.at >= to {
+			if job.submittedAt < from || job.submittedAt >= to {
 				continue
 			}
-			waited := e.At - job.at
+			waited := e.At - job.submittedAt
 			if !job.class.Urgent {
-				observe(other, waited)
+				recordMicros(other, waited)
 				continue
 			}
-			observe(urgent, waited)
+			recordMicros(urgent, waited)
 			if waited <= urgentWithin.Microseconds() {
 				inTime++
 			}
@@ -189,14 +191,14 @@
 	}
 	came := 0
 	for _, job := range jobs {
-		if job.at < from || job.at >= to {
+		if job.submittedAt < from || job.submittedAt >= to {
 			continue
 		}
 		if job.class.Urgent {
 			came += job.tasks
 		}
-		if job.accepted != 0 {
-			observe(submit, job.accepted-job.at)
+		if job.acceptedAt != 0 {
+			recordMicros(submit, job.acceptedAt-job.submittedAt)
 		}
 	}
 	over := float64(to-from) / 1e6
@@ -209,7 +211,7 @@
 
 func controllerResult(name string, first, last *controllerSample, over float64) ControllerResult {
 	c := ControllerResult{Name: name, Leads: last.leads, Cores: (last.cpu - first.cpu).Seconds() / over, MemoryMB: last.memoryMB, HeapMB: last.heapMB,
-		Files: last.files, HandedPerS: (last.handed - first.handed) / over, CoreS: map[string]float64{}, InputsPerS: map[string]float64{},
+		Files: last.files, HandedPerS: (last.forwarded - first.forwarded) / over, CoreS: map[string]float64{}, InputsPerS: map[string]float64{},
 		Machines: last.machines, Waiting: last.waiting, Restarted: last.cpu < first.cpu}
 	addRates(c.CoreS, first.steps, last.steps, over)
 	addRates(c.InputsPerS, first.inputs, last.inputs, over)
@@ -284,9 +286,9 @@
 	}
 	fmt.Fprintf(out, "  a worker: %.5f cores, %.0f bytes a second, %.3f MB, %.2f reports and %.2f commands a second; %d leases ended in all\n",
 		r.Workers.CoresEach, r.Workers.BytesPerS, r.Workers.MemoryMBEach, r.Workers.ReportsPerS, r.Workers.CommandsPerS, r.Workers.LeasesExpired)
-	fmt.Fprintf(out, "  machines failed %d, restarted %d; rules broken: %d\n", r.Troubles.Failed, r.Troubles.Restarted, len(r.Broken))
+	fmt.Fprintf(out, "  machines failed %d, restarted %d; rules broken: %d\n", r.Faults.Failed, r.Faults.Restarted, len(r.Broken))
 	for i, b := range r.Broken {
-		if i == mostPrinted {
+		if i == maxPrintedViolations {
 			break
 		}
 		fmt.Fprintf(out, "  broken: %s\n", b)
@@ -294,8 +296,8 @@
 	return nil
 }
 
-// mostPrinted is how many broken rules are printed; the JSON has all.
-const mostPrinted = 10
+// maxPrintedViolations is how many broken rules are printed; the JSON has all.
+const maxPrintedViolations = 10
 
 // rates lists what came a second, by name.
 func rates(values map[string]float64) string {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -21,7 +21,7 @@
 	HollowArgs []string     // its arguments for a process of hollow workers
 	Dir        string       // for settings and logs
 	Log        string       // LOG_LEVEL of the controllers
-	Say        func(string) // a line about what happens; nil: nothing is said
+	Progress   func(string) // a line about what happens; nil: nothing is said
 }
 
 // run is a run that is being made.
@@ -31,25 +31,25 @@
 	stop           context.CancelFunc // ends the run
 
 	mu  sync.Mutex
-	why error // why the run itself can't go on
+	err error // why the run itself can't go on
 }
 
 const (
 	// filesPerWorker is how many files a hollow worker may have open: what it listens on, its
 	// connection to a controller, and controllers' connections to it.
 	filesPerWorker = 8
-	// filesKept are kept for the rest of a process.
-	filesKept = 500
-	// mostProcesses is how many processes a run may have.
-	mostProcesses = 300
-	// leastHosts is how many processes share the hollow workers of a region at the least.
-	leastHosts = 2
-	// mostMemory is the part of the machine's memory that all processes together may hold.
-	mostMemory = 0.5
+	// reservedFiles are kept for the rest of a process.
+	reservedFiles = 500
+	// maxProcesses is how many processes a run may have.
+	maxProcesses = 300
+	// minHostsPerRegion is how many processes share the hollow workers of a region at the least.
+	minHostsPerRegion = 2
+	// maxMemoryFraction is the part of the machine's memory that all processes together may hold.
+	maxMemoryFraction = 0.5
 	// Estimates of what a run holds, in MB, to refuse what can't be held.
 	workerMB, ownMB = 0.15, 500
-	// watchEvery is how often the memory in use is added up.
-	watchEvery = time.Second
+	// memoryCheckInterval is how often the memory in use is added up.
+	memoryCheckInterval = time.Second
 )
 
 // plan finds how many processes a run needs, or why it can't be made.
@@ -58,49 +58,49 @@
 	if err != nil {
 		return err
 	}
-	perHost := (limit - filesKept) / filesPerWorker
-	if perHost < 1 || s.Limits.MaxConnections+filesKept > limit {
+	perHost := (limit - reservedFiles) / filesPerWorker
+	if perHost < 1 || s.Limits.MaxConnections+reservedFiles > limit {
 		return fmt.Errorf("a process may open %d files: too few for controllers with %d connections", limit, s.Limits.MaxConnections)
 	}
-	o.hostsPerRegion = max(leastHosts, (s.Workers+perHost-1)/perHost)
-	if n := 1 + s.Regions*(s.Controllers+o.hostsPerRegion); n > mostProcesses {
-		return fmt.Errorf("%d processes are needed and %d allowed", n, mostProcesses)
+	o.hostsPerRegion = max(minHostsPerRegion, (s.Workers+perHost-1)/perHost)
+	if n := 1 + s.Regions*(s.Controllers+o.hostsPerRegion); n > maxProcesses {
+		return fmt.Errorf("%d processes are needed and %d allowed", n, maxProcesses)
 	}
 	need := ownMB + float64(s.Regions)*(float64(s.Workers)*workerMB+float64(s.Controllers)*s.Limits.MemoryMB)
-	if total := process.TotalMB(); total > 0 && need > total*mostMemory {
-		return fmt.Errorf("up to %.0f MB are needed and half of the machine's memory is %.0f MB", need, total*mostMemory)
+	if total := process.TotalMB(); total > 0 && need > total*maxMemoryFraction {
+		return fmt.Errorf("up to %.0f MB are needed and half of the machine's memory is %.0f MB", need, total*maxMemoryFraction)
 	}
 	return nil
 }
 
-func (o *run) say(format string, args ...any) {
-	if o.Say != nil {
-		o.Say(fmt.Sprintf(format, args...))
+func (o *run) logf(format string, args ...any) {
+	if o.Progress != nil {
+		o.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// failed ends the run because of something that is not the service's doing.
-func (o *run) failed(err error) {
+// fail ends the run because of something that is not the service's doing.
+func (o *run) fail(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.why == nil && err != nil {
-		o.why = err
+	if o.err == nil && err != nil {
+		o.err = err
 		o.stop()
 	}
 }
 
-// broke tells why the run itself can't go on; nil: it can.
-func (o *run) broke() error {
+// failure tells why the run itself can't go on; nil: it can.
+func (o *run) failure() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.why
+	return o.err
 }
 
 // requestFailed hears why a user's request got no answer. That this process can open nothing
 // more is no fault of the service.
 func (o *run) requestFailed(err error) {
 	if process.OutOfFiles(err) {
-		o.failed(fmt.Errorf("this process can't open more files: %w", err))
+		o.fail(fmt.Errorf("this process can't open more files: %w", err))
 	}
 }
 
@@ -129,9 +129,9 @@
 	}
 	began := time.Now()
 	if err := each(regions, func(r *region) error { return r.start(ctx) }); err != nil {
-		return nil, o.or(err)
+		return nil, o.failureOr(err)
 	}
-	o.say("%d regions of %d controllers serve; %d workers listen after %.1f s", s.Regions, s.Controllers, s.Regions*s.Workers, time.Since(began).Seconds())
+	o.logf("%d regions of %d controllers serve; %d workers listen after %.1f s", s.Regions, s.Controllers, s.Regions*s.Workers, time.Since(began).Seconds())
 	go o.watchMemory(ctx, regions)
 	results := make([]RegionResult, len(regions))
 	err := each(regions, func(r *region) error {
@@ -142,14 +142,14 @@
 		return err
 	})
 	if err != nil {
-		return nil, o.or(err)
+		return nil, o.failureOr(err)
 	}
 	return newResult(&s, regions, results, time.Since(began)), nil
 }
 
-// or returns why the run itself can't go on, or else an error.
-func (o *run) or(err error) error {
-	if why := o.broke(); why != nil {
+// failureOr returns why the run itself can't go on, or else an error.
+func (o *run) failureOr(err error) error {
+	if why := o.failure(); why != nil {
 		return why
 	}
 	return err
@@ -169,15 +169,15 @@
 // watchMemory ends a run that holds more of the machine's memory than it may.
 func (o *run) watchMemory(ctx context.Context, regions []*region) {
 	total := process.TotalMB()
-	wait.Every(ctx, watchEvery, func() {
-		if held := memoryHeld(regions); total > 0 && held > total*mostMemory {
-			o.failed(fmt.Errorf("the run holds %.0f MB, more than half of the machine's %.0f MB", held, total))
+	wait.Every(ctx, memoryCheckInterval, func() {
+		if held := memoryInUse(regions); total > 0 && held > total*maxMemoryFraction {
+			o.fail(fmt.Errorf("the run holds %.0f MB, more than half of the machine's %.0f MB", held, total))
 		}
 	})
 }
 
-// memoryHeld adds up what this process and all that it has started hold, in MB.
-func memoryHeld(regions []*region) float64 {
+// memoryInUse adds up what this process and all that it has started hold, in MB.
+func memoryInUse(regions []*region) float64 {
 	held := process.ResidentMB(os.Getpid())
 	for _, r := range regions {
 		for _, c := range r.controllers {
@@ -198,10 +198,10 @@
 	load, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	u := newUsers(r)
-	defer u.ask.HTTP.CloseIdleConnections()
+	defer u.client.HTTP.CloseIdleConnections()
 	var open, background sync.WaitGroup
 	background.Go(func() { u.probe(follow) })
-	background.Go(func() { r.makeTrouble(load, rand.New(rand.NewPCG(seed, math.MaxUint32))) })
+	background.Go(func() { r.injectFaults(load, rand.New(rand.NewPCG(seed, math.MaxUint32))) })
 	for class := range s.Classes {
 		background.Go(func() { u.submitUntil(load, follow, class, rand.New(rand.NewPCG(seed, uint64(class))), &open) })
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.options.say("%s: measuring", r.name)
+	r.run.logf("%s: measuring", r.name)
 	if !wait.For(ctx, seconds(s.DurationS)) {
 		return nil, ctx.Err()
 	}
@@ -221,8 +221,8 @@
 		return nil, err
 	}
 	stopLoad()
-	r.options.say("%s: no more jobs come", r.name)
-	u.settle(ctx, seconds(s.SettleS))
+	r.run.logf("%s: no more jobs come", r.name)
+	u.waitUntilFinished(ctx, seconds(s.SettleS))
 	stopFollowing()
 	open.Wait()
 	background.Wait()
@@ -232,8 +232,8 @@
 	return r.result(u, &first, &last), nil
 }
 
-// settle waits until all accepted jobs are over, for so long at most.
-func (u *users) settle(ctx context.Context, longest time.Duration) {
+// waitUntilFinished waits until all accepted jobs are over, for so long at most.
+func (u *users) waitUntilFinished(ctx context.Context, longest time.Duration) {
 	deadline := time.Now().Add(longest)
 	for u.unfinished() > 0 && time.Now().Before(deadline) {
 		if !wait.For(ctx, 200*time.Millisecond) {
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -26,18 +26,18 @@
 
 // controllerSample is a controller's.
 type controllerSample struct {
-	cpu      time.Duration
-	memoryMB float64
-	files    int
-	leads    bool
-	requests map[string]float64 // of the state service, by purpose
-	changes  map[string]float64
-	handed   float64            // reports handed to the leader
-	steps    map[string]float64 // seconds that the core took, by input
-	inputs   map[string]float64 // how many there were
-	machines map[string]float64 // by state, of the leader
-	waiting  float64            // jobs, of the leader
-	heapMB   float64
+	cpu       time.Duration
+	memoryMB  float64
+	files     int
+	leads     bool
+	requests  map[string]float64 // of the state service, by purpose
+	changes   map[string]float64
+	forwarded float64            // reports handed to the leader
+	steps     map[string]float64 // seconds that the core took, by input
+	inputs    map[string]float64 // how many there were
+	machines  map[string]float64 // by state, of the leader
+	waiting   float64            // jobs, of the leader
+	heapMB    float64
 }
 
 // hostSample is of a process of hollow workers.
@@ -47,12 +47,12 @@
 	usage    hollow.Usage
 }
 
-// sampleWithin is how long a process may take to tell.
-const sampleWithin = 10 * time.Second
+// sampleTimeout is how long a process may take to tell.
+const sampleTimeout = 10 * time.Second
 
 // sample asks all processes of the region.
 func (r *region) sample(ctx context.Context) (sample, error) {
-	ctx, cancel := context.WithTimeout(ctx, sampleWithin)
+	ctx, cancel := context.WithTimeout(ctx, sampleTimeout)
 	defer cancel()
 	out := sample{at: time.Now()}
 	client := &http.Client{}
@@ -67,7 +67,7 @@
 		out.controllers = append(out.controllers, s)
 	}
 	for _, h := range r.hosts {
-		h.tell(hollow.Command{Usage: true})
+		h.enqueue(hollow.Command{Usage: true})
 		select {
 		case usage := <-h.usage:
 			out.hosts = append(out.hosts, hostSample{cpu: h.CPU(), memoryMB: h.Measure(), usage: usage})
@@ -83,11 +83,11 @@
 	return out, nil
 }
 
-// page is a page of metrics.
-type page map[string]*dto.MetricFamily
+// metricsPage is a page of metrics.
+type metricsPage map[string]*dto.MetricFamily
 
 // scrape reads a controller's metrics.
-func scrape(ctx context.Context, client *http.Client, address string) (page, error) {
+func scrape(ctx context.Context, client *http.Client, address string) (metricsPage, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+metrics.Path, nil)
 	if err != nil {
 		return nil, err
@@ -105,11 +105,11 @@
 }
 
 // fill reads from the page what a sample tells.
-func (p page) fill(s *controllerSample) {
+func (p metricsPage) fill(s *controllerSample) {
 	s.leads = p.sum("coralhub_leading") == 1
 	s.requests = p.by("coralhub_state_requests_total", "purpose")
 	s.changes = p.by("coralhub_state_changes_total", "purpose")
-	s.handed = p.by("coralhub_reports_total", "what")["handed"]
+	s.forwarded = p.by("coralhub_reports_total", "what")["handed"]
 	s.machines = p.by("coralhub_machines", "state")
 	s.waiting = p.sum("coralhub_waiting_jobs")
 	s.heapMB = p.sum("go_memstats_heap_alloc_bytes") / (1 << 20)
@@ -122,7 +122,7 @@
 }
 
 // by is a family's values by a label.
-func (p page) by(family, by string) map[string]float64 {
+func (p metricsPage) by(family, by string) map[string]float64 {
 	out := map[string]float64{}
 	for _, m := range p[family].GetMetric() {
 		out[label(m, by)] += value(m)
@@ -131,7 +131,7 @@
 }
 
 // sum adds up a family's values.
-func (p page) sum(family string) float64 {
+func (p metricsPage) sum(family string) float64 {
 	sum := 0.0
 	for _, m := range p[family].GetMetric() {
 		sum += value(m)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -49,8 +49,8 @@
 	return node.New(cfg).Run(context.Background())
 }
 
-// small is a run of some seconds.
-func small(t *testing.T) (Settings, Options) {
+// smallRun is a run of some seconds.
+func smallRun(t *testing.T) (Settings, Options) {
 	t.Helper()
 	s, err := Parse([]byte(`
 workers = 300
@@ -105,7 +105,7 @@
 }
 
 func TestScale(t *testing.T) {
-	s, opt := small(t)
+	s, opt := smallRun(t)
 	res, err := Run(t.Context(), s, opt)
 	if err != nil {
 		t.Fatal(err)
@@ -138,8 +138,8 @@
 	if r.ChangesPerS["accept"] == 0 || r.ChangesPerS["placement"] == 0 || r.RequestsPerS["watch"] == 0 {
 		t.Errorf("changes %v, requests %v", r.ChangesPerS, r.RequestsPerS)
 	}
-	if r.Troubles.Restarted == 0 {
-		t.Errorf("no machine was restarted: %+v", r.Troubles)
+	if r.Faults.Restarted == 0 {
+		t.Errorf("no machine was restarted: %+v", r.Faults)
 	}
 	if err := res.Print(io.Discard); err != nil {
 		t.Error(err)
@@ -159,7 +159,7 @@
 		"duration_s must be":     func(s *Settings) { s.DurationS = 0 },
 		"controllers and teams ": func(s *Settings) { s.Teams = 0 },
 	} {
-		s, opt := small(t)
+		s, opt := smallRun(t)
 		change(&s)
 		if _, err := Run(t.Context(), s, opt); err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v", name, err)
@@ -198,11 +198,11 @@
 	stopped := false
 	o := &run{stop: func() { stopped = true }}
 	o.requestFailed(errors.New("reset"))
-	if o.broke() != nil || stopped {
+	if o.failure() != nil || stopped {
 		t.Error("another failure ends the run")
 	}
 	o.requestFailed(&net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)})
-	if err := o.broke(); err == nil || !stopped || !strings.Contains(err.Error(), "files") {
+	if err := o.failure(); err == nil || !stopped || !strings.Contains(err.Error(), "files") {
 		t.Errorf("%v, stopped %v", err, stopped)
 	}
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	probeEvery  = time.Second
-	longestWait = 10 * time.Second // until a user who cancels does so
+	probeInterval  = time.Second
+	maxCancelDelay = 10 * time.Second // until a user who cancels does so
 )
 
 // users submit a region's jobs, poll and cancel.
 type users struct {
 	region *region
-	ask    *jobclient.Client
+	client *jobclient.Client
 
 	mu        sync.Mutex
 	ready     []string // addresses of controllers that take requests
@@ -34,17 +34,17 @@
 
 // submission is a job that has come.
 type submission struct {
-	class    *Class
-	tasks    int
-	at       int64 // when it was first submitted
-	accepted int64 // 0: not yet
-	over     bool
+	class       *Class
+	tasks       int
+	submittedAt int64 // when it was first submitted
+	acceptedAt  int64 // 0: not yet
+	ended       bool
 }
 
 func newUsers(r *region) *users {
 	u := &users{region: r, submitted: map[string]*submission{}, errors: map[string]int{}}
-	u.ask = &jobclient.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute}},
-		PickNode: u.pick, Failed: r.options.requestFailed}
+	u.client = &jobclient.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute}},
+		PickNode: u.pickNode, Failed: r.run.requestFailed}
 	return u
 }
 
@@ -53,7 +53,7 @@
 	look := func() {
 		var ready []string
 		for _, c := range u.region.controllers {
-			if jobclient.Ready(ctx, u.ask.HTTP, c.listen) {
+			if jobclient.Ready(ctx, u.client.HTTP, c.listen) {
 				ready = append(ready, c.listen)
 			}
 		}
@@ -62,11 +62,11 @@
 		u.mu.Unlock()
 	}
 	look()
-	wait.Every(ctx, probeEvery, look)
+	wait.Every(ctx, probeInterval, look)
 }
 
-// pick chooses a controller that takes requests, or any if none is known to.
-func (u *users) pick() string {
+// pickNode chooses a controller that takes requests, or any if none is known to.
+func (u *users) pickNode() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if len(u.ready) > 0 {
@@ -89,71 +89,71 @@
 		return
 	}
 	for number := 0; wait.For(ctx, time.Duration(rnd.ExpFloat64()/rate*float64(time.Second))); number++ {
-		j := c.draw(rnd, s, class, number)
+		j := c.drawJob(rnd, s, class, number)
 		cancelIn := time.Duration(0)
 		if rnd.Float64() < c.Cancelled {
-			cancelIn = time.Duration(1 + rnd.Float64()*float64(longestWait))
+			cancelIn = time.Duration(1 + rnd.Float64()*float64(maxCancelDelay))
 		}
 		open.Go(func() { u.follow(follow, c, j, cancelIn) })
 	}
 }
 
-// draw draws a class's next job.
-func (c *Class) draw(rnd *rand.Rand, s *Settings, class, number int) *drawn {
+// drawJob draws a class's next job.
+func (c *Class) drawJob(rnd *rand.Rand, s *Settings, class, number int) *drawnJob {
 	run := c.RunS[0] + rnd.Float64()*(c.RunS[1]-c.RunS[0])
-	return &drawn{run: run, Job: wire.Job{ID: fmt.Sprintf("j-%d%08d", class+1, number), Class: c.Name, Team: teamName(rnd.IntN(s.Teams)), Shape: c.shape(),
+	return &drawnJob{runS: run, Job: wire.Job{ID: fmt.Sprintf("j-%d%08d", class+1, number), Class: c.Name, Team: teamName(rnd.IntN(s.Teams)), Shape: c.shape(),
 		Priority: c.priority(), Tasks: c.Tasks[rnd.IntN(len(c.Tasks))], CPUs: c.GPUs, GPUs: c.GPUs, MemoryGB: c.GPUs, Image: "image", ImageGB: 1,
 		EstimateS: max(run, 0.1)}}
 }
 
-// drawn is a job and how long each of its tasks runs, in seconds.
-type drawn struct {
+// drawnJob is a job and how long each of its tasks runs, in seconds.
+type drawnJob struct {
 	wire.Job
-	run float64
+	runS float64
 }
 
 // follow is a user with one job.
-func (u *users) follow(ctx context.Context, c *Class, j *drawn, cancelIn time.Duration) {
+func (u *users) follow(ctx context.Context, c *Class, j *drawnJob, cancelIn time.Duration) {
 	r := u.region
 	if j.Shape == wire.Gang {
 		r.gangs.add(j.ID, j.Tasks)
 	}
-	r.tellAll(hollow.Command{Job: &hollow.Job{ID: j.ID, Tasks: j.Tasks, GPUs: j.GPUs, Gang: j.Shape == wire.Gang, RunS: j.run}})
+	r.enqueueAll(hollow.Command{Job: &hollow.Job{ID: j.ID, Tasks: j.Tasks, GPUs: j.GPUs, Gang: j.Shape == wire.Gang, RunS: j.runS}})
 	raw, err := wire.Marshal(&j.Job)
 	if err != nil {
 		return
 	}
-	sub := &submission{class: c, tasks: j.Tasks, at: now()}
+	sub := &submission{class: c, tasks: j.Tasks, submittedAt: now()}
 	u.mu.Lock()
 	u.submitted[j.ID] = sub
 	u.mu.Unlock()
-	r.record(invariants.Event{At: sub.at, Kind: invariants.JobSubmitted, Job: j.ID, Spec: &invariants.Spec{Team: j.Team, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs}})
-	if !u.repeat(ctx, j.ID, invariants.BySubmit, wire.PathJobs, raw) {
+	r.record(invariants.Event{At: sub.submittedAt, Kind: invariants.JobSubmitted, Job: j.ID, Spec: &invariants.Spec{Team: j.Team, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs}})
+	if !u.retry(ctx, j.ID, invariants.BySubmit, wire.PathJobs, raw) {
 		return
 	}
 	u.mu.Lock()
-	sub.accepted = now()
+	sub.acceptedAt = now()
 	u.mu.Unlock()
 	u.poll(ctx, j.ID, cancelIn)
 	u.mu.Lock()
-	sub.over = ctx.Err() == nil
+	sub.ended = ctx.Err() == nil
 	u.mu.Unlock()
 }
 
 // poll asks for a job's state until it is over, and cancels it if that is planned.
 func (u *users) poll(ctx context.Context, id string, cancelIn time.Duration) {
-	u.ask.Follow(ctx, id, cancelIn, func(a *jobclient.Answer) { u.told(id, invariants.ByPoll, a) }, func() {
+	u.client.Follow(ctx, id, cancelIn, func(a *jobclient.Answer) { u.recordAnswer(id, invariants.ByPoll, a) }, func() {
 		u.region.record(invariants.Event{At: now(), Kind: invariants.CancelRequested, Job: id})
-		u.repeat(ctx, id, invariants.ByCancel, wire.PathJobs+"/"+id+"/"+wire.CancelVerb, nil)
+		u.retry(ctx, id, invariants.ByCancel, wire.PathJobs+"/"+id+"/"+wire.CancelVerb, nil)
 	})
 }
 
-// repeat makes a request until it is taken.
-func (u *users) repeat(ctx context.Context, id, via, path string, body []byte) bool {
-	return u.ask.Repeat(ctx, http.MethodPost, path, body, func(a *jobclient.Answer) { u.told(id, via, a) })
+// retry makes a request until it is taken.
+func (u *users) retry(ctx context.Context, id, via, path string, body []byte) bool {
+	return u.client.Repeat(ctx, http.MethodPost, path, body, func(a *jobclient.Answer) { u.recordAnswer(id, via, a) })
 }
 
-func (u *users) told(id, via string, a *jobclient.Answer) {
+func (u *users) recordAnswer(id, via string, a *jobclient.Answer) {
 	u.region.record(invariants.Event{At: now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
 	if !a.Accepted() {
 		u.mu.Lock()
@@ -162,8 +162,8 @@
 	}
 }
 
-// all lists the jobs that have come, by their ids.
-func (u *users) all() map[string]submission {
+// submissions lists the jobs that have come, by their ids.
+func (u *users) submissions() map[string]submission {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := make(map[string]submission, len(u.submitted))
@@ -176,8 +176,8 @@
 // unfinished counts the jobs that were accepted and are not over.
 func (u *users) unfinished() int {
 	n := 0
-	for _, s := range u.all() {
-		if s.accepted != 0 && !s.over {
+	for _, s := range u.submissions() {
+		if s.acceptedAt != 0 && !s.ended {
 			n++
 		}
 	}
