--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -23,14 +23,18 @@
 	name, zone, listen, peerListen string
 }
 
-// controllerSettings are the operators' own settings of the controllers: what is measured is read from
-// their metrics, and an idle machine is kept, since the fleet is to stay as large as it is.
+// controllerSettings are the operators' settings of the controllers: their metrics are measured, and
+// idle machines are not released, so that the fleet keeps its size.
 const controllerSettings = `{"metrics": true, "idle_return_s": 3600}`
 
-// readyTimeout is how long controllers may take until all serve.
+// readyPollInterval is how often a controller's readiness is probed.
+const readyPollInterval = 20 * time.Millisecond
+
+// readyTimeout is how long controllers may take until all are ready.
 const readyTimeout = 60 * time.Second
 
-// startControllers starts a region's controllers, spread over its zones, and waits until they serve.
+// startControllers starts a region's controllers, distributed over its zones, and waits until they
+// are ready.
 func (r *region) startControllers(ctx context.Context) error {
 	if err := os.MkdirAll(r.dir, 0o700); err != nil {
 		return err
@@ -58,12 +62,19 @@
 	return r.awaitReady(ctx)
 }
 
+// startController writes the configuration of a controller and starts it.
 func (r *region) startController(c *controller, settings string) error {
-	p := config.Platform{Node: c.name, Location: c.zone, ClientListen: c.listen, PeerListen: c.peerListen, Cluster: r.settings.cluster(),
-		External: config.External{State: r.stateAddress, Cloud: r.cloudAddress}}
-	for _, o := range r.controllers {
-		if o != c {
-			p.Peers = append(p.Peers, config.Peer{Node: o.name, Location: o.zone, Address: o.peerListen})
+	p := config.Platform{
+		Node:         c.name,
+		Location:     c.zone,
+		ClientListen: c.listen,
+		PeerListen:   c.peerListen,
+		Cluster:      r.settings.cluster(),
+		External:     config.External{State: r.stateAddress, Cloud: r.cloudAddress},
+	}
+	for _, peer := range r.controllers {
+		if peer != c {
+			p.Peers = append(p.Peers, config.Peer{Node: peer.name, Location: peer.zone, Address: peer.peerListen})
 		}
 	}
 	raw, err := toml.Marshal(&p)
@@ -74,11 +85,16 @@
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		return err
 	}
-	c.Process, err = process.Start(process.Options{Program: r.run.Program, Args: append(r.run.ServeArgs, "--settings", settings, "--config", file),
-		Env: []string{"LOG_LEVEL=" + r.run.Log}, Log: filepath.Join(r.dir, c.name+".log")})
+	c.Process, err = process.Start(process.Options{
+		Program: r.run.Program,
+		Args:    append(r.run.ServeArgs, "--settings", settings, "--config", file),
+		Env:     []string{"LOG_LEVEL=" + r.run.Log},
+		Log:     filepath.Join(r.dir, c.name+".log"),
+	})
 	return err
 }
 
+// awaitReady waits until all controllers are ready.
 func (r *region) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -86,7 +102,7 @@
 	defer client.CloseIdleConnections()
 	for _, c := range r.controllers {
 		for !jobclient.Ready(ctx, client, c.listen) {
-			if !wait.For(ctx, 20*time.Millisecond) {
+			if !wait.For(ctx, readyPollInterval) {
 				return fmt.Errorf("%s is not ready, see %s: %w", c.name, filepath.Join(r.dir, c.name+".log"), ctx.Err())
 			}
 		}
@@ -94,13 +110,14 @@
 	return nil
 }
 
+// kill kills the controller, if it was started.
 func (c *controller) kill() {
 	if c.Process != nil {
 		kill(c.Process)
 	}
 }
 
-// kill ends a process and waits for its end.
+// kill kills a process and waits for its end.
 func kill(p *process.Process) {
 	if p.Signal(syscall.SIGKILL) == nil {
 		<-p.Gone()
--- a/internal/scale/gangs.go
+++ b/internal/scale/gangs.go
@@ -6,40 +6,41 @@
 	"coralhub/internal/hollow"
 )
 
-// gangChange is what a change of a task means for its gang.
+// gangChange is what an event of a task means for its gang.
 type gangChange int
 
 const (
 	gangUnchanged gangChange = iota
-	gangComplete             // the last task has its place: the gang runs
-	gangBroken               // a task of a running gang is gone
+	gangComplete             // all tasks are placed: the gang runs
+	gangBroken               // a task of a running gang has stopped
 )
 
-// gangs follows which tasks of each attempt of a gang are on machines.
+// gangs tracks which tasks of each attempt of a gang are placed.
 type gangs struct {
 	mu       sync.Mutex
-	sizes    map[string]int // of jobs that are gangs
+	sizes    map[string]int // tasks, by job; only gangs
 	attempts map[hollow.Attempt]*gang
 }
 
+// gang is an attempt of a gang.
 type gang struct {
-	placed  map[int]bool
+	placed  map[int]bool // tasks
 	running bool
-	ended   bool // one of its tasks has completed, so all do; or it is broken
+	ended   bool // one of its tasks has completed, so that all do; or it is broken
 }
 
 func newGangs() gangs {
 	return gangs{sizes: map[string]int{}, attempts: map[hollow.Attempt]*gang{}}
 }
 
-// add tells that a job is a gang of so many tasks.
+// add adds a job that is a gang.
 func (g *gangs) add(job string, tasks int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sizes[job] = tasks
 }
 
-// taskChanged takes a change of a task and tells what it means.
+// taskChanged takes an event of a task and returns what it means for its gang.
 func (g *gangs) taskChanged(t *hollow.Task) gangChange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -48,28 +49,28 @@
 		return gangUnchanged
 	}
 	key := hollow.Attempt{Job: t.Job, Attempt: t.Attempt}
-	a := g.attempts[key]
-	if a == nil {
-		a = &gang{placed: map[int]bool{}}
-		g.attempts[key] = a
+	attempt := g.attempts[key]
+	if attempt == nil {
+		attempt = &gang{placed: map[int]bool{}}
+		g.attempts[key] = attempt
 	}
 	switch t.Kind {
 	case hollow.TaskOn:
-		a.placed[t.Task] = true
-		if len(a.placed) == size && !a.running && !a.ended {
-			a.running = true
+		attempt.placed[t.Task] = true
+		if len(attempt.placed) == size && !attempt.running && !attempt.ended {
+			attempt.running = true
 			return gangComplete
 		}
 	case hollow.TaskDone:
-		a.ended = true
+		attempt.ended = true
 	case hollow.TaskOff:
-		delete(a.placed, t.Task)
-		broken := a.running && !a.ended
-		if len(a.placed) == 0 {
+		delete(attempt.placed, t.Task)
+		broken := attempt.running && !attempt.ended
+		if len(attempt.placed) == 0 {
 			delete(g.attempts, key)
 		}
 		if broken {
-			a.ended = true
+			attempt.ended = true
 			return gangBroken
 		}
 	}
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -13,23 +13,24 @@
 type host struct {
 	*process.Process
 	usage   chan hollow.Usage
-	workers int // under the region's lock
+	workers int // guarded by the region's lock
 
 	mu    sync.Mutex
 	queue []hollow.Command
 	wake  chan struct{}
 }
 
-// newHost returns the host that a process is, and sends it its commands until it ends.
+// newHost returns the host of a process, and starts sending the commands that are enqueued until the
+// process ends.
 func newHost(p *process.Process) *host {
 	h := &host{Process: p, usage: make(chan hollow.Usage, 1), wake: make(chan struct{}, 1)}
 	go h.send(p.Input())
 	return h
 }
 
-// enqueue sends a command, in the order of calls. It never waits: whoever calls may hold a lock that the
-// process's events need, and a process whose events aren't taken reads no commands. One that
-// has ended is found when its workers are missed.
+// enqueue enqueues a command to be sent in the order of calls. It never blocks: the caller may hold a
+// lock that the process's events need, and a process whose events aren't read reads no commands. That
+// a process has ended is noticed when its workers are missing.
 func (h *host) enqueue(c hollow.Command) {
 	h.mu.Lock()
 	h.queue = append(h.queue, c)
@@ -40,6 +41,7 @@
 	}
 }
 
+// send sends the enqueued commands until the process ends.
 func (h *host) send(to io.Writer) {
 	commands := json.NewEncoder(to)
 	for {
@@ -54,7 +56,7 @@
 		h.mu.Unlock()
 		for i := range batch {
 			if commands.Encode(&batch[i]) != nil {
-				return // it has ended
+				return // the process has ended
 			}
 		}
 	}
--- a/internal/scale/machines.go
+++ b/internal/scale/machines.go
@@ -13,20 +13,20 @@
 	"coralhub/wire"
 )
 
-// rentAll rents as many machines as there are, up at once: what is measured is a fleet that runs.
+// rentAll rents all machines that there are, up at once: the measurement is of a running fleet.
 func (r *region) rentAll() {
 	r.servers.With(func() {
-		w := r.servers.Environment
-		boot := w.Boot
-		w.Boot = 0
+		env := r.servers.Environment
+		boot := env.Boot
+		env.Boot = 0
 		for _, zone := range r.settings.zoneNames() {
-			w.Rent(r.servers.Now(), wire.RentalRequest{Name: "at-start-" + zone, Type: "m", Zone: zone, Count: w.Capacity[zone]})
+			env.Rent(r.servers.Now(), wire.RentalRequest{Name: "at-start-" + zone, Type: "m", Zone: zone, Count: env.Capacity[zone]})
 		}
-		w.Boot = boot
+		env.Boot = boot
 	})
 }
 
-// machineChanged hears from the cloud that a machine was rented or is gone. The cloud's lock is held.
+// machineChanged is called by the cloud when a machine was rented or is gone. The cloud's lock is held.
 func (r *region) machineChanged(e invariants.Event) {
 	e.At = now()
 	r.record(e)
@@ -55,7 +55,7 @@
 	}
 }
 
-// assign gives a machine to the process with the fewest.
+// assign assigns a machine to the process with the fewest workers.
 func (r *region) assign(machine string) *host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +70,7 @@
 	return least
 }
 
-// machineUp hears that a machine's worker listens: the cloud lists it as running.
+// machineUp handles that a machine's worker listens: the cloud lists the machine as running.
 func (r *region) machineUp(u *hollow.Up) {
 	if u.Why != "" {
 		r.run.fail(fmt.Errorf("worker of %s: %s", u.Machine, u.Why))
@@ -86,6 +86,9 @@
 	})
 }
 
+// listenPollInterval is how often the number of listening workers is checked.
+const listenPollInterval = 50 * time.Millisecond
+
 // listenTimeout is how long workers may take to listen.
 const listenTimeout = 60 * time.Second
 
@@ -93,38 +96,39 @@
 func (r *region) awaitWorkers(ctx context.Context) error {
 	for deadline := time.Now().Add(listenTimeout); ; {
 		r.mu.Lock()
-		up := r.listening
+		listening := r.listening
 		r.mu.Unlock()
-		if up >= r.settings.Workers {
+		if listening >= r.settings.Workers {
 			return nil
 		}
 		if err := r.run.failure(); err != nil {
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s: %d of %d workers listen after %v", r.name, up, r.settings.Workers, listenTimeout)
+			return fmt.Errorf("%s: %d of %d workers listen after %v", r.name, listening, r.settings.Workers, listenTimeout)
 		}
-		if !wait.For(ctx, 50*time.Millisecond) {
+		if !wait.For(ctx, listenPollInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// injectFaults has machines fail and restart until ctx ends.
+// injectFaults has random machines fail and restart until ctx ends.
 func (r *region) injectFaults(ctx context.Context, rnd *rand.Rand) {
 	f := &r.settings.Failures
 	const day = 24 * 3600
-	failures, restarts := f.FailedPerDay*f.Times/day, f.RestartedPerDay*f.Times/day // a second
-	all := failures + restarts
-	if all <= 0 {
+	failures := f.FailedPerDay * f.Times / day    // per second
+	restarts := f.RestartedPerDay * f.Times / day // per second
+	faults := failures + restarts
+	if faults <= 0 {
 		return
 	}
-	for wait.For(ctx, time.Duration(rnd.ExpFloat64()/all*float64(time.Second))) {
+	for wait.For(ctx, time.Duration(rnd.ExpFloat64()/faults*float64(time.Second))) {
 		name, err := r.randomMachine(rnd)
 		if err != nil {
 			continue
 		}
-		if rnd.Float64()*all < failures {
+		if rnd.Float64()*faults < failures {
 			r.failMachine(name)
 			continue
 		}
@@ -138,8 +142,10 @@
 	}
 }
 
+// errNoMachine is returned by randomMachine.
 var errNoMachine = errors.New("no machine is up")
 
+// randomMachine returns the name of a random machine.
 func (r *region) randomMachine(rnd *rand.Rand) (name string, err error) {
 	r.servers.With(func() {
 		names := r.servers.Environment.Names()
@@ -152,7 +158,7 @@
 	return name, err
 }
 
-// failMachine ends a machine by itself: it stays listed, as failed, until it is deleted.
+// failMachine has a machine fail: it stays listed, as failed, until it is deleted.
 func (r *region) failMachine(name string) {
 	r.servers.With(func() {
 		if m := r.servers.Environment.Machines[name]; m != nil {
--- a/internal/scale/names_test.go
+++ b/internal/scale/names_test.go
@@ -8,8 +8,8 @@
 	"coralhub/internal/invariants"
 )
 
-// Settings files, results and what processes of a run tell each other keep their names.
-func TestNamesInFiles(t *testing.T) {
+// The names in settings files, results and messages between the processes of a run don't change.
+func TestStoredNames(t *testing.T) {
 	golden.Check(t, "settings-names.txt", golden.Names("toml", Settings{}))
 	golden.Check(t, "settings-json-names.txt", golden.Names("json", Settings{}))
 	golden.Check(t, "result-names.txt", golden.Names("json", Result{}))
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -31,7 +31,7 @@
 
 	servers      *emulator.Servers
 	listeners    []*http.Server
-	stateAddress string // addresses
+	stateAddress string
 	cloudAddress string
 	controllers  []*controller
 	hosts        []*host
@@ -40,11 +40,11 @@
 	mu            sync.Mutex
 	events        []invariants.Event
 	hostByMachine map[string]*host // by machine
-	listening     int              // machines whose workers listen
+	listening     int              // number of machines whose workers listen
 	faults        faultCounts
 }
 
-// faultCounts counts what was done to machines.
+// faultCounts counts the injected faults of machines.
 type faultCounts struct {
 	Failed    int `json:"failed"`
 	Restarted int `json:"restarted"`
@@ -52,11 +52,19 @@
 
 func newRegion(s *Settings, opt *run, number int) *region {
 	name := "region-" + strconv.Itoa(number)
-	return &region{settings: s, run: opt, name: name, number: number, dir: filepath.Join(opt.Dir, name), servers: emulator.NewServers(),
-		gangs: newGangs(), hostByMachine: map[string]*host{}}
+	return &region{
+		settings:      s,
+		run:           opt,
+		name:          name,
+		number:        number,
+		dir:           filepath.Join(opt.Dir, name),
+		servers:       emulator.NewServers(),
+		gangs:         newGangs(),
+		hostByMachine: map[string]*host{},
+	}
 }
 
-// start starts everything and returns when all controllers serve and all workers listen.
+// start starts everything and returns when all controllers are ready and all workers listen.
 func (r *region) start(ctx context.Context) error {
 	if err := r.startServers(ctx); err != nil {
 		return err
@@ -71,18 +79,24 @@
 	return r.awaitWorkers(ctx)
 }
 
-// startServers serves the state service and the cloud.
+// keptRevisions is how many revisions the state service keeps for watches.
+const keptRevisions = 10_000
+
+// startServers starts the emulators of the state service and the cloud.
 func (r *region) startServers(ctx context.Context) error {
 	s := r.settings
-	r.servers.State.Keep = 10_000
-	r.servers.State.ValueBytes, r.servers.State.TxnOps = int(s.State.ValueKB*1024), s.State.TxnOps
+	r.servers.State.Keep = keptRevisions
+	r.servers.State.ValueBytes = int(s.State.ValueKB * 1024)
+	r.servers.State.TxnOps = s.State.TxnOps
 	r.servers.SetQuotas(s.State.RPS, s.State.WriteRPS, s.Cloud.RPS)
 	r.servers.Delay(time.Duration(s.State.DelayMS * float64(time.Millisecond)))
-	w := r.servers.Environment
-	w.Types, w.Capacity, w.Boot = []wire.MachineType{s.machineType()}, map[string]int{}, config.FromSeconds(s.Cloud.BootS)
-	w.Watch = r.machineChanged
+	env := r.servers.Environment
+	env.Types = []wire.MachineType{s.machineType()}
+	env.Capacity = map[string]int{}
+	env.Boot = config.FromSeconds(s.Cloud.BootS)
+	env.Watch = r.machineChanged
 	for i, zone := range s.zoneNames() {
-		w.Capacity[zone] = shareOf(s.Workers, s.Zones, i)
+		env.Capacity[zone] = shareOf(s.Workers, s.Zones, i)
 	}
 	var err error
 	if r.stateAddress, err = r.serve(r.servers.StateHandler()); err != nil {
@@ -95,9 +109,10 @@
 	return nil
 }
 
-// expireInterval is how often leases of the state service are looked at.
+// expireInterval is how often the state service checks its leases.
 const expireInterval = 50 * time.Millisecond
 
+// serve starts an HTTP server on a loopback port and returns its address.
 func (r *region) serve(h http.Handler) (string, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,8 +137,12 @@
 	for i := range r.run.hostsPerRegion {
 		c.Network = firstNetwork + r.number*r.run.hostsPerRegion + i
 		read, write := io.Pipe()
-		p, err := process.Start(process.Options{Program: r.run.Program, Args: r.run.HollowArgs, Output: write,
-			Log: filepath.Join(r.dir, fmt.Sprintf("hollow-%d.log", i))})
+		p, err := process.Start(process.Options{
+			Program: r.run.Program,
+			Args:    r.run.HollowArgs,
+			Output:  write,
+			Log:     filepath.Join(r.dir, fmt.Sprintf("hollow-%d.log", i)),
+		})
 		if err != nil {
 			return err
 		}
@@ -141,14 +160,14 @@
 	return nil
 }
 
-// enqueueAll sends a command to all of them.
+// enqueueAll enqueues a command to all processes of hollow workers.
 func (r *region) enqueueAll(c hollow.Command) {
 	for _, h := range r.hosts {
 		h.enqueue(c)
 	}
 }
 
-// readEvents takes what hollow workers tell until their process ends.
+// readEvents handles the events of a process of hollow workers until it ends.
 func (r *region) readEvents(h *host, from io.Reader) {
 	events := json.NewDecoder(from)
 	for {
@@ -167,10 +186,16 @@
 	}
 }
 
-// taskChanged records what has happened to a task, and has gangs begin and break up.
+// taskEvents are the recorded events by the kinds of task events of hollow workers.
+var taskEvents = map[string]invariants.Kind{
+	hollow.TaskOn:   invariants.TaskStarted,
+	hollow.TaskOff:  invariants.TaskStopped,
+	hollow.TaskDone: invariants.TaskDone,
+}
+
+// taskChanged records an event of a task, and has gangs run or break.
 func (r *region) taskChanged(at int64, t *hollow.Task) {
-	kind := map[string]invariants.Kind{hollow.TaskOn: invariants.TaskStarted, hollow.TaskOff: invariants.TaskStopped, hollow.TaskDone: invariants.TaskDone}[t.Kind]
-	r.record(invariants.Event{At: at, Kind: kind, Job: t.Job, Task: t.Task, Attempt: t.Attempt, Machine: t.Machine})
+	r.record(invariants.Event{At: at, Kind: taskEvents[t.Kind], Job: t.Job, Task: t.Task, Attempt: t.Attempt, Machine: t.Machine})
 	attempt := hollow.Attempt{Job: t.Job, Attempt: t.Attempt}
 	switch r.gangs.taskChanged(t) {
 	case gangComplete:
@@ -180,16 +205,17 @@
 	}
 }
 
+// record appends an event to the history that the invariants are checked on.
 func (r *region) record(e invariants.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, e)
 }
 
-// now is the time of day in microseconds: what all processes of a run go by.
+// now returns the Unix time in microseconds, the clock of all processes of a run.
 func now() int64 { return time.Now().UnixMicro() }
 
-// close ends everything and waits for the processes.
+// close kills all processes and waits for their end.
 func (r *region) close() {
 	for _, c := range r.controllers {
 		c.kill()
@@ -202,11 +228,11 @@
 	}
 }
 
-// shareOf is what the i-th of n gets of a whole.
+// shareOf returns the i-th of n nearly equal shares of a whole.
 func shareOf(whole, n, i int) int {
-	out := whole / n
+	share := whole / n
 	if i < whole%n {
-		out++
+		share++
 	}
-	return out
+	return share
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -14,45 +14,49 @@
 	"coralhub/internal/wait"
 )
 
-// Options say how a run is made.
+// Options describe how a run is made.
 type Options struct {
-	Program    string       // the executable of controllers and hollow workers
+	Program    string       // path of the executable of controllers and hollow workers
 	ServeArgs  []string     // its arguments before --settings and --config, for a controller
 	HollowArgs []string     // its arguments for a process of hollow workers
 	Dir        string       // for settings and logs
 	Log        string       // LOG_LEVEL of the controllers
-	Progress   func(string) // a line about what happens; nil: nothing is said
+	Progress   func(string) // called with a line about the progress; may be nil
 }
 
-// run is a run that is being made.
+// run is a run in progress.
 type run struct {
 	Options
 	hostsPerRegion int                // processes of hollow workers
 	stop           context.CancelFunc // ends the run
 
 	mu  sync.Mutex
-	err error // why the run itself can't go on
+	err error // why the run itself can\'t continue
 }
 
 const (
-	// filesPerWorker is how many files a hollow worker may have open: what it listens on, its
-	// connection to a controller, and controllers' connections to it.
+	// filesPerWorker is how many files a hollow worker may have open: its listener, its connection
+	// to a controller, and controllers' connections to it.
 	filesPerWorker = 8
-	// reservedFiles are kept for the rest of a process.
+	// reservedFiles are the files for the rest of a process.
 	reservedFiles = 500
-	// maxProcesses is how many processes a run may have.
+	// maxProcesses bounds the processes of a run.
 	maxProcesses = 300
-	// minHostsPerRegion is how many processes share the hollow workers of a region at the least.
+	// minHostsPerRegion is the least number of processes that share the hollow workers of a region.
 	minHostsPerRegion = 2
-	// maxMemoryFraction is the part of the machine's memory that all processes together may hold.
+	// maxMemoryFraction is the fraction of the machine's memory that all processes together may use.
 	maxMemoryFraction = 0.5
-	// Estimates of what a run holds, in MB, to refuse what can't be held.
-	workerMB, ownMB = 0.15, 500
-	// memoryCheckInterval is how often the memory in use is added up.
+	// workerMB and ownMB estimate the memory of a hollow worker and of this process, in MB, to reject
+	// runs that would need too much.
+	workerMB = 0.15
+	ownMB    = 500
+	// memoryCheckInterval is how often the memory in use is checked.
 	memoryCheckInterval = time.Second
+	// unfinishedPollInterval is how often is checked whether jobs are left.
+	unfinishedPollInterval = 200 * time.Millisecond
 )
 
-// plan finds how many processes a run needs, or why it can't be made.
+// plan computes how many processes a run needs. The error says why the run can't be made.
 func (o *run) plan(s *Settings) error {
 	limit, err := process.FileLimit()
 	if err != nil {
@@ -73,13 +77,14 @@
 	return nil
 }
 
+// logf reports progress.
 func (o *run) logf(format string, args ...any) {
 	if o.Progress != nil {
 		o.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// fail ends the run because of something that is not the service's doing.
+// fail ends the run because of an error that is not one of the service.
 func (o *run) fail(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -89,22 +94,22 @@
 	}
 }
 
-// failure tells why the run itself can't go on; nil: it can.
+// failure returns why the run itself can't continue, or nil.
 func (o *run) failure() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.err
 }
 
-// requestFailed hears why a user's request got no answer. That this process can open nothing
-// more is no fault of the service.
+// requestFailed takes why a user's request got no answer. That this process has reached its limit of
+// open files is no fault of the service: it ends the run.
 func (o *run) requestFailed(err error) {
 	if process.OutOfFiles(err) {
 		o.fail(fmt.Errorf("this process can't open more files: %w", err))
 	}
 }
 
-// Run makes a run. The error says in one line why it could not be made, or not to its end.
+// Run makes a run. The error says in one line why the run could not be made or completed.
 func Run(ctx context.Context, s Settings, opt Options) (*Result, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -127,11 +132,11 @@
 	for i := range s.Regions {
 		regions = append(regions, newRegion(&s, o, i))
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := each(regions, func(r *region) error { return r.start(ctx) }); err != nil {
 		return nil, o.failureOr(err)
 	}
-	o.logf("%d regions of %d controllers serve; %d workers listen after %.1f s", s.Regions, s.Controllers, s.Regions*s.Workers, time.Since(began).Seconds())
+	o.logf("%d regions of %d controllers serve; %d workers listen after %.1f s", s.Regions, s.Controllers, s.Regions*s.Workers, time.Since(start).Seconds())
 	go o.watchMemory(ctx, regions)
 	results := make([]RegionResult, len(regions))
 	err := each(regions, func(r *region) error {
@@ -144,10 +149,10 @@
 	if err != nil {
 		return nil, o.failureOr(err)
 	}
-	return newResult(&s, regions, results, time.Since(began)), nil
+	return newResult(&s, regions, results, time.Since(start)), nil
 }
 
-// failureOr returns why the run itself can't go on, or else an error.
+// failureOr returns why the run itself can't continue, or else the error.
 func (o *run) failureOr(err error) error {
 	if why := o.failure(); why != nil {
 		return why
@@ -155,7 +160,7 @@
 	return err
 }
 
-// each calls f for all regions at once and returns the errors.
+// each calls f for all regions concurrently and returns the errors.
 func each(regions []*region, f func(*region) error) error {
 	errs := make([]error, len(regions))
 	var wg sync.WaitGroup
@@ -166,44 +171,46 @@
 	return errors.Join(errs...)
 }
 
-// watchMemory ends a run that holds more of the machine's memory than it may.
+// watchMemory ends the run if it uses too much of the machine's memory.
 func (o *run) watchMemory(ctx context.Context, regions []*region) {
 	total := process.TotalMB()
 	wait.Every(ctx, memoryCheckInterval, func() {
-		if held := memoryInUse(regions); total > 0 && held > total*maxMemoryFraction {
-			o.fail(fmt.Errorf("the run holds %.0f MB, more than half of the machine's %.0f MB", held, total))
+		if used := memoryInUse(regions); total > 0 && used > total*maxMemoryFraction {
+			o.fail(fmt.Errorf("the run holds %.0f MB, more than half of the machine's %.0f MB", used, total))
 		}
 	})
 }
 
-// memoryInUse adds up what this process and all that it has started hold, in MB.
+// memoryInUse returns the memory of this process and all that it has started, in MB.
 func memoryInUse(regions []*region) float64 {
-	held := process.ResidentMB(os.Getpid())
+	used := process.ResidentMB(os.Getpid())
 	for _, r := range regions {
 		for _, c := range r.controllers {
-			held += c.Measure()
+			used += c.Measure()
 		}
 		for _, h := range r.hosts {
-			held += h.Measure()
+			used += h.Measure()
 		}
 	}
-	return held
+	return used
 }
 
-// measure loads a region and measures it.
+// measure generates load in a region and measures it.
 func (r *region) measure(ctx context.Context, seed uint64) (*RegionResult, error) {
 	s := r.settings
-	follow, stopFollowing := context.WithCancel(ctx)
+	followCtx, stopFollowing := context.WithCancel(ctx)
 	defer stopFollowing()
-	load, stopLoad := context.WithCancel(ctx)
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	u := newUsers(r)
 	defer u.client.HTTP.CloseIdleConnections()
-	var open, background sync.WaitGroup
-	background.Go(func() { u.probe(follow) })
-	background.Go(func() { r.injectFaults(load, rand.New(rand.NewPCG(seed, math.MaxUint32))) })
+	var followed, background sync.WaitGroup
+	background.Go(func() { u.probe(followCtx) })
+	background.Go(func() { r.injectFaults(loadCtx, rand.New(rand.NewPCG(seed, math.MaxUint32))) })
 	for class := range s.Classes {
-		background.Go(func() { u.submitUntil(load, follow, class, rand.New(rand.NewPCG(seed, uint64(class))), &open) })
+		background.Go(func() {
+			u.submitUntil(loadCtx, followCtx, class, rand.New(rand.NewPCG(seed, uint64(class))), &followed)
+		})
 	}
 	if !wait.For(ctx, seconds(s.RampS)) {
 		return nil, ctx.Err()
@@ -224,7 +231,7 @@
 	r.run.logf("%s: no more jobs come", r.name)
 	u.waitUntilFinished(ctx, seconds(s.SettleS))
 	stopFollowing()
-	open.Wait()
+	followed.Wait()
 	background.Wait()
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -232,14 +239,15 @@
 	return r.result(u, &first, &last), nil
 }
 
-// waitUntilFinished waits until all accepted jobs are over, for so long at most.
-func (u *users) waitUntilFinished(ctx context.Context, longest time.Duration) {
-	deadline := time.Now().Add(longest)
+// waitUntilFinished waits until all accepted jobs have ended, up to a timeout.
+func (u *users) waitUntilFinished(ctx context.Context, timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
 	for u.unfinished() > 0 && time.Now().Before(deadline) {
-		if !wait.For(ctx, 200*time.Millisecond) {
+		if !wait.For(ctx, unfinishedPollInterval) {
 			return
 		}
 	}
 }
 
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -14,17 +14,17 @@
 	"coralhub/internal/node/metrics"
 )
 
-// sample is what a region's processes tell at a moment.
+// sample is a measurement of a region's processes at a moment.
 type sample struct {
 	at          time.Time
 	controllers []controllerSample
 	hosts       []hostSample
-	requests    int // of the state service, as the stand-in counts them
+	requests    int // of the state service, as its emulator counts them
 	refused     int
 	revision    uint64
 }
 
-// controllerSample is a controller's.
+// controllerSample is a measurement of a controller.
 type controllerSample struct {
 	cpu       time.Duration
 	memoryMB  float64
@@ -32,58 +32,60 @@
 	leads     bool
 	requests  map[string]float64 // of the state service, by purpose
 	changes   map[string]float64
-	forwarded float64            // reports handed to the leader
-	steps     map[string]float64 // seconds that the core took, by input
-	inputs    map[string]float64 // how many there were
-	machines  map[string]float64 // by state, of the leader
-	waiting   float64            // jobs, of the leader
+	forwarded float64            // heartbeats forwarded to the leader
+	steps     map[string]float64 // seconds of the core's steps, by kind of input
+	inputs    map[string]float64 // number of the core's steps, by kind of input
+	machines  map[string]float64 // by state; of the leader
+	waiting   float64            // waiting jobs; of the leader
 	heapMB    float64
 }
 
-// hostSample is of a process of hollow workers.
+// hostSample is a measurement of a process of hollow workers.
 type hostSample struct {
 	cpu      time.Duration
 	memoryMB float64
 	usage    hollow.Usage
 }
 
-// sampleTimeout is how long a process may take to tell.
+// sampleTimeout is how long the processes may take to answer.
 const sampleTimeout = 10 * time.Second
 
-// sample asks all processes of the region.
+// sample measures all processes of the region.
 func (r *region) sample(ctx context.Context) (sample, error) {
 	ctx, cancel := context.WithTimeout(ctx, sampleTimeout)
 	defer cancel()
-	out := sample{at: time.Now()}
+	result := sample{at: time.Now()}
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
 	for _, c := range r.controllers {
 		s := controllerSample{cpu: c.CPU(), memoryMB: c.Measure(), files: c.Files()}
 		page, err := scrape(ctx, client, c.listen)
 		if err != nil {
-			return out, fmt.Errorf("metrics of %s: %w", c.name, err)
+			return result, fmt.Errorf("metrics of %s: %w", c.name, err)
 		}
 		page.fill(&s)
-		out.controllers = append(out.controllers, s)
+		result.controllers = append(result.controllers, s)
 	}
 	for _, h := range r.hosts {
 		h.enqueue(hollow.Command{Usage: true})
 		select {
 		case usage := <-h.usage:
-			out.hosts = append(out.hosts, hostSample{cpu: h.CPU(), memoryMB: h.Measure(), usage: usage})
+			result.hosts = append(result.hosts, hostSample{cpu: h.CPU(), memoryMB: h.Measure(), usage: usage})
 		case <-h.Gone():
-			return out, fmt.Errorf("%s: a process of hollow workers has ended", r.name)
+			return result, fmt.Errorf("%s: a process of hollow workers has ended", r.name)
 		case <-ctx.Done():
-			return out, fmt.Errorf("%s: hollow workers: %w", r.name, ctx.Err())
+			return result, fmt.Errorf("%s: hollow workers: %w", r.name, ctx.Err())
 		}
 	}
 	r.servers.With(func() {
-		out.requests, out.refused, out.revision = r.servers.Requests, r.servers.Refused, r.servers.State.Revision()
+		result.requests = r.servers.Requests
+		result.refused = r.servers.Refused
+		result.revision = r.servers.State.Revision()
 	})
-	return out, nil
+	return result, nil
 }
 
-// metricsPage is a page of metrics.
+// metricsPage is the metrics of a controller, by name.
 type metricsPage map[string]*dto.MetricFamily
 
 // scrape reads a controller's metrics.
@@ -104,7 +106,7 @@
 	return parser.TextToMetricFamilies(res.Body)
 }
 
-// fill reads from the page what a sample tells.
+// fill sets the fields of a sample that are read from the metrics.
 func (p metricsPage) fill(s *controllerSample) {
 	s.leads = p.sum("coralhub_leading") == 1
 	s.requests = p.by("coralhub_state_requests_total", "purpose")
@@ -121,16 +123,16 @@
 	}
 }
 
-// by is a family's values by a label.
-func (p metricsPage) by(family, by string) map[string]float64 {
-	out := map[string]float64{}
+// by returns a metric's values, added up by a label.
+func (p metricsPage) by(family, name string) map[string]float64 {
+	values := map[string]float64{}
 	for _, m := range p[family].GetMetric() {
-		out[label(m, by)] += value(m)
+		values[label(m, name)] += value(m)
 	}
-	return out
+	return values
 }
 
-// sum adds up a family's values.
+// sum returns the sum of a metric's values.
 func (p metricsPage) sum(family string) float64 {
 	sum := 0.0
 	for _, m := range p[family].GetMetric() {
@@ -139,6 +141,7 @@
 	return sum
 }
 
+// label returns the value of a label; "" if there is none.
 func label(m *dto.Metric, name string) string {
 	for _, l := range m.GetLabel() {
 		if l.GetName() == name {
@@ -148,7 +151,7 @@
 	return ""
 }
 
-// value is a metric's, whichever of the plain kinds it is.
+// value returns the value of a counter, gauge or untyped metric.
 func value(m *dto.Metric) float64 {
 	return m.GetCounter().GetValue() + m.GetGauge().GetValue() + m.GetUntyped().GetValue()
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -16,7 +16,8 @@
 	"coralhub/internal/node"
 )
 
-// Controllers and hollow workers of a test's run are this very test program.
+// TestMain runs the test program as a controller or a process of hollow workers of a test's run, if its
+// arguments say so.
 func TestMain(m *testing.M) {
 	if len(os.Args) < 2 {
 		os.Exit(m.Run())
@@ -49,7 +50,7 @@
 	return node.New(cfg).Run(context.Background())
 }
 
-// smallRun is a run of some seconds.
+// smallRun returns the settings of a run of some seconds.
 func smallRun(t *testing.T) (Settings, Options) {
 	t.Helper()
 	s, err := Parse([]byte(`
@@ -104,6 +105,7 @@
 	return s, Options{Program: program, ServeArgs: []string{"serve"}, HollowArgs: []string{"hollow-workers"}, Dir: t.TempDir(), Log: "error"}
 }
 
+// A small run completes without violated rules, and every part of its result is measured.
 func TestScale(t *testing.T) {
 	s, opt := smallRun(t)
 	res, err := Run(t.Context(), s, opt)
@@ -120,17 +122,18 @@
 	if r.StartsPerS < s.StartsPerS/4 || r.UrgentS.P50 <= 0 || r.OtherS.P50 <= 0 {
 		t.Errorf("%.1f starts a second, urgent ones after %+v, others after %+v", r.StartsPerS, r.UrgentS, r.OtherS)
 	}
-	leaders, handed := 0, 0.0
+	leaders, forwarded := 0, 0.0
 	for _, c := range r.Controllers {
-		if handed += c.HandedPerS; c.Leads {
+		forwarded += c.HandedPerS
+		if c.Leads {
 			leaders++
 		}
 		if c.Cores <= 0 || c.MemoryMB <= 0 || c.Files <= 0 || len(c.CoreS) == 0 {
 			t.Errorf("controller: %+v", c)
 		}
 	}
-	if leaders != 1 || handed == 0 {
-		t.Errorf("%d leaders, %.1f reports handed on a second", leaders, handed)
+	if leaders != 1 || forwarded == 0 {
+		t.Errorf("%d leaders, %.1f reports handed on a second", leaders, forwarded)
 	}
 	if w := r.Workers; w.BytesPerS <= 0 || w.ReportsPerS < 0.5 || w.ReportsPerS > 4 || w.MemoryMBEach <= 0 {
 		t.Errorf("workers: %+v", w)
@@ -146,8 +149,8 @@
 	}
 }
 
-// What can't be made is refused before anything is started.
-func TestRefused(t *testing.T) {
+// A run that can't be made is rejected before anything is started.
+func TestImpossibleRunsAreRejected(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"processes are needed":   func(s *Settings) { s.Regions, s.Controllers = 5, 90 },
 		"a process may open":     func(s *Settings) { s.Limits.MaxConnections = 1 << 30 },
@@ -167,7 +170,8 @@
 	}
 }
 
-func TestBadSettings(t *testing.T) {
+// Invalid settings are rejected with an error of one line.
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for text, want := range map[string]string{
 		"workers = 0":               "minimum",
 		"workers = \"many\"":        "want integer",
@@ -185,7 +189,7 @@
 		}
 	}
 	if _, err := Load("no-such-file.toml"); err == nil {
-		t.Error("a file that isn't there was read")
+		t.Error("a file that doesn't exist was read")
 	}
 	d := Defaults()
 	if err := d.Check(); err != nil {
@@ -193,8 +197,8 @@
 	}
 }
 
-// When this process has no more files to open, the run says so and nobody is blamed.
-func TestOutOfFiles(t *testing.T) {
+// When this process can open no more files, the run ends with that error and the service isn't blamed.
+func TestOutOfFilesEndsTheRun(t *testing.T) {
 	stopped := false
 	o := &run{stop: func() { stopped = true }}
 	o.requestFailed(errors.New("reset"))
@@ -207,7 +211,8 @@
 	}
 }
 
-func TestGangs(t *testing.T) {
+// A gang runs once all its tasks are placed, and breaks once when one of them stops.
+func TestGangsRunAndBreak(t *testing.T) {
 	g := newGangs()
 	g.add("j-1", 2)
 	change := func(kind string, task int, attempt uint64) gangChange {
@@ -220,16 +225,16 @@
 		want    gangChange
 	}{
 		{hollow.TaskOn, 0, 1, gangUnchanged},
-		{hollow.TaskOn, 0, 1, gangUnchanged}, // said twice
+		{hollow.TaskOn, 0, 1, gangUnchanged}, // repeated
 		{hollow.TaskOff, 0, 1, gangUnchanged},
 		{hollow.TaskOn, 0, 1, gangUnchanged},
 		{hollow.TaskOn, 1, 1, gangComplete},
 		{hollow.TaskOff, 0, 1, gangBroken},
-		{hollow.TaskOff, 1, 1, gangUnchanged}, // told once
+		{hollow.TaskOff, 1, 1, gangUnchanged}, // reported once
 		{hollow.TaskOn, 1, 2, gangUnchanged},
 		{hollow.TaskOn, 0, 2, gangComplete},
 		{hollow.TaskDone, 0, 2, gangUnchanged},
-		{hollow.TaskOff, 0, 2, gangUnchanged}, // completed, so nothing is broken
+		{hollow.TaskOff, 0, 2, gangUnchanged}, // the gang has completed
 	} {
 		if got := change(step.kind, step.task, step.attempt); got != step.want {
 			t.Errorf("step %d: %v, want %v", i, got, step.want)
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -1,6 +1,6 @@
-// Package scale measures controllers at a size for which there are no machines: real controller
-// processes, hollow workers, and stand-ins of the state service and the cloud, on loopback
-// sockets without proxies.
+// Package scale measures the control plane at a size for which there are no machines: real
+// controller processes, hollow workers, and emulators of the state service and the cloud, on
+// loopback sockets without proxies.
 package scale
 
 import (
@@ -16,16 +16,16 @@
 	"coralhub/wire"
 )
 
-// Settings say what is measured. All counts are of one region.
+// Settings describe what is measured. All counts are per region.
 type Settings struct {
-	Regions     int     `toml:"regions" json:"regions"` // alike, and without anything between them
+	Regions     int     `toml:"regions" json:"regions"` // equal and independent
 	Workers     int     `toml:"workers" json:"workers"`
 	Zones       int     `toml:"zones" json:"zones"`
 	Controllers int     `toml:"controllers" json:"controllers"`
 	Teams       int     `toml:"teams" json:"teams"`
 	StartsPerS  float64 `toml:"starts_per_s" json:"starts_per_s"` // of tasks
-	// What is measured lasts for DurationS and begins RampS after the first jobs. No jobs come
-	// in the SettleS after it, in which what is left may end.
+	// The measurement lasts for DurationS and starts RampS after the first submissions. No jobs are
+	// submitted in the SettleS after it, in which the others may end.
 	RampS     float64 `toml:"ramp_s" json:"ramp_s"`
 	DurationS float64 `toml:"duration_s" json:"duration_s"`
 	SettleS   float64 `toml:"settle_s" json:"settle_s"`
@@ -40,14 +40,14 @@
 	Classes  []Class  `toml:"class" json:"class"`
 }
 
-// Machine is what every worker's machine has.
+// Machine is the size of each worker's machine.
 type Machine struct {
 	CPUs     float64 `toml:"cpus" json:"cpus"`
 	GPUs     float64 `toml:"gpus" json:"gpus"`
 	MemoryGB float64 `toml:"memory_gb" json:"memory_gb"`
 }
 
-// Protocol holds the times of workers, in seconds.
+// Protocol holds the times of the worker protocol, in seconds.
 type Protocol struct {
 	ReportS   float64 `toml:"report_s" json:"report_s"`
 	LeaseS    float64 `toml:"lease_s" json:"lease_s"`
@@ -65,43 +65,43 @@
 	DelayMS  float64 `toml:"delay_ms" json:"delay_ms"` // added to each answer
 }
 
-// Cloud is a region's.
+// Cloud holds the limits and times of a region's cloud.
 type Cloud struct {
 	RPS      float64 `toml:"rps" json:"rps"`
 	ListLagS float64 `toml:"list_lag_s" json:"list_lag_s"`
 	BootS    float64 `toml:"boot_s" json:"boot_s"`
 }
 
-// Limits are a controller's.
+// Limits are those of a controller process.
 type Limits struct {
 	MemoryMB       float64 `toml:"memory_mb" json:"memory_mb"`
 	MaxConnections int     `toml:"max_connections" json:"max_connections"`
 }
 
-// Failures say how many of a region's machines fail on a day, and how many are restarted; both
-// come so many times as often.
+// Failures are how many of a region's machines fail and restart on a day; Times multiplies both.
 type Failures struct {
 	FailedPerDay    float64 `toml:"failed_per_day" json:"failed_per_day"`
 	RestartedPerDay float64 `toml:"restarted_per_day" json:"restarted_per_day"`
 	Times           float64 `toml:"times" json:"times"`
-	AwayS           float64 `toml:"away_s" json:"away_s"` // of a restart
+	AwayS           float64 `toml:"away_s" json:"away_s"` // duration of a restart
 }
 
-// Class is a kind of jobs.
+// Class is a class of jobs.
 type Class struct {
 	Name      string    `toml:"name" json:"name"`
 	Shape     string    `toml:"shape" json:"shape"`       // array or gang
 	Priority  string    `toml:"priority" json:"priority"` // production, high, normal or low
-	Share     float64   `toml:"share" json:"share"`       // of all starts, relative to the other classes
-	Tasks     []int     `toml:"tasks" json:"tasks"`       // sizes, drawn alike
+	Share     float64   `toml:"share" json:"share"`       // of all task starts, relative to the other classes
+	Tasks     []int     `toml:"tasks" json:"tasks"`       // sizes, each with the same probability
 	GPUs      float64   `toml:"gpus" json:"gpus"`         // of a task
-	RunS      []float64 `toml:"run_s" json:"run_s"`       // the shortest and the longest run
+	RunS      []float64 `toml:"run_s" json:"run_s"`       // least and greatest run time
 	Urgent    bool      `toml:"urgent" json:"urgent"`
-	Cancelled float64   `toml:"cancelled" json:"cancelled"` // part of the jobs that their users cancel
+	Cancelled float64   `toml:"cancelled" json:"cancelled"` // fraction of the jobs that are cancelled
 }
 
-// Defaults are one region of the target: a fifth of 23,000 workers, 4,200 starts a second,
-// 1,100 teams and 45 controllers, by today's largest limits of a state service and a controller.
+// Defaults returns the settings of one region of the target: a fifth of 23,000 workers, 4,200 task
+// starts per second, 1,100 teams and 45 controllers, with today's largest limits of a state service
+// and a controller.
 func Defaults() Settings {
 	return Settings{
 		Regions: 1, Workers: 4600, Zones: 3, Controllers: 9, Teams: 220, StartsPerS: 840, RampS: 30, DurationS: 60, SettleS: 40, Seed: 1,
@@ -122,8 +122,8 @@
 //go:embed settings.schema.json
 var schemaText []byte
 
-// Load reads settings from a file over the defaults; no name: the defaults. Its errors are one
-// line that names the file and what is wrong.
+// Load reads settings from a file over the defaults; without a name it returns the defaults. Its
+// errors are one line that names the file and what is wrong.
 func Load(file string) (Settings, error) {
 	s := Defaults()
 	if file == "" {
@@ -139,7 +139,7 @@
 	return s, nil
 }
 
-// Parse reads settings over the defaults. Classes replace the default ones.
+// Parse parses settings over the defaults. Classes replace the default ones.
 func Parse(raw []byte) (Settings, error) {
 	s := Defaults()
 	var doc any
@@ -160,16 +160,17 @@
 	return s, s.Check()
 }
 
+// decodeError returns a TOML error as one line with its position.
 func decodeError(err error) error {
-	var de *toml.DecodeError
-	if errors.As(err, &de) {
-		row, col := de.Position()
-		return fmt.Errorf("line %d column %d: %s", row, col, schema.OneLine(de.Error()))
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		row, col := decodeError.Position()
+		return fmt.Errorf("line %d column %d: %s", row, col, schema.OneLine(decodeError.Error()))
 	}
 	return errors.New(schema.OneLine(err.Error()))
 }
 
-// Check refuses settings that fit the schema and can't be played.
+// Check rejects settings that fit the schema and can't be run.
 func (s *Settings) Check() error {
 	switch {
 	case s.Regions < 1 || s.Workers < 1 || s.Zones < 1 || s.Controllers < 1 || s.Teams < 1:
@@ -182,7 +183,8 @@
 	total := 0.0
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		if total += c.Share; c.GPUs > s.Machine.GPUs {
+		total += c.Share
+		if c.GPUs > s.Machine.GPUs {
 			return fmt.Errorf("class %s: a task takes %g GPUs and a machine has %g", c.Name, c.GPUs, s.Machine.GPUs)
 		}
 		for _, n := range c.Tasks {
@@ -197,19 +199,24 @@
 	return nil
 }
 
-// teamGuarantee is what each team is guaranteed: its part of all GPUs.
+const (
+	teamLimitFactor = 4
+	leastTeamLimit  = 640 // GPUs
+)
+
+// teamGuarantee returns each team's guaranteed GPUs: an equal part of all.
 func (s *Settings) teamGuarantee() float64 {
 	return float64(s.Workers) * s.Machine.GPUs / float64(s.Teams)
 }
 
-// teamLimit is what each team may use at most: four times its part, and no less than a gang of
-// 512 tasks where a region has as many GPUs.
+// teamLimit returns each team's maximum of GPUs: four times its guarantee, and no less than a gang of
+// 512 tasks needs where a region has as many GPUs.
 func (s *Settings) teamLimit() float64 {
 	all := float64(s.Workers) * s.Machine.GPUs
-	return min(all, max(4*s.teamGuarantee(), 640))
+	return min(all, max(teamLimitFactor*s.teamGuarantee(), leastTeamLimit))
 }
 
-// zoneNames are the zones of a region.
+// zoneNames returns the zones of a region.
 func (s *Settings) zoneNames() []string {
 	names := make([]string, s.Zones)
 	for i := range names {
@@ -218,7 +225,7 @@
 	return names
 }
 
-// cluster is a region's deployment as the platform describes it.
+// cluster returns the description of a region's cluster for its controllers.
 func (s *Settings) cluster() config.Cluster {
 	c := config.Cluster{Size: s.Controllers, Zones: s.zoneNames(), SkewMS: 25,
 		Workers: config.Workers{ReportS: s.Protocol.ReportS, LeaseS: s.Protocol.LeaseS, GangWaitS: s.Protocol.GangWaitS, GangPeerS: s.Protocol.GangPeerS, CancelS: s.Protocol.CancelS},
@@ -232,15 +239,16 @@
 	return c
 }
 
+// teamName returns the name of the i-th team.
 func teamName(i int) string { return fmt.Sprintf("team-%d", i) }
 
-// machineType is the only kind of machine that the cloud has.
+// machineType returns the only machine type that the cloud offers.
 func (s *Settings) machineType() wire.MachineType {
 	return wire.MachineType{Name: "m", CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, MemoryGB: s.Machine.MemoryGB, CacheGB: 1000, FetchGBs: 1,
 		Price: 4, SpotPrice: 2, BootS: s.Cloud.BootS, Zones: s.zoneNames()}
 }
 
-// shape is the class's on the wire.
+// shape returns the class's shape in the protocol's terms.
 func (c *Class) shape() string {
 	if shape, ok := wire.ParseShape(c.Shape); ok {
 		return shape
@@ -248,7 +256,7 @@
 	return wire.Array
 }
 
-// priority is the class's on the wire.
+// priority returns the class's priority in the protocol's terms.
 func (c *Class) priority() string {
 	if priority, ok := wire.ParsePriority(c.Priority); ok {
 		return priority
@@ -256,7 +264,7 @@
 	return wire.Normal
 }
 
-// meanTasks is the mean size of the class's jobs.
+// meanTasks returns the mean number of tasks of the class's jobs.
 func (c *Class) meanTasks() float64 {
 	sum := 0
 	for _, n := range c.Tasks {
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -18,39 +18,42 @@
 
 const (
 	probeInterval  = time.Second
-	maxCancelDelay = 10 * time.Second // until a user who cancels does so
+	maxCancelDelay = 10 * time.Second // from the acceptance of a job to its cancellation
 )
 
-// users submit a region's jobs, poll and cancel.
+// users submit, poll and cancel a region's jobs.
 type users struct {
 	region *region
 	client *jobclient.Client
 
 	mu        sync.Mutex
-	ready     []string // addresses of controllers that take requests
+	ready     []string // addresses of the controllers that are ready
 	submitted map[string]*submission
-	errors    map[string]int // answers other than the hoped for, by status
+	errors    map[string]int // unsuccessful answers, by request and status
 }
 
-// submission is a job that has come.
+// submission is a submitted job.
 type submission struct {
 	class       *Class
 	tasks       int
-	submittedAt int64 // when it was first submitted
+	submittedAt int64 // when it was first submitted, Unix time in microseconds
 	acceptedAt  int64 // 0: not yet
 	ended       bool
 }
 
 func newUsers(r *region) *users {
 	u := &users{region: r, submitted: map[string]*submission{}, errors: map[string]int{}}
-	u.client = &jobclient.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute}},
-		PickNode: u.pickNode, Failed: r.run.requestFailed}
+	u.client = &jobclient.Client{
+		HTTP:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute}},
+		PickNode: u.pickNode,
+		Failed:   r.run.requestFailed,
+	}
 	return u
 }
 
-// probe finds out which controllers take requests, until ctx ends.
+// probe probes which controllers are ready, until ctx ends.
 func (u *users) probe(ctx context.Context) {
-	look := func() {
+	probeAll := func() {
 		var ready []string
 		for _, c := range u.region.controllers {
 			if jobclient.Ready(ctx, u.client.HTTP, c.listen) {
@@ -61,11 +64,11 @@
 		u.ready = ready
 		u.mu.Unlock()
 	}
-	look()
-	wait.Every(ctx, probeInterval, look)
+	probeAll()
+	wait.Every(ctx, probeInterval, probeAll)
 }
 
-// pickNode chooses a controller that takes requests, or any if none is known to.
+// pickNode returns the address of a random controller that is ready, or of any if none is known to be.
 func (u *users) pickNode() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -75,16 +78,16 @@
 	return u.region.controllers[rand.IntN(len(u.region.controllers))].listen
 }
 
-// submitUntil has a class's jobs come at random times until ctx ends. The jobs that have come
-// are followed until follow ends.
-func (u *users) submitUntil(ctx, follow context.Context, class int, rnd *rand.Rand, open *sync.WaitGroup) {
+// submitUntil submits a class's jobs at random times until ctx ends. The submitted jobs are followed
+// until followCtx ends.
+func (u *users) submitUntil(ctx, followCtx context.Context, class int, rnd *rand.Rand, followed *sync.WaitGroup) {
 	s := u.region.settings
 	c := &s.Classes[class]
-	share := 0.0
+	shares := 0.0
 	for i := range s.Classes {
-		share += s.Classes[i].Share
+		shares += s.Classes[i].Share
 	}
-	rate := s.StartsPerS * c.Share / share / c.meanTasks() // jobs a second
+	rate := s.StartsPerS * c.Share / shares / c.meanTasks() // jobs per second
 	if rate <= 0 {
 		return
 	}
@@ -94,16 +97,35 @@
 		if rnd.Float64() < c.Cancelled {
 			cancelIn = time.Duration(1 + rnd.Float64()*float64(maxCancelDelay))
 		}
-		open.Go(func() { u.follow(follow, c, j, cancelIn) })
+		followed.Go(func() { u.follow(followCtx, c, j, cancelIn) })
 	}
 }
 
-// drawJob draws a class's next job.
+// minEstimateS bounds the estimates of jobs from below, in seconds.
+const minEstimateS = 0.1
+
+// drawJob draws the class's next job.
 func (c *Class) drawJob(rnd *rand.Rand, s *Settings, class, number int) *drawnJob {
-	run := c.RunS[0] + rnd.Float64()*(c.RunS[1]-c.RunS[0])
-	return &drawnJob{runS: run, Job: wire.Job{ID: fmt.Sprintf("j-%d%08d", class+1, number), Class: c.Name, Team: teamName(rnd.IntN(s.Teams)), Shape: c.shape(),
-		Priority: c.priority(), Tasks: c.Tasks[rnd.IntN(len(c.Tasks))], CPUs: c.GPUs, GPUs: c.GPUs, MemoryGB: c.GPUs, Image: "image", ImageGB: 1,
-		EstimateS: max(run, 0.1)}}
+	runS := c.RunS[0] + rnd.Float64()*(c.RunS[1]-c.RunS[0])
+	team := teamName(rnd.IntN(s.Teams))
+	tasks := c.Tasks[rnd.IntN(len(c.Tasks))]
+	return &drawnJob{
+		runS: runS,
+		Job: wire.Job{
+			ID:        fmt.Sprintf("j-%d%08d", class+1, number),
+			Class:     c.Name,
+			Team:      team,
+			Shape:     c.shape(),
+			Priority:  c.priority(),
+			Tasks:     tasks,
+			CPUs:      c.GPUs,
+			GPUs:      c.GPUs,
+			MemoryGB:  c.GPUs,
+			Image:     "image",
+			ImageGB:   1,
+			EstimateS: max(runS, minEstimateS),
+		},
+	}
 }
 
 // drawnJob is a job and how long each of its tasks runs, in seconds.
@@ -112,7 +134,7 @@
 	runS float64
 }
 
-// follow is a user with one job.
+// follow submits a job and polls it until it has ended or ctx ends.
 func (u *users) follow(ctx context.Context, c *Class, j *drawnJob, cancelIn time.Duration) {
 	r := u.region
 	if j.Shape == wire.Gang {
@@ -140,7 +162,7 @@
 	u.mu.Unlock()
 }
 
-// poll asks for a job's state until it is over, and cancels it if that is planned.
+// poll polls a job until it has ended, and cancels it if cancelIn is above 0.
 func (u *users) poll(ctx context.Context, id string, cancelIn time.Duration) {
 	u.client.Follow(ctx, id, cancelIn, func(a *jobclient.Answer) { u.recordAnswer(id, invariants.ByPoll, a) }, func() {
 		u.region.record(invariants.Event{At: now(), Kind: invariants.CancelRequested, Job: id})
@@ -148,11 +170,12 @@
 	})
 }
 
-// retry makes a request until it is taken.
+// retry makes a request until it is accepted.
 func (u *users) retry(ctx context.Context, id, via, path string, body []byte) bool {
 	return u.client.Repeat(ctx, http.MethodPost, path, body, func(a *jobclient.Answer) { u.recordAnswer(id, via, a) })
 }
 
+// recordAnswer records an answer to a user.
 func (u *users) recordAnswer(id, via string, a *jobclient.Answer) {
 	u.region.record(invariants.Event{At: now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
 	if !a.Accepted() {
@@ -162,18 +185,18 @@
 	}
 }
 
-// submissions lists the jobs that have come, by their ids.
+// submissions returns the submitted jobs by their ids.
 func (u *users) submissions() map[string]submission {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := make(map[string]submission, len(u.submitted))
+	submitted := make(map[string]submission, len(u.submitted))
 	for id, s := range u.submitted {
-		out[id] = *s
+		submitted[id] = *s
 	}
-	return out
+	return submitted
 }
 
-// unfinished counts the jobs that were accepted and are not over.
+// unfinished returns the number of accepted jobs that have not ended.
 func (u *users) unfinished() int {
 	n := 0
 	for _, s := range u.submissions() {
