--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -127,7 +127,7 @@
 <h1>Estimates of run times</h1>
 <p>{{.Result.Skipped}} lines skipped, {{.Result.Changes}} sudden changes found.</p>
 <table><tr><th>class<th>jobs<th>with kin<th>within 1.25<th>1.5<th>2<th>0.5 covers<th>0.8<th>0.95<th>log error<th>owners'<th>first seen<th>unknown</tr>
-{{range .Result.Classes}}<tr><td>{{.Class}}<td>{{.Jobs}}<td>{{.WithKin}}<td>{{index .Within "1.25"}}<td>{{index .Within "1.5"}}<td>{{index .Within "2"}}<td>{{index .Coverage "0.5"}}<td>{{index .Coverage "0.8"}}<td>{{index .Coverage "0.95"}}<td>{{.LogError}}<td>{{.UserLogError}}<td>{{.FirstSeen.Jobs}}<td>{{.FirstSeen.Unknown}}</tr>
+{{range .Result.Classes}}<tr><td>{{.Class}}<td>{{.Jobs}}<td>{{.WithSimilar}}<td>{{index .Within "1.25"}}<td>{{index .Within "1.5"}}<td>{{index .Within "2"}}<td>{{index .Coverage "0.5"}}<td>{{index .Coverage "0.8"}}<td>{{index .Coverage "0.95"}}<td>{{.LogError}}<td>{{.UserLogError}}<td>{{.FirstSeen.Jobs}}<td>{{.FirstSeen.Unknown}}</tr>
 {{end}}</table>
 {{range .Charts}}<figure>{{.}}</figure>{{end}}
 </html>
--- a/internal/history/replay.go
+++ b/internal/history/replay.go
@@ -55,14 +55,12 @@
 // intervals are the names of estimate.Intervals.
 var intervals = [...]string{"0.5", "0.8", "0.95"}
 
-// runningHeap is a heap of the indices of running runs, the first to end on top.
-type runningHeap struct {
-	lines   []Line
-	indices []int
-}
+// runningHeap is a heap of the indices of running runs. The lines are sorted by their end: the first
+// to end is on top.
+type runningHeap struct{ indices []int }
 
 func (h *runningHeap) Len() int           { return len(h.indices) }
-func (h *runningHeap) Less(i, j int) bool { return h.indices[i] < h.indices[j] } // the lines are sorted by their end
+func (h *runningHeap) Less(i, j int) bool { return h.indices[i] < h.indices[j] }
 func (h *runningHeap) Swap(i, j int)      { h.indices[i], h.indices[j] = h.indices[j], h.indices[i] }
 func (h *runningHeap) Push(x any)         { h.indices = append(h.indices, x.(int)) }
 func (h *runningHeap) Pop() any {
@@ -109,7 +107,7 @@
 		scores:      map[string]*classScore{},
 		similar:     map[[2]string]int{},
 		predictions: make([]prediction, len(lines)),
-		running:     &runningHeap{lines: lines},
+		running:     &runningHeap{},
 	}
 	for _, i := range startOrder(lines) {
 		for r.running.Len() > 0 && lines[r.running.indices[0]].Ended <= lines[i].Started {
