--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -24,39 +24,47 @@
 // region is a region's controllers, workers, state service and cloud.
 type region struct {
 	settings *Settings
-	options  *run
+	run      *run
 	name     string
 	number   int
 	dir      string
 
-	servers     *emulator.Servers
-	listeners   []*http.Server
-	state       string // addresses
-	cloud       string
-	controllers []*controller
-	hosts       []*host
-	gangs       gangs
-
-	mu       sync.Mutex
-	events   []invariants.Event
-	hostOf   map[string]*host // by machine
-	up       int              // machines whose workers listen
-	troubles troubles
+	servers      *emulator.Servers
+	listeners    []*http.Server
+	stateAddress string
+	cloudAddress string
+	controllers  []*controller
+	hosts        []*host
+	gangs        gangs
+
+	mu            sync.Mutex
+	events        []invariants.Event
+	hostByMachine map[string]*host // by machine
+	listening     int              // number of machines whose workers listen
+	faults        faultCounts
 }
 
-// troubles counts what was done to machines.
-type troubles struct {
+// faultCounts counts the injected faults of machines.
+type faultCounts struct {
 	Failed    int `json:"failed"`
 	Restarted int `json:"restarted"`
 }
 
 func newRegion(s *Settings, opt *run, number int) *region {
 	name := "region-" + strconv.Itoa(number)
-	return &region{settings: s, options: opt, name: name, number: number, dir: filepath.Join(opt.Dir, name), servers: emulator.NewServers(),
-		gangs: newGangs(), hostOf: map[string]*host{}}
+	return &region{
+		settings:      s,
+		run:           opt,
+		name:          name,
+		number:        number,
+		dir:           filepath.Join(opt.Dir, name),
+		servers:       emulator.NewServers(),
+		gangs:         newGangs(),
+		hostByMachine: map[string]*host{},
+	}
 }
 
-// start starts everything and returns when all controllers serve and all workers listen.
+// start starts everything and returns when all controllers are ready and all workers listen.
 func (r *region) start(ctx context.Context) error {
 	if err := r.startServers(ctx); err != nil {
 		return err
@@ -71,33 +79,40 @@
 	return r.awaitWorkers(ctx)
 }
 
-// startServers serves the state service and the cloud.
+// keptRevisions is how many revisions the state service keeps for watches.
+const keptRevisions = 10_000
+
+// startServers starts the emulators of the state service and the cloud.
 func (r *region) startServers(ctx context.Context) error {
 	s := r.settings
-	r.servers.State.Keep = 10_000
-	r.servers.State.ValueBytes, r.servers.State.TxnOps = int(s.State.ValueKB*1024), s.State.TxnOps
+	r.servers.State.Keep = keptRevisions
+	r.servers.State.ValueBytes = int(s.State.ValueKB * 1024)
+	r.servers.State.TxnOps = s.State.TxnOps
 	r.servers.SetQuotas(s.State.RPS, s.State.WriteRPS, s.Cloud.RPS)
 	r.servers.Delay(time.Duration(s.State.DelayMS * float64(time.Millisecond)))
-	w := r.servers.Environment
-	w.Types, w.Capacity, w.Boot = []wire.MachineType{s.machineType()}, map[string]int{}, config.FromSeconds(s.Cloud.BootS)
-	w.Watch = r.machineChanged
+	env := r.servers.Environment
+	env.Types = []wire.MachineType{s.machineType()}
+	env.Capacity = map[string]int{}
+	env.Boot = config.FromSeconds(s.Cloud.BootS)
+	env.Watch = r.machineChanged
 	for i, zone := range s.zoneNames() {
-		w.Capacity[zone] = part(s.Workers, s.Zones, i)
+		env.Capacity[zone] = shareOf(s.Workers, s.Zones, i)
 	}
 	var err error
-	if r.state, err = r.serve(r.servers.StateHandler()); err != nil {
+	if r.stateAddress, err = r.serve(r.servers.StateHandler()); err != nil {
 		return err
 	}
-	if r.cloud, err = r.serve(r.servers.CloudHandler()); err != nil {
+	if r.cloudAddress, err = r.serve(r.servers.CloudHandler()); err != nil {
 		return err
 	}
-	go wait.Every(ctx, expireEvery, r.servers.Expire)
+	go wait.Every(ctx, expireInterval, r.servers.Expire)
 	return nil
 }
 
-// expireEvery is how often leases of the state service are looked at.
-const expireEvery = 50 * time.Millisecond
+// expireInterval is how often the state service checks its leases.
+const expireInterval = 50 * time.Millisecond
 
+// serve starts an HTTP server on a loopback port and returns its address.
 func (r *region) serve(h http.Handler) (string, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -119,11 +134,15 @@
 	for _, n := range r.controllers {
 		c.Nodes = append(c.Nodes, hollow.Node{Name: n.name, Address: n.listen})
 	}
-	for i := range r.options.hostsPerRegion {
-		c.Network = firstNetwork + r.number*r.options.hostsPerRegion + i
+	for i := range r.run.hostsPerRegion {
+		c.Network = firstNetwork + r.number*r.run.hostsPerRegion + i
 		read, write := io.Pipe()
-		p, err := process.Start(process.Options{Program: r.options.Program, Args: r.options.HollowArgs, Output: write,
-			Log: filepath.Join(r.dir, fmt.Sprintf("hollow-%d.log", i))})
+		p, err := process.Start(process.Options{
+			Program: r.run.Program,
+			Args:    r.run.HollowArgs,
+			Output:  write,
+			Log:     filepath.Join(r.dir, fmt.Sprintf("hollow-%d.log", i)),
+		})
 		if err != nil {
 			return err
 		}
@@ -132,7 +151,7 @@
 		}
 		h := newHost(p)
 		r.hosts = append(r.hosts, h)
-		go r.read(h, read)
+		go r.readEvents(h, read)
 		go func() {
 			<-p.Gone()
 			_ = write.Close()
@@ -141,15 +160,15 @@
 	return nil
 }
 
-// tellAll sends a command to all of them.
-func (r *region) tellAll(c hollow.Command) {
+// enqueueAll enqueues a command to all processes of hollow workers.
+func (r *region) enqueueAll(c hollow.Command) {
 	for _, h := range r.hosts {
-		h.tell(c)
+		h.enqueue(c)
 	}
 }
 
-// read takes what hollow workers tell until their process ends.
-func (r *region) read(h *host, from io.Reader) {
+// readEvents handles the events of a process of hollow workers until it ends.
+func (r *region) readEvents(h *host, from io.Reader) {
 	events := json.NewDecoder(from)
 	for {
 		var e hollow.Event
@@ -167,29 +186,36 @@
 	}
 }
 
-// taskChanged records what has happened to a task, and has gangs begin and break up.
+// taskEvents are the recorded events by the kinds of task events of hollow workers.
+var taskEvents = map[string]invariants.Kind{
+	hollow.TaskOn:   invariants.TaskStarted,
+	hollow.TaskOff:  invariants.TaskStopped,
+	hollow.TaskDone: invariants.TaskDone,
+}
+
+// taskChanged records an event of a task, and has gangs run or break.
 func (r *region) taskChanged(at int64, t *hollow.Task) {
-	kind := map[string]invariants.Kind{hollow.TaskOn: invariants.TaskStarted, hollow.TaskOff: invariants.TaskStopped, hollow.TaskDone: invariants.TaskDone}[t.Kind]
-	r.record(invariants.Event{At: at, Kind: kind, Job: t.Job, Task: t.Task, Attempt: t.Attempt, Machine: t.Machine})
+	r.record(invariants.Event{At: at, Kind: taskEvents[t.Kind], Job: t.Job, Task: t.Task, Attempt: t.Attempt, Machine: t.Machine})
 	attempt := hollow.Attempt{Job: t.Job, Attempt: t.Attempt}
 	switch r.gangs.taskChanged(t) {
 	case gangComplete:
-		r.tellAll(hollow.Command{Run: &attempt})
+		r.enqueueAll(hollow.Command{Run: &attempt})
 	case gangBroken:
-		r.tellAll(hollow.Command{Break: &attempt})
+		r.enqueueAll(hollow.Command{Break: &attempt})
 	}
 }
 
+// record appends an event to the history that the invariants are checked on.
 func (r *region) record(e invariants.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, e)
 }
 
-// now is the time of day in microseconds: what all processes of a run go by.
+// now returns the Unix time in microseconds, the clock of all processes of a run.
 func now() int64 { return time.Now().UnixMicro() }
 
-// close ends everything and waits for the processes.
+// close kills all processes and waits for their end.
 func (r *region) close() {
 	for _, c := range r.controllers {
 		c.kill()
@@ -202,11 +228,11 @@
 	}
 }
 
-// part is what the i-th of n gets of a whole.
-func part(whole, n, i int) int {
-	out := whole / n
+// shareOf returns the i-th of n nearly equal shares of a whole.
+func shareOf(whole, n, i int) int {
+	share := whole / n
 	if i < whole%n {
-		out++
+		share++
 	}
-	return out
+	return share
 }
--- a/internal/scenario/lossy_links_test.go
+++ b/internal/scenario/lossy_links_test.go
@@ -9,75 +9,80 @@
 	"coralhub/wire"
 )
 
-// copies are reports as they were sent. The network may deliver one again, seconds or some
-// leases later, to whichever node.
-type copies struct {
-	kept []copied
-	late emulator.Micros // the oldest that still comes
+// heartbeatCopies are heartbeats as they were sent. The network may deliver one again, seconds or
+// some leases later, to any node.
+type heartbeatCopies struct {
+	kept   []heartbeatCopy
+	maxAge emulator.Micros // of a copy that may still arrive
 }
 
-type copied struct {
-	at     emulator.Micros
-	report wire.Heartbeat
+// heartbeatCopy is a heartbeat and when it was sent.
+type heartbeatCopy struct {
+	sentAt    emulator.Micros
+	heartbeat wire.Heartbeat
 }
 
-// mostCopies bounds what is kept of a large fleet.
-const mostCopies = 20_000
+// maxCopies bounds the copies of a large fleet.
+const maxCopies = 20_000
 
-func (c *copies) keep(now emulator.Micros, r *wire.Heartbeat) {
+// add adds a copy and drops those that are too old or too many.
+func (c *heartbeatCopies) add(now emulator.Micros, r *wire.Heartbeat) {
 	if c == nil {
 		return
 	}
-	old := 0
-	for old < len(c.kept) && now-c.kept[old].at > c.late {
-		old++
+	drop := 0
+	for drop < len(c.kept) && now-c.kept[drop].sentAt > c.maxAge {
+		drop++
 	}
-	old = max(old, len(c.kept)-mostCopies)
-	c.kept = append(slices.Delete(c.kept, 0, old), copied{now, *r})
+	drop = max(drop, len(c.kept)-maxCopies)
+	c.kept = append(slices.Delete(c.kept, 0, drop), heartbeatCopy{now, *r})
 }
 
-// again delivers a few copies to a node. What it answers reaches nobody.
-func (s *Sim) again(n *node, rnd *rand.Rand, count int) {
+// deliverCopies delivers random copies to a node. Its answers reach nobody.
+func (s *Sim) deliverCopies(n *node, rnd *rand.Rand, count int) {
 	for range count {
-		if len(s.copies.kept) == 0 || !n.alive {
+		if len(s.heartbeatCopies.kept) == 0 || !n.alive {
 			return
 		}
-		s.repeat(n, &s.copies.kept[rnd.IntN(len(s.copies.kept))].report)
+		s.deliverCopy(n, &s.heartbeatCopies.kept[rnd.IntN(len(s.heartbeatCopies.kept))].heartbeat)
 	}
 }
 
-// againEverywhere delivers a few copies to every node.
-func (s *Sim) againEverywhere(rnd *rand.Rand, count int) {
+// deliverCopiesToAll delivers random copies, each to every node.
+func (s *Sim) deliverCopiesToAll(rnd *rand.Rand, count int) {
 	for range count {
-		if len(s.copies.kept) == 0 {
+		if len(s.heartbeatCopies.kept) == 0 {
 			return
 		}
-		r := s.copies.kept[rnd.IntN(len(s.copies.kept))].report
+		r := s.heartbeatCopies.kept[rnd.IntN(len(s.heartbeatCopies.kept))].heartbeat
 		for _, n := range s.nodes {
 			if n.alive {
-				s.repeat(n, &r)
+				s.deliverCopy(n, &r)
 			}
 		}
 	}
 }
 
-// repeat delivers one report once more.
-func (s *Sim) repeat(n *node, r *wire.Heartbeat) msg.Respond {
-	s.req++
-	req := s.req
-	s.post(n, msg.HeartbeatIn{RequestID: req, Heartbeat: *r})
-	s.settle()
-	a := n.answers[req]
+// deliverCopy delivers a heartbeat once more. The answer reaches nobody.
+func (s *Sim) deliverCopy(n *node, h *wire.Heartbeat) { _, _ = s.postHeartbeat(n, h) }
+
+// postHeartbeat delivers a heartbeat to a node, and returns its answer if there is one.
+func (s *Sim) postHeartbeat(n *node, h *wire.Heartbeat) (answer msg.Respond, ok bool) {
+	s.lastRequestID++
+	req := s.lastRequestID
+	s.post(n, msg.HeartbeatIn{RequestID: req, Heartbeat: *h})
+	s.deliverAll()
+	answer, ok = n.answers[req]
 	delete(n.answers, req)
-	return a
+	return answer, ok
 }
 
-// trouble is one of the later kinds of troubles.
-func (s *Sim) trouble(n *node, rnd *rand.Rand) {
-	names := s.world.Names()
-	machine := func() *emulator.Machine { return s.world.Machines[names[rnd.IntN(len(names))]] }
+// injectLinkFault injects a random fault of those that TestChaosOfLinks adds.
+func (s *Sim) injectLinkFault(n *node, rnd *rand.Rand) {
+	names := s.env.Names()
+	machine := func() *emulator.Machine { return s.env.Machines[names[rnd.IntN(len(names))]] }
 	switch rnd.IntN(6) {
-	case 0: // a machine is not reached any more, or again
+	case 0: // a machine becomes unreachable, or reachable again
 		if len(names) == 0 {
 			return
 		}
@@ -87,29 +92,29 @@
 			m.InboundLost = ""
 		}
 	case 1:
-		s.again(n, rnd, 1+rnd.IntN(30))
-	case 2: // a node is back in a moment
+		s.deliverCopies(n, rnd, 1+rnd.IntN(30))
+	case 2: // a node restarts within a second
 		n.alive = false
-		s.Run(emulator.Micros(1+rnd.IntN(9)) * tick)
+		s.run(emulator.Micros(1+rnd.IntN(9)) * tick)
 		s.start(n)
 		if rnd.IntN(2) == 0 {
-			s.again(n, rnd, 1+rnd.IntN(30))
+			s.deliverCopies(n, rnd, 1+rnd.IntN(30))
 		}
-	case 3: // all are, each in its own time
-		for _, x := range s.nodes {
-			x.alive = false
+	case 3: // all nodes restart within seconds
+		for _, other := range s.nodes {
+			other.alive = false
 		}
 		for _, i := range rnd.Perm(len(s.nodes)) {
-			s.Run(emulator.Micros(rnd.IntN(5)) * tick)
+			s.run(emulator.Micros(rnd.IntN(5)) * tick)
 			s.start(s.nodes[i])
-			s.again(s.nodes[i], rnd, rnd.IntN(10))
+			s.deliverCopies(s.nodes[i], rnd, rnd.IntN(10))
 		}
-	case 4: // it has its workers, and nothing else
+	case 4: // a node reaches nothing but its workers
 		mode := []string{"drop", "hold"}[rnd.IntN(2)]
-		n.cut["state"], n.cut["peers"] = mode, mode
-	case 5: // a machine is back in a moment
+		n.cutLinks["state"], n.cutLinks["peers"] = mode, mode
+	case 5: // a machine restarts within a second
 		if len(names) > 0 {
-			s.world.Restart(s.now, emulator.Micros(1+rnd.IntN(9))*tick, machine(), false)
+			s.env.Restart(s.now, emulator.Micros(1+rnd.IntN(9))*tick, machine(), false)
 		}
 	}
 }
--- a/internal/scenario/runner_test.go
+++ b/internal/scenario/runner_test.go
@@ -1,6 +1,8 @@
-// Package scenario plays small text scripts against nodes of the real core on
-// a made-up clock: a few nodes, a state service, a cloud and workers, with
-// links that can be cut. Whatever a script does, the rules are watched.
+// Package scenario tests clusters in a discrete-time simulation: a few nodes that run the
+// real core, with an emulated key-value store, cloud and workers, a simulated clock and
+// links that can be cut. Scripts in testdata and randomly generated days of faults drive
+// the simulation; the invariants of the emulator and of this package are checked all the
+// time.
 package scenario
 
 import (
@@ -22,120 +24,132 @@
 
 const tick = emulator.Second / 10
 
-// Sim is the world of a script.
+// Sim is a simulated cluster with its environment.
 type Sim struct {
-	now    emulator.Micros
-	state  *emulator.State
-	world  *emulator.Environment
-	nodes  []*node
-	req    uint64
-	inbox  []delivery
-	held   []func()
-	told   map[string]string          // what users were told last
-	known  map[string]emulator.Micros // when somebody was first told that a job is accepted
-	limits map[string]float64
-	scale  int     // how many times the machines and teams' limits of a script
-	quota  float64 // changes a second that the state service takes; 0: any number
-	tokens float64 // what is left of them
-	// The settings tell of the state service's coming limits.
-	announced bool
-	seeds     uint64
-	late      wire.Heartbeat // held back by a script
-	effects   hash.Hash64    // of all that nodes have done, if anybody wants to know
-	copies    *copies        // of reports, to come again; nil: none are kept
-	strike    strike
-	weather   *weather         // nil: everything takes no time, and nothing is late
-	later     []due            // what comes late, in the order of its time
-	users     []*user          // who ask again and again
-	apart     string           // a zone that has nothing but its own nodes and machines
-	looks     *looks           // nil: nobody asks closely, and what is on its way comes in order
-	old       *node            // the last that was cut off as the leader
-	only      map[string]*node // machines that one node alone reaches, and which
+	now           emulator.Micros
+	state         *emulator.State
+	env           *emulator.Environment
+	nodes         []*node
+	lastRequestID uint64
+	inFlight      []delivery
+	heldMessages  []func()                   // what cut links hold back until they heal
+	lastStatus    map[string]string          // the last status that any user was told, by job
+	acceptedAt    map[string]emulator.Micros // when a user was first told that a job is accepted
+	teamLimits    map[string]float64         // GPUs
+	scale         int                        // multiple of the usual machines and team limits
+	writeQuota    float64                    // changes per second that the state service accepts; 0: unlimited
+	writeTokens   float64                    // of the write quota's token bucket
+	// limitsAnnounced means that the settings announce coming limits of the state service.
+	limitsAnnounced bool
+	coresStarted    uint64           // seeds the cores
+	heldHeartbeat   wire.Heartbeat   // held back by a script
+	effects         hash.Hash64      // digest of all effects of all nodes; may be nil
+	heartbeatCopies *heartbeatCopies // copies that may be delivered again; nil: none
+	crash           crashTrigger
+	messageFaults   *messageFaults   // nil: messages take no time
+	scheduled       []scheduledEvent // ordered by time
+	users           []*user          // users with requests to make
+	isolatedZone    string           // zone whose nodes and machines reach only each other
+	closePolling    *closePolling    // nil: no close polling, and messages are delivered in order
+	deposedLeader   *node            // the last node that was cut off while it led
+	reachableOnlyBy map[string]*node // machines that only one node reaches
 }
 
-// strike ends a node with its next transaction that writes a key with a prefix, before the
-// transaction takes effect or after it has and before the answer.
-type strike struct {
-	under string // "": no node
-	after bool
+// crashTrigger crashes a node with its next transaction that writes a key with a prefix:
+// before the transaction takes effect, or after it did and before the answer.
+type crashTrigger struct {
+	keyPrefix   string // "": no crash
+	afterCommit bool
 }
 
-// hits tells whether a transaction is the one.
-func (k strike) hits(t *wire.Transaction) bool {
-	return k.under != "" && slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put, k.under) })
+// matches reports whether a transaction triggers the crash.
+func (k crashTrigger) matches(t *wire.Transaction) bool {
+	return k.keyPrefix != "" && slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put, k.keyPrefix) })
 }
 
+// node is a simulated node. Its core is replaced when it restarts.
 type node struct {
-	name     string
-	core     *core.Core
-	alive    bool
-	born     emulator.Micros
-	held     bool              // to the first format, as during an upgrade
-	unshared bool              // it is set not to place tasks of many jobs by one change
-	cut      map[string]string // link -> "drop" or "hold"
-	rev      uint64
-	answers  map[uint64]msg.Respond
-	relist   bool
-	busy     emulator.Micros // its loop is at one long step until then
-	backlog  []msg.Input     // what has come meanwhile
-	keeper   *leaserenewal.Renewer
-	news     *news // the answer to its watch, on its way
+	name             string
+	core             *core.Core
+	alive            bool
+	startedAt        emulator.Micros
+	formatHeld       bool              // it writes the first format only, as during an upgrade
+	noPlacementPages bool              // placement pages are disabled in its settings
+	cutLinks         map[string]string // link -> mode: "drop", "hold" or "stall"
+	watchRevision    uint64
+	answers          map[uint64]msg.Respond // by request
+	relist           bool                   // its watch has to list everything again
+	busyUntil        emulator.Micros        // its loop is blocked until then
+	backlog          []msg.Input            // inputs that arrived while the loop was blocked
+	leases           *leaserenewal.Renewer
+	pendingWatch     *watchResult // in flight; nil: none
 }
 
+// delivery is an input in flight to a node. It is lost if the node's process ends.
 type delivery struct {
-	n    *node
-	core *core.Core // an input for a process that has ended is lost
-	in   msg.Input
+	node  *node
+	core  *core.Core // the process that it was sent to
+	input msg.Input
 }
 
-// The limits that the state service of an announced change has from SetLimits on.
+// The announced limits of the state service, in force from setStateLimits(true) on.
 const (
-	nextKB  = 2
-	nextOps = 4
+	nextValueKB = 2
+	nextTxnOps  = 4
 )
 
-// SetLimits has the state service refuse what goes beyond its limits, the present
-// ones or the coming ones.
-func (s *Sim) SetLimits(next bool) {
+// setStateLimits sets the limits that the state service enforces: the present or the announced ones.
+func (s *Sim) setStateLimits(next bool) {
 	s.state.ValueBytes, s.state.TxnOps = 4*1024, 8
 	if next {
-		s.state.ValueBytes, s.state.TxnOps = nextKB*1024, nextOps
+		s.state.ValueBytes, s.state.TxnOps = nextValueKB*1024, nextTxnOps
 	}
 }
 
-// NewSim returns a world with so many nodes, all running.
-func NewSim(nodes int) *Sim { return newSim(nodes, 1, 0) }
+// newSim returns a simulation with the given number of nodes, all running.
+func newSim(nodes int) *Sim { return newSimOfScale(nodes, 1, 0) }
 
-// newSim returns a world that is scale times the usual one, with a state service
-// that takes no more than quota changes a second, if quota isn't 0.
-func newSim(nodes, scale int, quota float64) *Sim {
-	return newSimFor(nodes, scale, quota, nil)
+// newSimOfScale returns a simulation with scale times the usual machines and team limits, and
+// a state service that accepts no more than quota changes per second, unless quota is 0.
+func newSimOfScale(nodes, scale int, quota float64) *Sim {
+	return newSimWithUpgrade(nodes, scale, quota, nil)
 }
 
-// newSimFor does the same for a change of the state service's limits, with some
-// nodes held to the first format; nil: no such change.
-func newSimFor(nodes, scale int, quota float64, held []string) *Sim {
-	s := &Sim{announced: held != nil, now: emulator.Second, state: emulator.NewState(), world: emulator.NewEnvironment(), scale: scale, quota: quota,
-		told: map[string]string{}, known: map[string]emulator.Micros{}, only: map[string]*node{}, limits: map[string]float64{"red": float64(24 * scale), "blue": float64(8 * scale)}}
-	for z := range s.world.Capacity {
-		s.world.Capacity[z] *= scale
+// newSimWithUpgrade returns the same with lower limits of the state service announced, and
+// some nodes held to the first format. If held is nil no limits are announced.
+func newSimWithUpgrade(nodes, scale int, quota float64, held []string) *Sim {
+	s := &Sim{
+		limitsAnnounced: held != nil,
+		now:             emulator.Second,
+		state:           emulator.NewState(),
+		env:             emulator.NewEnvironment(),
+		scale:           scale,
+		writeQuota:      quota,
+		lastStatus:      map[string]string{},
+		acceptedAt:      map[string]emulator.Micros{},
+		reachableOnlyBy: map[string]*node{},
+		teamLimits:      map[string]float64{"red": float64(24 * scale), "blue": float64(8 * scale)},
+	}
+	for z := range s.env.Capacity {
+		s.env.Capacity[z] *= scale
 	}
 	for i := range nodes {
 		name := fmt.Sprintf("n%d", i+1)
-		s.nodes = append(s.nodes, &node{name: name, cut: map[string]string{}, held: slices.Contains(held, name)})
+		s.nodes = append(s.nodes, &node{name: name, cutLinks: map[string]string{}, formatHeld: slices.Contains(held, name)})
 	}
-	s.SetLimits(false)
+	s.setStateLimits(false)
 	for _, n := range s.nodes {
 		s.start(n)
 	}
 	return s
 }
 
+// config returns the configuration of a node.
 func (s *Sim) config(name string) *config.Config {
 	c := &config.Config{Settings: config.Defaults()}
 	c.Node, c.Location = name, location(name)
-	c.Settings.HoldFormat = s.node(name).held
-	c.Settings.PlacementPages = !s.node(name).unshared
+	c.Settings.HoldFormat = s.node(name).formatHeld
+	c.Settings.PlacementPages = !s.node(name).noPlacementPages
 	for _, n := range s.nodes {
 		if n.name != name {
 			c.Peers = append(c.Peers, config.Peer{Node: n.name, Location: location(n.name)})
@@ -143,20 +157,20 @@
 	}
 	c.Cluster = config.Cluster{
 		Zones: []string{"a", "b"},
-		Teams: []config.Team{{Name: "red", GPUs: s.limits["blue"], GPUsMax: s.limits["red"]},
-			{Name: "blue", GPUs: s.limits["blue"], GPUsMax: s.limits["blue"]}},
-		Workers: config.Workers{ReportS: float64(max(s.world.ReportEvery, emulator.Second)) / 1e6, LeaseS: float64(s.world.Lease) / 1e6, GangWaitS: float64(s.world.GangWait) / 1e6,
-			GangPeerS: 2, CancelS: float64(s.world.CancelIn) / 1e6},
+		Teams: []config.Team{{Name: "red", GPUs: s.teamLimits["blue"], GPUsMax: s.teamLimits["red"]},
+			{Name: "blue", GPUs: s.teamLimits["blue"], GPUsMax: s.teamLimits["blue"]}},
+		Workers: config.Workers{ReportS: float64(max(s.env.ReportEvery, emulator.Second)) / 1e6, LeaseS: float64(s.env.Lease) / 1e6, GangWaitS: float64(s.env.GangWait) / 1e6,
+			GangPeerS: 2, CancelS: float64(s.env.CancelIn) / 1e6},
 		State: config.State{RPS: 100, WriteRPS: 50, ValueKB: 4, TxnOps: 8},
 		Cloud: config.Cloud{RPS: 10, ListLagS: 2},
 	}
-	if s.announced {
-		c.Cluster.State.Next.ValueKB, c.Cluster.State.Next.TxnOps, c.Cluster.State.Next.WriteRPS = nextKB, nextOps, 20
+	if s.limitsAnnounced {
+		c.Cluster.State.Next.ValueKB, c.Cluster.State.Next.TxnOps, c.Cluster.State.Next.WriteRPS = nextValueKB, nextTxnOps, 20
 	}
 	return c
 }
 
-// location puts the nodes into the zones in turn.
+// location returns the zone of a node: nodes alternate between the zones.
 func location(name string) string {
 	if strings.Trim(name, "n")[0]%2 == 1 {
 		return "a"
@@ -164,13 +178,21 @@
 	return "b"
 }
 
+// start starts a node with a new process, also in place of a running one.
 func (s *Sim) start(n *node) {
-	s.seeds++
-	n.core = core.New(s.config(n.name), s.seeds*7919)
-	n.alive, n.born, n.relist, n.answers = true, s.now, true, map[uint64]msg.Respond{}
-	n.busy, n.backlog, n.keeper, n.news = 0, nil, &leaserenewal.Renewer{}, nil
+	s.coresStarted++
+	n.core = core.New(s.config(n.name), s.coresStarted*7919)
+	n.alive = true
+	n.startedAt = s.now
+	n.relist = true
+	n.answers = map[uint64]msg.Respond{}
+	n.busyUntil = 0
+	n.backlog = nil
+	n.leases = &leaserenewal.Renewer{}
+	n.pendingWatch = nil
 }
 
+// node returns the node with a name, or the first node if there is none.
 func (s *Sim) node(name string) *node {
 	for _, n := range s.nodes {
 		if n.name == name {
@@ -180,17 +202,18 @@
 	return s.nodes[0]
 }
 
+// post puts an input in flight to a node.
 func (s *Sim) post(n *node, in msg.Input) {
-	s.inbox = append(s.inbox, delivery{n, n.core, in})
+	s.inFlight = append(s.inFlight, delivery{n, n.core, in})
 }
 
-// step hands an input to a node.
+// step runs a step of a node's core, or queues the input while the node's loop is blocked.
 func (s *Sim) step(n *node, in msg.Input) []msg.Effect {
-	if s.now < n.busy {
+	if s.now < n.busyUntil {
 		n.backlog = append(n.backlog, in)
 		return nil
 	}
-	out := n.core.Step(s.now-n.born+1, in)
+	out := n.core.Step(s.now-n.startedAt+1, in)
 	if s.effects != nil {
 		for _, e := range out {
 			digestEffect(s.effects, s.now, n.name, e)
@@ -199,87 +222,103 @@
 	return out
 }
 
-// settle delivers what is on its way.
-func (s *Sim) settle() {
-	for len(s.inbox) > 0 {
-		i := s.looks.pick(len(s.inbox))
-		d := s.inbox[i]
-		s.inbox = slices.Delete(s.inbox, i, i+1)
-		if !d.n.alive || d.n.core != d.core {
+// deliverAll delivers the inputs in flight and executes the effects, until nothing is in flight.
+func (s *Sim) deliverAll() {
+	for len(s.inFlight) > 0 {
+		i := s.closePolling.next(len(s.inFlight))
+		d := s.inFlight[i]
+		s.inFlight = slices.Delete(s.inFlight, i, i+1)
+		if !d.node.alive || d.node.core != d.core {
 			continue
 		}
-		for _, e := range s.step(d.n, d.in) {
-			s.carry(d.n, e)
+		for _, e := range s.step(d.node, d.input) {
+			s.execute(d.node, e)
 		}
 	}
 }
 
-// Run lets time pass.
-func (s *Sim) Run(d emulator.Micros) {
+// run advances the simulation by d.
+func (s *Sim) run(d emulator.Micros) {
 	for end := s.now + d; s.now < end; {
 		s.now += tick
-		s.tokens = min(s.quota, s.tokens+s.quota*float64(tick)/float64(emulator.Second))
-		s.state.Expire(s.now)
-		s.world.Tick(s.now)
-		s.comeLate()
-		s.reports()
-		s.atEnd()
-		for _, n := range s.looks.shuffled(s.nodes) {
-			if n.alive {
-				s.keep(n)
-			}
-			if n.alive && s.now >= n.busy {
-				for _, in := range n.backlog {
-					s.post(n, in)
-				}
-				n.backlog = nil
-				s.settle()
-				s.follow(n)
-				s.hear(n)
-				s.post(n, msg.Tick{WallClock: s.now})
-				s.settle()
-			}
-			if s.looks != nil { // between what one node does and the next
-				s.ask()
+		s.tickEnvironment()
+		for _, n := range s.closePolling.shuffled(s.nodes) {
+			s.tickNode(n)
+			if s.closePolling != nil { // users' requests arrive between the steps of the nodes
+				s.askUsers()
 			}
 		}
-		s.ask()
-		if s.now%emulator.Second < tick { // a second's work has been added up piece by piece
-			for _, n := range s.nodes {
-				if err := n.core.Audit(); n.alive && err != nil {
-					s.world.Broken = append(s.world.Broken, "survey of "+n.name+": "+err.Error())
-				}
+		s.askUsers()
+		s.checkInvariants()
+	}
+}
+
+// tickEnvironment runs a tick of everything but the nodes and users.
+func (s *Sim) tickEnvironment() {
+	s.writeTokens = min(s.writeQuota, s.writeTokens+s.writeQuota*float64(tick)/float64(emulator.Second))
+	s.state.Expire(s.now)
+	s.env.Tick(s.now)
+	s.runScheduled()
+	s.sendHeartbeats()
+	s.actOnEndedJobs()
+}
+
+// tickNode runs a tick of a node.
+func (s *Sim) tickNode(n *node) {
+	if n.alive {
+		s.renewDueLeases(n)
+	}
+	if !n.alive || s.now < n.busyUntil {
+		return
+	}
+	for _, in := range n.backlog {
+		s.post(n, in)
+	}
+	n.backlog = nil
+	s.deliverAll()
+	s.followWatch(n)
+	s.postPeersAlive(n)
+	s.post(n, msg.Tick{WallClock: s.now})
+	s.deliverAll()
+}
+
+// checkInvariants checks the incremental state of the nodes once a second, and team limits.
+func (s *Sim) checkInvariants() {
+	if s.now%emulator.Second < tick {
+		for _, n := range s.nodes {
+			if err := n.core.Audit(); n.alive && err != nil {
+				s.env.Broken = append(s.env.Broken, "survey of "+n.name+": "+err.Error())
 			}
 		}
-		for team, limit := range s.limits {
-			if s.world.Used(team) > limit {
-				s.world.Broken = append(s.world.Broken, "quota "+team)
-			}
+	}
+	for team, limit := range s.teamLimits {
+		if s.env.Used(team) > limit {
+			s.env.Broken = append(s.env.Broken, "quota "+team)
 		}
 	}
 }
 
-// keep renews a node's lease beside its loop.
-func (s *Sim) keep(n *node) {
-	if lease, _ := n.keeper.Due(time.UnixMicro(s.now)); lease != 0 && n.cut["state"] == "" {
-		s.renew(n, lease)
+// renewDueLeases renews a node's lease, which is independent of its loop.
+func (s *Sim) renewDueLeases(n *node) {
+	if lease, _ := n.leases.Due(time.UnixMicro(s.now)); lease != 0 && n.cutLinks["state"] == "" {
+		s.renewLease(n, lease)
 	}
 }
 
-// renew renews a lease for a node.
-func (s *Sim) renew(n *node, lease uint64) {
+// renewLease renews a lease and posts the result to the node.
+func (s *Sim) renewLease(n *node, lease uint64) {
 	d := msg.LeaseDone{Outcome: msg.Refused, Lease: lease, IsRenewal: true}
-	if n.cut["state"] == "" {
+	if n.cutLinks["state"] == "" {
 		d.Outcome = outcome(s.state.Extend(s.now, lease), "")
 	}
 	if d.Outcome == msg.Gone {
-		n.keeper.Release(lease)
+		n.leases.Release(lease)
 	}
 	s.post(n, d)
 }
 
-// hear lets a node hear the peers that it has a link to.
-func (s *Sim) hear(n *node) {
+// postPeersAlive posts the liveness of the peers that a node has a link to.
+func (s *Sim) postPeersAlive(n *node) {
 	for _, p := range s.nodes {
 		if p != n && p.alive && s.peers(n, p) == "" {
 			s.post(n, msg.PeerAlive{Node: p.name})
@@ -287,39 +326,40 @@
 	}
 }
 
-// follow feeds a node's listing and watch.
-func (s *Sim) follow(n *node) {
-	if n.news != nil {
-		if s.now >= n.news.at {
-			s.post(n, n.news.in)
-			n.news = nil
-			s.settle()
+// followWatch posts the next result of a node's listing or watch, or puts it in flight if
+// watches are slow.
+func (s *Sim) followWatch(n *node) {
+	if n.pendingWatch != nil {
+		if s.now >= n.pendingWatch.at {
+			s.post(n, n.pendingWatch.input)
+			n.pendingWatch = nil
+			s.deliverAll()
 		}
 		return
 	}
-	if s.state.Down || n.cut["state"] != "" || n.cut["watch"] != "" {
+	if s.state.Down || n.cutLinks["state"] != "" || n.cutLinks["watch"] != "" {
 		return
 	}
 	var in msg.Input
 	if n.relist {
 		n.relist = false
-		n.rev = s.state.Revision()
-		in = msg.Snapshot{Items: s.state.List(job.KeyRoot), Revision: n.rev}
+		n.watchRevision = s.state.Revision()
+		in = msg.Snapshot{Items: s.state.List(job.KeyRoot), Revision: n.watchRevision}
 	} else {
-		evs := s.state.Since(job.KeyRoot, n.rev)
-		n.rev = s.state.Revision()
-		in = msg.Changed{Events: evs, CurrentAt: s.now - n.born + 1}
+		evs := s.state.Since(job.KeyRoot, n.watchRevision)
+		n.watchRevision = s.state.Revision()
+		in = msg.Changed{Events: evs, CurrentAt: s.now - n.startedAt + 1}
 	}
-	if d := s.weather.slowNews(); d > 0 {
-		n.news = &news{s.now + d, in}
+	if d := s.messageFaults.watchDelay(); d > 0 {
+		n.pendingWatch = &watchResult{s.now + d, in}
 		return
 	}
 	s.post(n, in)
-	s.settle()
+	s.deliverAll()
 }
 
-// Leader names the node that holds the claim, or "none".
-func (s *Sim) Leader() string {
+// leader returns the name of the node that leads according to the leader key, or "none".
+func (s *Sim) leader() string {
 	var c struct {
 		Node string `msgpack:"node"`
 	}
@@ -330,25 +370,25 @@
 	return c.Node
 }
 
-// Show describes where everything is.
-func (s *Sim) Show() string {
+// show describes the leader, the machines and the tasks on them.
+func (s *Sim) show() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "leader %s, %d machines\n", s.Leader(), len(s.world.Machines))
-	ids := slices.Sorted(maps.Keys(s.world.Jobs))
+	fmt.Fprintf(&b, "leader %s, %d machines\n", s.leader(), len(s.env.Machines))
+	ids := slices.Sorted(maps.Keys(s.env.Jobs))
 	for _, id := range ids {
-		for _, line := range s.world.On(id, true) {
+		for _, line := range s.env.On(id, true) {
 			fmt.Fprintln(&b, line)
 		}
 	}
 	return b.String()
 }
 
-// Release delivers what held links have kept back.
-func (s *Sim) Release() {
-	held := s.held
-	s.held = nil
+// releaseHeld executes and delivers what cut links have held back.
+func (s *Sim) releaseHeld() {
+	held := s.heldMessages
+	s.heldMessages = nil
 	for _, f := range held {
 		f()
 	}
-	s.settle()
+	s.deliverAll()
 }
