--- a/cmd/coralhub/estimate.go
+++ b/cmd/coralhub/estimate.go
@@ -61,8 +61,8 @@
 	return cmd
 }
 
-// toldLines is how many problems of a history are told one by one.
-const toldLines = 20
+// maxProblems is how many problems of a history are reported one by one.
+const maxProblems = 20
 
 func replay(path string, errOut io.Writer) (*history.Result, error) {
 	f, err := os.Open(path)
@@ -70,14 +70,14 @@
 		return nil, err
 	}
 	defer func() { _ = f.Close() }() // nothing was written
-	told := 0
+	problems := 0
 	lines, skipped, err := history.Read(f, func(p history.Problem) {
-		if told++; told <= toldLines {
+		if problems++; problems <= maxProblems {
 			fmt.Fprintln(errOut, p)
 		}
 	})
-	if told > toldLines {
-		fmt.Fprintf(errOut, "and %d problems more\n", told-toldLines)
+	if problems > maxProblems {
+		fmt.Fprintf(errOut, "and %d problems more\n", problems-maxProblems)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -59,10 +59,10 @@
 }
 
 // New returns an inactive Autoscaler without machines.
-func New(cfg *config.Config, box *outbox.Outbox, replica *records.Replica, catalog *zone.Catalog, elector *election.Elector, machines Machines, listener Listener) *Autoscaler {
+func New(cfg *config.Config, out *outbox.Outbox, replica *records.Replica, catalog *zone.Catalog, elector *election.Elector, machines Machines, listener Listener) *Autoscaler {
 	a := &Autoscaler{
 		cfg:      cfg,
-		outbox:   box,
+		outbox:   out,
 		replica:  replica,
 		catalog:  catalog,
 		elector:  elector,
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -56,11 +56,11 @@
 }
 
 // New returns the frontend of a node.
-func New(cfg *config.Config, box *outbox.Outbox, replica *records.Replica, encoding *records.Encoding, catalog *zone.Catalog, node Node) *Frontend {
+func New(cfg *config.Config, out *outbox.Outbox, replica *records.Replica, encoding *records.Encoding, catalog *zone.Catalog, node Node) *Frontend {
 	return &Frontend{
 		cfg:            cfg,
 		teams:          cfg.Cluster.TeamsByName(),
-		outbox:         box,
+		outbox:         out,
 		replica:        replica,
 		encoding:       encoding,
 		catalog:        catalog,
--- a/internal/core/reconciler/reconciler.go
+++ b/internal/core/reconciler/reconciler.go
@@ -45,8 +45,8 @@
 }
 
 // New returns an inactive reconciler.
-func New(cfg *config.Config, box *outbox.Outbox, replica *records.Replica, elector *election.Elector, listener Listener) *Reconciler {
-	r := &Reconciler{cfg: cfg, outbox: box, replica: replica, elector: elector, listener: listener}
+func New(cfg *config.Config, out *outbox.Outbox, replica *records.Replica, elector *election.Elector, listener Listener) *Reconciler {
+	r := &Reconciler{cfg: cfg, outbox: out, replica: replica, elector: elector, listener: listener}
 	r.Reset()
 	return r
 }
