--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -7,7 +7,7 @@
 // level corrects the estimate of the level above by as much as its evidence is worth, and
 // keeps the errors of its own earlier estimates. An interval is made of quantiles of those
 // errors, so its coverage is right by construction as long as the work doesn't change.
-// See docs/notes/estimates.md.
+// See docs/notes/runtime-estimates.md.
 package estimate
 
 import (
--- a/internal/scenario/concurrent_faults_test.go
+++ b/internal/scenario/concurrent_faults_test.go
@@ -14,24 +14,24 @@
 	"coralhub/wire"
 )
 
-// combinationSeeds is the number of seeds of TestMeetings for each kind of combination; the
+// combinationSeeds is the number of seeds of TestConcurrentFaults for each kind of combination; the
 // default takes a few seconds.
-var combinationSeeds = flag.Int("meetings", 4, "days of TestMeetings, of each kind")
+var combinationSeeds = flag.Int("days", 4, "days of TestConcurrentFaults, of each kind")
 
 // firstSeed is the first of these seeds.
-var firstSeed = flag.Int("from", 0, "first seed of TestMeetings")
+var firstSeed = flag.Int("from", 0, "first seed of TestConcurrentFaults")
 
 // maxShrinkTries is how often a failing day is run with lines left out, to make it smaller.
-var maxShrinkTries = flag.Int("shrink", 300, "tries to make a failing day of TestMeetings smaller")
+var maxShrinkTries = flag.Int("shrink", 300, "tries to make a failing day of TestConcurrentFaults smaller")
 
-// replayFile is a day as TestMeetings prints it, to be run instead of generated ones.
-var replayFile = flag.String("replay", "", "file with a day for TestMeetings to play again")
+// replayFile is a day as TestConcurrentFaults prints it, to be run instead of generated ones.
+var replayFile = flag.String("replay", "", "file with a day for TestConcurrentFaults to play again")
 
-// TestMeetings generates days on which two or three combinations of faults coincide. No
+// TestConcurrentFaults generates days on which two or three combinations of faults coincide. No
 // invariant may be violated meanwhile; once the faults have ended every poll is answered
 // within 75 s, every cancellation is confirmed, and every job that isn't cancelled ends. A
 // failing day is made as small as possible and printed as a scenario.
-func TestMeetings(t *testing.T) {
+func TestConcurrentFaults(t *testing.T) {
 	if *replayFile != "" {
 		script, err := os.ReadFile(*replayFile)
 		if err != nil {
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		d := &datadriven.TestData{Cmd: cmd, CmdArgs: args, Pos: line}
-		if cmd == "world" {
+		if cmd == "environment" {
 			s = newScriptSim(t, d)
 			continue
 		}
--- a/internal/scenario/day_generator_test.go
+++ b/internal/scenario/day_generator_test.go
@@ -60,7 +60,7 @@
 // cancelJobs adds cancellations at random times of an interval.
 func (d *dayGenerator) cancelJobs(from, to float64, count int) {
 	for range 2 * count {
-		d.add(d.uniform(from, to), "withdraw id=%s", d.job())
+		d.add(d.uniform(from, to), "cancel_with_retries id=%s", d.job())
 	}
 }
 
@@ -82,7 +82,7 @@
 		d.add(at+d.uniform(10, 40), "cloud up")
 	}
 	for range d.rnd.IntN(4) { // earlier heartbeats reach the successor
-		d.add(d.uniform(at+2, at+9), "again node=heir count=%d", 1+d.rnd.IntN(40))
+		d.add(d.uniform(at+2, at+9), "duplicate_heartbeats node=successor count=%d", 1+d.rnd.IntN(40))
 	}
 	switch d.rnd.IntN(4) {
 	case 0:
@@ -92,7 +92,7 @@
 	case 1:
 		d.add(from, "cut node=others link=workers mode=%s", d.mode())
 	case 2:
-		d.add(d.uniform(at, at+8), "cut node=heir link=workers mode=%s", d.mode())
+		d.add(d.uniform(at, at+8), "cut node=successor link=workers mode=%s", d.mode())
 	}
 }
 
@@ -127,14 +127,14 @@
 	}
 	newMachines := ""
 	if kind == "newborn" || rnd.IntN(6) == 0 {
-		newMachines = fmt.Sprintf(" boot=%dms unlisted=%ds", 100*(1+rnd.IntN(20)), rnd.IntN(9))
+		newMachines = fmt.Sprintf(" boot=%dms listing_delay=%ds", 100*(1+rnd.IntN(20)), rnd.IntN(9))
 	}
-	return fmt.Sprintf("world nodes=%d scale=%d quota=%d lease=%gs cancel=%gs report=%s", d.nodes, 1+rnd.IntN(3), quota, d.lease, d.cancelTime, report) + newMachines
+	return fmt.Sprintf("environment nodes=%d scale=%d quota=%d lease=%gs cancel=%gs heartbeat=%s", d.nodes, 1+rnd.IntN(3), quota, d.lease, d.cancelTime, report) + newMachines
 }
 
 // weatherLine returns the line that sets the faults of messages.
 func (d *dayGenerator) weatherLine(seed uint64) string {
-	line := "weather seed=" + fmt.Sprint(seed)
+	line := "message_faults seed=" + fmt.Sprint(seed)
 	for _, fault := range []string{"late_writes", "lost_writes", "slow_writes", "slow_there", "slow_watch", "late_copies", "slow_reports", "slow_beats", "held_calls", "lost_calls"} {
 		if d.rnd.IntN(3) == 0 {
 			line += fmt.Sprintf(" %s=%.2f", fault, d.rnd.Float64()*0.4)
--- a/internal/scenario/fault_combinations_test.go
+++ b/internal/scenario/fault_combinations_test.go
@@ -12,19 +12,19 @@
 	"gap": func(d *dayGenerator, at float64) float64 {
 		d.add(at, "cut node=leader link=state")
 		if d.rnd.IntN(3) == 0 {
-			d.add(at, "cut node=old link=peers mode=%s", d.mode())
+			d.add(at, "cut node=deposed link=peers mode=%s", d.mode())
 		}
 		down := at + d.uniform(0, 12)
 		d.isolateWorkers(at)
 		d.cancelJobs(at, down+2, 1+d.rnd.IntN(6))
 		if d.rnd.IntN(3) == 0 {
 			d.add(d.uniform(at, down+5), "node node=leader kill")
-			d.add(d.uniform(down, down+10), "revive")
+			d.add(d.uniform(down, down+10), "start_all")
 		}
 		if d.rnd.IntN(3) == 0 { // the successor confirms a cancellation and restarts within a second
 			again := d.uniform(at+4, down+8)
-			d.add(again, "node node=heir kill")
-			d.add(again+d.uniform(0.1, 0.9), "revive")
+			d.add(again, "node node=successor kill")
+			d.add(again+d.uniform(0.1, 0.9), "start_all")
 		}
 		end := d.outage(down)
 		d.cancelJobs(down, end, d.rnd.IntN(4))
@@ -44,7 +44,7 @@
 		}
 		d.cancelJobs(at, at+0.2, d.rnd.IntN(4))
 		down := at + 0.2
-		d.add(down, "await heir")
+		d.add(down, "await successor")
 		if late := d.rnd.IntN(5); late > 2 {
 			down += float64(late-2) * 0.3
 		} else if late == 2 {
@@ -54,11 +54,11 @@
 		end := d.outage(down)
 		d.cancelJobs(down, end, d.rnd.IntN(4))
 		if d.rnd.IntN(3) == 0 {
-			d.add(d.uniform(down, end), "node node=heir kill")
-			d.add(d.uniform(down, end)+1, "revive")
+			d.add(d.uniform(down, end), "node node=successor kill")
+			d.add(d.uniform(down, end)+1, "start_all")
 		}
 		d.add(end+d.uniform(0, 5), "heal node=all")
-		d.add(end+6, "revive")
+		d.add(end+6, "start_all")
 		return end + 6
 	},
 	// The leader crashes while machines with long tasks are unreachable, or while nothing of the successor's reaches them.
@@ -67,10 +67,10 @@
 			how, back := "hang", "resume"
 			switch d.rnd.IntN(3) {
 			case 0:
-				how, back = "deaf mode="+d.mode(), "hears"
+				how, back = "inbound_lost mode="+d.mode(), "inbound_restored"
 			case 1:
-				how = "deaf mode=hold"
-				back = "hears"
+				how = "inbound_lost mode=hold"
+				back = "inbound_restored"
 			}
 			i, from := d.rnd.IntN(12), d.uniform(at-2, at+2)
 			d.add(from, "machine nth=%d %s", i, how)
@@ -79,7 +79,7 @@
 		d.cancelJobs(at-2, at+8, 1+d.rnd.IntN(4))
 		d.add(at, "node node=leader kill")
 		end := at + d.uniform(0.2, 12)
-		d.add(end, "revive")
+		d.add(end, "start_all")
 		return max(end, at+2*d.lease+2)
 	},
 	// Leadership moves back and forth, all nodes crash, one restarts, also within a second.
@@ -88,7 +88,7 @@
 			d.add(at, "node node=leader kill")
 			at += d.uniform(0.1, 5)
 			d.cancelJobs(at-1, at+1, 1)
-			d.add(at, "revive")
+			d.add(at, "start_all")
 			at += d.uniform(0.1, 6)
 		}
 		if d.rnd.IntN(2) == 0 {
@@ -98,7 +98,7 @@
 			at += d.uniform(0.1, 1)
 			d.add(at, "node node=%s start", d.node())
 			at += d.uniform(0.1, 10)
-			d.add(at, "revive")
+			d.add(at, "start_all")
 		}
 		return at
 	},
@@ -106,7 +106,7 @@
 	"alone": func(d *dayGenerator, at float64) float64 {
 		mode := d.mode()
 		d.add(at, "cut node=leader link=state mode=%s", []string{mode, "stall"}[d.rnd.IntN(2)])
-		d.add(at, "cut node=old link=peers mode=%s", mode)
+		d.add(at, "cut node=deposed link=peers mode=%s", mode)
 		d.isolateWorkers(at)
 		end := at + d.uniform(4, d.cancelTime*1.5)
 		d.cancelJobs(at, end, 2+d.rnd.IntN(5))
@@ -127,17 +127,17 @@
 		end := at + d.uniform(4, d.cancelTime*1.5)
 		d.cancelJobs(at, end, 2+d.rnd.IntN(5))
 		d.add(end, "heal node=%s", n)
-		d.add(end, "heal node=old")
+		d.add(end, "heal node=deposed")
 		return end
 	},
 	// Copies of heartbeats arrive late, at any node, also after a failover.
 	"copies": func(d *dayGenerator, at float64) float64 {
 		if d.rnd.IntN(2) == 0 {
 			d.add(at, "node node=leader kill")
-			d.add(at+d.uniform(0.1, 4), "revive")
+			d.add(at+d.uniform(0.1, 4), "start_all")
 		}
 		for range 6 + d.rnd.IntN(10) {
-			d.add(at+d.uniform(0, 10), "again node=%s count=%d", []string{"leader", d.node()}[d.rnd.IntN(2)], 1+d.rnd.IntN(20))
+			d.add(at+d.uniform(0, 10), "duplicate_heartbeats node=%s count=%d", []string{"leader", d.node()}[d.rnd.IntN(2)], 1+d.rnd.IntN(20))
 		}
 		for range d.rnd.IntN(3) {
 			d.add(at+d.uniform(0, 10), "machine nth=%d restart", d.rnd.IntN(12))
@@ -150,7 +150,7 @@
 	"refused": func(d *dayGenerator, at float64) float64 {
 		d.add(at, "cut node=leader link=state")
 		healed := at + d.uniform(1, 14)
-		d.add(healed, "heal node=old")
+		d.add(healed, "heal node=deposed")
 		end := d.outage(at + d.uniform(0, 16))
 		d.cancelJobs(at, end, 4+d.rnd.IntN(4))
 		return max(end, healed)
@@ -162,17 +162,17 @@
 			d.add(at, "node kill on=%s%s", key, []string{"", " after"}[d.rnd.IntN(2)])
 			d.cancelJobs(at, at+3, 1)
 			at += d.uniform(0.5, 6)
-			d.add(at, "revive")
+			d.add(at, "start_all")
 		}
 		return at
 	},
 	// Users poll at all nodes right after a job was accepted, ended or confirmed as cancelled, and
 	// repeat its submission; some cancel then. On some days answers are lost or held.
 	"looks": func(d *dayGenerator, at float64) float64 {
-		d.add(0, "looks cancel=%.2f at_end=%.2f seed=%d", d.uniform(0, 0.5), d.uniform(0, 0.8), d.rnd.IntN(1000))
+		d.add(0, "concurrent_requests cancel=%.2f at_end=%.2f seed=%d", d.uniform(0, 0.5), d.uniform(0, 0.8), d.rnd.IntN(1000))
 		if d.rnd.IntN(3) == 0 {
 			d.add(at, "node node=leader kill")
-			d.add(at+d.uniform(0.1, 3), "revive")
+			d.add(at+d.uniform(0.1, 3), "start_all")
 		}
 		for range d.rnd.IntN(6) {
 			d.submit(d.uniform(at, at+8), "tasks=%d run=%ds", 1+d.rnd.IntN(2), 1+d.rnd.IntN(4))
@@ -181,7 +181,7 @@
 	},
 	// Jobs are cancelled, polled and submitted again as their last task ends, without other faults.
 	"at_end": func(d *dayGenerator, at float64) float64 {
-		d.add(0, "looks at_end=1 seed=%d", d.rnd.IntN(1000))
+		d.add(0, "concurrent_requests at_end=1 seed=%d", d.rnd.IntN(1000))
 		for range 6 {
 			d.submit(d.uniform(at, at+4), "tasks=%d run=%dms steps=%dms", 1+d.rnd.IntN(3), 500+100*d.rnd.IntN(30), 100*d.rnd.IntN(20))
 		}
@@ -199,7 +199,7 @@
 			i, from := d.rnd.IntN(16), d.uniform(at-1, at+1)
 			how, back := "hang", "resume"
 			if d.rnd.IntN(2) == 0 {
-				how, back = "deaf mode="+d.mode(), "hears"
+				how, back = "inbound_lost mode="+d.mode(), "inbound_restored"
 			}
 			d.add(from, "machine nth=%d %s", i, how)
 			d.add(from+d.uniform(0.5, 2*d.lease), "machine nth=%d %s", i, back)
@@ -210,13 +210,13 @@
 		}
 		for _, id := range ids {
 			if d.rnd.IntN(2) == 0 {
-				d.add(d.uniform(at, at+4), "withdraw id=%s", id)
+				d.add(d.uniform(at, at+4), "cancel_with_retries id=%s", id)
 			}
 		}
 		end := at + d.uniform(1, 8)
 		if d.rnd.IntN(2) == 0 {
 			d.add(at+d.uniform(0, 3), "node node=leader kill")
-			d.add(end, "revive")
+			d.add(end, "start_all")
 		} else {
 			d.add(at+d.uniform(0, 3), "cut node=leader link=state mode=%s", d.mode())
 			d.add(end+6, "heal node=all")
@@ -232,17 +232,17 @@
 			d.add(at, "node node=%s kill", who)
 		case 1:
 			d.add(at, "cut node=%s link=state", who)
-			d.add(at, "cut node=old link=peers mode=%s", d.mode())
+			d.add(at, "cut node=deposed link=peers mode=%s", d.mode())
 		case 2:
 			d.add(at, "cut node=%s link=workers mode=%s", who, d.mode())
 			d.add(at+d.uniform(0, 2), "node node=%s kill", who)
 		}
 		for i := range d.jobs {
 			if d.rnd.IntN(2) == 0 {
-				d.add(d.uniform(at-0.5, at+6), "withdraw id=j-%d", i)
+				d.add(d.uniform(at-0.5, at+6), "cancel_with_retries id=j-%d", i)
 			}
 		}
-		d.add(at+8, "revive")
+		d.add(at+8, "start_all")
 		d.add(at+8, "heal node=all")
 		return at + 8
 	},
@@ -257,7 +257,7 @@
 			d.add(at+d.uniform(4, 8), "node node=leader kill")
 		}
 		d.cancelJobs(at, at+8, d.rnd.IntN(3))
-		d.add(at+10, "revive")
+		d.add(at+10, "start_all")
 		return at + 10
 	},
 	// An old heartbeat reaches every node just as a new leader starts.
@@ -272,9 +272,9 @@
 			d.cancelJobs(at-1, at+3, d.rnd.IntN(3))
 			d.add(at+0.3, "until leads")
 			for range 4 {
-				d.add(at+0.3+d.uniform(0, 2), "again node=all count=%d", 1+d.rnd.IntN(15))
+				d.add(at+0.3+d.uniform(0, 2), "duplicate_heartbeats node=all count=%d", 1+d.rnd.IntN(15))
 			}
-			d.add(at+4, "revive")
+			d.add(at+4, "start_all")
 			d.add(at+4, "heal node=all")
 			at += 6
 		}
@@ -286,12 +286,12 @@
 			arrival := at + float64(i)/4
 			id := d.submit(arrival, "tasks=1 team=%s run=%ds", []string{"red", "blue"}[i%2], 1+d.rnd.IntN(4))
 			if i%4 == 0 {
-				d.add(arrival+d.uniform(0, 5), "withdraw id=%s", id)
+				d.add(arrival+d.uniform(0, 5), "cancel_with_retries id=%s", id)
 			}
 		}
 		if d.rnd.IntN(2) == 0 {
 			d.add(at+d.uniform(1, 10), "node node=leader kill")
-			d.add(at+d.uniform(11, 14), "revive")
+			d.add(at+d.uniform(11, 14), "start_all")
 		}
 		return at + 40
 	},
@@ -301,13 +301,13 @@
 		for range 1 + d.rnd.IntN(5) {
 			i, from := d.rnd.IntN(12), d.uniform(at, at+2)
 			back := from + d.uniform(1, 3*d.lease)
-			d.add(from, "machine nth=%d mute", i)
-			d.add(back, "machine nth=%d speaks", i)
+			d.add(from, "machine nth=%d outbound_lost", i)
+			d.add(back, "machine nth=%d outbound_restored", i)
 			end = max(end, back)
 		}
 		if d.rnd.IntN(2) == 0 {
 			d.add(at+d.uniform(0, 4), "node node=leader kill")
-			d.add(at+d.uniform(4, 9), "revive")
+			d.add(at+d.uniform(4, 9), "start_all")
 		}
 		d.cancelJobs(at, at+10, d.rnd.IntN(4))
 		return end
@@ -324,7 +324,7 @@
 		}
 		if d.rnd.IntN(3) == 0 {
 			d.add(at+d.uniform(0, 6), "node node=leader kill")
-			d.add(at+8, "revive")
+			d.add(at+8, "start_all")
 		}
 		for i := range 16 {
 			d.add(at+10+d.uniform(0, d.lease), "machine nth=%d resume", i)
@@ -341,7 +341,7 @@
 		}
 		end := at + d.lease*d.uniform(1.05, 1.6)
 		d.add(end, "node node=%s start", d.node())
-		d.add(end+d.uniform(0, 4), "revive")
+		d.add(end+d.uniform(0, 4), "start_all")
 		return end + 4
 	},
 	// The leader changes ten times in two minutes, also during an outage.
@@ -353,7 +353,7 @@
 				d.add(at+0.5, "state down")
 				d.add(at+9, "state up")
 			}
-			d.add(at+d.uniform(0.1, 10), "revive")
+			d.add(at+d.uniform(0.1, 10), "start_all")
 			d.cancelJobs(at, at+10, d.rnd.IntN(2))
 			at += 12
 		}
@@ -368,28 +368,28 @@
 		d.cancelJobs(at-1, end, 1+d.rnd.IntN(5))
 		if d.rnd.IntN(3) == 0 {
 			d.add(d.uniform(at, end), "node node=leader kill")
-			d.add(end, "revive")
+			d.add(end, "start_all")
 		}
 		d.add(end, "heal node=all")
 		return end
 	},
 	// Jobs are cancelled just as they are placed, with their starts in flight over slow links.
 	"just_placed": func(d *dayGenerator, at float64) float64 {
-		d.add(0, "weather seed=%d slow_reports=%.2f held_calls=%.2f lost_calls=%.2f slow_there=%.2f", d.rnd.IntN(1000), d.uniform(0.3, 1), d.uniform(0, 0.3), d.uniform(0, 0.3), d.uniform(0, 0.3))
+		d.add(0, "message_faults seed=%d slow_reports=%.2f held_calls=%.2f lost_calls=%.2f slow_there=%.2f", d.rnd.IntN(1000), d.uniform(0.3, 1), d.uniform(0, 0.3), d.uniform(0, 0.3), d.uniform(0, 0.3))
 		for range 12 {
 			arrival := at + d.uniform(0, 10)
 			id := d.submit(arrival, "shape=%s tasks=%d run=60s", []string{"array", "array", "gang", "service"}[d.rnd.IntN(4)], 1+d.rnd.IntN(5))
-			d.add(arrival+d.uniform(0.1, 3), "withdraw id=%s", id)
+			d.add(arrival+d.uniform(0.1, 3), "cancel_with_retries id=%s", id)
 		}
 		if d.rnd.IntN(3) == 0 {
 			d.add(at+d.uniform(0, 10), "node node=leader kill")
-			d.add(at+12, "revive")
+			d.add(at+12, "start_all")
 		}
 		return at + 14
 	},
 	// There is more work than capacity, urgent and not, over slow links.
 	"crowd": func(d *dayGenerator, at float64) float64 {
-		d.add(0, "weather seed=%d slow_reports=%.2f slow_beats=%.2f slow_writes=%.2f slow_there=%.2f", d.rnd.IntN(1000), d.uniform(0.2, 0.6), d.uniform(0.2, 0.6), d.uniform(0, 0.4), d.uniform(0, 0.3))
+		d.add(0, "message_faults seed=%d slow_reports=%.2f slow_beats=%.2f slow_writes=%.2f slow_there=%.2f", d.rnd.IntN(1000), d.uniform(0.2, 0.6), d.uniform(0.2, 0.6), d.uniform(0, 0.4), d.uniform(0, 0.3))
 		for range 25 {
 			d.submit(d.uniform(0, 12), "shape=%s tasks=%d gpus=%d team=%s rank=%s run=%ds", []string{"array", "array", "gang", "service"}[d.rnd.IntN(4)],
 				1+d.rnd.IntN(8), 1+d.rnd.IntN(4), []string{"red", "blue"}[d.rnd.IntN(2)], []string{"production", "high", "normal", "low"}[d.rnd.IntN(4)], 2+d.rnd.IntN(10))
@@ -406,7 +406,7 @@
 		}
 		if d.rnd.IntN(2) == 0 {
 			d.add(at, "node node=leader kill")
-			d.add(at+d.uniform(0.1, 5), "revive")
+			d.add(at+d.uniform(0.1, 5), "start_all")
 		}
 		d.cancelJobs(at, at+5, d.rnd.IntN(3))
 		return at + 5
--- a/internal/scenario/script_args_test.go
+++ b/internal/scenario/script_args_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	name := "n1"
 	d.MaybeScanArgs(t, "node", &name)
-	known := slices.Contains([]string{"leader", "old", "heir", "other", "others", "all"}, name) ||
+	known := slices.Contains([]string{"leader", "deposed", "successor", "other", "others", "all"}, name) ||
 		slices.ContainsFunc(s.nodes, func(n *node) bool { return n.name == name })
 	if !known {
 		t.Fatalf("%s: there is no node %q", d.Pos, name)
@@ -32,11 +32,11 @@
 	switch name {
 	case "leader":
 		name = s.leader()
-	case "old":
+	case "deposed":
 		if s.deposedLeader != nil {
 			name = s.deposedLeader.name
 		}
-	case "heir":
+	case "successor":
 		if name = s.leader(); s.deposedLeader != nil && name == s.deposedLeader.name {
 			name = "none"
 		}
--- a/internal/scenario/script_commands_test.go
+++ b/internal/scenario/script_commands_test.go
@@ -23,36 +23,36 @@
 // scriptCommands are the commands of scripts but for world; TestScenarios describes them. A
 // command gets the id argument, j-1 if there is none, and returns what it prints.
 var scriptCommands = map[string]func(t *testing.T, s *Sim, d *datadriven.TestData, id string) string{
-	"served":    servedCommand,
-	"waits":     waitsCommand,
-	"accounts":  accountsCommand,
-	"estimates": estimatesCommand,
-	"outlook":   outlookCommand,
-	"submit":    submitCommand,
-	"poll":      pollCommand,
-	"cancel":    cancelCommand,
-	"withdraw":  withdrawCommand,
-	"announce":  announceCommand,
-	"limits":    limitsCommand,
-	"keys":      keysCommand,
-	"weather":   weatherCommand,
-	"looks":     looksCommand,
-	"run":       runCommand,
-	"await":     awaitCommand,
-	"until":     untilCommand,
-	"busy":      busyCommand,
-	"node":      nodeCommand,
-	"revive":    reviveCommand,
-	"again":     againCommand,
-	"cut":       cutCommand,
-	"heal":      healCommand,
-	"zone":      zoneCommand,
-	"machine":   machineCommand,
-	"report":    reportCommand,
-	"state":     stateCommand,
-	"cloud":     cloudCommand,
-	"starts":    startsCommand,
-	"show":      showCommand,
+	"slo":                  sloCommand,
+	"wait_reason":          waitReasonCommand,
+	"usage":                usageCommand,
+	"estimates":            estimatesCommand,
+	"deadline":             deadlineCommand,
+	"submit":               submitCommand,
+	"poll":                 pollCommand,
+	"cancel":               cancelCommand,
+	"cancel_with_retries":  cancelWithRetriesCommand,
+	"announce_limits":      announceLimitsCommand,
+	"limits":               limitsCommand,
+	"keys":                 keysCommand,
+	"message_faults":       messageFaultsCommand,
+	"concurrent_requests":  concurrentRequestsCommand,
+	"run":                  runCommand,
+	"await":                awaitCommand,
+	"until":                untilCommand,
+	"block":                blockCommand,
+	"node":                 nodeCommand,
+	"start_all":            startAllCommand,
+	"duplicate_heartbeats": duplicateHeartbeatsCommand,
+	"cut":                  cutCommand,
+	"heal":                 healCommand,
+	"zone":                 zoneCommand,
+	"machine":              machineCommand,
+	"heartbeat":            heartbeatCommand,
+	"state":                stateCommand,
+	"cloud":                cloudCommand,
+	"starts":               startsCommand,
+	"show":                 showCommand,
 }
 
 // executeCommand runs a command of a script and returns what it prints.
@@ -67,7 +67,7 @@
 	return run(t, s, d, id)
 }
 
-func accountsCommand(t *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
+func usageCommand(t *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
 	t.Helper()
 	return formatUsage(nodeArg(t, s, d))
 }
@@ -77,7 +77,7 @@
 	return formatEstimates(s, nodeArg(t, s, d))
 }
 
-func outlookCommand(t *testing.T, s *Sim, d *datadriven.TestData, id string) string {
+func deadlineCommand(t *testing.T, s *Sim, d *datadriven.TestData, id string) string {
 	t.Helper()
 	return formatOutlook(s, nodeArg(t, s, d), id)
 }
@@ -87,12 +87,12 @@
 	return formatResponse(s.cancel(nodeArg(t, s, d), id))
 }
 
-func withdrawCommand(_ *testing.T, s *Sim, _ *datadriven.TestData, id string) string {
+func cancelWithRetriesCommand(_ *testing.T, s *Sim, _ *datadriven.TestData, id string) string {
 	s.cancelUntilFinal(id)
 	return ""
 }
 
-func announceCommand(_ *testing.T, s *Sim, _ *datadriven.TestData, _ string) string {
+func announceLimitsCommand(_ *testing.T, s *Sim, _ *datadriven.TestData, _ string) string {
 	s.limitsAnnounced = true
 	return ""
 }
@@ -108,7 +108,7 @@
 	return ""
 }
 
-func busyCommand(t *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
+func blockCommand(t *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
 	t.Helper()
 	n := nodeArg(t, s, d)
 	n.busyUntil = s.now + durationArg(t, d, "for", "3s")
@@ -133,7 +133,7 @@
 	return s.show()
 }
 
-func servedCommand(_ *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
+func sloCommand(_ *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
 	a := s.request(s.node(s.leader()), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryGauges} })
 	gauges, ok := a.Body.(leader.Gauges)
 	if !ok {
@@ -152,7 +152,7 @@
 	return out
 }
 
-func waitsCommand(t *testing.T, s *Sim, d *datadriven.TestData, id string) string {
+func waitReasonCommand(t *testing.T, s *Sim, d *datadriven.TestData, id string) string {
 	t.Helper()
 	a := s.request(nodeArg(t, s, d), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryWaitReason, JobID: id} })
 	w, ok := a.Body.(leader.WaitReason)
@@ -190,13 +190,13 @@
 	return fmt.Sprintf("%d keys, %d refused for their size\n", len(s.state.List(prefix)), s.state.Refused)
 }
 
-func weatherCommand(t *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
+func messageFaultsCommand(t *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
 	t.Helper()
 	s.messageFaults = messageFaultsArg(t, d)
 	return ""
 }
 
-func looksCommand(t *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
+func concurrentRequestsCommand(t *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
 	t.Helper()
 	seed := uint64(1)
 	d.MaybeScanArgs(t, "seed", &seed)
@@ -240,7 +240,7 @@
 // conditionMet reports whether the condition in a command's arguments is met.
 func conditionMet(t *testing.T, s *Sim, d *datadriven.TestData, id string) bool {
 	t.Helper()
-	if d.HasArg("heir") { // another node than the one that was cut off leads
+	if d.HasArg("successor") { // another node than the one that was cut off leads
 		return s.leader() != "none" && s.deposedLeader != nil && s.leader() != s.deposedLeader.name
 	}
 	if d.HasArg("leads") { // the leader is alive
@@ -292,7 +292,7 @@
 	return n.name + "\n"
 }
 
-func reviveCommand(_ *testing.T, s *Sim, _ *datadriven.TestData, _ string) string {
+func startAllCommand(_ *testing.T, s *Sim, _ *datadriven.TestData, _ string) string {
 	for _, n := range s.nodes {
 		if !n.alive {
 			s.start(n)
@@ -301,7 +301,7 @@
 	return ""
 }
 
-func againCommand(t *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
+func duplicateHeartbeatsCommand(t *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
 	t.Helper()
 	count := 1
 	d.MaybeScanArgs(t, "count", &count)
@@ -389,20 +389,20 @@
 	case d.HasArg("resume"):
 		m.Hang = false
 		s.releaseHeld()
-	case d.HasArg("deaf"):
+	case d.HasArg("inbound_lost"):
 		m.InboundLost = "drop"
 		d.MaybeScanArgs(t, "mode", &m.InboundLost)
-	case d.HasArg("hears"):
+	case d.HasArg("inbound_restored"):
 		m.InboundLost = ""
-	case d.HasArg("mute"):
+	case d.HasArg("outbound_lost"):
 		m.OutboundLost = true
-	case d.HasArg("speaks"):
+	case d.HasArg("outbound_restored"):
 		m.OutboundLost = false
 	case d.HasArg("restart"):
-		s.env.Restart(s.now, emulator.Second/2, m, d.HasArg("anew"))
+		s.env.Restart(s.now, emulator.Second/2, m, d.HasArg("lose_state"))
 	case d.HasArg("fail"):
 		s.env.Fails[name] = s.now
-	case d.HasArg("sound"):
+	case d.HasArg("repair"):
 		delete(s.env.Fails, name)
 	case d.HasArg("die"):
 		s.env.Release(s.now, []string{name})
@@ -410,8 +410,8 @@
 	return name + "\n"
 }
 
-// reportCommand holds back a heartbeat of a worker, or delivers it to the leader.
-func reportCommand(_ *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
+// heartbeatCommand holds back a heartbeat of a worker, or delivers it to the leader.
+func heartbeatCommand(_ *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
 	if d.HasArg("hold") {
 		m := s.env.Machines[s.env.Names()[0]]
 		s.heldHeartbeat = m.Status()
