--- a/internal/cluster/load_balancer.go
+++ b/internal/cluster/load_balancer.go
@@ -111,7 +111,7 @@
 	nodes := slices.Clone(b.ready)
 	b.mu.Unlock()
 	if len(nodes) == 0 {
-		nodes = b.cluster.Nodes
+		nodes = slices.Clone(b.cluster.Nodes)
 	}
 	rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	return nodes[:min(maxAttempts, len(nodes))]
