--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -134,7 +134,7 @@
 func (r *run) failure(res *Result) string {
 	switch {
 	case r.harnessErr != nil:
-		return "the rehearsal itself: " + r.harnessErr.Error()
+		return "the fault test itself: " + r.harnessErr.Error()
 	case len(res.Violations) > 0:
 		return fmt.Sprintf("%d rules broken, first %s", len(res.Violations), res.Violations[0])
 	}
