--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -12,7 +12,6 @@
 	"coralhub/internal/core/outbox"
 	"coralhub/internal/core/records"
 	"coralhub/internal/core/zone"
-	"coralhub/wire"
 )
 
 // Machines is the set of machines that an Autoscaler scales.
@@ -109,17 +108,12 @@
 	for _, pool := range slices.SortedFunc(maps.Keys(a.poolSizes), comparePools) {
 		t := a.catalog.Types[pool.Type]
 		if t != nil && (spot || !pool.Spot) {
-			sum = sum.Plus(capacityOf(t), float64(a.poolSizes[pool]))
+			sum = sum.Plus(zone.CapacityOf(t), float64(a.poolSizes[pool]))
 		}
 	}
 	return sum
 }
 
-// capacityOf returns the resources of an empty machine of a type.
-func capacityOf(t *wire.MachineType) zone.Resources {
-	return zone.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
-}
-
 // Growing reports whether more than a quarter of the machines are booting. Until they are up, the
 // cluster's free capacity is not known.
 func (a *Autoscaler) Growing() bool { return len(a.booting)*4 > len(a.pools) }
--- a/internal/core/autoscaler/plan.go
+++ b/internal/core/autoscaler/plan.go
@@ -31,7 +31,7 @@
 		rentals:     map[Pool]int{},
 	}
 	for _, t := range types {
-		plan.capacity[t.Name] = capacityOf(t)
+		plan.capacity[t.Name] = zone.CapacityOf(t)
 	}
 	plan.addExpected(booting)
 	smallest := smallestTask(demands)
@@ -93,7 +93,7 @@
 		}
 	}
 	for _, t := range types {
-		if !d.Task.Fits(capacityOf(t)) {
+		if !d.Task.Fits(zone.CapacityOf(t)) {
 			continue
 		}
 		for _, z := range t.Zones {
--- a/internal/core/leader/snapshot_machines.go
+++ b/internal/core/leader/snapshot_machines.go
@@ -100,7 +100,7 @@
 	ss.sumAllocated(m, open, plans)
 	t := ss.catalog.Types[m.Type]
 	m.Offer = &zone.Offer{Machine: m, Zone: m.Zone, Idle: len(open) == 0, PendingImages: ss.pendingImages(open, plans),
-		Free: zone.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}.Plus(m.Allocated, -1)}
+		Free: zone.CapacityOf(t).Plus(m.Allocated, -1)}
 	ss.byName[m.Zone].Add(m.Offer)
 }
 
--- a/internal/core/zone/resources.go
+++ b/internal/core/zone/resources.go
@@ -1,6 +1,10 @@
 package zone
 
-import "math"
+import (
+	"math"
+
+	"coralhub/wire"
+)
 
 // Resources is what a task takes, or what a machine has free. The numbers may be fractional.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
@@ -12,6 +16,11 @@
 	gpuWeight = 64
 )
 
+// CapacityOf returns the resources of an empty machine of a type.
+func CapacityOf(t *wire.MachineType) Resources {
+	return Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+}
+
 // Fits reports whether a task that takes r fits into what is free.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPUs <= free.CPUs+tolerance && r.GPUs <= free.GPUs+tolerance && r.MemoryGB <= free.MemoryGB+tolerance
