--- a/internal/core/format_test.go
+++ b/internal/core/format_test.go
@@ -12,7 +12,7 @@
 	"coralhub/internal/config"
 	"coralhub/internal/core/election"
 	"coralhub/internal/core/job"
-	"coralhub/internal/core/leader"
+	"coralhub/internal/core/machinecache"
 	"coralhub/internal/core/msg"
 	"coralhub/internal/core/records"
 	"coralhub/internal/core/relay"
@@ -65,8 +65,8 @@
 		{Job: "j-000412", Task: 33, Attempt: 3, Machine: "m-000240", Done: true}, {Job: "j-7", Attempt: 1, Machine: "m-1"}}) {
 		t.Errorf("%v %+v", err, completions)
 	}
-	var machines []leader.CachedMachine
-	if err := job.Decode(production(t, "hints"), &machines); err != nil || !reflect.DeepEqual(machines, []leader.CachedMachine{
+	var machines []machinecache.Machine
+	if err := job.Decode(production(t, "hints"), &machines); err != nil || !reflect.DeepEqual(machines, []machinecache.Machine{
 		{Name: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Images: []string{"img-07", "img-08"}}}) {
 		t.Errorf("%v %+v", err, machines)
 	}
--- a/internal/core/leader/events.go
+++ b/internal/core/leader/events.go
@@ -7,77 +7,61 @@
 
 // EventHandler receives the events of the reconciler and the autoscaler about machines and tasks, and
 // passes them to the components that they concern.
-type EventHandler struct {
-	*environment
-	commits      *jobCommitter
-	scheduler    *scheduler
-	snapshot     *clusterSnapshot
-	machineCache *machineCache
-	tasks        *taskEvents
-}
+type EventHandler struct{ leader *Leader }
 
 // EventHandler returns the handler to which the reconciler and the autoscaler report their events.
-func (l *Leader) EventHandler() *EventHandler {
-	return &EventHandler{
-		environment:  l.environment,
-		commits:      l.commits,
-		scheduler:    l.scheduler,
-		snapshot:     l.snapshot,
-		machineCache: l.machineCache,
-		tasks:        l.taskEvents,
-	}
-}
+func (l *Leader) EventHandler() EventHandler { return EventHandler{l} }
 
 // WorkerJoined is called for the first message of a machine's worker.
-func (h *EventHandler) WorkerJoined(m *zone.Machine) {
-	h.snapshot.markMachineStale(m)
-	h.machineCache.markCacheStale(m.Name)
-	h.scheduler.requestCycle()
+func (h EventHandler) WorkerJoined(m *zone.Machine) {
+	h.leader.snapshot.markMachineStale(m)
+	h.leader.machineCache.MarkStale(m.Name)
+	h.leader.scheduler.requestCycle()
 }
 
 // MachineChanged is called for any change of a machine.
-func (h *EventHandler) MachineChanged(m *zone.Machine) { h.snapshot.markMachineStale(m) }
+func (h EventHandler) MachineChanged(m *zone.Machine) { h.leader.snapshot.markMachineStale(m) }
 
 // AvailabilityChanged is called for a change that may decide whether a machine gets tasks at all.
-func (h *EventHandler) AvailabilityChanged(m *zone.Machine) { h.snapshot.checkAvailability(m) }
+func (h EventHandler) AvailabilityChanged(m *zone.Machine) { h.leader.snapshot.checkAvailability(m) }
 
 // CacheGB returns the size of a machine's image cache in GB; 0 if it is not known.
-func (h *EventHandler) CacheGB(m *zone.Machine) float64 {
-	if t := h.catalog.Types[m.Type]; t != nil {
+func (h EventHandler) CacheGB(m *zone.Machine) float64 {
+	if t := h.leader.catalog.Types[m.Type]; t != nil {
 		return t.CacheGB
 	}
 	return 0
 }
 
 // ImagesChanged is called when the images change that a machine is believed to have.
-func (h *EventHandler) ImagesChanged(m *zone.Machine) {
-	h.machineCache.markCacheStale(m.Name)
-	h.snapshot.markMachineStale(m) // its zone indexes machines by their images
+func (h EventHandler) ImagesChanged(m *zone.Machine) {
+	h.leader.machineCache.MarkStale(m.Name)
+	h.leader.snapshot.markMachineStale(m) // its zone indexes machines by their images
 }
 
 // TaskRunning is called when a worker reports that a task runs.
-func (h *EventHandler) TaskRunning(key job.AttemptKey) {
-	h.tasks.onTaskRunning(h.jobs[key.Job], key)
+func (h EventHandler) TaskRunning(key job.AttemptKey) {
+	h.leader.taskEvents.onTaskRunning(h.leader.jobs[key.Job], key)
 }
 
 // TaskExited is called when a worker reports that a task has ended.
-func (h *EventHandler) TaskExited(m *zone.Machine, key job.AttemptKey, t *zone.Task) {
-	h.tasks.onTaskExited(m, h.jobs[key.Job], key, t)
+func (h EventHandler) TaskExited(m *zone.Machine, key job.AttemptKey, t *zone.Task) {
+	h.leader.taskEvents.onTaskExited(m, h.leader.jobs[key.Job], key, t)
 }
 
 // ClosePlacement is called when a task's attempt is proven not to be on a machine any more; done: it succeeded.
-func (h *EventHandler) ClosePlacement(key job.AttemptKey, machine string, done bool) {
-	h.commits.closePlacement(key, machine, done)
+func (h EventHandler) ClosePlacement(key job.AttemptKey, machine string, done bool) {
+	h.leader.commits.closePlacement(key, machine, done)
 }
 
 // IsClosing reports whether ClosePlacement was called for an attempt and its end is not committed yet.
-func (h *EventHandler) IsClosing(key job.AttemptKey, machine string) bool {
-	j := h.jobs[key.Job]
+func (h EventHandler) IsClosing(key job.AttemptKey, machine string) bool {
+	j := h.leader.jobs[key.Job]
 	return j != nil && j.isClosing(key, machine)
 }
 
 // MachineSetChanged is called when a machine was added or removed.
-func (h *EventHandler) MachineSetChanged(machine string) { h.machineCache.markCacheStale(machine) }
+func (h EventHandler) MachineSetChanged(machine string) { h.leader.machineCache.MarkStale(machine) }
 
 // CapacityChanged is called when the free capacity of the cluster has changed.
-func (h *EventHandler) CapacityChanged() { h.scheduler.requestCycle() }
+func (h EventHandler) CapacityChanged() { h.leader.scheduler.requestCycle() }
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -16,6 +16,7 @@
 	"coralhub/internal/core/autoscaler"
 	"coralhub/internal/core/election"
 	"coralhub/internal/core/job"
+	"coralhub/internal/core/machinecache"
 	"coralhub/internal/core/msg"
 	"coralhub/internal/core/outbox"
 	"coralhub/internal/core/preemption"
@@ -50,7 +51,7 @@
 	startOrder    *startOrder
 	preemptions   *preemptionDecisions
 	estimates     *runTimeEstimates
-	machineCache  *machineCache
+	machineCache  *machinecache.Cache
 	slo           *sloTracker
 	usageAccounts *usageAccounts
 	delegations   *delegations
@@ -84,7 +85,6 @@
 		startOrder:    &startOrder{environment: env},
 		preemptions:   &preemptionDecisions{environment: env},
 		estimates:     &runTimeEstimates{environment: env},
-		machineCache:  &machineCache{environment: env},
 		slo:           &sloTracker{environment: env, tracker: slo.New(config.FromSeconds(cfg.Settings.StartWithinS))},
 		usageAccounts: &usageAccounts{environment: env},
 		delegations:   &delegations{environment: env},
@@ -189,6 +189,7 @@
 	l.replica = replica
 	l.reconciler = reconciler
 	l.autoscaler = autoscaler
+	l.machineCache = machinecache.New(l.outbox, l.encoding, l.elector, reconciler)
 	l.reset()
 }
 
@@ -241,8 +242,10 @@
 
 // Apply applies a change of a key that only leaders read, or of the records.
 func (l *Leader) Apply(key string, change *wire.Change) {
-	if page, ok := strings.CutPrefix(key, machineCachePrefix); ok {
-		l.machineCache.applyCachePage(page, change)
+	if page, ok := strings.CutPrefix(key, machinecache.KeyPrefix); ok {
+		if !l.ready {
+			l.machineCache.Apply(page, change)
+		}
 		return
 	}
 	if chunk, ok := strings.CutPrefix(key, estimatesPrefix); ok {
@@ -264,7 +267,7 @@
 func (l *Leader) Tick() {
 	l.commits.retryDeferredCommits()
 	l.placements.resendPlacements()
-	l.machineCache.writeMachineCache()
+	l.machineCache.Write()
 	l.completionLog.deleteMergedPages()
 	l.diagnostics.logStatistics()
 	l.slo.logAttainment()
--- /dev/null
+++ b/internal/core/machinecache/machinecache.go
@@ -0,0 +1,186 @@
+// Package machinecache stores what a leader knows of machines and a successor would have to learn
+// anew: where they are and which images they have. It proves nothing about their state.
+//
+// Many machines share a key, and the pages that have changed are written round-robin: the cache gets
+// a small share of the changes that the key-value store allows, whatever the size of the fleet.
+package machinecache
+
+import (
+	"hash/fnv"
+	"slices"
+	"strconv"
+
+	"coralhub/internal/config"
+	"coralhub/internal/core/election"
+	"coralhub/internal/core/job"
+	"coralhub/internal/core/msg"
+	"coralhub/internal/core/outbox"
+	"coralhub/internal/core/reconciler"
+	"coralhub/internal/core/records"
+	"coralhub/wire"
+)
+
+// KeyPrefix begins the keys of the pages; the number of the page follows.
+const KeyPrefix = job.KeyRoot + "machines/"
+
+const (
+	pageCount = 32
+	// writeShare is the share of all changes that the cache may take.
+	writeShare = 0.05
+	// maxImages bounds the images that are stored of a machine.
+	maxImages = 16
+)
+
+// Cache writes the pages of the machine cache while this node leads, and restores machines from them
+// before that. It is not safe for concurrent use.
+type Cache struct {
+	outbox     *outbox.Outbox
+	encoding   *records.Encoding
+	elector    *election.Elector
+	reconciler *reconciler.Reconciler
+
+	pages       [pageCount]storedPage
+	nextPage    int           // at which the search for a changed page begins
+	nextWriteAt config.Micros // no page is written before
+}
+
+// New returns the cache of the machines that a reconciler knows.
+func New(out *outbox.Outbox, encoding *records.Encoding, elector *election.Elector, reconciler *reconciler.Reconciler) *Cache {
+	return &Cache{outbox: out, encoding: encoding, elector: elector, reconciler: reconciler}
+}
+
+// Machine is what is stored of a machine, in a format that nodes of different versions share.
+type Machine struct {
+	//lint:ignore U1000 read by the encoder: a machine is stored as an array, to be short
+	_msgpack struct{} `msgpack:",as_array"`
+	Name     string
+	Addr     string
+	Type     string
+	Zone     string
+	Spot     bool
+	Images   []string
+}
+
+// storedPage is a page of the cache as this node knows it.
+type storedPage struct {
+	version uint64   // that was applied last
+	names   []string // the machines in that version
+	changed bool     // since this node wrote it last
+}
+
+// pageOf returns the number of the page that holds a machine.
+func pageOf(machine string) int {
+	h := fnv.New32a()
+	_, _ = h.Write([]byte(machine))
+	return int(h.Sum32() % pageCount)
+}
+
+// MarkStale has the page of a machine written when it is due.
+func (c *Cache) MarkStale(name string) {
+	c.pages[pageOf(name)].changed = true
+}
+
+// Write writes the next changed page, if the cache's share of changes allows it.
+func (c *Cache) Write() {
+	if c.outbox.Now() < c.nextWriteAt {
+		return
+	}
+	n, ok := c.nextChangedPage()
+	if !ok {
+		return
+	}
+	machines := c.machinesOfPage(n)
+	page := &c.pages[n]
+	page.changed = false
+	c.nextPage = n + 1
+	c.nextWriteAt = c.outbox.Now() + c.encoding.IntervalForShare(writeShare)
+	value := c.fitPage(machines)
+	if value == nil {
+		return
+	}
+	c.outbox.CommitDeferrable(wire.Transaction{
+		Conditions: []wire.Condition{c.elector.Condition()},
+		Changes:    []wire.Change{{Put: KeyPrefix + strconv.Itoa(n), Value: value}},
+	}, msg.PurposeMachineCache, func(d msg.CommitDone) { page.changed = page.changed || d.Outcome != msg.OK })
+}
+
+func (c *Cache) nextChangedPage() (n int, ok bool) {
+	for i := range pageCount {
+		n = (c.nextPage + i) % pageCount
+		if c.pages[n].changed {
+			return n, true
+		}
+	}
+	return 0, false
+}
+
+// machinesOfPage returns what is to be stored in a page. Machines that are being released are left out.
+func (c *Cache) machinesOfPage(n int) []Machine {
+	var machines []Machine
+	for _, m := range c.reconciler.Registry().All() {
+		if pageOf(m.Name) != n || m.Releasing {
+			continue
+		}
+		machines = append(machines, Machine{
+			Name:   m.Name,
+			Addr:   m.Addr,
+			Type:   m.Type,
+			Zone:   m.Zone,
+			Spot:   m.Spot,
+			Images: m.Images.Names(),
+		})
+	}
+	return machines
+}
+
+// fitPage encodes machines so that they fit a value: images are dropped first, then the
+// youngest machines. It returns nil if they can't be encoded.
+func (c *Cache) fitPage(machines []Machine) []byte {
+	for imageLimit := maxImages; ; imageLimit /= 2 {
+		for i := range machines {
+			machines[i].Images = machines[i].Images[:min(len(machines[i].Images), imageLimit)]
+		}
+		value, err := job.Encode(machines)
+		switch {
+		case err != nil:
+			return nil
+		case c.encoding.Fits(value):
+			return value
+		case imageLimit == 0:
+			machines = machines[:len(machines)*7/8]
+		}
+	}
+}
+
+// Apply restores the machines of a stored page, which is named by its number. A page that is unreadable or not
+// newer than the last one changes nothing. A leader that is ready must not call it: it knows more than what was
+// written before.
+func (c *Cache) Apply(number string, change *wire.Change) {
+	n, err := strconv.Atoi(number)
+	if err != nil || n < 0 || n >= pageCount {
+		return
+	}
+	page := &c.pages[n]
+	if change.Version <= page.version {
+		return
+	}
+	var machines []Machine
+	if change.Put != "" && job.Decode(change.Value, &machines) != nil {
+		return
+	}
+	previous := page.names
+	page.version = change.Version
+	page.names = nil
+	for i := range machines {
+		cached := &machines[i]
+		page.names = append(page.names, cached.Name)
+		m := c.reconciler.EnsureMachine(cached.Name)
+		m.Images.Restore(cached.Images)
+		m.Describe(cached.Addr, cached.Type, cached.Zone, cached.Spot)
+	}
+	for _, gone := range previous {
+		if !slices.Contains(page.names, gone) {
+			c.reconciler.Registry().Remove(gone)
+		}
+	}
+}
--- a/internal/core/stored_values_test.go
+++ b/internal/core/stored_values_test.go
@@ -8,7 +8,7 @@
 
 	"coralhub/internal/core/election"
 	"coralhub/internal/core/job"
-	"coralhub/internal/core/leader"
+	"coralhub/internal/core/machinecache"
 	"coralhub/internal/core/preemption"
 	"coralhub/internal/core/records"
 	"coralhub/internal/core/relay"
@@ -142,7 +142,7 @@
 
 func TestOtherStoredValues(t *testing.T) {
 	notice := 7.5
-	machines := []leader.CachedMachine{{Name: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Images: []string{"img-07", "img-08"}}}
+	machines := []machinecache.Machine{{Name: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Images: []string{"img-07", "img-08"}}}
 	heartbeats := []relay.RelayedHeartbeat{{Machine: "m-000231", Incarnation: 2, Sequence: 88, FencingToken: 41, NoticeS: &notice,
 		Tasks: []relay.RelayedTask{{Task: "j-000412/3", Attempt: 5, State: wire.Exited, Cause: wire.CauseStopped, Saved: true}}}}
 	catalog := wire.Catalog{Types: []wire.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 200, FetchGBs: 1, Price: 12, SpotPrice: 4.5,
@@ -151,7 +151,7 @@
 		name       string
 		value, got any
 	}{
-		{"machines", &machines, &[]leader.CachedMachine{}},
+		{"machines", &machines, &[]machinecache.Machine{}},
 		{"mail", &heartbeats, &[]relay.RelayedHeartbeat{}},
 		{"catalog", &catalog, &wire.Catalog{}},
 		{"claim", &election.LeaseRecord{Node: "n1", Nonce: 7}, &election.LeaseRecord{}},
