--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"coralhub/internal/config"
+	"coralhub/internal/core/delegation"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/records"
 	"coralhub/wire"
@@ -15,7 +16,7 @@
 type jobCommitter struct {
 	*environment
 	completionLog *completionLog
-	delegations   *delegations
+	delegations   *delegation.Delegations
 	estimates     *runTimeEstimates
 	placements    *placementCommits
 	scheduler     *scheduler
--- a/internal/core/leader/completions.go
+++ b/internal/core/leader/completions.go
@@ -79,7 +79,7 @@
 	}
 	j.cancelling = true
 	if j.OpenTasks > 0 {
-		jc.delegations.acknowledgeCancel(j.Version)
+		jc.delegations.AcknowledgeCancel(j.Version)
 	}
 }
 
@@ -90,7 +90,7 @@
 // doesn't know of the cancellation could keep a task alive, only proof that all of the job is over
 // will do: a worker that receives nothing keeps its tasks until its lease ends.
 func (jc *jobCommitter) cancellationCertain(j *Job) bool {
-	stopsWithLease := jc.cfg.Cluster.Workers.LeaseEndsInTime() && jc.delegations.cancelKnown(j.Version)
+	stopsWithLease := jc.cfg.Cluster.Workers.LeaseEndsInTime() && jc.delegations.CancelKnown(j.Version)
 	certain := j.OpenTasks == 0 || stopsWithLease
 	j.EachPlacement(func(p job.Placement) {
 		m := jc.reconciler.Registry().Get(p.Machine)
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -14,6 +14,7 @@
 	"coralhub/internal/config"
 	"coralhub/internal/core/accounting"
 	"coralhub/internal/core/autoscaler"
+	"coralhub/internal/core/delegation"
 	"coralhub/internal/core/election"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/machinecache"
@@ -54,7 +55,7 @@
 	machineCache  *machinecache.Cache
 	slo           *sloTracker
 	usageAccounts *usageAccounts
-	delegations   *delegations
+	delegations   *delegation.Delegations
 	taskEvents    *taskEvents
 	queries       *operatorQueries
 	diagnostics   *diagnostics
@@ -63,7 +64,7 @@
 
 // New returns a leader component whose node may be elected. Attach completes it.
 func New(cfg *config.Config, out *outbox.Outbox, encoding *records.Encoding, catalog *zone.Catalog, elector *election.Elector) *Leader {
-	env := &environment{
+	return &Leader{environment: &environment{
 		cfg:      cfg,
 		outbox:   out,
 		encoding: encoding,
@@ -71,32 +72,45 @@
 		elector:  elector,
 		jobs:     map[string]*Job{},
 		teams:    cfg.Cluster.TeamsByName(),
-	}
-	l := &Leader{
-		environment:   env,
-		commits:       &jobCommitter{environment: env},
-		placements:    &placementCommits{environment: env},
-		completionLog: &completionLog{environment: env},
-		bidder:        &bidder{environment: env},
-		victims:       &victimFinder{environment: env},
-		defragmenter:  &defragmenter{environment: env},
-		scheduler:     &scheduler{environment: env, weights: queue.Weights(cfg.Cluster.Teams)},
-		snapshot:      &clusterSnapshot{environment: env},
-		startOrder:    &startOrder{environment: env},
-		preemptions:   &preemptionDecisions{environment: env},
-		estimates:     &runTimeEstimates{environment: env},
-		slo:           &sloTracker{environment: env, tracker: slo.New(config.FromSeconds(cfg.Settings.StartWithinS))},
-		usageAccounts: &usageAccounts{environment: env},
-		delegations:   &delegations{environment: env},
-		taskEvents:    &taskEvents{environment: env},
-		queries:       &operatorQueries{environment: env},
-		diagnostics:   &diagnostics{environment: env},
-		auditor:       &auditor{environment: env},
-	}
+	}}
+}
+
+// Attach gives the leader the replica of the records, the reconciler and the autoscaler, and creates its components. It
+// must be called once, before the node handles its first input.
+func (l *Leader) Attach(replica *records.Replica, reconciler *reconciler.Reconciler, autoscaler *autoscaler.Autoscaler) {
+	l.replica = replica
+	l.reconciler = reconciler
+	l.autoscaler = autoscaler
+	l.createComponents()
 	l.connectCommits()
 	l.connectScheduling()
 	l.connectQueries()
-	return l
+	l.reset()
+}
+
+// createComponents creates the components. Those in packages of their own get all they need at once; the others call
+// each other and are connected afterwards.
+func (l *Leader) createComponents() {
+	env := l.environment
+	l.commits = &jobCommitter{environment: env}
+	l.placements = &placementCommits{environment: env}
+	l.completionLog = &completionLog{environment: env}
+	l.bidder = &bidder{environment: env}
+	l.victims = &victimFinder{environment: env}
+	l.defragmenter = &defragmenter{environment: env}
+	l.scheduler = &scheduler{environment: env, weights: queue.Weights(env.cfg.Cluster.Teams)}
+	l.snapshot = &clusterSnapshot{environment: env}
+	l.startOrder = &startOrder{environment: env}
+	l.preemptions = &preemptionDecisions{environment: env}
+	l.estimates = &runTimeEstimates{environment: env}
+	l.slo = &sloTracker{environment: env, tracker: slo.New(config.FromSeconds(env.cfg.Settings.StartWithinS))}
+	l.usageAccounts = &usageAccounts{environment: env}
+	l.taskEvents = &taskEvents{environment: env}
+	l.queries = &operatorQueries{environment: env}
+	l.diagnostics = &diagnostics{environment: env}
+	l.auditor = &auditor{environment: env}
+	l.machineCache = machinecache.New(env.outbox, env.encoding, env.elector, env.reconciler)
+	l.delegations = delegation.New(env.cfg, env.outbox, env.elector, env.reconciler, l.snapshot.checkAvailability)
 }
 
 // connectCommits gives the components that write records and follow workers those that they call.
@@ -118,8 +132,6 @@
 	l.completionLog.scheduler = l.scheduler
 	l.completionLog.snapshot = l.snapshot
 
-	l.delegations.availability = l.snapshot
-
 	l.taskEvents.commits = l.commits
 	l.taskEvents.scheduler = l.scheduler
 	l.taskEvents.availability = l.snapshot
@@ -183,16 +195,6 @@
 	l.auditor.usageAccounts = l.usageAccounts
 }
 
-// Attach gives the leader the replica of the records, the reconciler and the autoscaler. It must be called once,
-// before the node handles its first input.
-func (l *Leader) Attach(replica *records.Replica, reconciler *reconciler.Reconciler, autoscaler *autoscaler.Autoscaler) {
-	l.replica = replica
-	l.reconciler = reconciler
-	l.autoscaler = autoscaler
-	l.machineCache = machinecache.New(l.outbox, l.encoding, l.elector, reconciler)
-	l.reset()
-}
-
 // Ready reports whether this node leads and has read the records since it was elected.
 func (l *Leader) Ready() bool { return l.ready }
 
@@ -257,7 +259,9 @@
 		return
 	}
 	if strings.HasPrefix(key, relay.KeyPrefix) {
-		l.delegations.applyRelayedHeartbeats(change)
+		if l.ready {
+			l.delegations.ApplyRelayedHeartbeats(change)
+		}
 		return
 	}
 	l.applyRecord(change)
@@ -351,7 +355,7 @@
 	l.reconciler.Reset()
 	l.autoscaler.Reset()
 	l.term++
-	l.delegations.reset()
+	l.delegations.Reset()
 	l.commits.reset()
 	l.startOrder.reset()
 	l.placements.reset()
@@ -363,7 +367,13 @@
 }
 
 // HeartbeatBatchIn applies and answers a batch of heartbeats that a relay has acknowledged for this leader.
-func (l *Leader) HeartbeatBatchIn(x msg.HeartbeatBatchIn) { l.delegations.onHeartbeatBatch(x) }
+func (l *Leader) HeartbeatBatchIn(x msg.HeartbeatBatchIn) {
+	if !l.ready {
+		l.outbox.RetryLater(x.RequestID, "not the leader")
+		return
+	}
+	l.delegations.OnHeartbeatBatch(x)
+}
 
 // AnswerQuery answers an operator's query, through the outbox.
 func (l *Leader) AnswerQuery(x msg.AdminIn) { l.queries.answerQuery(x) }
--- a/internal/core/leader/task_events.go
+++ b/internal/core/leader/task_events.go
@@ -21,6 +21,11 @@
 	maxHoldShift = 6
 )
 
+// availabilityChecker updates whether a machine gets tasks.
+type availabilityChecker interface {
+	checkAvailability(m *zone.Machine)
+}
+
 // taskEvents draws the conclusions from the states of tasks that workers report.
 type taskEvents struct {
 	*environment
