--- a/internal/core/leader/admin.go
+++ b/internal/core/leader/admin.go
@@ -236,7 +236,7 @@
 		out.Estimate = &row
 	}
 	if duration, ok := oq.estimates.completionEstimate(j, 0); ok && !j.Record.Final() {
-		left := round(duration.mean)
+		left := round(duration.Mean)
 		out.LeftS = &left
 	}
 	if spec.DeadlineS != nil {
--- a/internal/core/leader/deadline_outlook.go
+++ b/internal/core/leader/deadline_outlook.go
@@ -29,63 +29,21 @@
 	maxDeadlinesPerCycle = 2000
 )
 
-// durationEstimate is a duration that is not known exactly, by its mean in seconds and its variance.
-type durationEstimate struct{ mean, variance float64 }
-
-// plus returns the sum of two independent durations.
-func (de durationEstimate) plus(other durationEstimate) durationEstimate {
-	return durationEstimate{de.mean + other.mean, de.variance + other.variance}
-}
-
-// probabilityWithin is the probability that it takes no longer than so many seconds: sums of run
-// times are assumed to be lognormal (Fenton and Wilkinson).
-func (de durationEstimate) probabilityWithin(seconds float64) float64 {
-	if seconds <= 0 || de.mean <= 0 {
-		return 0
-	}
-	logVariance := math.Log(1 + de.variance/(de.mean*de.mean))
-	logMean := math.Log(de.mean) - logVariance/2
-	if logVariance < 1e-9 {
-		if math.Log(seconds) >= logMean {
-			return 1
-		}
-		return 0
-	}
-	return 0.5 * math.Erfc(-(math.Log(seconds)-logMean)/math.Sqrt(2*logVariance))
-}
-
-// sigmasBetweenDeciles is the distance between the 0.1 and the 0.9 quantile of a normal distribution,
-// in standard deviations.
-const sigmasBetweenDeciles = 2.563
-
-// longestOf is how long the longest of n runs takes.
-func longestOf(a *estimate.Answer, n int) durationEstimate {
-	root := 1 / float64(max(n, 1))
-	quantile := func(p float64) float64 { return math.Max(inSeconds(a.Quantile(math.Pow(p, root))), 0.01) }
-	median := quantile(0.5)
-	sigma := math.Log(quantile(0.9)/quantile(0.1)) / sigmasBetweenDeciles
-	mean := median * math.Exp(sigma*sigma/2)
-	return durationEstimate{mean, mean * mean * (math.Exp(sigma*sigma) - 1)}
-}
-
-// inWaves is how long n tasks take, so many at a time.
-func inWaves(a *estimate.Answer, n, atATime int, shape string) durationEstimate {
+// durationOfTasks is how long n tasks of a job take, so many at a time. The tasks of a gang run together.
+func durationOfTasks(perTask *estimate.Answer, n, atATime int, shape string) estimate.Duration {
 	if shape == wire.Gang {
-		return longestOf(a, 1)
+		return perTask.Longest(1)
 	}
-	atATime = max(min(n, atATime), 1)
-	one := longestOf(a, 1)
-	earlierWaves := float64((n+atATime-1)/atATime - 1)
-	return durationEstimate{one.mean * earlierWaves, one.variance * earlierWaves}.plus(longestOf(a, atATime))
+	return perTask.InWaves(n, atATime)
 }
 
 // jobDuration is how long a job takes from now on, once its dependencies are done; false: nothing is
 // known of such jobs.
-func (es *runTimeEstimates) jobDuration(j *Job) (durationEstimate, bool) {
+func (es *runTimeEstimates) jobDuration(j *Job) (estimate.Duration, bool) {
 	f := es.features(j, "")
 	perTask := es.model.Estimate(&f)
 	if perTask.Level == estimate.Unknown {
-		return durationEstimate{}, false
+		return estimate.Duration{}, false
 	}
 	if j.OpenTasks == 0 {
 		return es.waitingDuration(j, &perTask), true
@@ -95,57 +53,57 @@
 
 // waitingDuration is how long a job takes of which nothing is placed: it waits, and then its tasks run
 // as many at a time as its team's limit allows.
-func (es *runTimeEstimates) waitingDuration(j *Job, perTask *estimate.Answer) durationEstimate {
+func (es *runTimeEstimates) waitingDuration(j *Job, perTask *estimate.Answer) estimate.Duration {
 	spec := j.Record.Spec
-	var wait durationEstimate
+	var wait estimate.Duration
 	if ws := es.waits[spec.Class]; ws != nil {
-		wait = durationEstimate{ws.mean, ws.mean * ws.mean}
+		wait = estimate.Duration{Mean: ws.mean, Variance: ws.mean * ws.mean}
 	}
 	missing := spec.Tasks - j.DoneTasks
 	atATime := missing
 	if team := es.teams[spec.Team]; team != nil && team.GPUsMax > 0 && spec.GPUs > 0 {
 		atATime = min(atATime, max(1, int(team.GPUsMax/spec.GPUs)))
 	}
-	return wait.plus(inWaves(perTask, missing, atATime, spec.Shape))
+	return wait.Plus(durationOfTasks(perTask, missing, atATime, spec.Shape))
 }
 
 // runningDuration is how long a job takes of which tasks are placed: until the longest of these is
 // done, and then the other tasks run on the same capacity.
-func (es *runTimeEstimates) runningDuration(j *Job, perTask *estimate.Answer) durationEstimate {
+func (es *runTimeEstimates) runningDuration(j *Job, perTask *estimate.Answer) estimate.Duration {
 	spec := j.Record.Spec
-	var longest durationEstimate
+	var longest estimate.Duration
 	j.EachPlacement(func(p job.Placement) {
 		if remaining, ok := es.remainingTime(j, &p); ok {
-			if duration := longestOf(&remaining, 1); duration.mean > longest.mean {
+			if duration := remaining.Longest(1); duration.Mean > longest.Mean {
 				longest = duration
 			}
 		}
 	})
 	rest := spec.Tasks - j.DoneTasks - j.OpenTasks
 	if rest > 0 {
-		return longest.plus(inWaves(perTask, rest, j.OpenTasks, spec.Shape))
+		return longest.Plus(durationOfTasks(perTask, rest, j.OpenTasks, spec.Shape))
 	}
 	return longest
 }
 
 // completionEstimate is how long a job takes along the longest path through its unfinished
 // dependencies; false: nothing is known of one of these jobs.
-func (es *runTimeEstimates) completionEstimate(j *Job, depth int) (durationEstimate, bool) {
+func (es *runTimeEstimates) completionEstimate(j *Job, depth int) (estimate.Duration, bool) {
 	own, ok := es.jobDuration(j)
 	if !ok || depth >= maxDependencyDepth {
 		return own, ok
 	}
-	var longest durationEstimate
+	var longest estimate.Duration
 	for _, id := range j.UnfinishedDependencies() {
 		dependency, known := es.completionEstimate(es.jobs[id], depth+1)
 		if !known {
-			return durationEstimate{}, false
+			return estimate.Duration{}, false
 		}
-		if dependency.mean > longest.mean {
+		if dependency.Mean > longest.Mean {
 			longest = dependency
 		}
 	}
-	return longest.plus(own), true
+	return longest.Plus(own), true
 }
 
 // dueInSeconds is the time until the deadline of a job that has one.
@@ -171,7 +129,7 @@
 	if !ok {
 		return verdictUnknown, unknownChance
 	}
-	chance = duration.probabilityWithin(due)
+	chance = duration.ProbabilityWithin(due)
 	switch {
 	case chance >= safeChance:
 		return verdictSafe, chance
--- a/internal/core/leader/estimates.go
+++ b/internal/core/leader/estimates.go
@@ -8,6 +8,7 @@
 	"coralhub/internal/config"
 	"coralhub/internal/core/autoscaler"
 	"coralhub/internal/core/job"
+	"coralhub/internal/core/modelstore"
 	"coralhub/internal/core/preemption"
 	"coralhub/internal/estimate"
 	"coralhub/internal/history"
@@ -15,22 +16,20 @@
 )
 
 // The leader estimates run times from the runs that it observes (package estimate), and stores the
-// model under a few keys for its successors. Only the order of jobs and the choice of machines and
+// model for its successors (package modelstore). Only the order of jobs and the choice of machines and
 // victims depend on it: a successor that finds nothing stored starts with an empty model.
 
-// runTimeEstimates is the leader's model of run times, and every node's copy of its stored form.
+// runTimeEstimates is the leader's model of run times.
 type runTimeEstimates struct {
 	*environment
 	commits       *jobCommitter
 	completionLog *completionLog
 	diagnostics   *diagnostics
 
-	stored [estimate.Chunks]storedChunk
+	store *modelstore.Store
 	// The rest is only used by the leader.
-	model       *estimate.Model // nil: estimates are off, or this node doesn't lead
-	nextWriteAt Micros
-	nextChunk   int
-	waits       map[string]*waitStats // by class: how long jobs wait for their first placement
+	model *estimate.Model       // nil: estimates are off, or this node doesn't lead
+	waits map[string]*waitStats // by class: how long jobs wait for their first placement
 
 	nextDeadline int            // index of the unfinished job whose deadline is judged next
 	recentRuns   []history.Line // the last keptRuns ones, a ring buffer
@@ -39,8 +38,37 @@
 
 // reset forgets the model of this term. Its stored form is kept for the next leader.
 func (es *runTimeEstimates) reset() {
-	es.model, es.nextWriteAt, es.nextChunk, es.waits = nil, 0, 0, nil
-	es.nextDeadline, es.recentRuns, es.runsEnd = 0, nil, 0
+	es.store.Reset()
+	es.model = nil
+	es.waits = nil
+	es.nextDeadline = 0
+	es.recentRuns = nil
+	es.runsEnd = 0
+}
+
+// restoreEstimates restores the model that earlier leaders have stored.
+func (es *runTimeEstimates) restoreEstimates() {
+	if !es.cfg.Settings.Estimates {
+		return
+	}
+	settings := estimate.DefaultSettings()
+	settings.Groups = es.cfg.Settings.EstimateGroups
+	es.model = es.store.Restore(settings)
+	es.waits = map[string]*waitStats{}
+	for _, j := range es.unfinished {
+		j.inherited = j.Record.LastAttempt > 0
+	}
+}
+
+// writeEstimates has a part of the model written when no other changes are to be written.
+func (es *runTimeEstimates) writeEstimates() {
+	if es.model == nil || !es.store.WriteDue() {
+		return
+	}
+	otherChanges := es.commits.inFlightChanges > 0 || len(es.completionLog.unwritten) > 0 || es.diagnostics.counters.deferred > 0
+	if !otherChanges {
+		es.store.Write(es.model)
+	}
 }
 
 // maxWaitSamples is the number of placements beyond which each new one has the same weight.
@@ -133,12 +161,12 @@
 		return math.MaxFloat32
 	}
 	if rank == config.RankShortest {
-		return duration.mean
+		return duration.Mean
 	}
 	if j.Record.Spec.DeadlineS == nil {
 		return math.MaxFloat32
 	}
-	return es.dueInSeconds(j) - duration.mean
+	return es.dueInSeconds(j) - duration.Mean
 }
 
 // soonFreeShare is the share of the expected free capacity that is counted on.
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -18,6 +18,7 @@
 	"coralhub/internal/core/election"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/machinecache"
+	"coralhub/internal/core/modelstore"
 	"coralhub/internal/core/msg"
 	"coralhub/internal/core/outbox"
 	"coralhub/internal/core/preemption"
@@ -102,7 +103,7 @@
 	l.snapshot = &clusterSnapshot{environment: env}
 	l.startOrder = &startOrder{environment: env}
 	l.preemptions = &preemptionDecisions{environment: env}
-	l.estimates = &runTimeEstimates{environment: env}
+	l.estimates = &runTimeEstimates{environment: env, store: modelstore.New(env.outbox, env.encoding, env.elector)}
 	l.slo = &sloTracker{environment: env, tracker: slo.New(config.FromSeconds(env.cfg.Settings.StartWithinS))}
 	l.usageAccounts = &usageAccounts{environment: env}
 	l.taskEvents = &taskEvents{environment: env}
@@ -250,8 +251,8 @@
 		}
 		return
 	}
-	if chunk, ok := strings.CutPrefix(key, estimatesPrefix); ok {
-		l.estimates.applyStoredEstimates(chunk, change)
+	if chunk, ok := strings.CutPrefix(key, modelstore.KeyPrefix); ok {
+		l.estimates.store.Apply(chunk, change)
 		return
 	}
 	if strings.HasPrefix(key, preemption.KeyPrefix) {
--- a/internal/core/leader/wire_names_test.go
+++ b/internal/core/leader/wire_names_test.go
@@ -9,11 +9,6 @@
 // What operators' programs read, and where the leader keeps what it stores.
 func TestNamesOfAnswers(t *testing.T) {
 	golden.Check(t, "admin-json.txt", golden.Names("json", AdminError{}, Estimates{}, JobOutlook{}, Runs{}, WaitReason{}, []UsageRow{}, Preemptions{}))
-	for got, want := range map[string]string{estimatesPrefix: "ch/learnt/"} {
-		if got != want {
-			t.Errorf("prefix %s was %s", got, want)
-		}
-	}
 	if pageNumberBits != 20 {
 		t.Error("the division of stored values has changed")
 	}
--- /dev/null
+++ b/internal/core/modelstore/modelstore_test.go
@@ -0,0 +1,10 @@
+package modelstore
+
+import "testing"
+
+// Nodes of other versions read and write the same keys.
+func TestKeyOfStoredModel(t *testing.T) {
+	if KeyPrefix != "ch/learnt/" {
+		t.Errorf("prefix ch/learnt/ was %s", KeyPrefix)
+	}
+}
--- /dev/null
+++ b/internal/estimate/duration.go
@@ -0,0 +1,58 @@
+package estimate
+
+import "math"
+
+// Duration is a time that is not known exactly, by its mean in seconds and its variance in square seconds.
+type Duration struct{ Mean, Variance float64 }
+
+// negligibleLogVariance is the variance of the logarithm below which a duration counts as known exactly.
+const negligibleLogVariance = 1e-9
+
+// Plus returns the sum of two independent durations.
+func (d Duration) Plus(other Duration) Duration {
+	return Duration{d.Mean + other.Mean, d.Variance + other.Variance}
+}
+
+// ProbabilityWithin returns the probability that it takes no longer than so many seconds: sums of run times
+// are assumed to be lognormal (Fenton and Wilkinson).
+func (d Duration) ProbabilityWithin(seconds float64) float64 {
+	if seconds <= 0 || d.Mean <= 0 {
+		return 0
+	}
+	logVariance := math.Log(1 + d.Variance/(d.Mean*d.Mean))
+	logMean := math.Log(d.Mean) - logVariance/2
+	if logVariance < negligibleLogVariance {
+		if math.Log(seconds) >= logMean {
+			return 1
+		}
+		return 0
+	}
+	return 0.5 * math.Erfc(-(math.Log(seconds)-logMean)/math.Sqrt(2*logVariance))
+}
+
+// sigmasBetweenDeciles is the distance between the 0.1 and the 0.9 quantile of a normal distribution,
+// in standard deviations.
+const sigmasBetweenDeciles = 2.563
+
+// leastQuantileSeconds bounds the quantiles whose logarithms are taken.
+const leastQuantileSeconds = 0.01
+
+// Longest returns how long the longest of n independent runs takes.
+func (a *Answer) Longest(n int) Duration {
+	root := 1 / float64(max(n, 1))
+	quantile := func(p float64) float64 {
+		return math.Max(float64(a.Quantile(math.Pow(p, root)))/microsPerSecond, leastQuantileSeconds)
+	}
+	median := quantile(0.5)
+	sigma := math.Log(quantile(0.9)/quantile(0.1)) / sigmasBetweenDeciles
+	mean := median * math.Exp(sigma*sigma/2)
+	return Duration{mean, mean * mean * (math.Exp(sigma*sigma) - 1)}
+}
+
+// InWaves returns how long n runs take, so many at a time.
+func (a *Answer) InWaves(n, atATime int) Duration {
+	atATime = max(min(n, atATime), 1)
+	one := a.Longest(1)
+	earlierWaves := float64((n+atATime-1)/atATime - 1)
+	return Duration{one.Mean * earlierWaves, one.Variance * earlierWaves}.Plus(a.Longest(atATime))
+}
