--- a/internal/core/leader/admin_lists.go
+++ b/internal/core/leader/admin_lists.go
@@ -78,7 +78,7 @@
 func (oq *operatorQueries) listPreemptions(limit int) Preemptions {
 	out := Preemptions{Decisions: []DecisionRow{}, Counts: []PreemptionRow{}}
 	wall := oq.wallClock()
-	for _, decision := range oq.preemptions.decisions.InForce(wall) {
+	for _, decision := range oq.preemptions.committer.InForce(wall) {
 		if len(out.Decisions) == limit {
 			break
 		}
@@ -89,7 +89,7 @@
 		}
 		out.Decisions = append(out.Decisions, row)
 	}
-	oq.preemptions.counts.Each(func(pair preemption.Pair, tasks uint64) {
+	oq.preemptions.committer.Counts().Each(func(pair preemption.Pair, tasks uint64) {
 		if len(out.Counts) < limit {
 			out.Counts = append(out.Counts, PreemptionRow{pair.Victim, pair.Preemptor, pair.Reason.String(), tasks})
 		}
--- a/internal/core/leader/commit_answers.go
+++ b/internal/core/leader/commit_answers.go
@@ -7,6 +7,7 @@
 	"coralhub/internal/config"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
+	"coralhub/internal/core/outbox"
 	"coralhub/wire"
 )
 
@@ -46,7 +47,7 @@
 		// or the late one fails by its conditions, and until then what it
 		// places is counted.
 		t.outcomeUnknown = true
-		t.resendAt = jc.outbox.Now() + commitRetryInterval
+		t.resendAt = jc.outbox.Now() + outbox.CommitRetryInterval
 	case msg.Conflict:
 		if !jc.elector.DeposedBy(t.fencingToken, d.Failed) {
 			jc.onRejected(j, t, d.Failed)
@@ -55,11 +56,11 @@
 		jc.onRejected(j, t, t.jobKeys())
 	default:
 		if t.outcomeUnknown { // this sending was refused; an earlier one may still be applied
-			t.resendAt = jc.outbox.Now() + commitRetryInterval
+			t.resendAt = jc.outbox.Now() + outbox.CommitRetryInterval
 			return
 		}
 		jc.settle(j)
-		j.retryAt = jc.outbox.Now() + commitRetryInterval
+		j.retryAt = jc.outbox.Now() + outbox.CommitRetryInterval
 	}
 }
 
@@ -131,7 +132,7 @@
 			switch {
 			case unanswered > 0 || j.transaction != t:
 			case failed:
-				t.resendAt = jc.outbox.Now() + commitRetryInterval
+				t.resendAt = jc.outbox.Now() + outbox.CommitRetryInterval
 			default:
 				then()
 			}
--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -57,8 +57,6 @@
 }
 
 const (
-	// commitRetryInterval is the backoff before a transaction without an answer is resent, in microseconds.
-	commitRetryInterval = 300 * 1000
 	// shardDeletionInterval spreads the deletion of a large job's shards, which is never
 	// urgent but counts against the quota of changes.
 	shardDeletionInterval = config.Second
--- a/internal/core/leader/completion_log.go
+++ b/internal/core/leader/completion_log.go
@@ -5,6 +5,7 @@
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/msg"
+	"coralhub/internal/core/outbox"
 	"coralhub/internal/core/records"
 	"coralhub/wire"
 )
@@ -161,7 +162,7 @@
 	key := t.Changes[0].Put
 	switch d.Outcome {
 	case msg.Unknown:
-		cl.nextWriteAt = cl.outbox.Now() + commitRetryInterval
+		cl.nextWriteAt = cl.outbox.Now() + outbox.CommitRetryInterval
 		return
 	case msg.OK:
 		cl.applyRecord(&wire.Change{Put: key, Value: t.Changes[0].Value, Version: d.Revision})
@@ -170,7 +171,7 @@
 			return
 		}
 		if slices.Contains(d.Failed, key) { // an earlier sending has been applied after all
-			cl.nextWriteAt = cl.outbox.Now() + commitRetryInterval
+			cl.nextWriteAt = cl.outbox.Now() + outbox.CommitRetryInterval
 			cl.readPage(key)
 		}
 	case msg.Invalid:
@@ -179,7 +180,7 @@
 		cl.currentPage = 0
 		cl.nextWriteAt = cl.outbox.Now() + config.Second
 	default:
-		cl.nextWriteAt = cl.outbox.Now() + commitRetryInterval
+		cl.nextWriteAt = cl.outbox.Now() + outbox.CommitRetryInterval
 	}
 	cl.transaction = nil
 	cl.dropLogged()
--- a/internal/core/leader/defragmentation.go
+++ b/internal/core/leader/defragmentation.go
@@ -78,7 +78,7 @@
 	}
 	now := df.outbox.Now()
 	tooEarly := now < df.nextAt || now-j.arrivedAt < defragAfter || now < j.preemptingUntil
-	return !tooEarly && df.preemptions.canAddDecision() && df.autoscaler.CapacityExhausted(demand)
+	return !tooEarly && df.preemptions.committer.CanAdd() && df.autoscaler.CapacityExhausted(demand)
 }
 
 // bestDefragPlan returns the plan that moves the fewest replicas, and no more than maxMoves; nil:
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -103,6 +103,7 @@
 	l.snapshot = &clusterSnapshot{environment: env}
 	l.startOrder = &startOrder{environment: env}
 	l.preemptions = &preemptionDecisions{environment: env}
+	l.preemptions.committer = preemption.NewCommitter(env.outbox, env.encoding, env.elector, l.preemptions)
 	l.estimates = &runTimeEstimates{environment: env, store: modelstore.New(env.outbox, env.encoding, env.elector)}
 	l.slo = &sloTracker{environment: env, tracker: slo.New(config.FromSeconds(env.cfg.Settings.StartWithinS))}
 	l.usageAccounts = &usageAccounts{environment: env}
@@ -256,7 +257,7 @@
 		return
 	}
 	if strings.HasPrefix(key, preemption.KeyPrefix) {
-		l.preemptions.applyDecisions(change)
+		l.preemptions.committer.Apply(change, l.ready)
 		return
 	}
 	if strings.HasPrefix(key, relay.KeyPrefix) {
@@ -299,7 +300,7 @@
 		l.commits.commitPendingJobs()
 	}
 	l.placements.writePlacements()
-	l.preemptions.writeDecisions()
+	l.preemptions.committer.Write()
 	l.snapshot.refreshMachines()
 	l.reconciler.SendUrgent()
 }
--- a/internal/core/leader/placement_answers.go
+++ b/internal/core/leader/placement_answers.go
@@ -6,6 +6,7 @@
 	"coralhub/internal/config"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
+	"coralhub/internal/core/outbox"
 	"coralhub/internal/core/records"
 	"coralhub/wire"
 )
@@ -67,10 +68,10 @@
 		pc.retryPlacementLater(t, config.Second)
 	default:
 		if t.outcomeUnknown { // this sending was refused; an earlier one may still be applied
-			t.resendAt = pc.outbox.Now() + commitRetryInterval
+			t.resendAt = pc.outbox.Now() + outbox.CommitRetryInterval
 			return
 		}
-		pc.retryPlacementLater(t, commitRetryInterval)
+		pc.retryPlacementLater(t, outbox.CommitRetryInterval)
 	}
 }
 
@@ -88,7 +89,7 @@
 // resendPlacementLater has a transaction sent again whose outcome is unknown, after a backoff.
 func (pc *placementCommits) resendPlacementLater(t *placementTransaction) {
 	t.outcomeUnknown = true
-	t.resendAt = pc.outbox.Now() + commitRetryInterval
+	t.resendAt = pc.outbox.Now() + outbox.CommitRetryInterval
 }
 
 // retryPlacementLater has the jobs of a transaction that was not applied planned anew, after a backoff.
--- a/internal/core/leader/preempting.go
+++ b/internal/core/leader/preempting.go
@@ -47,7 +47,7 @@
 
 // preempt decides to stop the victims of a bid and reserves their machines for the job.
 func (sc *scheduler) preempt(j *Job, bid *zone.Bid, level int) {
-	if !sc.preemptions.canAddDecision() {
+	if !sc.preemptions.committer.CanAdd() {
 		return
 	}
 	machines := map[string]bool{}
--- a/internal/core/leader/preemption.go
+++ b/internal/core/leader/preemption.go
@@ -1,8 +1,6 @@
 package leader
 
 import (
-	"strings"
-
 	"coralhub/internal/config"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/preemption"
@@ -31,39 +29,32 @@
 	reservedMachines map[string]bool // machines that its victims leave
 }
 
-// preemptionDecisions makes preemption decisions, commits them and carries them out. Every node
-// follows the stored decisions and counts; the rest is of the term in which this node leads.
+// preemptionDecisions makes preemption decisions, has them committed and carries them out.
 type preemptionDecisions struct {
 	*environment
 	scheduler *scheduler
+	committer *preemption.Committer
 
-	decisions preemption.Decisions
-	counts    preemption.Counts
-
-	unwritten       []preemption.Decision   // not in flight yet
-	preempted       map[string]map[int]bool // by job and task: victims of decisions that are not committed yet
-	transaction     *wire.Transaction       // not settled; nil: none
-	writing         []preemption.Decision   // that transaction commits
-	inFlight        bool                    // the answer to transaction is still expected
-	outcomeUnknown  bool                    // an earlier sending of transaction had no answer
-	nextWriteAt     Micros
-	countsWrittenAt Micros
-	resumed         bool // the decisions of predecessors are resumed
+	preempted map[string]map[int]bool // by job and task: victims of decisions that are not committed yet
+	resumed   bool                    // the decisions of predecessors are resumed
 }
 
 // reset drops what was decided in a term that is over. What is committed is kept.
 func (pd *preemptionDecisions) reset() {
-	pd.unwritten = nil
+	pd.committer.Reset()
 	pd.preempted = map[string]map[int]bool{}
-	pd.transaction = nil
-	pd.writing = nil
-	pd.inFlight = false
-	pd.outcomeUnknown = false
-	pd.nextWriteAt = 0
-	pd.countsWrittenAt = 0
 	pd.resumed = false
 }
 
+// WallClock returns the time of day; 0: not known yet.
+func (pd *preemptionDecisions) WallClock() Micros { return pd.wallClock() }
+
+// IsNeeded reports whether the preemptor of a decision still wants placements.
+func (pd *preemptionDecisions) IsNeeded(d *preemption.Decision) bool {
+	j := pd.jobs[d.Preemptor]
+	return j != nil && j.wantsPlacements()
+}
+
 // isPreempted reports whether a task is a victim of a decision that isn't committed yet.
 func (pd *preemptionDecisions) isPreempted(id string, task int) bool {
 	tasks := pd.preempted[id]
@@ -88,11 +79,6 @@
 	}
 }
 
-// canAddDecision reports whether one more decision can be open.
-func (pd *preemptionDecisions) canAddDecision() bool {
-	return len(pd.unwritten)+len(pd.writing) < preemption.MaxOpenDecisions
-}
-
 // addDecision reserves machines for a job, for the time wait, and has victims stopped there. They are stopped once the
 // decision is committed; where decisions can't be stored, at once.
 func (pd *preemptionDecisions) addDecision(j *Job, why preemption.Reason, level int, machines []string, victims []preemption.Victim, wait Micros) {
@@ -111,7 +97,7 @@
 	for i := range victims {
 		pd.mark(&victims[i])
 	}
-	pd.unwritten = append(pd.unwritten, preemption.SplitToFit(decision, pd.encoding.Fits)...)
+	pd.committer.Add(decision)
 }
 
 // wantsPlacements reports whether a job still lacks placements.
@@ -136,18 +122,18 @@
 	return v
 }
 
-// decisionsCommitted carries out decisions that are committed, unless their preemptors want no more placements.
-func (pd *preemptionDecisions) decisionsCommitted(decisions []preemption.Decision) {
+// DecisionsCommitted carries out decisions that are committed, unless their preemptors want no more placements.
+func (pd *preemptionDecisions) DecisionsCommitted(decisions []preemption.Decision) {
 	pd.unmark(decisions)
 	for i := range decisions {
-		if j := pd.jobs[decisions[i].Preemptor]; j != nil && j.wantsPlacements() {
+		if pd.IsNeeded(&decisions[i]) {
 			pd.executeDecision(&decisions[i])
 		}
 	}
 }
 
-// dropDecisions gives up decisions that are not committed and never will be.
-func (pd *preemptionDecisions) dropDecisions(decisions []preemption.Decision) {
+// DecisionsDropped gives up decisions that are not committed and never will be.
+func (pd *preemptionDecisions) DecisionsDropped(decisions []preemption.Decision) {
 	pd.unmark(decisions)
 	for i := range decisions {
 		if j := pd.jobs[decisions[i].Preemptor]; j != nil {
@@ -172,7 +158,7 @@
 		}
 		pd.reconciler.Terminate(victim.Job, attempts, d.Reason.String()+" of "+d.Preemptor)
 		pair := preemption.Pair{Preemptor: preemptor.Record.Spec.Class, Victim: victim.Record.Spec.Class, Reason: d.Reason}
-		pd.counts.Add(pair, len(attempts))
+		pd.committer.Counts().Add(pair, len(attempts))
 		pd.outbox.Debug("preempting", "job", victim.ID, "class", pair.Victim, "team", victim.Record.Spec.Team, "tasks", len(attempts),
 			"to", d.Preemptor, "class_to", pair.Preemptor, "team_to", preemptor.Record.Spec.Team, "by", d.Reason.String(), "level", d.Level)
 	}
@@ -199,7 +185,7 @@
 	}
 	pd.resumed = true
 	now := pd.wallClock()
-	decisions := pd.decisions.InForce(now - resumeGrace)
+	decisions := pd.committer.InForce(now - resumeGrace)
 	count := 0
 	for i := range decisions {
 		j := pd.jobs[decisions[i].Preemptor]
@@ -220,23 +206,3 @@
 		pd.outbox.Log("preemption decisions resumed", "count", count)
 	}
 }
-
-// applyDecisions applies a stored page of decisions, or the stored counts.
-func (pd *preemptionDecisions) applyDecisions(change *wire.Change) {
-	if change.Put == "" {
-		return
-	}
-	var err error
-	if change.Put == preemption.CountsKey {
-		if pd.ready { // the leader counts itself
-			pd.counts.Written(change.Version)
-			return
-		}
-		err = pd.counts.Apply(change.Version, change.Value)
-	} else if n, ok := preemption.ParsePage(strings.TrimPrefix(change.Put, preemption.KeyPrefix)); ok {
-		err = pd.decisions.Apply(n, change.Version, change.Value)
-	}
-	if err != nil {
-		pd.outbox.Log("stored value unreadable", "key", change.Put, "error", err.Error())
-	}
-}
--- a/internal/core/leader/wait_reasons.go
+++ b/internal/core/leader/wait_reasons.go
@@ -70,7 +70,7 @@
 			out.Ahead = append(out.Ahead, entries[i].ID)
 		}
 	}
-	for _, decision := range oq.preemptions.decisions.InForce(oq.wallClock()) {
+	for _, decision := range oq.preemptions.committer.InForce(oq.wallClock()) {
 		if decision.Preemptor != j.ID {
 			continue
 		}
--- a/internal/core/outbox/outbox.go
+++ b/internal/core/outbox/outbox.go
@@ -13,6 +13,9 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
+// CommitRetryInterval is the backoff before a transaction without an answer is resent, in microseconds.
+const CommitRetryInterval = 300 * 1000
+
 // retryAfterSeconds is the Retry-After of a response that asks the client to try again.
 const retryAfterSeconds = 1
 
--- a/internal/core/preemption/decisions.go
+++ b/internal/core/preemption/decisions.go
@@ -3,8 +3,8 @@
 // before anything is stopped for it, so that a successor carries it on: the capacity that becomes free stays
 // reserved for the preemptor, and nothing is stopped for it a second time.
 //
-// The package does the bookkeeping alone: it packs decisions into pages, reports which of them are in force,
-// and counts which classes are preempted for which. The leader makes decisions and carries them out.
+// The package does the bookkeeping alone: it packs decisions into pages and commits them, reports which of them are
+// in force, and counts which classes are preempted for which. The leader makes decisions and carries them out.
 package preemption
 
 import (
