--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"coralhub/internal/config"
+	"coralhub/internal/core/completionlog"
 	"coralhub/internal/core/delegation"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/records"
@@ -15,7 +16,7 @@
 // flight for a job at a time, and resends it until its outcome is known.
 type jobCommitter struct {
 	*environment
-	completionLog *completionLog
+	completionLog *completionlog.Log
 	delegations   *delegation.Delegations
 	estimates     *runTimeEstimates
 	placements    *placementCommits
@@ -124,7 +125,7 @@
 	if t == nil { // a cancellation waits for workers to report: try again
 		return !j.Record.CancelRequested || j.Record.Final()
 	}
-	jc.completionLog.logCompletions(j, t.completions)
+	jc.logCompletions(j, t.completions)
 	return !more
 }
 
--- a/internal/core/leader/counters.go
+++ b/internal/core/leader/counters.go
@@ -2,6 +2,7 @@
 
 import (
 	"coralhub/internal/config"
+	"coralhub/internal/core/completionlog"
 	"coralhub/internal/core/zone"
 )
 
@@ -9,7 +10,7 @@
 type diagnostics struct {
 	*environment
 	commits       *jobCommitter
-	completionLog *completionLog
+	completionLog *completionlog.Log
 
 	counters counters
 }
@@ -104,7 +105,7 @@
 	n := &dx.counters
 	fields := []any{"cycles", n.cycles, "placed", n.placed, "pending", n.pending, "unplaced", n.unplaced, "deferred", n.deferred, "moved", n.moved,
 		"changes_in_flight", dx.commits.inFlightChanges, "commits_waiting", len(dx.commits.pendingCommits) + len(dx.commits.deferredCommits),
-		"completions_pending", completions, "completion_log_pending", len(dx.completionLog.unwritten)}
+		"completions_pending", completions, "completion_log_pending", dx.completionLog.Pending()}
 	states := dx.states()
 	for _, k := range stateKeys {
 		fields = append(fields, k.key, states[k.state])
--- a/internal/core/leader/estimates.go
+++ b/internal/core/leader/estimates.go
@@ -7,6 +7,7 @@
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/autoscaler"
+	"coralhub/internal/core/completionlog"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/modelstore"
 	"coralhub/internal/core/preemption"
@@ -23,7 +24,7 @@
 type runTimeEstimates struct {
 	*environment
 	commits       *jobCommitter
-	completionLog *completionLog
+	completionLog *completionlog.Log
 	diagnostics   *diagnostics
 
 	store *modelstore.Store
@@ -65,7 +66,7 @@
 	if es.model == nil || !es.store.WriteDue() {
 		return
 	}
-	otherChanges := es.commits.inFlightChanges > 0 || len(es.completionLog.unwritten) > 0 || es.diagnostics.counters.deferred > 0
+	otherChanges := es.commits.inFlightChanges > 0 || es.completionLog.Pending() > 0 || es.diagnostics.counters.deferred > 0
 	if !otherChanges {
 		es.store.Write(es.model)
 	}
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -14,6 +14,7 @@
 	"coralhub/internal/config"
 	"coralhub/internal/core/accounting"
 	"coralhub/internal/core/autoscaler"
+	"coralhub/internal/core/completionlog"
 	"coralhub/internal/core/delegation"
 	"coralhub/internal/core/election"
 	"coralhub/internal/core/job"
@@ -44,7 +45,7 @@
 
 	commits       *jobCommitter
 	placements    *placementCommits
-	completionLog *completionLog
+	completionLog *completionlog.Log
 	scheduler     *scheduler
 	bidder        *bidder
 	victims       *victimFinder
@@ -95,7 +96,6 @@
 	env := l.environment
 	l.commits = &jobCommitter{environment: env}
 	l.placements = &placementCommits{environment: env}
-	l.completionLog = &completionLog{environment: env}
 	l.bidder = &bidder{environment: env}
 	l.victims = &victimFinder{environment: env}
 	l.defragmenter = &defragmenter{environment: env}
@@ -111,6 +111,13 @@
 	l.queries = &operatorQueries{environment: env}
 	l.diagnostics = &diagnostics{environment: env}
 	l.auditor = &auditor{environment: env}
+	l.completionLog = completionlog.New(env.outbox, env.encoding, env.elector, env.replica, &loggedCompletions{
+		environment: env,
+		commits:     l.commits,
+		placements:  l.placements,
+		scheduler:   l.scheduler,
+		snapshot:    l.snapshot,
+	})
 	l.machineCache = machinecache.New(env.outbox, env.encoding, env.elector, env.reconciler)
 	l.delegations = delegation.New(env.cfg, env.outbox, env.elector, env.reconciler, l.snapshot.checkAvailability)
 }
@@ -129,11 +136,6 @@
 	l.placements.scheduler = l.scheduler
 	l.placements.snapshot = l.snapshot
 
-	l.completionLog.commits = l.commits
-	l.completionLog.placements = l.placements
-	l.completionLog.scheduler = l.scheduler
-	l.completionLog.snapshot = l.snapshot
-
 	l.taskEvents.commits = l.commits
 	l.taskEvents.scheduler = l.scheduler
 	l.taskEvents.availability = l.snapshot
@@ -274,7 +276,7 @@
 	l.commits.retryDeferredCommits()
 	l.placements.resendPlacements()
 	l.machineCache.Write()
-	l.completionLog.deleteMergedPages()
+	l.completionLog.DeleteMergedPages()
 	l.diagnostics.logStatistics()
 	l.slo.logAttainment()
 	l.usageAccounts.logUsage()
@@ -294,7 +296,7 @@
 // AfterStep does what follows from a step of the node: it commits, runs a scheduling cycle and sends commands to workers.
 func (l *Leader) AfterStep() {
 	l.commits.commitPendingJobs()
-	l.completionLog.writeCompletionLog()
+	l.completionLog.Write()
 	if l.scheduler.cycleDue && l.outbox.Now()-l.scheduler.lastCycleAt >= l.scheduler.cycleInterval() {
 		l.scheduler.runCycle()
 		l.commits.commitPendingJobs()
@@ -361,7 +363,7 @@
 	l.commits.reset()
 	l.startOrder.reset()
 	l.placements.reset()
-	l.completionLog.reset()
+	l.completionLog.Reset()
 	l.preemptions.reset()
 	l.scheduler.reset()
 	l.defragmenter.reset()
--- a/internal/core/leader/transaction_builder.go
+++ b/internal/core/leader/transaction_builder.go
@@ -100,7 +100,7 @@
 		}
 		b.addCompletion(c)
 	}
-	b.completionLog.logCompletions(b.job, inPages)
+	b.logCompletions(b.job, inPages)
 	b.transaction.completionsOnly = b.changed && b.canUseCompletionLog()
 }
 
