--- a/internal/core/leader/admin.go
+++ b/internal/core/leader/admin.go
@@ -7,6 +7,7 @@
 	"coralhub/internal/core/frontend"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
+	"coralhub/internal/core/slo"
 	"coralhub/internal/estimate"
 	"coralhub/internal/history"
 	"coralhub/wire"
@@ -26,7 +27,7 @@
 	estimates     *runTimeEstimates
 	preemptions   *preemptionDecisions
 	scheduler     *scheduler
-	slo           *sloTracker
+	slo           *slo.Recorder
 	snapshot      *clusterSnapshot
 	startOrder    *startOrder
 	usageAccounts *usageAccounts
--- a/internal/core/leader/completions.go
+++ b/internal/core/leader/completions.go
@@ -67,6 +67,26 @@
 	jc.requestCommit(key.Job)
 }
 
+// occupancyOf returns the end of a placement as it is charged. Unless its work is kept, the time since the
+// last checkpoint is lost.
+func (jc *jobCommitter) occupancyOf(j *Job, key job.AttemptKey, machine string, kept bool) job.Occupancy {
+	spec := j.Record.Spec
+	if jc.encoding.Format < job.FormatPreemption || spec == nil {
+		return job.Occupancy{}
+	}
+	occupancy := job.Occupancy{End: job.EncodeTime(j.Record.CreatedAt, jc.wallClock())}
+	if kept || spec.Shape == wire.Service {
+		return occupancy
+	}
+	if p, open := j.Placement(key.Task, key.Attempt, machine); open && p.PlacedAt > 0 {
+		occupancy.Lost = max(0, occupancy.End-p.PlacedAt)
+	}
+	if spec.CheckpointS > 0 { // the work before the last checkpoint is saved
+		occupancy.Lost = min(occupancy.Lost, int64(spec.CheckpointS*job.EncodedTimesPerSecond))
+	}
+	return occupancy
+}
+
 // confirmCancellation decides whether the cancellation of a job may be confirmed to the user. If so, nodes get
 // no further delegation before they know of it.
 func (jc *jobCommitter) confirmCancellation(j *Job) {
--- a/internal/core/leader/gauges.go
+++ b/internal/core/leader/gauges.go
@@ -46,8 +46,8 @@
 	}
 	g.Machines = oq.diagnostics.states()
 	g.Usage = oq.listUsage(maxClasses)
-	g.CompletedInTime = oq.slo.tracker.CompletedInTime(oq.wallClock())
-	g.StartedInTime = oq.slo.tracker.StartedInTime(oq.wallClock())
+	g.CompletedInTime = oq.slo.Tracker().CompletedInTime(oq.wallClock())
+	g.StartedInTime = oq.slo.Tracker().StartedInTime(oq.wallClock())
 	if oq.estimates.model != nil {
 		g.EstimateRuns = oq.estimates.model.Observed()
 	}
--- a/internal/core/leader/job_state.go
+++ b/internal/core/leader/job_state.go
@@ -5,6 +5,7 @@
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/records"
 	"coralhub/internal/core/slo"
+	"coralhub/wire"
 )
 
 // Job is a job as the scheduler of this node knows it: its records, and what the components of the
@@ -51,12 +52,12 @@
 	startedAt map[int]Micros // by task: when its open attempt was first reported as running
 }
 
-// accountingState is what the usage accounts and the SLO tracker keep about a job.
+// accountingState is what the usage accounts and the SLO recorder keep about a job.
 type accountingState struct {
 	account accounting.Key    // team and class to which its usage is charged
 	charged job.ResourceUsage // usage charged to account so far
 
-	tracked *slo.Job // the job in the SLO tracker; nil: not tracked, or not any more
+	tracked *slo.Job // what the SLO recorder knows of it; nil: not tracked, or not any more
 }
 
 // resetTerm drops what is valid for one term only.
@@ -77,3 +78,12 @@
 	s.classStats = nil
 	s.movedAt = nil
 }
+
+// meetsObjective reports whether a job is done or, for a service, has all its replicas placed.
+func (j *Job) meetsObjective() bool {
+	rec := &j.Record
+	if rec.Phase == job.Done {
+		return true
+	}
+	return rec.Spec != nil && rec.Spec.Shape == wire.Service && j.OpenTasks >= rec.Spec.Tasks
+}
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -55,7 +55,7 @@
 	preemptions   *preemptionDecisions
 	estimates     *runTimeEstimates
 	machineCache  *machinecache.Cache
-	slo           *sloTracker
+	slo           *slo.Recorder
 	usageAccounts *usageAccounts
 	delegations   *delegation.Delegations
 	taskEvents    *taskEvents
@@ -105,7 +105,7 @@
 	l.preemptions = &preemptionDecisions{environment: env}
 	l.preemptions.committer = preemption.NewCommitter(env.outbox, env.encoding, env.elector, l.preemptions)
 	l.estimates = &runTimeEstimates{environment: env, store: modelstore.New(env.outbox, env.encoding, env.elector)}
-	l.slo = &sloTracker{environment: env, tracker: slo.New(config.FromSeconds(env.cfg.Settings.StartWithinS))}
+	l.slo = slo.NewRecorder(env.outbox, config.FromSeconds(env.cfg.Settings.StartWithinS))
 	l.usageAccounts = &usageAccounts{environment: env}
 	l.taskEvents = &taskEvents{environment: env}
 	l.queries = &operatorQueries{environment: env}
@@ -211,8 +211,8 @@
 			l.setArrival(j)
 		}
 	}
-	if l.slo.since == 0 && l.replica.Revision() > 0 {
-		l.slo.since = wall // jobs that arrive from now on are tracked from their beginning
+	if l.replica.Revision() > 0 {
+		l.slo.StartCounting(wall) // jobs that arrive from now on are tracked from their beginning
 	}
 }
 
@@ -278,7 +278,7 @@
 	l.machineCache.Write()
 	l.completionLog.DeleteMergedPages()
 	l.diagnostics.logStatistics()
-	l.slo.logAttainment()
+	l.slo.Log(l.wallClock())
 	l.usageAccounts.logUsage()
 	l.estimates.writeEstimates()
 	l.reconciler.AnnounceToken()
--- a/internal/core/leader/record_events.go
+++ b/internal/core/leader/record_events.go
@@ -5,6 +5,7 @@
 
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/records"
+	"coralhub/internal/core/slo"
 )
 
 // The Leader implements the listener of the replica of the records (package records).
@@ -49,7 +50,7 @@
 	j := l.jobs[r.ID]
 	l.startOrder.noteStarted(j)
 	l.usageAccounts.chargeUsage(j)
-	l.slo.trackJob(j)
+	j.tracked = l.slo.Record(l.wallClock(), j.tracked, &j.Record, slo.Progress{Started: j.hasStarted(), Complete: j.meetsObjective()})
 	l.snapshot.markJobStale(j)
 	l.commits.markForReview(j)
 }
--- a/internal/core/leader/start_order.go
+++ b/internal/core/leader/start_order.go
@@ -7,6 +7,7 @@
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/queue"
+	"coralhub/internal/core/slo"
 	"coralhub/wire"
 )
 
@@ -45,7 +46,7 @@
 // startOrder decides the order in which jobs start while there is less capacity than they need.
 type startOrder struct {
 	*environment
-	slo      *sloTracker
+	slo      *slo.Recorder
 	snapshot *clusterSnapshot
 
 	byClass          map[string]*classStats
@@ -74,7 +75,7 @@
 		started float64
 	}
 	var shares []bandShare
-	attainment := so.slo.tracker.Classes(so.wallClock())
+	attainment := so.slo.Tracker().Classes(so.wallClock())
 	for _, name := range slices.Sorted(maps.Keys(so.byClass)) {
 		cs := so.byClass[name]
 		if !cs.short {
--- a/internal/core/leader/usage.go
+++ b/internal/core/leader/usage.go
@@ -11,7 +11,6 @@
 	"coralhub/internal/core/accounting"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/queue"
-	"coralhub/wire"
 )
 
 // usageLogInterval is the time between two log lines on the resource usage of the teams.
@@ -26,60 +25,6 @@
 	usageLoggedAt Micros
 }
 
-// occupancyOf returns the end of a placement as it is charged. Unless its work is kept, the time since the
-// last checkpoint is lost.
-func (jc *jobCommitter) occupancyOf(j *Job, key job.AttemptKey, machine string, kept bool) job.Occupancy {
-	spec := j.Record.Spec
-	if jc.encoding.Format < job.FormatPreemption || spec == nil {
-		return job.Occupancy{}
-	}
-	occupancy := job.Occupancy{End: job.EncodeTime(j.Record.CreatedAt, jc.wallClock())}
-	if kept || spec.Shape == wire.Service {
-		return occupancy
-	}
-	if p, open := j.Placement(key.Task, key.Attempt, machine); open && p.PlacedAt > 0 {
-		occupancy.Lost = max(0, occupancy.End-p.PlacedAt)
-	}
-	if spec.CheckpointS > 0 { // the work before the last checkpoint is saved
-		occupancy.Lost = min(occupancy.Lost, int64(spec.CheckpointS*job.EncodedTimesPerSecond))
-	}
-	return occupancy
-}
-
-// usage adds up what a job's tasks have used by the records and, if withUncommitted, by the proven ends of
-// tasks that are not committed yet.
-func (j *Job) usage(withUncommitted bool) *job.Usage {
-	sum := j.Record.Usage
-	for i := range j.Shards {
-		sum = sum.Plus(j.Shards[i].Usage)
-	}
-	sum = sum.Plus(j.PageUsage())
-	if !withUncommitted {
-		return sum
-	}
-	for _, completed := range j.completions {
-		p, open := j.Placement(completed.key.Task, completed.key.Attempt, completed.machine)
-		if !open {
-			continue
-		}
-		shard := job.Shard{Open: []job.Placement{p}}
-		shard.Close(completed.key.Task, completed.key.Attempt, completed.machine, completed.occupancy)
-		sum = sum.Plus(shard.Usage)
-	}
-	return sum
-}
-
-// accountUsage returns what a job has used by the records, and the account to which it is charged.
-func (j *Job) accountUsage() (accounting.Key, job.ResourceUsage) {
-	switch rec := &j.Record; {
-	case rec.Account != nil:
-		return accounting.Key{Team: rec.Account.Team, Class: rec.Account.Class, Service: rec.Account.Service}, rec.Account.Usage
-	case rec.Spec != nil:
-		return accounting.KeyOf(rec.Spec), job.ResourceUsageOf(rec.Spec, j.usage(false))
-	}
-	return accounting.Key{}, job.ResourceUsage{}
-}
-
 // chargeUsage charges what a job has used since it was last charged, by its record.
 func (ua *usageAccounts) chargeUsage(j *Job) {
 	key, use := j.accountUsage()
