--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -66,7 +66,7 @@
 	leaseTTL := config.FromMillis(cfg.Settings.LeaderLeaseMS)
 	c.elector = election.New(c.outbox, leaderKey, cfg.Node, leaseTTL, seed, electionListener{c})
 	c.leader = leader.New(cfg, c.outbox, c.encoding, c.catalog, c.elector)
-	listener := &recordsListener{Leader: c.leader}
+	listener := &recordsListener{RecordHandler: c.leader.RecordHandler()}
 	c.replica = records.New(listener)
 	c.frontend = frontend.New(cfg, c.outbox, c.replica, c.encoding, c.catalog, frontendNode{c})
 	listener.frontend = c.frontend
--- a/internal/core/leader/environment.go
+++ b/internal/core/leader/environment.go
@@ -73,3 +73,10 @@
 		e.unfinished = slices.Delete(e.unfinished, i, i+1)
 	}
 }
+
+// setArrival sets the arrival time of a job from its record.
+func (e *environment) setArrival(j *Job) {
+	if j.Record.CreatedAt > 0 && e.wallClockOffset > 0 && !j.HasDependencies() {
+		j.arrivedAt = min(e.outbox.Now(), j.Record.CreatedAt-e.wallClockOffset)
+	}
+}
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -338,7 +338,7 @@
 	j.transaction = nil
 	var placements []job.Placement
 	j.EachPlacement(func(p job.Placement) { placements = append(placements, p) })
-	l.updatePlacements(j, nil, placements)
+	l.RecordHandler().updatePlacements(j, nil, placements)
 	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang && j.OpenTasks > 0 && j.OpenTasks < j.Record.Spec.Tasks {
 		// Where the missing tasks were is not known any more, and an attempt
 		// must not run on the same machine twice: the gang starts a new attempt.
--- a/internal/core/listeners.go
+++ b/internal/core/listeners.go
@@ -11,14 +11,14 @@
 
 // recordsListener passes changes of the replica to the leader, and some of them to other components.
 type recordsListener struct {
-	*leader.Leader
+	leader.RecordHandler
 	frontend *frontend.Frontend
 	relay    *relay.Relay
 }
 
 // RecordChanged also has the relay confirm to the leader that this node knows of a cancellation.
 func (l recordsListener) RecordChanged(j *records.Job) {
-	l.Leader.RecordChanged(j)
+	l.RecordHandler.RecordChanged(j)
 	if j.Record.CancelRequested && !j.Record.Final() {
 		l.relay.OnCancelRequested()
 	}
@@ -26,7 +26,7 @@
 
 // JobFinished also has the frontend answer clients that wait for the end of the job.
 func (l recordsListener) JobFinished(j *records.Job) {
-	l.Leader.JobFinished(j)
+	l.RecordHandler.JobFinished(j)
 	l.frontend.JobFinished(j)
 }
 
