--- a/internal/core/leader/admin.go
+++ b/internal/core/leader/admin.go
@@ -162,7 +162,9 @@
 		}
 		a := m.Estimate(&f)
 		row := rowOf(&a)
-		row.Class, row.Shape, row.Image = f.Class, f.Shape, f.Image
+		row.Class = f.Class
+		row.Shape = f.Shape
+		row.Image = f.Image
 		out.Kinds = append(out.Kinds, row)
 		return true
 	})
@@ -204,7 +206,8 @@
 		from = 0
 	}
 	if from < oldest {
-		out.Missed, from = oldest-from, oldest
+		out.Missed = oldest - from
+		from = oldest
 	}
 	for ; from < es.runsEnd && len(out.Runs) < limit; from++ {
 		out.Runs = append(out.Runs, es.recentRuns[from%keptRuns])
--- a/internal/core/leader/class_statistics.go
+++ b/internal/core/leader/class_statistics.go
@@ -65,8 +65,10 @@
 
 // resetWaiting empties the counts of waiting jobs at the beginning of a cycle.
 func (cs *classStats) resetWaiting() {
-	cs.waiting, cs.pendingWork = 0, pendingWork{}
-	cs.late, cs.firstLate = 0, nil
+	cs.waiting = 0
+	cs.pendingWork = pendingWork{}
+	cs.late = 0
+	cs.firstLate = nil
 }
 
 // addWaiting counts a job that has not started.
@@ -108,7 +110,8 @@
 	cs.startRate.add(so.outbox.Now())
 	cs.startsSinceLate++
 	if so.isLate(j) {
-		cs.startsSinceLate, cs.lateStartAt = 0, so.outbox.Now()
+		cs.startsSinceLate = 0
+		cs.lateStartAt = so.outbox.Now()
 	}
 }
 
@@ -221,7 +224,8 @@
 	anyMoved := false
 	for j := range so.snapshot.wanting {
 		if behind := so.shortClass(j) != nil; behind != j.queuedBehind {
-			j.queuedBehind, anyMoved = behind, true
+			j.queuedBehind = behind
+			anyMoved = true
 		}
 	}
 	if !anyMoved {
@@ -232,7 +236,8 @@
 	ordered := slices.Clone(so.unfinished)
 	slices.SortFunc(ordered, (*Job).compareQueuePosition)
 	for _, j := range ordered {
-		j.queued, j.queueTeam = queue.QueuedJob{}, ""
+		j.queued = queue.QueuedJob{}
+		j.queueTeam = ""
 		so.snapshot.refreshTeamQueue(j)
 	}
 }
--- a/internal/core/leader/equivalence.go
+++ b/internal/core/leader/equivalence.go
@@ -159,6 +159,7 @@
 		j.equivalenceClass = 0
 	}
 	if p := j.Priority(); j.equivalenceClass == 0 || j.classifiedAs != p {
-		j.equivalenceClass, j.classifiedAs = ss.classes.classOf(j, p), p
+		j.equivalenceClass = ss.classes.classOf(j, p)
+		j.classifiedAs = p
 	}
 }
--- a/internal/core/leader/observed_runs.go
+++ b/internal/core/leader/observed_runs.go
@@ -60,7 +60,8 @@
 		if j.observedGangAttempt >= key.Attempt || key.Attempt > j.ranGangAttempt {
 			return // observed already, or it never ran as a whole
 		}
-		j.observedGangAttempt, task = key.Attempt, preemption.WholeGang
+		j.observedGangAttempt = key.Attempt
+		task = preemption.WholeGang
 		if spec.Tasks > 1 {
 			observedMachine = ""
 		}
@@ -99,7 +100,8 @@
 		MemoryGB: spec.MemoryGB, Image: spec.Image, ExpectS: spec.EstimateS, Submitted: inSeconds(j.Record.CreatedAt),
 		Started: wallSeconds(startedAt), Ended: wallSeconds(es.outbox.Now()), Outcome: es.runOutcome(j, key, machine, done), Machine: machine}
 	if spec.Shape == wire.Array {
-		line.Ref, line.Tasks = wire.TaskName(j.ID, key.Task), 1
+		line.Ref = wire.TaskName(j.ID, key.Task)
+		line.Tasks = 1
 	}
 	if m := es.reconciler.Registry().Get(machine); m != nil {
 		line.Type = m.Type
--- a/internal/core/leader/placement_attempt.go
+++ b/internal/core/leader/placement_attempt.go
@@ -84,7 +84,8 @@
 
 // stopWaitingForVictims ends the reservation of the machines that victims leave for a job.
 func (j *Job) stopWaitingForVictims() {
-	j.preemptingUntil, j.reservedMachines = 0, nil
+	j.preemptingUntil = 0
+	j.reservedMachines = nil
 }
 
 // quotaExhausted reports whether a job's team may not use one more of its tasks. Gangs are checked
--- a/internal/core/leader/snapshot.go
+++ b/internal/core/leader/snapshot.go
@@ -47,15 +47,21 @@
 
 // reset empties the snapshot: the next cycle examines everything.
 func (ss *clusterSnapshot) reset() {
-	ss.zones, ss.byName = nil, map[string]*zone.Zone{}
-	ss.staleMachines, ss.staleJobs = nil, nil
-	ss.rebuildDue, ss.rebuiltAt, ss.deadlinesDue = true, 0, false
+	ss.zones = nil
+	ss.byName = map[string]*zone.Zone{}
+	ss.staleMachines = nil
+	ss.staleJobs = nil
+	ss.rebuildDue = true
+	ss.rebuiltAt = 0
+	ss.deadlinesDue = false
 	ss.used = map[string]queue.Amount{}
 	ss.teamQueues = map[string]*queue.TeamQueue{}
 	ss.wanting = map[*Job]bool{}
 	ss.planned = map[string]map[*Job]int{}
 	ss.classes = equivalenceClasses{}
-	ss.demandUnmet, ss.capacityShort, ss.reservedSince = false, false, 0
+	ss.demandUnmet = false
+	ss.capacityShort = false
+	ss.reservedSince = 0
 	for _, name := range ss.cfg.Cluster.Zones {
 		z := &zone.Zone{Name: name}
 		ss.zones = append(ss.zones, z)
--- a/internal/core/leader/snapshot_jobs.go
+++ b/internal/core/leader/snapshot_jobs.go
@@ -81,7 +81,8 @@
 		if team != "" {
 			ss.used[team] = ss.used[team].Plus(allocated, 1)
 		}
-		j.allocated, j.team = allocated, team
+		j.allocated = allocated
+		j.team = team
 	}
 	ss.refreshTeamQueue(j)
 	if spec != nil && j.unfinished && ss.lacksPlacements(j) {
--- a/internal/core/leader/start_rate.go
+++ b/internal/core/leader/start_rate.go
@@ -31,8 +31,10 @@
 	if sr.windowStart == 0 || elapsed < startRateWindow/2 {
 		return
 	}
-	sr.previous, sr.previousWindow = sr.current, elapsed
-	sr.current, sr.windowStart = 0, now
+	sr.previous = sr.current
+	sr.previousWindow = elapsed
+	sr.current = 0
+	sr.windowStart = now
 }
 
 // timeToStart estimates how long n jobs take to start; false: the rate is not known.
--- a/internal/core/leader/usage.go
+++ b/internal/core/leader/usage.go
@@ -33,7 +33,8 @@
 	}
 	ua.ledger.Add(j.account, job.ResourceUsage{}.Plus(j.charged, -1))
 	ua.ledger.Add(key, use)
-	j.account, j.charged = key, use
+	j.account = key
+	j.charged = use
 }
 
 // restoreUsage gives a new leader the average use of the teams before its term, by the accounts: what
--- a/internal/core/preemption/counts.go
+++ b/internal/core/preemption/counts.go
@@ -43,7 +43,8 @@
 		c.tasks = map[Pair]uint64{}
 	}
 	if _, exists := c.tasks[pair]; !exists && len(c.tasks) >= maxCountRows {
-		pair.Preemptor, pair.Victim = "", ""
+		pair.Preemptor = ""
+		pair.Victim = ""
 	}
 	c.tasks[pair] += uint64(tasks)
 }
@@ -86,7 +87,8 @@
 	if err := job.Decode(value, &rows); err != nil {
 		return err
 	}
-	c.version, c.tasks = version, map[Pair]uint64{}
+	c.version = version
+	c.tasks = map[Pair]uint64{}
 	for _, row := range rows {
 		c.tasks[Pair{row.Preemptor, row.Victim, row.Reason}] = row.Tasks
 	}
--- a/internal/core/preemption/decisions.go
+++ b/internal/core/preemption/decisions.go
@@ -99,9 +99,11 @@
 	}
 	first, second := *d, *d
 	machines := len(d.ReservedMachines) / 2
-	first.ReservedMachines, second.ReservedMachines = d.ReservedMachines[:machines], d.ReservedMachines[machines:]
+	first.ReservedMachines = d.ReservedMachines[:machines]
+	second.ReservedMachines = d.ReservedMachines[machines:]
 	victims := (len(d.Victims) + 1) / 2
-	first.Victims, second.Victims = d.Victims[:victims], d.Victims[victims:]
+	first.Victims = d.Victims[:victims]
+	second.Victims = d.Victims[victims:]
 	return []Decision{first, second}
 }
 
