--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -19,6 +19,7 @@
 	"coralhub/internal/core/leader"
 	"coralhub/internal/core/msg"
 	"coralhub/internal/core/outbox"
+	"coralhub/internal/core/query"
 	"coralhub/internal/core/reconciler"
 	"coralhub/internal/core/records"
 	"coralhub/internal/core/relay"
@@ -185,7 +186,7 @@
 }
 
 // CycleStatistics returns what this node's scheduling cycles have examined.
-func (c *Core) CycleStatistics() leader.CycleStatistics { return c.leader.CycleStatistics() }
+func (c *Core) CycleStatistics() query.CycleStatistics { return c.leader.CycleStatistics() }
 
 // UsageLedger returns the resource usage by team and class that the records account for.
 func (c *Core) UsageLedger() *accounting.Ledger { return c.leader.UsageLedger() }
--- a/internal/core/leader/admin.go
+++ b/internal/core/leader/admin.go
@@ -7,6 +7,7 @@
 	"coralhub/internal/core/frontend"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
+	"coralhub/internal/core/query"
 	"coralhub/internal/core/slo"
 	"coralhub/internal/estimate"
 	"coralhub/internal/history"
@@ -33,67 +34,6 @@
 	usageAccounts *usageAccounts
 }
 
-// AdminError is the body of the answer to a query that can't be answered. It names the leader if that
-// is another node.
-type AdminError struct {
-	Error  string `json:"error"`
-	Leader string `json:"leader,omitempty"`
-}
-
-// Estimates lists what is known of run times.
-type Estimates struct {
-	Runs     uint64        `json:"runs"`           // observed, those of earlier leaders included
-	Changes  int           `json:"sudden_changes"` // of run times, that the model has detected
-	Kinds    []EstimateRow `json:"kinds"`
-	More     bool          `json:"more"` // there are more kinds than are listed
-	Machines []SlowMachine `json:"slow_machines"`
-}
-
-// EstimateRow is an estimate as an operator reads it, with times in seconds.
-type EstimateRow struct {
-	Class     string      `json:"class,omitempty"`
-	Shape     string      `json:"shape,omitempty"`
-	Image     string      `json:"image,omitempty"`
-	Level     string      `json:"from"` // of the jobs that it is derived from
-	Samples   float64     `json:"samples"`
-	MedianS   float64     `json:"median_s"`
-	Intervals [][]float64 `json:"intervals_s"` // for probabilities of 0.5, 0.8 and 0.95: low and high
-	Trust     []*float64  `json:"trust"`       // share of recent outcomes in each interval; null: not known
-}
-
-// SlowMachine is a machine on which runs take longer than elsewhere.
-type SlowMachine struct {
-	Machine string  `json:"machine"`
-	Times   float64 `json:"times"` // as long as elsewhere
-}
-
-// JobOutlook is what can be said of the end of a job.
-type JobOutlook struct {
-	Job            JobState     `json:"job"`
-	Class          string       `json:"class,omitempty"`
-	Estimate       *EstimateRow `json:"estimate,omitempty"` // of one task, or of a gang
-	LeftS          *float64     `json:"left_s,omitempty"`   // seconds until the job is done, dependencies included
-	DueInS         *float64     `json:"due_in_s,omitempty"` // seconds until its deadline
-	Verdict        string       `json:"deadline,omitempty"`
-	DeadlineChance *float64     `json:"chance,omitempty"`        // probability that it meets its deadline
-	Overdue        []string     `json:"overdue_tasks,omitempty"` // running for longer than the widest interval
-}
-
-// JobState is the state of a job, as users see it.
-type JobState struct {
-	ID      string `json:"id"`
-	Status  string `json:"status"`
-	Done    int    `json:"done"`    // tasks
-	Running int    `json:"running"` // tasks
-}
-
-// Runs is a page of runs that have ended.
-type Runs struct {
-	Next   uint64         `json:"next"`   // number to continue from
-	Missed uint64         `json:"missed"` // requested runs that are not kept any more
-	Runs   []history.Line `json:"runs"`
-}
-
 // answerQuery answers a query. Gauges and accounts are answered by any node, the rest by the leader.
 func (oq *operatorQueries) answerQuery(x msg.AdminIn) {
 	limit := maxListed
@@ -109,7 +49,7 @@
 		return
 	}
 	if !oq.ready {
-		oq.outbox.RetryLaterWith(x.RequestID, AdminError{"not the leader", oq.elector.Holder().Node})
+		oq.outbox.RetryLaterWith(x.RequestID, query.Error{Error: "not the leader", Leader: oq.elector.Holder().Node})
 		return
 	}
 	switch x.Query {
@@ -127,7 +67,7 @@
 // answerFromEstimates answers the queries that need the model of run times.
 func (oq *operatorQueries) answerFromEstimates(x msg.AdminIn, limit int) {
 	if oq.estimates.model == nil {
-		oq.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "run times are not learnt: see the setting estimates"})
+		oq.outbox.Respond(x.RequestID, http.StatusNotFound, query.Error{Error: "run times are not learnt: see the setting estimates"})
 		return
 	}
 	switch x.Query {
@@ -146,16 +86,16 @@
 func (oq *operatorQueries) findJob(x msg.AdminIn) *Job {
 	j := oq.jobs[x.JobID]
 	if j == nil || j.Version == 0 {
-		oq.outbox.Respond(x.RequestID, http.StatusNotFound, AdminError{Error: "no such job"})
+		oq.outbox.Respond(x.RequestID, http.StatusNotFound, query.Error{Error: "no such job"})
 		return nil
 	}
 	return j
 }
 
 // listEstimates lists the estimates of at most limit kinds of jobs, and as many slow machines.
-func (oq *operatorQueries) listEstimates(limit int) Estimates {
+func (oq *operatorQueries) listEstimates(limit int) query.Estimates {
 	m := oq.estimates.model
-	out := Estimates{Runs: m.Observed(), Changes: m.Changes(), Kinds: []EstimateRow{}, Machines: []SlowMachine{}}
+	out := query.Estimates{Runs: m.Observed(), Changes: m.Changes(), Kinds: []query.EstimateRow{}, Machines: []query.SlowMachine{}}
 	m.Kinds(func(f estimate.Features) bool {
 		if out.More = len(out.Kinds) == limit; out.More {
 			return false
@@ -170,7 +110,7 @@
 	})
 	m.Slow(oq.cfg.Settings.SlowFactor, func(machine string) {
 		if len(out.Machines) < limit {
-			out.Machines = append(out.Machines, SlowMachine{machine, round(m.Slowness(machine))})
+			out.Machines = append(out.Machines, query.SlowMachine{Machine: machine, Times: round(m.Slowness(machine))})
 		}
 	})
 	return out
@@ -183,8 +123,8 @@
 func roundedSeconds(micros Micros) float64 { return round(inSeconds(micros)) }
 
 // rowOf returns an estimate as an operator reads it.
-func rowOf(a *estimate.Answer) EstimateRow {
-	row := EstimateRow{Level: a.Level.String(), Samples: round(a.Samples), MedianS: roundedSeconds(a.Median)}
+func rowOf(a *estimate.Answer) query.EstimateRow {
+	row := query.EstimateRow{Level: a.Level.String(), Samples: round(a.Samples), MedianS: roundedSeconds(a.Median)}
 	for i := range estimate.Intervals {
 		row.Intervals = append(row.Intervals, []float64{roundedSeconds(a.Low[i]), roundedSeconds(a.High[i])})
 		var trust *float64
@@ -198,10 +138,10 @@
 }
 
 // listRuns lists at most limit runs from a number on.
-func (oq *operatorQueries) listRuns(from uint64, limit int) Runs {
+func (oq *operatorQueries) listRuns(from uint64, limit int) query.Runs {
 	es := oq.estimates
 	oldest := es.runsEnd - uint64(len(es.recentRuns))
-	out := Runs{Runs: []history.Line{}}
+	out := query.Runs{Runs: []history.Line{}}
 	if from > es.runsEnd { // a number of another leader
 		from = 0
 	}
@@ -217,14 +157,14 @@
 }
 
 // stateOfJob returns the state of a job as users see it.
-func (oq *operatorQueries) stateOfJob(j *Job) JobState {
+func (oq *operatorQueries) stateOfJob(j *Job) query.JobState {
 	status := frontend.Status(j.Job)
-	return JobState{ID: status.ID, Status: status.Status, Done: *status.Done, Running: *status.Running}
+	return query.JobState{ID: status.ID, Status: status.Status, Done: *status.Done, Running: *status.Running}
 }
 
 // jobOutlook returns what can be said of the end of a job.
-func (oq *operatorQueries) jobOutlook(j *Job) JobOutlook {
-	out := JobOutlook{Job: oq.stateOfJob(j)}
+func (oq *operatorQueries) jobOutlook(j *Job) query.JobOutlook {
+	out := query.JobOutlook{Job: oq.stateOfJob(j)}
 	spec := j.Record.Spec
 	if spec == nil {
 		return out
--- a/internal/core/leader/gauges.go
+++ b/internal/core/leader/gauges.go
@@ -1,27 +1,10 @@
 package leader
 
-import "coralhub/internal/core/slo"
-
-// Gauges are the counts of a node at a moment, for the metrics, and some since its process began.
-type Gauges struct {
-	Leading         bool
-	Records         int            // known jobs, finished ones included
-	Unfinished      int            // jobs
-	Waiting         map[string]int // jobs that lack placements, by class; on the leader
-	Machines        map[string]int // by state; on the leader
-	Placements      int            // open
-	InFlightChanges int            // changes of jobs in flight
-	Failovers       uint64         // how often this node was elected
-	Statistics      CycleStatistics
-	EstimateRuns    uint64 // observed by the model of run times; on the leader
-
-	CompletedInTime, StartedInTime slo.Attainment // on the leader
-	Usage                          []UsageRow     // on the leader
-}
+import "coralhub/internal/core/query"
 
 // gauges counts.
-func (oq *operatorQueries) gauges() Gauges {
-	g := Gauges{
+func (oq *operatorQueries) gauges() query.Gauges {
+	g := query.Gauges{
 		Leading:         oq.ready,
 		Records:         len(oq.jobs),
 		Unfinished:      len(oq.unfinished),
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -23,6 +23,7 @@
 	"coralhub/internal/core/msg"
 	"coralhub/internal/core/outbox"
 	"coralhub/internal/core/preemption"
+	"coralhub/internal/core/query"
 	"coralhub/internal/core/queue"
 	"coralhub/internal/core/reconciler"
 	"coralhub/internal/core/records"
@@ -383,7 +384,7 @@
 func (l *Leader) AnswerQuery(x msg.AdminIn) { l.queries.answerQuery(x) }
 
 // CycleStatistics returns what the scheduling cycles of this process have examined.
-func (l *Leader) CycleStatistics() CycleStatistics { return l.snapshot.cycleStatistics() }
+func (l *Leader) CycleStatistics() query.CycleStatistics { return l.snapshot.cycleStatistics() }
 
 // UsageLedger returns the resource usage by team and class that the records account for.
 func (l *Leader) UsageLedger() *accounting.Ledger { return l.usageAccounts.usageLedger() }
--- a/internal/core/leader/snapshot.go
+++ b/internal/core/leader/snapshot.go
@@ -2,6 +2,7 @@
 
 import (
 	"coralhub/internal/config"
+	"coralhub/internal/core/query"
 	"coralhub/internal/core/queue"
 	"coralhub/internal/core/zone"
 )
@@ -35,15 +36,11 @@
 	capacityShort bool   // so, or because of its team's limit
 	reservedSince Micros // when zones were last reserved for jobs past the age cap, see alternate
 
-	statistics CycleStatistics
+	statistics query.CycleStatistics
 }
 
-// CycleStatistics counts the cycles of this process, and the machines and jobs that they have
-// examined, for tests and the debug log.
-type CycleStatistics struct{ Cycles, Machines, Jobs int }
-
 // cycleStatistics returns the counts of this node.
-func (ss *clusterSnapshot) cycleStatistics() CycleStatistics { return ss.statistics }
+func (ss *clusterSnapshot) cycleStatistics() query.CycleStatistics { return ss.statistics }
 
 // reset empties the snapshot: the next cycle examines everything.
 func (ss *clusterSnapshot) reset() {
--- a/internal/core/leader/wait_reasons.go
+++ b/internal/core/leader/wait_reasons.go
@@ -3,27 +3,13 @@
 import (
 	"slices"
 
+	"coralhub/internal/core/query"
 	"coralhub/internal/core/queue"
 )
 
 // maxAhead is the number of jobs ranked before a job that are named.
 const maxAhead = 20
 
-// WaitReason is why a job waits, and what is placed before it.
-type WaitReason struct {
-	Job              JobState `json:"job"`
-	Reason           string   `json:"why"`
-	Priority         string   `json:"priority,omitempty"`
-	WithinGuarantee  bool     `json:"within_guarantee"`
-	Late             bool     `json:"late"`           // it can't start in time any more
-	ClassShort       bool     `json:"class_is_short"` // of capacity: see "When there is too little"
-	Rank             int      `json:"rank,omitempty"` // 1: the first; 0: it is not in the queue
-	QueueLength      int      `json:"queue"`          // jobs in the queue
-	Ahead            []string `json:"before"`         // the jobs ranked before it, the nearest first
-	ReservedMachines []string `json:"machines_kept"`  // reserved for it while its victims end
-	PreemptedJobs    []string `json:"yield"`          // its victims, by the decisions in force
-}
-
 // waitReasonText says in a few words why a job lacks placements.
 func (oq *operatorQueries) waitReasonText(j *Job) string {
 	spec := j.Record.Spec
@@ -51,8 +37,8 @@
 }
 
 // waitReason returns why a job waits.
-func (oq *operatorQueries) waitReason(j *Job) WaitReason {
-	out := WaitReason{Job: oq.stateOfJob(j), Reason: oq.waitReasonText(j), Ahead: []string{}, ReservedMachines: []string{}, PreemptedJobs: []string{}}
+func (oq *operatorQueries) waitReason(j *Job) query.WaitReason {
+	out := query.WaitReason{Job: oq.stateOfJob(j), Reason: oq.waitReasonText(j), Ahead: []string{}, ReservedMachines: []string{}, PreemptedJobs: []string{}}
 	if j.Record.Spec == nil {
 		return out
 	}
--- /dev/null
+++ b/internal/core/query/query.go
@@ -0,0 +1,147 @@
+// Package query has the answers to operators' queries: what the admin interface writes as JSON, and the gauges for the
+// metrics. Times are in seconds unless a field says otherwise. Package leader answers.
+package query
+
+import (
+	"coralhub/internal/core/slo"
+	"coralhub/internal/history"
+)
+
+// Error is the body of the answer to a query that can't be answered. It names the leader if that
+// is another node.
+type Error struct {
+	Error  string `json:"error"`
+	Leader string `json:"leader,omitempty"`
+}
+
+// Estimates lists what is known of run times.
+type Estimates struct {
+	Runs     uint64        `json:"runs"`           // observed, those of earlier leaders included
+	Changes  int           `json:"sudden_changes"` // of run times, that the model has detected
+	Kinds    []EstimateRow `json:"kinds"`
+	More     bool          `json:"more"` // there are more kinds than are listed
+	Machines []SlowMachine `json:"slow_machines"`
+}
+
+// EstimateRow is an estimate as an operator reads it, with times in seconds.
+type EstimateRow struct {
+	Class     string      `json:"class,omitempty"`
+	Shape     string      `json:"shape,omitempty"`
+	Image     string      `json:"image,omitempty"`
+	Level     string      `json:"from"` // of the jobs that it is derived from
+	Samples   float64     `json:"samples"`
+	MedianS   float64     `json:"median_s"`
+	Intervals [][]float64 `json:"intervals_s"` // for probabilities of 0.5, 0.8 and 0.95: low and high
+	Trust     []*float64  `json:"trust"`       // share of recent outcomes in each interval; null: not known
+}
+
+// SlowMachine is a machine on which runs take longer than elsewhere.
+type SlowMachine struct {
+	Machine string  `json:"machine"`
+	Times   float64 `json:"times"` // as long as elsewhere
+}
+
+// JobOutlook is what can be said of the end of a job.
+type JobOutlook struct {
+	Job            JobState     `json:"job"`
+	Class          string       `json:"class,omitempty"`
+	Estimate       *EstimateRow `json:"estimate,omitempty"` // of one task, or of a gang
+	LeftS          *float64     `json:"left_s,omitempty"`   // seconds until the job is done, dependencies included
+	DueInS         *float64     `json:"due_in_s,omitempty"` // seconds until its deadline
+	Verdict        string       `json:"deadline,omitempty"`
+	DeadlineChance *float64     `json:"chance,omitempty"`        // probability that it meets its deadline
+	Overdue        []string     `json:"overdue_tasks,omitempty"` // running for longer than the widest interval
+}
+
+// JobState is the state of a job, as users see it.
+type JobState struct {
+	ID      string `json:"id"`
+	Status  string `json:"status"`
+	Done    int    `json:"done"`    // tasks
+	Running int    `json:"running"` // tasks
+}
+
+// Runs is a page of runs that have ended.
+type Runs struct {
+	Next   uint64         `json:"next"`   // number to continue from
+	Missed uint64         `json:"missed"` // requested runs that are not kept any more
+	Runs   []history.Line `json:"runs"`
+}
+
+// WaitReason is why a job waits, and what is placed before it.
+type WaitReason struct {
+	Job              JobState `json:"job"`
+	Reason           string   `json:"why"`
+	Priority         string   `json:"priority,omitempty"`
+	WithinGuarantee  bool     `json:"within_guarantee"`
+	Late             bool     `json:"late"`           // it can't start in time any more
+	ClassShort       bool     `json:"class_is_short"` // of capacity: see "When there is too little"
+	Rank             int      `json:"rank,omitempty"` // 1: the first; 0: it is not in the queue
+	QueueLength      int      `json:"queue"`          // jobs in the queue
+	Ahead            []string `json:"before"`         // the jobs ranked before it, the nearest first
+	ReservedMachines []string `json:"machines_kept"`  // reserved for it while its victims end
+	PreemptedJobs    []string `json:"yield"`          // its victims, by the decisions in force
+}
+
+// UsageRow is an account as an operator reads it. Each amount is in seconds of a resource, or of a task.
+type UsageRow struct {
+	Team                string  `json:"team"`
+	Class               string  `json:"class"`
+	Kind                string  `json:"kind"` // KindBatch or KindService
+	GPUSeconds          float64 `json:"gpu_s"`
+	CPUSeconds          float64 `json:"cpu_s"`
+	MemoryGBSeconds     float64 `json:"gb_s"`
+	TaskSeconds         float64 `json:"task_s"`
+	SpotTaskSeconds     float64 `json:"cheap_task_s"`
+	RepeatedTaskSeconds float64 `json:"repeated_task_s"` // of which the work was lost
+}
+
+// Kinds of accounts.
+const (
+	KindBatch   = "batch"
+	KindService = "service"
+)
+
+// Preemptions lists which jobs are preempted for which others.
+type Preemptions struct {
+	Decisions []DecisionRow   `json:"decisions"` // in force
+	Counts    []PreemptionRow `json:"yielded"`   // preempted tasks since the cluster began
+}
+
+// DecisionRow is a decision in force.
+type DecisionRow struct {
+	Preemptor     string   `json:"winner"`
+	Reason        string   `json:"by"`
+	RemainingS    float64  `json:"for_s"`    // seconds for which it stays in force
+	Machines      []string `json:"machines"` // reserved for the preemptor
+	PreemptedJobs []string `json:"yield"`
+}
+
+// PreemptionRow counts the tasks of one class that were preempted for another one.
+type PreemptionRow struct {
+	VictimClass    string `json:"class"`
+	PreemptorClass string `json:"to_class"`
+	Reason         string `json:"by"`
+	Tasks          uint64 `json:"tasks"`
+}
+
+// Gauges are the counts of a node at a moment, for the metrics, and some since its process began.
+type Gauges struct {
+	Leading         bool
+	Records         int            // known jobs, finished ones included
+	Unfinished      int            // jobs
+	Waiting         map[string]int // jobs that lack placements, by class; on the leader
+	Machines        map[string]int // by state; on the leader
+	Placements      int            // open
+	InFlightChanges int            // changes of jobs in flight
+	Failovers       uint64         // how often this node was elected
+	Statistics      CycleStatistics
+	EstimateRuns    uint64 // observed by the model of run times; on the leader
+
+	CompletedInTime, StartedInTime slo.Attainment // on the leader
+	Usage                          []UsageRow     // on the leader
+}
+
+// CycleStatistics counts the cycles of this process, and the machines and jobs that they have
+// examined, for tests and the debug log.
+type CycleStatistics struct{ Cycles, Machines, Jobs int }
--- a/internal/node/httpapi/httpapi.go
+++ b/internal/node/httpapi/httpapi.go
@@ -12,8 +12,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"coralhub/internal/core/leader"
 	"coralhub/internal/core/msg"
+	"coralhub/internal/core/query"
 	"coralhub/wire"
 )
 
@@ -74,18 +74,18 @@
 )
 
 // admin answers an operator's query. It may have the parameters from and most.
-func (a *API) admin(query msg.AdminQuery) echo.HandlerFunc {
+func (a *API) admin(kind msg.AdminQuery) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		in := msg.AdminIn{Query: query, JobID: c.Param("id")}
+		in := msg.AdminIn{Query: kind, JobID: c.Param("id")}
 		var err error
 		if s := c.QueryParam("from"); s != "" {
 			if in.From, err = strconv.ParseUint(s, 10, 64); err != nil {
-				return c.JSON(http.StatusBadRequest, leader.AdminError{Error: "from: no number"})
+				return c.JSON(http.StatusBadRequest, query.Error{Error: "from: no number"})
 			}
 		}
 		if s := c.QueryParam("most"); s != "" {
 			if in.Limit, err = strconv.Atoi(s); err != nil || in.Limit < 1 {
-				return c.JSON(http.StatusBadRequest, leader.AdminError{Error: "most: no number above 0"})
+				return c.JSON(http.StatusBadRequest, query.Error{Error: "most: no number above 0"})
 			}
 		}
 		x := a.ask(c.Request().Context().Done(), func(requestID uint64) msg.Input {
@@ -96,7 +96,7 @@
 			c.Response().Header().Set("Retry-After", strconv.Itoa(x.RetryAfter))
 		}
 		if e, ok := x.Body.(wire.Error); ok {
-			x.Body = leader.AdminError{Error: e.Error}
+			x.Body = query.Error{Error: e.Error}
 		}
 		return c.JSON(x.Status, x.Body)
 	}
@@ -106,11 +106,11 @@
 func (a *API) Serve(path string, h http.Handler) { a.echo.GET(path, echo.WrapHandler(h)) }
 
 // Gauges asks the core for its gauges; false if it has no time.
-func (a *API) Gauges() (leader.Gauges, bool) {
+func (a *API) Gauges() (query.Gauges, bool) {
 	response := a.ask(nil, func(requestID uint64) msg.Input {
 		return msg.AdminIn{RequestID: requestID, Query: msg.QueryGauges}
 	})
-	gauges, ok := response.Body.(leader.Gauges)
+	gauges, ok := response.Body.(query.Gauges)
 	return gauges, ok
 }
 
--- a/internal/node/metrics/collector.go
+++ b/internal/node/metrics/collector.go
@@ -3,13 +3,13 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"coralhub/internal/core/leader"
+	"coralhub/internal/core/query"
 	"coralhub/internal/core/slo"
 )
 
 // collector collects what the core and the adapters count.
 type collector struct {
-	gauges func() (leader.Gauges, bool)
+	gauges func() (query.Gauges, bool)
 	store  Store
 	peers  func() map[string]float64
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-func collectNode(e emitter, g *leader.Gauges) {
+func collectNode(e emitter, g *query.Gauges) {
 	e.gauge(leading, map[bool]float64{true: 1}[g.Leading])
 	e.gauge(records, float64(g.Records))
 	e.gauge(unfinished, float64(g.Unfinished))
@@ -119,7 +119,7 @@
 	}
 }
 
-func collectUsage(e emitter, rows []leader.UsageRow) {
+func collectUsage(e emitter, rows []query.UsageRow) {
 	for _, u := range rows {
 		e.gauge(usedGPU, u.GPUSeconds, u.Team, u.Class, u.Kind)
 		e.gauge(usedTask, u.TaskSeconds, u.Team, u.Class, u.Kind, "all")
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -12,8 +12,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"coralhub/internal/core/leader"
 	"coralhub/internal/core/msg"
+	"coralhub/internal/core/query"
 )
 
 // Path is where the metrics are served.
@@ -33,7 +33,7 @@
 }
 
 // New returns the metrics of a node: what its core and adapters count.
-func New(gauges func() (leader.Gauges, bool), store Store, peers func() map[string]float64) *Metrics {
+func New(gauges func() (query.Gauges, bool), store Store, peers func() map[string]float64) *Metrics {
 	r := prometheus.NewRegistry()
 	m := &Metrics{steps: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "coralhub_step_seconds",
 		Help: "Time that the core took for an input, by kind; a pass is part of the input that it followed.", Buckets: prometheus.ExponentialBuckets(1e-5, 4, 9)},
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"coralhub/internal/config"
-	"coralhub/internal/core/leader"
+	"coralhub/internal/core/query"
 	"coralhub/internal/emulator"
 	"coralhub/internal/node/httpapi"
 	"coralhub/internal/node/metrics"
@@ -251,8 +251,8 @@
 
 	r.eventually("operators are answered by the leader", func() bool {
 		for _, c := range r.configs {
-			var runs leader.Runs
-			var job leader.JobOutlook
+			var runs query.Runs
+			var job query.JobOutlook
 			if ask(r, c.ClientListen, httpapi.PathRuns, &runs) && ask(r, c.ClientListen, httpapi.PathJob+"/j-1", &job) {
 				return len(runs.Runs) >= 6 && job.Job.Status == wire.Done // five tasks and a gang
 			}
@@ -282,7 +282,7 @@
 	if accepted != 3 { // j-1, j-2 and j-3, each by one change
 		t.Errorf("%g changes for accepted jobs", accepted)
 	}
-	if ask(r, r.configs[0].ClientListen, httpapi.PathEstimates+"?most=0", &leader.Estimates{}) {
+	if ask(r, r.configs[0].ClientListen, httpapi.PathEstimates+"?most=0", &query.Estimates{}) {
 		t.Error("most=0 was taken")
 	}
 
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"coralhub/internal/core/leader"
+	"coralhub/internal/core/query"
 	"coralhub/internal/node/httpapi"
 	"coralhub/internal/wait"
 )
@@ -66,7 +66,7 @@
 }
 
 // write writes the runs of a page and reports those that the leader no longer had.
-func (r *Recorder) write(enc *json.Encoder, page *leader.Runs) error {
+func (r *Recorder) write(enc *json.Encoder, page *query.Runs) error {
 	if page.Missed > 0 {
 		r.Report(fmt.Sprintf("%d runs were missed", page.Missed))
 	}
@@ -81,7 +81,7 @@
 
 // fetch gets the next page of runs from the current node. It returns errNotLeader if the
 // node doesn't lead.
-func (r *Recorder) fetch(ctx context.Context) (*leader.Runs, error) {
+func (r *Recorder) fetch(ctx context.Context) (*query.Runs, error) {
 	node := r.Nodes[r.current]
 	if node != r.leader {
 		r.next = 0 // each leader numbers its runs from 0
@@ -100,13 +100,13 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		var e leader.AdminError
+		var e query.Error
 		if json.Unmarshal(raw, &e) != nil || e.Error == "" {
 			return nil, fmt.Errorf("%s: %w: status %d", node, errNotLeader, response.StatusCode)
 		}
 		return nil, fmt.Errorf("%s: %w: %s", node, errNotLeader, e.Error)
 	}
-	page := &leader.Runs{}
+	page := &query.Runs{}
 	if err := json.Unmarshal(raw, page); err != nil {
 		return nil, fmt.Errorf("%s: %w", node, err)
 	}
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"coralhub/internal/core/leader"
+	"coralhub/internal/core/query"
 	"coralhub/internal/history"
 )
 
@@ -24,12 +24,12 @@
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !s.leads() {
 		w.WriteHeader(http.StatusServiceUnavailable)
-		_ = json.NewEncoder(w).Encode(leader.AdminError{Error: "not the leader"})
+		_ = json.NewEncoder(w).Encode(query.Error{Error: "not the leader"})
 		return
 	}
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	first, lines := s.runs()
-	page := leader.Runs{Next: first + uint64(len(lines))}
+	page := query.Runs{Next: first + uint64(len(lines))}
 	if from < first {
 		page.Missed, from = first-from, first
 	}
--- a/internal/scenario/script_commands_test.go
+++ b/internal/scenario/script_commands_test.go
@@ -13,8 +13,8 @@
 
 	"coralhub/internal/core/accounting"
 	"coralhub/internal/core/job"
-	"coralhub/internal/core/leader"
 	"coralhub/internal/core/msg"
+	"coralhub/internal/core/query"
 	"coralhub/internal/core/slo"
 	"coralhub/internal/emulator"
 	"coralhub/wire"
@@ -135,7 +135,7 @@
 
 func sloCommand(_ *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
 	a := s.request(s.node(s.leader()), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryGauges} })
-	gauges, ok := a.Body.(leader.Gauges)
+	gauges, ok := a.Body.(query.Gauges)
 	if !ok {
 		return formatResponse(a)
 	}
@@ -155,7 +155,7 @@
 func waitReasonCommand(t *testing.T, s *Sim, d *datadriven.TestData, id string) string {
 	t.Helper()
 	a := s.request(nodeArg(t, s, d), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryWaitReason, JobID: id} })
-	w, ok := a.Body.(leader.WaitReason)
+	w, ok := a.Body.(query.WaitReason)
 	if !ok {
 		return formatResponse(a)
 	}
@@ -454,10 +454,10 @@
 // formatEstimates formats the run times that a node estimates.
 func formatEstimates(s *Sim, n *node) string {
 	a := s.request(n, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryEstimates} })
-	if e, ok := a.Body.(leader.AdminError); ok {
+	if e, ok := a.Body.(query.Error); ok {
 		return fmt.Sprintln(a.Status, e.Error, e.Leader)
 	}
-	body, _ := a.Body.(leader.Estimates)
+	body, _ := a.Body.(query.Estimates)
 	var b strings.Builder
 	for _, r := range body.Kinds {
 		fmt.Fprintf(&b, "%s %s %s: %.0f runs, %.0f s, mostly %.0f to %.0f s, from %s\n", r.Class, r.Shape, r.Image, r.Samples, r.MedianS,
@@ -469,7 +469,7 @@
 // formatOutlook formats a job's status and the outlook for its deadline, from a node.
 func formatOutlook(s *Sim, n *node, id string) string {
 	a := s.request(n, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryJob, JobID: id} })
-	o, ok := a.Body.(leader.JobOutlook)
+	o, ok := a.Body.(query.JobOutlook)
 	if !ok {
 		return fmt.Sprintln(a.Status)
 	}
