--- a/internal/node/cloud/cloud.go
+++ b/internal/node/cloud/cloud.go
@@ -48,7 +48,7 @@
 }
 
 // Do carries out an effect; it returns false for effects of other adapters.
-func (c *Cloud) Do(e msg.Effect) bool {
+func (c *Cloud) Do(_ context.Context, e msg.Effect) bool {
 	switch x := e.(type) {
 	case msg.FetchCatalog:
 		go c.fetchCatalog()
--- a/internal/node/httpapi/httpapi.go
+++ b/internal/node/httpapi/httpapi.go
@@ -117,12 +117,8 @@
 // Handler is the interface as an HTTP handler.
 func (a *API) Handler() http.Handler { return a.echo }
 
-// Do carries out an effect; it returns false for effects of other adapters.
-func (a *API) Do(e msg.Effect) bool {
-	x, ok := e.(msg.Respond)
-	if !ok {
-		return false
-	}
+// Respond hands the core's response to whoever has made the request, unless they no longer wait for it.
+func (a *API) Respond(x msg.Respond) {
 	a.mu.Lock()
 	ch := a.pending[x.RequestID]
 	delete(a.pending, x.RequestID)
@@ -130,7 +126,6 @@
 	if ch != nil {
 		ch <- x
 	}
-	return true
 }
 
 // overloaded is the response when the core has no time for a request.
@@ -184,7 +179,7 @@
 	default:
 		return
 	}
-	a.Do(x)
+	a.Respond(x)
 }
 
 func (a *API) serve(c echo.Context, input func(requestID uint64) msg.Input) error {
--- a/internal/node/kvstore/store.go
+++ b/internal/node/kvstore/store.go
@@ -119,7 +119,7 @@
 }
 
 // Do carries out an effect; it returns false for effects of other adapters.
-func (s *Store) Do(e msg.Effect) bool {
+func (s *Store) Do(_ context.Context, e msg.Effect) bool {
 	switch x := e.(type) {
 	case msg.Commit:
 		go s.commit(x)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,9 +43,11 @@
 	isolatedAfter = 1500 * time.Millisecond
 )
 
-// adapter carries out effects. Do returns false for effects of other adapters.
+// adapter carries out effects in the background.
 type adapter interface {
-	Do(msg.Effect) bool
+	// Do starts to carry out an effect, until ctx ends at the latest; it returns false for effects of other
+	// adapters. Only the node's loop calls it.
+	Do(ctx context.Context, effect msg.Effect) bool
 }
 
 // Node is a running controller.
@@ -76,7 +78,7 @@
 		n.metrics = metrics.New(n.api.Gauges, n.store, n.peers.Totals)
 		n.api.Serve(metrics.Path, n.metrics)
 	}
-	n.adapters = []adapter{n.api, n.store, worker.New(fromWorkers), cloud.New(cfg, post), n.peers}
+	n.adapters = []adapter{n.store, worker.New(fromWorkers), cloud.New(cfg, post), n.peers}
 	return n
 }
 
@@ -183,7 +185,7 @@
 	for {
 		delivery, ok := n.inputs.Next()
 		if ok {
-			n.process(delivery)
+			n.process(ctx, delivery)
 			select {
 			case <-tick.C:
 			case err := <-failed:
@@ -207,7 +209,7 @@
 			}
 		}
 		now := time.Now()
-		n.step(msg.Tick{WallClock: now.UnixMicro()})
+		n.step(ctx, msg.Tick{WallClock: now.UnixMicro()})
 		if now.Sub(loggedAt) >= counterLogInterval && slog.Default().Enabled(ctx, slog.LevelDebug) {
 			loggedAt = now
 			n.logCounters()
@@ -224,7 +226,7 @@
 
 // process hands an input to the core, unless its sender has waited for too long: shedding it costs next to
 // nothing.
-func (n *Node) process(d inbox.Delivery[msg.Input]) {
+func (n *Node) process(ctx context.Context, d inbox.Delivery[msg.Input]) {
 	if d.Expired {
 		n.api.Shed(d.Input)
 		return
@@ -234,7 +236,7 @@
 		x.Age += d.Waited.Microseconds()
 		in = x
 	}
-	n.step(in)
+	n.step(ctx, in)
 	if _, ok := in.(msg.Snapshot); ok {
 		n.loaded.Store(true)
 	}
@@ -244,29 +246,32 @@
 func (n *Node) clock() msg.Micros { return time.Since(n.start).Microseconds() + 1 }
 
 // step hands an input to the core and carries out the effects.
-func (n *Node) step(in msg.Input) {
+func (n *Node) step(ctx context.Context, in msg.Input) {
 	began := time.Now()
 	defer func() { n.metrics.ObserveStep(in, time.Since(began)) }()
 	for _, e := range n.core.Step(n.clock(), in) {
-		n.carryOut(e)
+		n.carryOut(ctx, e)
 	}
 }
 
-func (n *Node) carryOut(e msg.Effect) {
+func (n *Node) carryOut(ctx context.Context, e msg.Effect) {
 	switch x := e.(type) {
 	case msg.Log:
 		level := slog.LevelInfo
 		if x.Debug {
 			level = slog.LevelDebug
 		}
-		slog.Log(context.Background(), level, x.Message, x.Args...)
+		slog.Log(ctx, level, x.Message, x.Args...)
 		return
 	case msg.StopServing:
 		n.stopped.Store(true)
 		return
+	case msg.Respond:
+		n.api.Respond(x)
+		return
 	}
 	for _, a := range n.adapters {
-		if a.Do(e) {
+		if a.Do(ctx, e) {
 			return
 		}
 	}
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -88,7 +88,7 @@
 }
 
 // Do carries out an effect; it returns false for effects of other adapters.
-func (p *Peers) Do(e msg.Effect) bool {
+func (p *Peers) Do(_ context.Context, e msg.Effect) bool {
 	switch x := e.(type) {
 	case msg.SendPeerUpdate:
 		p.sendUpdate(x)
--- a/internal/node/worker/worker.go
+++ b/internal/node/worker/worker.go
@@ -28,7 +28,7 @@
 }
 
 // Do carries out an effect; it returns false for effects of other adapters.
-func (w *Workers) Do(e msg.Effect) bool {
+func (w *Workers) Do(_ context.Context, e msg.Effect) bool {
 	x, ok := e.(msg.Command)
 	if ok {
 		go w.command(x)
