--- a/internal/node/inbox/inbox.go
+++ b/internal/node/inbox/inbox.go
@@ -53,6 +53,7 @@
 	wake chan struct{}
 
 	mu        sync.Mutex
+	closed    bool
 	hasRoom   [classes]*sync.Cond
 	queues    [classes][]item[T]
 	remaining [classes]int // inputs that a class may still have taken in this round
@@ -68,20 +69,37 @@
 	return b
 }
 
-// Post adds an answer that the core waits for. It is never shed: while its class is full, Post blocks.
+// Post adds an answer that the core waits for. It is never shed: while its class is full, Post blocks. Once the
+// inbox is closed, inputs are dropped.
 func (b *Inbox[T]) Post(class Class, input T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for len(b.queues[class]) >= limits[class].length {
+	for !b.closed && len(b.queues[class]) >= limits[class].length {
 		b.hasRoom[class].Wait()
 	}
+	if b.closed {
+		return
+	}
 	b.add(class, item[T]{input, b.now(), false})
 }
 
-// Offer adds a request, or returns false if it would wait for too long.
+// Close drops all inputs from now on. It is for when nobody takes them any more: calls of Post that block return.
+func (b *Inbox[T]) Close() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.closed = true
+	for _, hasRoom := range b.hasRoom {
+		hasRoom.Broadcast()
+	}
+}
+
+// Offer adds a request, or returns false if it would wait for too long or the inbox is closed.
 func (b *Inbox[T]) Offer(class Class, input T) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
+	if b.closed {
+		return false
+	}
 	queue := b.queues[class]
 	if len(queue) >= limits[class].length || len(queue) > 0 && b.expired(class, &queue[0]) {
 		b.shed[class]++
--- a/internal/node/inbox/inbox_test.go
+++ b/internal/node/inbox/inbox_test.go
@@ -101,3 +101,36 @@
 		}
 	})
 }
+
+// Whoever has an answer for a loop that has ended isn't held up by it.
+func TestClosedInboxDropsInputs(t *testing.T) {
+	l := New[int]((&clock{time.Unix(1, 0)}).now)
+	for range limits[Liveness].length {
+		l.Post(Liveness, 1)
+	}
+	const posters = 3
+	posted := make(chan struct{}, posters)
+	for range posters {
+		go func() {
+			l.Post(Liveness, 2)
+			posted <- struct{}{}
+		}()
+	}
+	select {
+	case <-posted:
+		t.Fatal("posted to a full class")
+	case <-time.After(20 * time.Millisecond):
+	}
+	l.Close()
+	for range posters {
+		select {
+		case <-posted:
+		case <-time.After(10 * time.Second):
+			t.Fatal("blocked by a closed inbox")
+		}
+	}
+	l.Post(Liveness, 3)
+	if l.Offer(Users, 3) {
+		t.Error("a closed inbox accepts requests")
+	}
+}
