--- a/internal/node/kvstore/leases.go
+++ b/internal/node/kvstore/leases.go
@@ -16,14 +16,14 @@
 	for ctx.Err() == nil {
 		lease, next := s.renewer.Due(time.Now())
 		if lease != 0 {
-			go s.renewLease(lease, false)
+			s.calls.Go(func() { s.renewLease(ctx, lease, false) })
 		}
 		wait.For(ctx, next)
 	}
 }
 
-func (s *Store) grantLease(x msg.GrantLease) {
-	ctx, cancel := context.WithTimeout(context.Background(), renewTimeout)
+func (s *Store) grantLease(ctx context.Context, x msg.GrantLease) {
+	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	sentAt := time.Now()
 	s.counters.leases.Add()
@@ -39,8 +39,8 @@
 
 // renewLease renews a lease. The core gets the result of what it asked for; of other renewals it hears
 // only if they went well or the lease has expired.
-func (s *Store) renewLease(lease uint64, requested bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), renewTimeout)
+func (s *Store) renewLease(ctx context.Context, lease uint64, requested bool) {
+	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	sentAt := time.Now()
 	s.counters.leases.Add()
--- /dev/null
+++ b/internal/node/kvstore/shutdown_test.go
@@ -0,0 +1,46 @@
+package kvstore
+
+import (
+	"context"
+	"sync"
+	"testing"
+
+	"coralhub/internal/config"
+	"coralhub/internal/core/msg"
+	"coralhub/internal/node/nodetest"
+)
+
+// However long the service takes, all that a store has started ends with its context.
+func TestCallsEndWithTheirContext(t *testing.T) {
+	server := nodetest.NewSilentServer(t)
+	cfg := &config.Config{}
+	cfg.External.State = server.Address
+	cfg.Cluster.State = config.State{RPS: 100, WriteRPS: 100, TxnOps: 8}
+	posted := make(chan msg.Input, 10)
+	s := New(cfg, func() msg.Micros { return 1 }, func(in msg.Input) { posted <- in })
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	effects := []msg.Effect{
+		msg.Commit{ID: 1},
+		msg.Read{ID: 2},
+		msg.GrantLease{TTL: 3_000_000},
+		msg.RenewLease{Lease: 4, TTL: 3_000_000},
+	}
+	for _, e := range effects {
+		if !s.Do(ctx, e) {
+			t.Fatalf("%T was not carried out", e)
+		}
+	}
+	var loops sync.WaitGroup
+	loops.Go(func() { s.Follow(ctx) })
+	loops.Go(func() { s.RenewLeases(ctx) })
+	server.AwaitConnections(len(effects) + 1) // Follow's too
+	nodetest.EndsWithin(t, renewTimeout/2, func() {
+		cancel()
+		loops.Wait()
+		s.Wait()
+	})
+	if len(posted) != len(effects) {
+		t.Errorf("%d results for %d effects", len(posted), len(effects))
+	}
+}
--- a/internal/node/kvstore/store.go
+++ b/internal/node/kvstore/store.go
@@ -11,6 +11,7 @@
 	"fmt"
 	"net/http"
 	"slices"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -56,6 +57,7 @@
 	// them.
 	keepAliveClient *http.Client
 	renewer         leaserenewal.Renewer
+	calls           sync.WaitGroup // those that run in the background
 
 	requestLimiter    *rateLimiter  // all requests but those of keepAliveClient
 	criticalLimiter   *rate.Limiter // changes of msg.Critical
@@ -118,18 +120,18 @@
 	return time.Since(s.start) - time.Duration(since)
 }
 
-// Do carries out an effect; it returns false for effects of other adapters.
-func (s *Store) Do(_ context.Context, e msg.Effect) bool {
+// Do starts to carry out an effect, until ctx ends at the latest; it returns false for effects of other adapters.
+func (s *Store) Do(ctx context.Context, e msg.Effect) bool {
 	switch x := e.(type) {
 	case msg.Commit:
-		go s.commit(x)
+		s.calls.Go(func() { s.commit(ctx, x) })
 	case msg.Read:
-		go s.read(x)
+		s.calls.Go(func() { s.read(ctx, x) })
 	case msg.GrantLease:
-		go s.grantLease(x)
+		s.calls.Go(func() { s.grantLease(ctx, x) })
 	case msg.RenewLease:
 		s.renewer.Adopt(x.Lease, time.Duration(x.TTL)*time.Microsecond, time.Now())
-		go s.renewLease(x.Lease, true)
+		s.calls.Go(func() { s.renewLease(ctx, x.Lease, true) })
 	case msg.ReleaseLease:
 		s.renewer.Release(x.Lease)
 	case msg.PollWatchFast:
@@ -145,6 +147,14 @@
 	return true
 }
 
+// Wait returns once all calls have ended, and closes the connections that they leave idle. It is for after the end
+// of their contexts, and of Do, Follow and RenewLeases, which start them.
+func (s *Store) Wait() {
+	s.calls.Wait()
+	s.client.CloseIdleConnections()
+	s.keepAliveClient.CloseIdleConnections()
+}
+
 // statusesWithBody are those whose bodies are decoded.
 var statusesWithBody = []int{http.StatusOK, http.StatusConflict, http.StatusNotFound, http.StatusBadRequest}
 
--- a/internal/node/kvstore/transactions.go
+++ b/internal/node/kvstore/transactions.go
@@ -11,8 +11,8 @@
 )
 
 // commit carries out a transaction and posts what came of it.
-func (s *Store) commit(x msg.Commit) {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+func (s *Store) commit(ctx context.Context, x msg.Commit) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	done := msg.CommitDone{ID: x.ID, Outcome: msg.Refused}
 	if s.awaitRequestQuota(ctx) != nil || s.awaitWriteQuota(ctx, &x) != nil {
@@ -102,8 +102,8 @@
 }
 
 // read reads a key and posts what came of it. A key that does not exist has version 0.
-func (s *Store) read(x msg.Read) {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+func (s *Store) read(ctx context.Context, x msg.Read) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	done := msg.ReadDone{ID: x.ID, Outcome: msg.Refused, Key: x.Key}
 	if s.awaitRequestQuota(ctx) != nil {
--- a/internal/node/kvstore/watch.go
+++ b/internal/node/kvstore/watch.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"net/url"
 	"strconv"
+	"sync"
 	"time"
 
 	"coralhub/internal/core/job"
@@ -73,17 +74,8 @@
 
 // watch posts changes after a revision until a new listing is needed.
 func (s *Store) watch(ctx context.Context, revision uint64) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	stop := make(chan struct{})
-	defer close(stop)
-	go func() {
-		select {
-		case <-s.relist:
-			cancel()
-		case <-stop:
-		}
-	}()
+	ctx, stop := s.untilRelist(ctx)
+	defer stop()
 	for ctx.Err() == nil {
 		sentAt, currentAt := time.Now(), s.clock()
 		var response wire.WatchResponse
@@ -103,6 +95,24 @@
 	}
 }
 
+// untilRelist returns a context that ends when the core asks for a new listing. stop has to be called: it ends the
+// context and returns once nothing waits for the request any more.
+func (s *Store) untilRelist(ctx context.Context) (untilRelist context.Context, stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	var waiting sync.WaitGroup
+	waiting.Go(func() {
+		select {
+		case <-s.relist:
+			cancel()
+		case <-ctx.Done():
+		}
+	})
+	return ctx, func() {
+		cancel()
+		waiting.Wait()
+	}
+}
+
 func (s *Store) watchOnce(ctx context.Context, revision uint64, response *wire.WatchResponse) (int, error) {
 	maxWait := maxWatchWait
 	if int64(time.Since(s.start)) < s.fastPollUntil.Load() {
--- /dev/null
+++ b/internal/node/nodetest/nodetest.go
@@ -0,0 +1,71 @@
+// Package nodetest has helpers for tests of a node and its adapters.
+package nodetest
+
+import (
+	"net"
+	"sync"
+	"testing"
+	"time"
+)
+
+// patience is how long a test waits for what takes milliseconds; only a failure takes as long.
+const patience = 10 * time.Second
+
+// SilentServer accepts connections and never replies.
+type SilentServer struct {
+	Address string
+
+	t        *testing.T
+	accepted chan struct{} // one for each connection
+}
+
+// NewSilentServer starts a server that listens until the end of the test.
+func NewSilentServer(t *testing.T) *SilentServer {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &SilentServer{Address: l.Addr().String(), t: t, accepted: make(chan struct{}, 100)}
+	var accepting sync.WaitGroup
+	accepting.Go(func() { s.accept(l) })
+	t.Cleanup(func() {
+		_ = l.Close()
+		accepting.Wait()
+	})
+	return s
+}
+
+func (s *SilentServer) accept(l net.Listener) {
+	for {
+		conn, err := l.Accept()
+		if err != nil {
+			return
+		}
+		defer func() { _ = conn.Close() }() // at the end of the test
+		s.accepted <- struct{}{}
+	}
+}
+
+// AwaitConnections waits until so many more clients have connected.
+func (s *SilentServer) AwaitConnections(count int) {
+	s.t.Helper()
+	timeout := time.After(patience)
+	for i := range count {
+		select {
+		case <-s.accepted:
+		case <-timeout:
+			s.t.Fatalf("%d connections, want %d", i, count)
+		}
+	}
+}
+
+// EndsWithin fails the test unless end returns within a duration.
+func EndsWithin(t *testing.T, limit time.Duration, end func()) {
+	t.Helper()
+	began := time.Now()
+	end()
+	if took := time.Since(began); took > limit {
+		t.Errorf("ended after %v, want at most %v", took, limit)
+	}
+}
