--- a/internal/node/worker/worker.go
+++ b/internal/node/worker/worker.go
@@ -4,6 +4,7 @@
 import (
 	"context"
 	"net/http"
+	"sync"
 	"time"
 
 	"coralhub/internal/core/msg"
@@ -20,6 +21,7 @@
 type Workers struct {
 	post   func(msg.Input)
 	client *http.Client
+	calls  sync.WaitGroup
 }
 
 // New returns a client that posts results to the core.
@@ -27,17 +29,24 @@
 	return &Workers{post: post, client: httpclient.New(dialTimeout, 1, 0)}
 }
 
-// Do carries out an effect; it returns false for effects of other adapters.
-func (w *Workers) Do(_ context.Context, e msg.Effect) bool {
+// Do starts to carry out an effect, until ctx ends at the latest; it returns false for effects of other adapters.
+func (w *Workers) Do(ctx context.Context, e msg.Effect) bool {
 	x, ok := e.(msg.Command)
 	if ok {
-		go w.command(x)
+		w.calls.Go(func() { w.command(ctx, x) })
 	}
 	return ok
 }
 
-func (w *Workers) command(x msg.Command) {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+// Wait returns once all calls have ended, and closes the connections that they leave idle. It is for after the end
+// of their contexts and of Do.
+func (w *Workers) Wait() {
+	w.calls.Wait()
+	w.client.CloseIdleConnections()
+}
+
+func (w *Workers) command(ctx context.Context, x msg.Command) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	done := msg.CommandDone{ID: x.ID, Machine: x.Machine}
 	done.Outcome, done.Heartbeat = w.send(ctx, x)
