--- a/internal/node/cloud/cloud.go
+++ b/internal/node/cloud/cloud.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"net/url"
 	"strconv"
+	"sync"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -34,6 +35,7 @@
 	post    func(msg.Input)
 	client  *http.Client
 	limiter *rate.Limiter
+	calls   sync.WaitGroup
 }
 
 // New returns a client that posts results to the core.
@@ -47,26 +49,33 @@
 	}
 }
 
-// Do carries out an effect; it returns false for effects of other adapters.
-func (c *Cloud) Do(_ context.Context, e msg.Effect) bool {
+// Do starts to carry out an effect, until ctx ends at the latest; it returns false for effects of other adapters.
+func (c *Cloud) Do(ctx context.Context, e msg.Effect) bool {
 	switch x := e.(type) {
 	case msg.FetchCatalog:
-		go c.fetchCatalog()
+		c.calls.Go(func() { c.fetchCatalog(ctx) })
 	case msg.ListMachines:
-		go c.listMachines()
+		c.calls.Go(func() { c.listMachines(ctx) })
 	case msg.ScaleOut:
-		go c.scaleOut(x.Request)
+		c.calls.Go(func() { c.scaleOut(ctx, x.Request) })
 	case msg.ScaleIn:
-		go c.scaleIn(x.Machines)
+		c.calls.Go(func() { c.scaleIn(ctx, x.Machines) })
 	default:
 		return false
 	}
 	return true
 }
 
+// Wait returns once all calls have ended, and closes the connections that they leave idle. It is for after the end
+// of their contexts and of Do.
+func (c *Cloud) Wait() {
+	c.calls.Wait()
+	c.client.CloseIdleConnections()
+}
+
 // call makes a request. The outcome is OK, Conflict for a lack of capacity, Refused or Unknown.
-func (c *Cloud) call(method, path string, in, out any) msg.Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+func (c *Cloud) call(ctx context.Context, method, path string, in, out any) msg.Outcome {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if c.limiter.Wait(ctx) != nil {
 		return msg.Refused
@@ -113,13 +122,13 @@
 	return status, nil
 }
 
-func (c *Cloud) fetchCatalog() {
+func (c *Cloud) fetchCatalog(ctx context.Context) {
 	var done msg.CatalogDone
-	done.Outcome = c.call(http.MethodGet, wire.PathCatalog, nil, &done.Catalog)
+	done.Outcome = c.call(ctx, http.MethodGet, wire.PathCatalog, nil, &done.Catalog)
 	c.post(done)
 }
 
-func (c *Cloud) listMachines() {
+func (c *Cloud) listMachines(ctx context.Context) {
 	var done msg.ListDone
 	after := ""
 	for {
@@ -128,7 +137,7 @@
 			q.Set("from", after)
 		}
 		var page wire.MachineList
-		done.Outcome = c.call(http.MethodGet, wire.PathHosts+"?"+q.Encode(), nil, &page)
+		done.Outcome = c.call(ctx, http.MethodGet, wire.PathHosts+"?"+q.Encode(), nil, &page)
 		done.Machines = append(done.Machines, page.Machines...)
 		if done.Outcome != msg.OK || !page.More || len(page.Machines) == 0 {
 			break
@@ -138,16 +147,16 @@
 	c.post(done)
 }
 
-func (c *Cloud) scaleOut(r wire.RentalRequest) {
+func (c *Cloud) scaleOut(ctx context.Context, r wire.RentalRequest) {
 	var names wire.MachineNames
 	done := msg.ScaleOutDone{Name: r.Name}
-	done.Outcome = c.call(http.MethodPost, wire.PathHosts, r, &names)
+	done.Outcome = c.call(ctx, http.MethodPost, wire.PathHosts, r, &names)
 	done.Machines = names.Machines
 	c.post(done)
 }
 
-func (c *Cloud) scaleIn(machines []string) {
+func (c *Cloud) scaleIn(ctx context.Context, machines []string) {
 	done := msg.ScaleInDone{Machines: machines}
-	done.Outcome = c.call(http.MethodPost, wire.PathRelease, wire.MachineNames{Machines: machines}, nil)
+	done.Outcome = c.call(ctx, http.MethodPost, wire.PathRelease, wire.MachineNames{Machines: machines}, nil)
 	c.post(done)
 }
