--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -289,7 +289,7 @@
 	wait.Every(ctx, peerStatusInterval, func() {
 		anyReaches := false
 		var admissionDemands []float64
-		for node, status := range n.peers.CollectStatus() {
+		for node, status := range n.peers.CollectStatus(ctx) {
 			anyReaches = anyReaches || status.StateOK
 			if status.Says {
 				admissionDemands = append(admissionDemands, status.Accepts)
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -22,8 +22,14 @@
 	maxConcurrentCalls = 64
 )
 
-// errSlowPeer is a call without an answer in time, while other calls on the same connection had answers.
-var errSlowPeer = errors.New("no answer in time, though others came")
+var (
+	// errSlowPeer is a call without an answer in time, while other calls on the same connection had answers.
+	errSlowPeer = errors.New("no answer in time, though others came")
+	// errNoAnswer is a call without an answer in time, on a connection that had none meanwhile.
+	errNoAnswer = errors.New("no answer in time")
+	// errClosed is a call after Close.
+	errClosed = errors.New("connections are closed")
+)
 
 // connectionKey names one of the two connections to each node. Calls that show that nodes are alive, and for how
 // long relays may act as delegates, have one of their own: hundreds of heartbeats don't delay them.
@@ -46,8 +52,10 @@
 	addresses map[string]string // by node
 	slots     chan struct{}     // one for each call of runLimited that is under way
 	start     time.Time
+	calls     sync.WaitGroup // those that Do has started
 
 	mu          sync.Mutex
+	isClosed    bool // no connection is opened any more
 	connections map[connectionKey]*connection
 
 	handed, lost, busy, full, closed counter.Counter
@@ -87,35 +95,50 @@
 	}
 }
 
-// Do carries out an effect; it returns false for effects of other adapters.
-func (p *Peers) Do(_ context.Context, e msg.Effect) bool {
+// Do starts to carry out an effect, until ctx ends at the latest; it returns false for effects of other adapters.
+func (p *Peers) Do(ctx context.Context, e msg.Effect) bool {
 	switch x := e.(type) {
 	case msg.SendPeerUpdate:
-		p.sendUpdate(x)
+		p.sendUpdate(ctx, x)
 	case msg.Forward:
-		p.forward(x)
+		p.forward(ctx, x)
 	case msg.HeartbeatBatch:
 		// Batches are sent at an interval and given up after callTimeout: few are under way.
-		go p.sendBatch(x)
+		p.calls.Go(func() { p.sendBatch(ctx, x) })
 	default:
 		return false
 	}
 	return true
 }
 
+// Close closes all connections. Calls that are under way end, and later ones fail.
+func (p *Peers) Close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.isClosed = true
+	for _, c := range p.connections {
+		_ = c.Close() // the only error is that it was closed before
+	}
+	clear(p.connections)
+}
+
+// Wait returns once all calls that Do has started have ended. It is for after the end of their contexts, Close, and
+// the end of Do.
+func (p *Peers) Wait() { p.calls.Wait() }
+
 // sendUpdate sends a peer a copy of a key. If it is lost, the peer's watch brings the key a little later.
-func (p *Peers) sendUpdate(x msg.SendPeerUpdate) {
+func (p *Peers) sendUpdate(ctx context.Context, x msg.SendPeerUpdate) {
 	p.runLimited(func() {
 		event := Event{Key: x.Change.Put, Value: x.Change.Value, Version: x.Change.Version}
-		_ = p.call(x.Node, "Tell", &event, &struct{}{})
+		_ = p.call(ctx, x.Node, "Tell", &event, &struct{}{})
 	}, func() {})
 }
 
 // forward hands a heartbeat to the leader and posts its response.
-func (p *Peers) forward(x msg.Forward) {
+func (p *Peers) forward(ctx context.Context, x msg.Forward) {
 	done := msg.ForwardDone{RequestID: x.RequestID, Heartbeat: x.Heartbeat}
 	p.runLimited(func() {
-		done.Response, done.Busy = p.callReport(x)
+		done.Response, done.Busy = p.callReport(ctx, x)
 		switch {
 		case done.Response != nil:
 			p.handed.Add()
@@ -126,18 +149,18 @@
 		}
 		p.post(done)
 	}, func() {
-		done.Busy = true // as far as is known: heartbeat batches show who is out of reach
-		go p.post(done)
+		done.Busy = true                    // as far as is known: heartbeat batches show who is out of reach
+		p.calls.Go(func() { p.post(done) }) // it may block, which the node's loop must not
 	})
 }
 
-func (p *Peers) callReport(x msg.Forward) (response *wire.HeartbeatResponse, busy bool) {
+func (p *Peers) callReport(ctx context.Context, x msg.Forward) (response *wire.HeartbeatResponse, busy bool) {
 	body, err := wire.Marshal(&x.Heartbeat)
 	if err != nil {
 		return nil, false
 	}
 	var out ReportAnswer
-	if err := p.call(x.Node, "Report", &Report{body}, &out); err != nil {
+	if err := p.call(ctx, x.Node, "Report", &Report{body}, &out); err != nil {
 		return nil, errors.Is(err, errSlowPeer) // out must not be read: a late answer may still be written to it
 	}
 	response = &wire.HeartbeatResponse{}
@@ -147,25 +170,26 @@
 	return response, false
 }
 
-func (p *Peers) sendBatch(x msg.HeartbeatBatch) {
+func (p *Peers) sendBatch(ctx context.Context, x msg.HeartbeatBatch) {
 	in := Beat{Node: p.self, Revision: x.Revision, Heard: encodeAcks(x.Acks)}
 	var out BeatAnswer
-	if p.callOn(connectionKey{x.Node, true}, "Beat", &in, &out) != nil {
+	if p.callOn(ctx, connectionKey{x.Node, true}, "Beat", &in, &out) != nil {
 		return
 	}
 	response := msg.HeartbeatBatchResponse{ResendMachines: out.Wanted, Delegation: out.StandIn}
 	p.post(msg.HeartbeatBatchDone{Batch: x, HeartbeatBatchResponse: response})
 }
 
-// CollectStatus asks every peer for its status, all at once. A peer that doesn't answer is left out.
-func (p *Peers) CollectStatus() map[string]Status {
+// CollectStatus asks every peer for its status, all at once. A peer that doesn't answer is left out; if ctx ends, so
+// are all that have not answered yet.
+func (p *Peers) CollectStatus(ctx context.Context) map[string]Status {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	out := make(map[string]Status, len(p.addresses))
 	for node := range p.addresses {
 		wg.Go(func() {
 			var status Status
-			if p.callOn(connectionKey{node, true}, "Status", &struct{}{}, &status) != nil {
+			if p.callOn(ctx, connectionKey{node, true}, "Status", &struct{}{}, &status) != nil {
 				return
 			}
 			mu.Lock()
@@ -181,10 +205,10 @@
 func (p *Peers) runLimited(f, instead func()) {
 	select {
 	case p.slots <- struct{}{}:
-		go func() {
+		p.calls.Go(func() {
 			defer func() { <-p.slots }()
 			f()
-		}()
+		})
 	default:
 		p.full.Add()
 		instead()
@@ -192,7 +216,7 @@
 }
 
 // connect returns the open connection of a key, or opens one.
-func (p *Peers) connect(key connectionKey) (*connection, error) {
+func (p *Peers) connect(ctx context.Context, key connectionKey) (*connection, error) {
 	p.mu.Lock()
 	c := p.connections[key]
 	p.mu.Unlock()
@@ -200,13 +224,17 @@
 		return c, nil
 	}
 	dialer := net.Dialer{Timeout: callTimeout}
-	conn, err := dialer.DialContext(context.Background(), "tcp", p.addresses[key.node])
+	conn, err := dialer.DialContext(ctx, "tcp", p.addresses[key.node])
 	if err != nil {
 		return nil, err
 	}
 	c = &connection{Client: rpc.NewClient(conn)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	if p.isClosed {
+		_ = c.Close()
+		return nil, errClosed
+	}
 	if other := p.connections[key]; other != nil {
 		_ = c.Close()
 		return other, nil
@@ -226,15 +254,15 @@
 	_ = c.Close()
 }
 
-func (p *Peers) call(node, method string, in, out any) error {
-	return p.callOn(connectionKey{node, false}, method, in, out)
+func (p *Peers) call(ctx context.Context, node, method string, in, out any) error {
+	return p.callOn(ctx, connectionKey{node, false}, method, in, out)
 }
 
 // callOn calls a method of Service. A call without an answer in time does not end the connection if other answers
 // have come by it meanwhile: all calls that are under way on it would be lost with it, which makes a slow
 // leader look like one out of reach.
-func (p *Peers) callOn(key connectionKey, method string, in, out any) error {
-	c, err := p.connect(key)
+func (p *Peers) callOn(ctx context.Context, key connectionKey, method string, in, out any) error {
+	c, err := p.connect(ctx, key)
 	if err != nil {
 		return err
 	}
@@ -249,7 +277,9 @@
 		if c.lastAnswer.Load() > sentAt {
 			return errSlowPeer
 		}
-		err = rpc.ErrShutdown
+		err = errNoAnswer
+	case <-ctx.Done():
+		return ctx.Err()
 	}
 	if err != nil {
 		p.disconnect(key, c)
