--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,9 +128,8 @@
 	}
 	defer func() { _ = server.Close() }()
 	go func() { failed <- server.Serve(users) }()
-	go func() {
-		failed <- peer.Serve(peers, func(in msg.Input) { n.offer(in) }, n.api, n.status)
-	}()
+	peerServer := peer.NewServer(func(in msg.Input) { n.offer(in) }, n.api, n.status)
+	go func() { failed <- peerServer.Serve(peers) }()
 	go n.store.Follow(ctx)
 	go n.store.RenewLeases(ctx)
 	go n.watchPeers(ctx)
--- a/internal/node/peer/compat_test.go
+++ b/internal/node/peer/compat_test.go
@@ -100,9 +100,8 @@
 	}
 	t.Cleanup(func() { _ = l.Close() })
 	posted := make(chan msg.Input, 1)
-	go func() {
-		_ = Serve(l, func(in msg.Input) { posted <- in }, fixedAnswers{}, func() Status { return Status{StateOK: true, Says: true, Accepts: 2} })
-	}()
+	server := NewServer(func(in msg.Input) { posted <- in }, fixedAnswers{}, func() Status { return Status{StateOK: true, Says: true, Accepts: 2} })
+	go func() { _ = server.Serve(l) }()
 	client, err := rpc.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/peer/service.go
+++ b/internal/node/peer/service.go
@@ -1,9 +1,7 @@
 package peer
 
 import (
-	"net"
 	"net/http"
-	"net/rpc"
 
 	"coralhub/internal/core/msg"
 	"coralhub/wire"
@@ -26,21 +24,6 @@
 	status  func() Status
 }
 
-// Serve serves peers on l until accepting a connection fails.
-func Serve(l net.Listener, post func(msg.Input), handler Handler, status func() Status) error {
-	server := rpc.NewServer()
-	if err := server.RegisterName(serviceName, &Service{post, handler, status}); err != nil {
-		return err
-	}
-	for {
-		conn, err := l.Accept()
-		if err != nil {
-			return err
-		}
-		go server.ServeConn(conn)
-	}
-}
-
 // Report answers a forwarded heartbeat as the leader.
 func (s *Service) Report(in *Report, out *ReportAnswer) error {
 	var heartbeat wire.Heartbeat
--- a/internal/node/peer/shutdown_test.go
+++ b/internal/node/peer/shutdown_test.go
@@ -2,9 +2,12 @@
 
 import (
 	"context"
+	"errors"
+	"io"
 	"net"
 	"sync"
 	"testing"
+	"time"
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/msg"
@@ -84,3 +87,67 @@
 		t.Errorf("%d connections", len(p.connections))
 	}
 }
+
+// slowHandler answers once it is told to.
+type slowHandler struct {
+	called chan struct{}
+	answer chan struct{}
+}
+
+func (h slowHandler) Heartbeat(wire.Heartbeat) msg.Respond {
+	h.called <- struct{}{}
+	<-h.answer
+	return msg.Respond{}
+}
+
+func (slowHandler) HeartbeatBatch(msg.HeartbeatBatchIn) msg.Respond { return msg.Respond{} }
+
+// A closed server cuts its peers off at once, and waits for what they have called.
+func TestClosedServer(t *testing.T) {
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	handler := slowHandler{make(chan struct{}), make(chan struct{})}
+	server := NewServer(func(msg.Input) {}, handler, func() Status { return Status{} })
+	var accepting sync.WaitGroup
+	accepting.Go(func() { _ = server.Serve(l) })
+	p, posted := newPeers(t, l.Addr().String())
+	p.Do(t.Context(), msg.Forward{Node: "n2"})
+	<-handler.called
+
+	_ = l.Close()
+	server.Close()
+	if done, ok := (<-posted).(msg.ForwardDone); !ok || done.Response != nil || done.Busy {
+		t.Errorf("posted %+v", done)
+	}
+	accepting.Wait()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		server.Wait()
+	}()
+	select {
+	case <-ended:
+		t.Error("did not wait for a call")
+	case <-time.After(20 * time.Millisecond):
+	}
+	close(handler.answer)
+	<-ended
+	p.Close()
+	p.Wait()
+}
+
+// A connection that is accepted while the server is being closed is closed too.
+func TestClosedServerTakesNoConnections(t *testing.T) {
+	ours, theirs := net.Pipe()
+	server := NewServer(func(msg.Input) {}, slowHandler{}, func() Status { return Status{} })
+	server.Close()
+	if server.track(ours) {
+		t.Error("taken")
+	}
+	if _, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("not closed: %v", err)
+	}
+	server.Wait()
+}
