--- a/internal/node/httpapi/httpapi.go
+++ b/internal/node/httpapi/httpapi.go
@@ -3,6 +3,7 @@
 package httpapi
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net/http"
@@ -26,6 +27,8 @@
 	post  func(msg.Input) bool
 	ready func() bool
 
+	closed chan struct{} // by Close
+
 	mu      sync.Mutex
 	lastID  uint64
 	pending map[uint64]chan msg.Respond // by request ID
@@ -34,7 +37,13 @@
 // New returns the interface. post returns false when the node has no time for another request. Operators'
 // queries are served only if admin is set.
 func New(post func(msg.Input) bool, ready func() bool, admin bool) *API {
-	a := &API{echo: echo.New(), post: post, ready: ready, pending: map[uint64]chan msg.Respond{}}
+	a := &API{
+		echo:    echo.New(),
+		post:    post,
+		ready:   ready,
+		closed:  make(chan struct{}),
+		pending: map[uint64]chan msg.Respond{},
+	}
 	e := a.echo
 	e.HideBanner, e.HidePort = true, true
 	e.POST(wire.PathJobs, a.submit)
@@ -88,7 +97,7 @@
 				return c.JSON(http.StatusBadRequest, leader.AdminError{Error: "most: no number above 0"})
 			}
 		}
-		x := a.ask(c.Request().Context().Done(), func(requestID uint64) msg.Input {
+		x := a.ask(c.Request().Context(), func(requestID uint64) msg.Input {
 			in.RequestID = requestID
 			return in
 		})
@@ -107,7 +116,7 @@
 
 // Gauges asks the core for its gauges; false if it has no time.
 func (a *API) Gauges() (leader.Gauges, bool) {
-	response := a.ask(nil, func(requestID uint64) msg.Input {
+	response := a.ask(context.Background(), func(requestID uint64) msg.Input {
 		return msg.AdminIn{RequestID: requestID, Query: msg.QueryGauges}
 	})
 	gauges, ok := response.Body.(leader.Gauges)
@@ -117,6 +126,10 @@
 // Handler is the interface as an HTTP handler.
 func (a *API) Handler() http.Handler { return a.echo }
 
+// Close ends requests that wait for the core, and later ones at once: they are answered as by an overloaded core.
+// It is for when the core answers no more, and to be called once.
+func (a *API) Close() { close(a.closed) }
+
 // Respond hands the core's response to whoever has made the request, unless they no longer wait for it.
 func (a *API) Respond(x msg.Respond) {
 	a.mu.Lock()
@@ -131,9 +144,9 @@
 // overloaded is the response when the core has no time for a request.
 var overloaded = msg.Respond{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "overloaded"}, RetryAfter: 1, Busy: true}
 
-// ask posts the input made for a request ID and waits for the response, until the client is gone or the request
-// has timed out.
-func (a *API) ask(clientGone <-chan struct{}, input func(requestID uint64) msg.Input) msg.Respond {
+// ask posts the input made for a request ID and waits for the response, until ctx ends, the request has timed out
+// or the API is closed.
+func (a *API) ask(ctx context.Context, input func(requestID uint64) msg.Input) msg.Respond {
 	ch := make(chan msg.Respond, 1)
 	id := a.addPending(ch)
 	if !a.post(input(id)) {
@@ -146,7 +159,8 @@
 	case x := <-ch:
 		return x
 	case <-timeout.C:
-	case <-clientGone:
+	case <-ctx.Done():
+	case <-a.closed:
 	}
 	a.removePending(id)
 	return overloaded
@@ -183,19 +197,19 @@
 }
 
 func (a *API) serve(c echo.Context, input func(requestID uint64) msg.Input) error {
-	return reply(c, a.ask(c.Request().Context().Done(), input))
+	return reply(c, a.ask(c.Request().Context(), input))
 }
 
 // Heartbeat answers a worker's heartbeat that a relay has forwarded to this node.
 func (a *API) Heartbeat(r wire.Heartbeat) msg.Respond {
-	return a.ask(nil, func(requestID uint64) msg.Input {
+	return a.ask(context.Background(), func(requestID uint64) msg.Input {
 		return msg.HeartbeatIn{RequestID: requestID, Heartbeat: r, Forwarded: true}
 	})
 }
 
 // HeartbeatBatch answers a relay that has acknowledged heartbeats for this node.
 func (a *API) HeartbeatBatch(x msg.HeartbeatBatchIn) msg.Respond {
-	return a.ask(nil, func(requestID uint64) msg.Input {
+	return a.ask(context.Background(), func(requestID uint64) msg.Input {
 		x.RequestID = requestID
 		return x
 	})
