--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,8 +9,8 @@
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"net/http"
 	"runtime/debug"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -48,6 +48,9 @@
 	// Do starts to carry out an effect, until ctx ends at the latest; it returns false for effects of other
 	// adapters. Only the node's loop calls it.
 	Do(ctx context.Context, effect msg.Effect) bool
+	// Wait returns once all that Do has started has ended. It is called after the end of the context and of the
+	// loop, so that Do starts nothing meanwhile.
+	Wait()
 }
 
 // Node is a running controller.
@@ -111,36 +114,48 @@
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
-	defer func() { _ = users.Close() }()
 	peers, err := new(net.ListenConfig).Listen(ctx, "tcp", n.cfg.PeerListen)
 	if err != nil {
+		_ = users.Close() // nobody was served yet
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	defer func() { _ = peers.Close() }()
-	failed := make(chan error, 2)
-	server := &http.Server{
-		Handler:           n.api.Handler(),
-		ReadHeaderTimeout: 5 * time.Second,
-		ReadTimeout:       10 * time.Second,
-		WriteTimeout:      10 * time.Second,
-		IdleTimeout:       2 * time.Minute,
-		MaxHeaderBytes:    16 << 10,
-	}
-	defer func() { _ = server.Close() }()
-	go func() { failed <- server.Serve(users) }()
+	return n.serve(ctx, users, peers)
+}
+
+// serve serves on the listeners until parent ends or one of them fails, and returns the latter's error. By then it
+// has closed them, and all that the node has started has ended.
+func (n *Node) serve(parent context.Context, users, peers net.Listener) error {
+	ctx, end := context.WithCancelCause(parent)
+	defer end(nil)
+	userServer := newUserServer(n.api.Handler())
 	peerServer := peer.NewServer(func(in msg.Input) { n.offer(in) }, n.api, n.status)
-	go func() { failed <- peerServer.Serve(peers) }()
-	go n.store.Follow(ctx)
-	go n.store.RenewLeases(ctx)
-	go n.watchPeers(ctx)
+	var background sync.WaitGroup
+	background.Go(func() { end(userServer.Serve(users)) })
+	background.Go(func() { end(peerServer.Serve(peers)) })
+	background.Go(func() { n.store.Follow(ctx) })
+	background.Go(func() { n.store.RenewLeases(ctx) })
+	background.Go(func() { n.watchPeers(ctx) })
 	n.logStart()
-	n.loop(ctx, failed)
-	select {
-	case err := <-failed:
-		if !errors.Is(err, http.ErrServerClosed) {
-			return err
-		}
-	default:
+	n.loop(ctx)
+
+	// Clients are cut off before the API is closed: the end of this node is not to be taken for a busy one. Errors
+	// of closing are of no use to anybody here.
+	_ = userServer.Close()
+	_ = peers.Close()
+	peerServer.Close()
+	n.api.Close()
+	n.inputs.Close()
+	n.peers.Close()
+
+	// The loops go first: they start calls of the adapters too.
+	background.Wait()
+	userServer.Wait()
+	peerServer.Wait()
+	for _, a := range n.adapters {
+		a.Wait()
+	}
+	if cause := context.Cause(ctx); !errors.Is(cause, context.Cause(parent)) {
+		return cause
 	}
 	return nil
 }
@@ -175,23 +190,21 @@
 	}
 }
 
-// loop hands inputs and ticks to the core until ctx ends or a listener fails. It is the only goroutine that
-// uses the core.
-func (n *Node) loop(ctx context.Context, failed chan error) {
+// loop hands inputs and ticks to the core until ctx ends. It is the only goroutine that uses the core, and that
+// calls the adapters' Do.
+func (n *Node) loop(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	loggedAt := n.start
 	for {
 		delivery, ok := n.inputs.Next()
+		if ctx.Err() != nil {
+			return // the input may be of a call that has failed for nothing but the end of ctx
+		}
 		if ok {
 			n.process(ctx, delivery)
 			select {
 			case <-tick.C:
-			case err := <-failed:
-				failed <- err
-				return
-			case <-ctx.Done():
-				return
 			default:
 				continue
 			}
@@ -200,9 +213,6 @@
 			case <-tick.C:
 			case <-n.inputs.Ready():
 				continue
-			case err := <-failed:
-				failed <- err
-				return
 			case <-ctx.Done():
 				return
 			}
@@ -288,7 +298,11 @@
 	wait.Every(ctx, peerStatusInterval, func() {
 		anyReaches := false
 		var admissionDemands []float64
-		for node, status := range n.peers.CollectStatus(ctx) {
+		statuses := n.peers.CollectStatus(ctx)
+		if ctx.Err() != nil {
+			return // those that have not answered may be in reach
+		}
+		for node, status := range statuses {
 			anyReaches = anyReaches || status.StateOK
 			if status.Says {
 				admissionDemands = append(admissionDemands, status.Accepts)
--- /dev/null
+++ b/internal/node/shutdown_test.go
@@ -0,0 +1,159 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"regexp"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"coralhub/internal/config"
+	"coralhub/internal/core/msg"
+	"coralhub/internal/node/nodetest"
+	"coralhub/wire"
+)
+
+// goroutineID finds the number of a goroutine in its stack.
+var goroutineID = regexp.MustCompile(`^goroutine (\d+) `)
+
+// nodeGoroutines returns the stacks, by number, of the goroutines of nodes and of their connections.
+func nodeGoroutines() map[string]string {
+	buffer := make([]byte, 16<<20)
+	buffer = buffer[:runtime.Stack(buffer, true)]
+	stacks := map[string]string{}
+	for stack := range strings.SplitSeq(string(buffer), "\n\n") {
+		if strings.Contains(stack, "testing.tRunner(") {
+			continue // a test's own
+		}
+		for _, owner := range []string{"coralhub/internal/node", "net/http.", "net/rpc."} {
+			if id := goroutineID.FindStringSubmatch(stack); id != nil && strings.Contains(stack, owner) {
+				stacks[id[1]] = stack
+			}
+		}
+	}
+	return stacks
+}
+
+// awaitNoGoroutinesSince waits until only goroutines of before are left. Those of net/http and net/rpc end a
+// moment after their connections are closed.
+func awaitNoGoroutinesSince(t *testing.T, before map[string]string, limit time.Duration) {
+	t.Helper()
+	var left []string
+	for deadline := time.Now().Add(limit); ; time.Sleep(time.Millisecond) {
+		left = nil
+		for id, stack := range nodeGoroutines() {
+			if before[id] == "" {
+				left = append(left, stack)
+			}
+		}
+		if len(left) == 0 {
+			return
+		}
+		if time.Now().After(deadline) {
+			break
+		}
+	}
+	t.Errorf("%d goroutines are left:\n%s", len(left), strings.Join(left, "\n\n"))
+}
+
+// silentConfig is the configuration of a node all of whose servers, and its one peer n2, are the same.
+func silentConfig(t *testing.T, server *nodetest.SilentServer) *config.Config {
+	t.Helper()
+	c := &config.Config{Settings: config.Defaults()}
+	c.Settings.Admin, c.Settings.Metrics = true, true
+	c.Node, c.Location = "n1", "a"
+	c.Cluster.Zones = []string{"a"}
+	c.Cluster.Workers = config.Workers{ReportS: 1, LeaseS: 4, GangWaitS: 10, GangPeerS: 2, CancelS: 10}
+	c.Cluster.State = config.State{RPS: 2000, WriteRPS: 1000, ValueKB: 4, TxnOps: 8}
+	c.Cluster.Cloud = config.Cloud{RPS: 50, ListLagS: 1}
+	c.Cluster.Limits = config.Limits{Cores: 1, MemoryMB: 500, MaxConnections: 200}
+	c.ClientListen, c.PeerListen = freeAddr(t), freeAddr(t)
+	c.External = config.External{Cloud: server.Address, State: server.Address}
+	c.Peers = []config.Peer{{Node: "n2", Location: "a", Address: server.Address}}
+	return c
+}
+
+// A node ends at once though nobody that it has called answers, with nothing left behind.
+func TestEndsThoughNobodyAnswers(t *testing.T) {
+	const limit = 300 * time.Millisecond // all time-outs of calls are a second or longer
+	server := nodetest.NewSilentServer(t)
+	n := New(silentConfig(t, server))
+	before := nodeGoroutines()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	for _, e := range []msg.Effect{
+		msg.Commit{ID: 1}, msg.Read{ID: 2}, msg.GrantLease{TTL: 3_000_000}, // the state service
+		msg.ListMachines{}, // the cloud
+		msg.Command{ID: 1, Machine: "m-1", Addr: server.Address}, // a worker
+		msg.HeartbeatBatch{Node: "n2"}, msg.Forward{Node: "n2"},  // a peer
+	} {
+		n.carryOut(ctx, e) // before the loop begins
+	}
+	server.AwaitConnections(7)
+	ended := make(chan error, 1)
+	go func() { ended <- n.Run(ctx) }()
+	server.AwaitConnections(1) // the store lists
+
+	cancelledAt := time.Now()
+	cancel()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+	if took := time.Since(cancelledAt); took > limit {
+		t.Errorf("ended after %v, want at most %v", took, limit)
+	}
+	awaitNoGoroutinesSince(t, before, limit)
+}
+
+// Nodes that have served users, workers and each other leave nothing behind.
+func TestLeavesNoGoroutines(t *testing.T) {
+	before := nodeGoroutines()
+	t.Run("three nodes", func(t *testing.T) {
+		r := newRig(t)
+		r.ready()
+		r.submit(0, r.job("j-1", wire.Array, 5))
+		r.reaches(1, "j-1", wire.Done)
+		for _, c := range r.configs {
+			res, err := r.get("http://" + c.ClientListen + "/metrics")
+			if err != nil {
+				t.Fatal(err)
+			}
+			_ = res.Body.Close()
+		}
+		t.Cleanup(r.client.CloseIdleConnections)
+	})
+	http.DefaultClient.CloseIdleConnections()
+	awaitNoGoroutinesSince(t, before, 5*time.Second)
+}
+
+// A listener that fails ends the node with its error.
+func TestFailedListener(t *testing.T) {
+	for _, failing := range []string{"users", "peers"} {
+		t.Run(failing, func(t *testing.T) {
+			n := New(silentConfig(t, nodetest.NewSilentServer(t)))
+			before := nodeGoroutines()
+			listeners := map[string]net.Listener{}
+			for _, name := range []string{"users", "peers"} {
+				l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+				if err != nil {
+					t.Fatal(err)
+				}
+				listeners[name] = l
+			}
+			_ = listeners[failing].Close()
+			if err := n.serve(t.Context(), listeners["users"], listeners["peers"]); !errors.Is(err, net.ErrClosed) {
+				t.Errorf("ended with %v", err)
+			}
+			for name, l := range listeners {
+				if l.Close() == nil {
+					t.Errorf("the listener for %s was left open", name)
+				}
+			}
+			awaitNoGoroutinesSince(t, before, time.Second)
+		})
+	}
+}
