--- a/internal/node/cloud/cloud.go
+++ b/internal/node/cloud/cloud.go
@@ -25,8 +25,14 @@
 	maxResponseBytes = 4 << 20
 	// quotaShare is the part of the cloud's quota that a leader uses.
 	quotaShare = 0.7
-	// errNoCapacity is the cloud's error when it has no such machines.
-	errNoCapacity = "no capacity"
+	// noCapacity is the text of the cloud's response when it has no such machines.
+	noCapacity = "no capacity"
+)
+
+// Requests that were certainly not executed.
+var (
+	errNoCapacity = errors.New("the cloud has no such machines")
+	errRefused    = errors.New("refused")
 )
 
 // Cloud is a client of the cloud's interface.
@@ -80,12 +86,14 @@
 	if c.limiter.Wait(ctx) != nil {
 		return msg.Refused
 	}
-	status, err := c.send(ctx, method, path, in, out)
-	var refused *refusedError
+	return outcomeOf(c.send(ctx, method, path, in, out))
+}
+
+func outcomeOf(status int, err error) msg.Outcome {
 	switch {
-	case errors.As(err, &refused) && refused.reason == errNoCapacity:
+	case errors.Is(err, errNoCapacity):
 		return msg.Conflict
-	case refused != nil:
+	case errors.Is(err, errRefused):
 		return msg.Refused
 	case err != nil:
 		return msg.Unknown
@@ -95,26 +103,17 @@
 	return msg.Refused
 }
 
-// refusedError is a request that was certainly not executed, with the cloud's reason.
-type refusedError struct{ reason string }
-
-func (e *refusedError) Error() string { return "refused: " + e.reason }
-
 func (c *Cloud) send(ctx context.Context, method, path string, in, out any) (int, error) {
 	req, err := httpclient.NewRequest(ctx, method, c.baseURL+path, in)
 	if err != nil {
-		return 0, &refusedError{err.Error()}
+		return 0, fmt.Errorf("%w: %w", errRefused, err)
 	}
 	status, raw, err := httpclient.Do(c.client, req, maxResponseBytes)
 	if err != nil {
 		return 0, fmt.Errorf("cloud: %w", err)
 	}
 	if status == http.StatusServiceUnavailable {
-		var e wire.Error
-		if wire.Unmarshal(raw, &e) != nil {
-			e.Error = "unreadable"
-		}
-		return status, &refusedError{e.Error}
+		return status, refusal(raw)
 	}
 	if status == http.StatusOK && out != nil {
 		return status, wire.Unmarshal(raw, out)
@@ -122,6 +121,18 @@
 	return status, nil
 }
 
+// refusal is the error of a request that the cloud has refused with a body.
+func refusal(body []byte) error {
+	var reason wire.Error
+	if err := wire.Unmarshal(body, &reason); err != nil {
+		return fmt.Errorf("%w: %w", errRefused, err)
+	}
+	if reason.Error == noCapacity {
+		return errNoCapacity
+	}
+	return fmt.Errorf("%w: %s", errRefused, reason.Error)
+}
+
 func (c *Cloud) fetchCatalog(ctx context.Context) {
 	var done msg.CatalogDone
 	done.Outcome = c.call(ctx, http.MethodGet, wire.PathCatalog, nil, &done.Catalog)
--- a/internal/node/cloud/cloud_test.go
+++ b/internal/node/cloud/cloud_test.go
@@ -2,11 +2,15 @@
 
 import (
 	"context"
+	"net/http"
+	"net/http/httptest"
+	"strings"
 	"testing"
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/msg"
 	"coralhub/internal/node/nodetest"
+	"coralhub/wire"
 )
 
 // Calls that the cloud does not answer end with their context, and those that still wait for the quota too.
@@ -34,3 +38,47 @@
 		t.Errorf("%d results for %d effects", len(posted), len(effects))
 	}
 }
+
+// Only a call that may have been executed has an unknown outcome.
+func TestOutcomes(t *testing.T) {
+	encode := func(message any) []byte {
+		raw, err := wire.Marshal(message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return raw
+	}
+	for _, tt := range []struct {
+		name   string
+		status int
+		body   []byte
+		want   msg.Outcome
+	}{
+		{"done", http.StatusOK, encode(wire.MachineNames{Machines: []string{"m-1"}}), msg.OK},
+		{"done, unreadable", http.StatusOK, []byte{0xc1}, msg.Unknown},
+		{"no capacity", http.StatusServiceUnavailable, encode(wire.Error{Error: noCapacity}), msg.Conflict},
+		{"another reason", http.StatusServiceUnavailable, encode(wire.Error{Error: "down"}), msg.Refused},
+		{"no reason", http.StatusServiceUnavailable, []byte{0xc1}, msg.Refused},
+		{"quota", http.StatusTooManyRequests, encode(wire.Error{Error: "quota"}), msg.Refused},
+		{"invalid", http.StatusBadRequest, encode(wire.Error{Error: "bad"}), msg.Refused},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(tt.status)
+				_, _ = w.Write(tt.body)
+			}))
+			defer server.Close()
+			cfg := &config.Config{}
+			cfg.External.Cloud = strings.TrimPrefix(server.URL, "http://")
+			cfg.Cluster.Cloud.RPS = 100
+			posted := make(chan msg.Input, 1)
+			c := New(cfg, func(in msg.Input) { posted <- in })
+			c.Do(t.Context(), msg.ScaleOut{Request: wire.RentalRequest{Name: "r-1"}})
+			done, ok := (<-posted).(msg.ScaleOutDone)
+			if !ok || done.Name != "r-1" || done.Outcome != tt.want {
+				t.Errorf("posted %+v, want outcome %v", done, tt.want)
+			}
+			c.Wait()
+		})
+	}
+}
