--- a/internal/node/peer/compat_test.go
+++ b/internal/node/peer/compat_test.go
@@ -64,8 +64,13 @@
 		{&oldEvent{"k", []byte("v"), 3}, &Event{Key: "k", Value: []byte("v"), Version: 3}},
 		{&oldReport{[]byte("b")}, &Report{Body: []byte("b")}},
 		{&oldReportAnswer{[]byte("b"), true}, &ReportAnswer{Body: []byte("b"), Busy: true}},
-		{&oldBeat{"n1", 7, []oldHeard{{"m-1", 2, 3}, {"m-2", 4, 5}}},
-			&Beat{Node: "n1", Revision: 7, Heard: []Heard{{Machine: "m-1", Session: 2, Seq: 3}, {Machine: "m-2", Session: 4, Seq: 5}}}},
+		{
+			&oldBeat{"n1", 7, []oldHeard{{"m-1", 2, 3}, {"m-2", 4, 5}}},
+			&Beat{Node: "n1", Revision: 7, Heard: []Heard{
+				{Machine: "m-1", Session: 2, Seq: 3},
+				{Machine: "m-2", Session: 4, Seq: 5},
+			}},
+		},
 		{&oldBeatAnswer{[]string{"m-1"}, 9}, &BeatAnswer{Wanted: []string{"m-1"}, StandIn: 9}},
 		{&oldStatus{true, true, 1.5}, &Status{StateOK: true, Says: true, Accepts: 1.5}},
 	} {
@@ -89,7 +94,10 @@
 }
 
 func (fixedAnswers) HeartbeatBatch(b msg.HeartbeatBatchIn) msg.Respond {
-	return msg.Respond{Body: msg.HeartbeatBatchResponse{ResendMachines: []string{b.Node, b.Acks[0].Machine}, Delegation: int64(b.Revision)}}
+	return msg.Respond{Body: msg.HeartbeatBatchResponse{
+		ResendMachines: []string{b.Node, b.Acks[0].Machine},
+		Delegation:     int64(b.Revision),
+	}}
 }
 
 // An older node finds the methods by their names.
@@ -100,7 +108,9 @@
 	}
 	t.Cleanup(func() { _ = l.Close() })
 	posted := make(chan msg.Input, 1)
-	server := NewServer(func(in msg.Input) { posted <- in }, fixedAnswers{}, func() Status { return Status{StateOK: true, Says: true, Accepts: 2} })
+	post := func(in msg.Input) { posted <- in }
+	ownStatus := func() Status { return Status{StateOK: true, Says: true, Accepts: 2} }
+	server := NewServer(post, fixedAnswers{}, ownStatus)
 	go func() { _ = server.Serve(l) }()
 	client, err := rpc.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -113,7 +123,8 @@
 		t.Errorf("%+v %v", status, err)
 	}
 	var beat oldBeatAnswer
-	if err := client.Call("Peer.Beat", &oldBeat{"n1", 7, []oldHeard{{"m-1", 2, 3}}}, &beat); err != nil || !reflect.DeepEqual(beat, oldBeatAnswer{[]string{"n1", "m-1"}, 7}) {
+	err = client.Call("Peer.Beat", &oldBeat{"n1", 7, []oldHeard{{"m-1", 2, 3}}}, &beat)
+	if err != nil || !reflect.DeepEqual(beat, oldBeatAnswer{[]string{"n1", "m-1"}, 7}) {
 		t.Errorf("%+v %v", beat, err)
 	}
 	body, err := wire.Marshal(&wire.Heartbeat{Machine: "m-1", FencingToken: 41})
@@ -122,7 +133,8 @@
 	}
 	var report oldReportAnswer
 	var answer wire.HeartbeatResponse
-	if err := client.Call("Peer.Report", &oldReport{body}, &report); err != nil || wire.Unmarshal(report.Body, &answer) != nil || answer.FencingToken != 41 {
+	err = client.Call("Peer.Report", &oldReport{body}, &report)
+	if err != nil || wire.Unmarshal(report.Body, &answer) != nil || answer.FencingToken != 41 {
 		t.Errorf("%+v %+v %v", report, answer, err)
 	}
 	if err := client.Call("Peer.Tell", &oldEvent{"k", []byte("v"), 3}, &struct{}{}); err != nil {
@@ -130,7 +142,8 @@
 	}
 	select {
 	case in := <-posted:
-		if want := (msg.PeerUpdate{Change: wire.Change{Put: "k", Value: []byte("v"), Version: 3}}); !reflect.DeepEqual(in, want) {
+		want := msg.PeerUpdate{Change: wire.Change{Put: "k", Value: []byte("v"), Version: 3}}
+		if !reflect.DeepEqual(in, want) {
 			t.Errorf("%+v", in)
 		}
 	case <-time.After(10 * time.Second):
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -130,7 +130,7 @@
 func (p *Peers) sendUpdate(ctx context.Context, x msg.SendPeerUpdate) {
 	p.runLimited(func() {
 		event := Event{Key: x.Change.Put, Value: x.Change.Value, Version: x.Change.Version}
-		_ = p.call(ctx, x.Node, "Tell", &event, &struct{}{})
+		_ = p.call(ctx, x.Node, methodTell, &event, &struct{}{})
 	}, func() {})
 }
 
@@ -160,7 +160,7 @@
 		return nil, false
 	}
 	var out ReportAnswer
-	if err := p.call(ctx, x.Node, "Report", &Report{body}, &out); err != nil {
+	if err := p.call(ctx, x.Node, methodReport, &Report{body}, &out); err != nil {
 		return nil, errors.Is(err, errSlowPeer) // out must not be read: a late answer may still be written to it
 	}
 	response = &wire.HeartbeatResponse{}
@@ -173,7 +173,7 @@
 func (p *Peers) sendBatch(ctx context.Context, x msg.HeartbeatBatch) {
 	in := Beat{Node: p.self, Revision: x.Revision, Heard: encodeAcks(x.Acks)}
 	var out BeatAnswer
-	if p.callOn(ctx, connectionKey{x.Node, true}, "Beat", &in, &out) != nil {
+	if p.callOn(ctx, connectionKey{node: x.Node, liveness: true}, methodBeat, &in, &out) != nil {
 		return
 	}
 	response := msg.HeartbeatBatchResponse{ResendMachines: out.Wanted, Delegation: out.StandIn}
@@ -189,7 +189,7 @@
 	for node := range p.addresses {
 		wg.Go(func() {
 			var status Status
-			if p.callOn(ctx, connectionKey{node, true}, "Status", &struct{}{}, &status) != nil {
+			if p.callOn(ctx, connectionKey{node: node, liveness: true}, methodStatus, &struct{}{}, &status) != nil {
 				return
 			}
 			mu.Lock()
@@ -255,19 +255,19 @@
 }
 
 func (p *Peers) call(ctx context.Context, node, method string, in, out any) error {
-	return p.callOn(ctx, connectionKey{node, false}, method, in, out)
+	return p.callOn(ctx, connectionKey{node: node}, method, in, out)
 }
 
-// callOn calls a method of Service. A call without an answer in time does not end the connection if other answers
-// have come by it meanwhile: all calls that are under way on it would be lost with it, which makes a slow
-// leader look like one out of reach.
+// callOn calls a method of Service, by one of the method names. A call without an answer in time does not end the
+// connection if other answers have come by it meanwhile: all calls that are under way on it would be lost with it,
+// which makes a slow leader look like one out of reach.
 func (p *Peers) callOn(ctx context.Context, key connectionKey, method string, in, out any) error {
 	c, err := p.connect(ctx, key)
 	if err != nil {
 		return err
 	}
 	sentAt := int64(time.Since(p.start))
-	call := c.Go(serviceName+"."+method, in, out, make(chan *rpc.Call, 1))
+	call := c.Go(method, in, out, make(chan *rpc.Call, 1))
 	timer := time.NewTimer(callTimeout)
 	defer timer.Stop()
 	select {
--- a/internal/node/peer/service.go
+++ b/internal/node/peer/service.go
@@ -7,8 +7,14 @@
 	"coralhub/wire"
 )
 
-// serviceName is the name that peers call the service by.
-const serviceName = "Peer"
+// Names that peers call the service and its methods by.
+const (
+	serviceName  = "Peer"
+	methodReport = serviceName + ".Report"
+	methodBeat   = serviceName + ".Beat"
+	methodTell   = serviceName + ".Tell"
+	methodStatus = serviceName + ".Status"
+)
 
 // Handler has the core respond to what peers ask.
 type Handler interface {
--- a/internal/node/peer/shutdown_test.go
+++ b/internal/node/peer/shutdown_test.go
@@ -29,7 +29,12 @@
 	p, posted := newPeers(t, server.Address)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	for _, e := range []msg.Effect{msg.Forward{Node: "n2"}, msg.HeartbeatBatch{Node: "n2"}, msg.SendPeerUpdate{Node: "n2"}} {
+	effects := []msg.Effect{
+		msg.Forward{Node: "n2"},
+		msg.HeartbeatBatch{Node: "n2"},
+		msg.SendPeerUpdate{Node: "n2"},
+	}
+	for _, e := range effects {
 		if !p.Do(ctx, e) {
 			t.Fatalf("%T was not carried out", e)
 		}
@@ -80,7 +85,7 @@
 	t.Cleanup(func() { _ = l.Close() })
 	p, _ := newPeers(t, l.Addr().String())
 	p.Close()
-	if _, err := p.connect(t.Context(), connectionKey{"n2", false}); err == nil {
+	if _, err := p.connect(t.Context(), connectionKey{node: "n2"}); err == nil {
 		t.Error("connected")
 	}
 	if len(p.connections) > 0 {
