--- /dev/null
+++ b/internal/node/httpapi/admin.go
@@ -0,0 +1,79 @@
+package httpapi
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+
+	"github.com/labstack/echo/v4"
+
+	"coralhub/internal/core/leader"
+	"coralhub/internal/core/msg"
+	"coralhub/wire"
+)
+
+// Paths of operators' queries, which are answered in JSON.
+const (
+	PathEstimates   = "/admin/v1/estimates"
+	PathJob         = "/admin/v1/jobs"
+	PathRuns        = "/admin/v1/runs"
+	PathAccounts    = "/admin/v1/accounts"
+	PathPreemptions = "/admin/v1/standing"
+	PathWaits       = "/admin/v1/waits"
+)
+
+// Errors of the parameters of operators' queries.
+var (
+	errFrom = errors.New("from: no number")
+	errMost = errors.New("most: no number above 0")
+)
+
+func (a *API) addAdminRoutes() {
+	a.echo.GET(PathEstimates, a.admin(msg.QueryEstimates))
+	a.echo.GET(PathJob+"/:id", a.admin(msg.QueryJob))
+	a.echo.GET(PathRuns, a.admin(msg.QueryRuns))
+	a.echo.GET(PathAccounts, a.admin(msg.QueryAccounts))
+	a.echo.GET(PathPreemptions, a.admin(msg.QueryPreemptions))
+	a.echo.GET(PathWaits+"/:id", a.admin(msg.QueryWaitReason))
+}
+
+// admin answers an operator's query.
+func (a *API) admin(query msg.AdminQuery) echo.HandlerFunc {
+	return func(c echo.Context) error {
+		in, err := adminInput(c, query)
+		if err != nil {
+			return c.JSON(http.StatusBadRequest, leader.AdminError{Error: err.Error()})
+		}
+		response := a.ask(c.Request().Context(), func(requestID uint64) msg.Input {
+			in.RequestID = requestID
+			return in
+		})
+		return replyJSON(c, response)
+	}
+}
+
+// adminInput reads a query's job ID and parameters: from, and most, which is the limit.
+func adminInput(c echo.Context, query msg.AdminQuery) (msg.AdminIn, error) {
+	in := msg.AdminIn{Query: query, JobID: c.Param("id")}
+	var err error
+	if from := c.QueryParam("from"); from != "" {
+		if in.From, err = strconv.ParseUint(from, 10, 64); err != nil {
+			return in, errFrom
+		}
+	}
+	if most := c.QueryParam("most"); most != "" {
+		if in.Limit, err = strconv.Atoi(most); err != nil || in.Limit < 1 {
+			return in, errMost
+		}
+	}
+	return in, nil
+}
+
+func replyJSON(c echo.Context, response msg.Respond) error {
+	setRetryAfter(c, response)
+	body := response.Body
+	if e, ok := body.(wire.Error); ok {
+		body = leader.AdminError{Error: e.Error}
+	}
+	return c.JSON(response.Status, body)
+}
--- a/internal/node/httpapi/httpapi.go
+++ b/internal/node/httpapi/httpapi.go
@@ -52,63 +52,23 @@
 	e.POST(wire.PathHeartbeat, a.heartbeat)
 	e.GET(wire.PathReady, a.health)
 	if admin {
-		e.GET(PathEstimates, a.admin(msg.QueryEstimates))
-		e.GET(PathJob+"/:id", a.admin(msg.QueryJob))
-		e.GET(PathRuns, a.admin(msg.QueryRuns))
-		e.GET(PathAccounts, a.admin(msg.QueryAccounts))
-		e.GET(PathPreemptions, a.admin(msg.QueryPreemptions))
-		e.GET(PathWaits+"/:id", a.admin(msg.QueryWaitReason))
-	}
-	e.HTTPErrorHandler = func(err error, c echo.Context) {
-		status := http.StatusInternalServerError
-		var he *echo.HTTPError
-		if errors.As(err, &he) {
-			status = he.Code
-		}
-		if !c.Response().Committed {
-			_ = reply(c, msg.Respond{Status: status, Body: wire.Error{Error: http.StatusText(status)}})
-		}
+		a.addAdminRoutes()
 	}
+	e.HTTPErrorHandler = replyError
 	return a
 }
 
-// Paths of operators' queries, which are answered in JSON.
-const (
-	PathEstimates   = "/admin/v1/estimates"
-	PathJob         = "/admin/v1/jobs"
-	PathRuns        = "/admin/v1/runs"
-	PathAccounts    = "/admin/v1/accounts"
-	PathPreemptions = "/admin/v1/standing"
-	PathWaits       = "/admin/v1/waits"
-)
-
-// admin answers an operator's query. It may have the parameters from and most.
-func (a *API) admin(query msg.AdminQuery) echo.HandlerFunc {
-	return func(c echo.Context) error {
-		in := msg.AdminIn{Query: query, JobID: c.Param("id")}
-		var err error
-		if s := c.QueryParam("from"); s != "" {
-			if in.From, err = strconv.ParseUint(s, 10, 64); err != nil {
-				return c.JSON(http.StatusBadRequest, leader.AdminError{Error: "from: no number"})
-			}
-		}
-		if s := c.QueryParam("most"); s != "" {
-			if in.Limit, err = strconv.Atoi(s); err != nil || in.Limit < 1 {
-				return c.JSON(http.StatusBadRequest, leader.AdminError{Error: "most: no number above 0"})
-			}
-		}
-		x := a.ask(c.Request().Context(), func(requestID uint64) msg.Input {
-			in.RequestID = requestID
-			return in
-		})
-		if x.RetryAfter > 0 {
-			c.Response().Header().Set("Retry-After", strconv.Itoa(x.RetryAfter))
-		}
-		if e, ok := x.Body.(wire.Error); ok {
-			x.Body = leader.AdminError{Error: e.Error}
-		}
-		return c.JSON(x.Status, x.Body)
+// replyError answers a request whose handler has failed, or that has no handler.
+func replyError(err error, c echo.Context) {
+	if c.Response().Committed {
+		return
+	}
+	status := http.StatusInternalServerError
+	var httpError *echo.HTTPError
+	if errors.As(err, &httpError) {
+		status = httpError.Code
 	}
+	_ = reply(c, msg.Respond{Status: status, Body: wire.Error{Error: http.StatusText(status)}}) // the client may be gone
 }
 
 // Serve adds a page of another package to the users' listener.
@@ -142,7 +102,19 @@
 }
 
 // overloaded is the response when the core has no time for a request.
-var overloaded = msg.Respond{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "overloaded"}, RetryAfter: 1, Busy: true}
+var overloaded = msg.Respond{
+	Status:     http.StatusServiceUnavailable,
+	Body:       wire.Error{Error: "overloaded"},
+	RetryAfter: 1,
+	Busy:       true,
+}
+
+// notReady is the response to a health check of a node that can't take requests.
+var notReady = msg.Respond{
+	Status:     http.StatusServiceUnavailable,
+	Body:       wire.Error{Error: "not ready"},
+	RetryAfter: 1,
+}
 
 // ask posts the input made for a request ID and waits for the response, until ctx ends, the request has timed out
 // or the API is closed.
@@ -222,9 +194,7 @@
 }
 
 func reply(c echo.Context, x msg.Respond) error {
-	if x.RetryAfter > 0 {
-		c.Response().Header().Set("Retry-After", strconv.Itoa(x.RetryAfter))
-	}
+	setRetryAfter(c, x)
 	raw, err := wire.Marshal(x.Body)
 	if err != nil {
 		return err
@@ -232,7 +202,17 @@
 	return c.Blob(x.Status, wire.ContentType, raw)
 }
 
-var errTooLarge = errors.New("body too large")
+func setRetryAfter(c echo.Context, x msg.Respond) {
+	if x.RetryAfter > 0 {
+		c.Response().Header().Set("Retry-After", strconv.Itoa(x.RetryAfter))
+	}
+}
+
+// Errors of requests' bodies.
+var (
+	errTooLarge         = errors.New("body too large")
+	errUnreadableReport = errors.New("unreadable report")
+)
 
 // readBody reads a request's body, up to the protocol's limit.
 func readBody(c echo.Context) ([]byte, error) {
@@ -275,14 +255,14 @@
 	}
 	var r wire.Heartbeat
 	if err := wire.Unmarshal(raw, &r); err != nil {
-		return badRequest(c, errors.New("unreadable report"))
+		return badRequest(c, errUnreadableReport)
 	}
 	return a.serve(c, func(requestID uint64) msg.Input { return msg.HeartbeatIn{RequestID: requestID, Heartbeat: r} })
 }
 
 func (a *API) health(c echo.Context) error {
 	if !a.ready() {
-		return reply(c, msg.Respond{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "not ready"}, RetryAfter: 1})
+		return reply(c, notReady)
 	}
 	return c.NoContent(http.StatusOK)
 }
--- a/internal/node/httpapi/httpapi_test.go
+++ b/internal/node/httpapi/httpapi_test.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 	"net/http/httptest"
+	"strings"
 	"testing"
 	"time"
 
@@ -58,3 +59,38 @@
 		t.Errorf("%d requests still pending", len(a.pending))
 	}
 }
+
+// Operators' tools go by these texts.
+func TestAdminParameters(t *testing.T) {
+	var posted msg.AdminIn
+	post := func(in msg.Input) bool {
+		posted = in.(msg.AdminIn)
+		return false // no time
+	}
+	a := New(post, func() bool { return true }, true)
+	for _, tt := range []struct {
+		target string
+		status int
+		body   string
+	}{
+		{PathRuns + "?from=x", http.StatusBadRequest, `{"error":"from: no number"}`},
+		{PathRuns + "?from=-1", http.StatusBadRequest, `{"error":"from: no number"}`},
+		{PathRuns + "?most=x", http.StatusBadRequest, `{"error":"most: no number above 0"}`},
+		{PathRuns + "?most=0", http.StatusBadRequest, `{"error":"most: no number above 0"}`},
+		{PathWaits + "/j-1?from=7&most=3", http.StatusServiceUnavailable, `{"error":"overloaded"}`},
+	} {
+		recorder := httptest.NewRecorder()
+		a.Handler().ServeHTTP(recorder, httptest.NewRequestWithContext(t.Context(), http.MethodGet, tt.target, nil))
+		if body := strings.TrimSpace(recorder.Body.String()); recorder.Code != tt.status || body != tt.body {
+			t.Errorf("%s: %d %s, want %d %s", tt.target, recorder.Code, body, tt.status, tt.body)
+		}
+		retryAfter := map[int]string{http.StatusServiceUnavailable: "1"}[tt.status]
+		if got := recorder.Header().Get("Retry-After"); got != retryAfter {
+			t.Errorf("%s: retry after %q, want %q", tt.target, got, retryAfter)
+		}
+	}
+	posted.RequestID = 0
+	if want := (msg.AdminIn{Query: msg.QueryWaitReason, JobID: "j-1", From: 7, Limit: 3}); posted != want {
+		t.Errorf("posted %+v, want %+v", posted, want)
+	}
+}
