--- a/internal/node/kvstore/rate_limiter.go
+++ b/internal/node/kvstore/rate_limiter.go
@@ -51,7 +51,12 @@
 	// slowRecovery is for a share that all nodes use. What one of them finds idle the others find
 	// too, so they are slower to take it. When hundreds of jobs come at once, decreasing with every
 	// refusal left a third of the quota idle for 20 s.
-	slowRecovery = aimdParameters{decreaseFactor: 0.6, increase: 0.03, fullRecovery: recoveryTime, decreaseInterval: 200 * time.Millisecond}
+	slowRecovery = aimdParameters{
+		decreaseFactor:   0.6,
+		increase:         0.03,
+		fullRecovery:     recoveryTime,
+		decreaseInterval: 200 * time.Millisecond,
+	}
 )
 
 // rateLimiter is a limiter that slows down when the service refuses, to no less than a share of its
--- a/internal/node/metrics/collector.go
+++ b/internal/node/metrics/collector.go
@@ -30,27 +30,38 @@
 	cycles          = newDesc("passes_total", "Passes over the queue.")
 	examined        = newDesc("looked_at_total", "Machines and jobs that passes have looked at.", "what")
 	observedRuns    = newDesc("runs_learnt_from", "Runs learnt from since this node leads.")
-	changes         = newDesc("changes_total", "Transactions with changes, by those that go first or later and what became of them.", "kind")
-	deferrableRate  = newDesc("changes_later_pace", "Changes a second that may be made by those that give way.")
-	completedShare  = newDesc("served_share", "Part of the jobs whose time was up within ten minutes that were done, or had all replicas, by then; of the leader.", "by", "name")
-	completedJobs   = newDesc("judged_jobs", "How many jobs served_share is of.", "by", "name")
-	usedGPU         = newDesc("used_gpu_seconds", "GPU time of placements whose end is proven, by team, class and kind; of the leader.", "team", "class", "kind")
-	usedTask        = newDesc("used_task_seconds", "Task time of such placements: all, on spot machines, and work that had to be repeated.", "team", "class", "kind", "of")
-	startedShare    = newDesc("begun_share", "Part of the jobs whose time to begin was up within ten minutes that had a place by then, by class, team and the largest tenth of a class; of the leader.", "by", "name")
-	startedJobs     = newDesc("begun_jobs", "How many jobs begun_share is of.", "by", "name")
-
-	stateRequests = newDesc("state_requests_total", "Requests to the state service, refused ones too, by what they are for.", "purpose")
-	stateChanges  = newDesc("state_changes_total", "Puts and deletes sent to the state service and not refused for its quota, by what they are for.", "purpose")
-
-	reports = newDesc("reports_total", "Reports of workers that were handed to the leader, or lost on the way.", "what")
+	changes         = newDesc("changes_total",
+		"Transactions with changes, by those that go first or later and what became of them.", "kind")
+	deferrableRate = newDesc("changes_later_pace", "Changes a second that may be made by those that give way.")
+	completedShare = newDesc("served_share",
+		"Part of the jobs whose time was up within ten minutes that were done, or had all replicas, "+
+			"by then; of the leader.", "by", "name")
+	completedJobs = newDesc("judged_jobs", "How many jobs served_share is of.", "by", "name")
+	usedGPU       = newDesc("used_gpu_seconds",
+		"GPU time of placements whose end is proven, by team, class and kind; of the leader.", "team", "class", "kind")
+	usedTask = newDesc("used_task_seconds",
+		"Task time of such placements: all, on spot machines, and work that had to be repeated.",
+		"team", "class", "kind", "of")
+	startedShare = newDesc("begun_share",
+		"Part of the jobs whose time to begin was up within ten minutes that had a place by then, by class, "+
+			"team and the largest tenth of a class; of the leader.", "by", "name")
+	startedJobs = newDesc("begun_jobs", "How many jobs begun_share is of.", "by", "name")
+
+	stateRequests = newDesc("state_requests_total",
+		"Requests to the state service, refused ones too, by what they are for.", "purpose")
+	stateChanges = newDesc("state_changes_total",
+		"Puts and deletes sent to the state service and not refused for its quota, by what they are for.", "purpose")
+
+	reports = newDesc("reports_total",
+		"Reports of workers that were handed to the leader, or lost on the way.", "what")
 )
 
 // Describe sends the descriptions of all metrics.
 func (c *collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{
-		leading, records, unfinished, placements, waiting, machines, inFlightChanges, failovers, cycles, examined, observedRuns,
-		changes, deferrableRate, stateRequests, stateChanges, reports, completedShare, completedJobs, startedShare, startedJobs,
-		usedGPU, usedTask,
+		leading, records, unfinished, placements, waiting, machines, inFlightChanges, failovers, cycles, examined,
+		observedRuns, changes, deferrableRate, stateRequests, stateChanges, reports, completedShare, completedJobs,
+		startedShare, startedJobs, usedGPU, usedTask,
 	} {
 		ch <- d
 	}
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -35,9 +35,12 @@
 // New returns the metrics of a node: what its core and adapters count.
 func New(gauges func() (leader.Gauges, bool), store Store, peers func() map[string]float64) *Metrics {
 	r := prometheus.NewRegistry()
-	m := &Metrics{steps: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "coralhub_step_seconds",
-		Help: "Time that the core took for an input, by kind; a pass is part of the input that it followed.", Buckets: prometheus.ExponentialBuckets(1e-5, 4, 9)},
-		[]string{"input"})}
+	stepOptions := prometheus.HistogramOpts{
+		Name:    "coralhub_step_seconds",
+		Help:    "Time that the core took for an input, by kind; a pass is part of the input that it followed.",
+		Buckets: prometheus.ExponentialBuckets(1e-5, 4, 9),
+	}
+	m := &Metrics{steps: prometheus.NewHistogramVec(stepOptions, []string{"input"})}
 	r.MustRegister(m.steps, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 		&collector{gauges, store, peers})
 	m.handler = promhttp.HandlerFor(r, promhttp.HandlerOpts{MaxRequestsInFlight: 2, Timeout: 5 * time.Second})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,6 +34,10 @@
 	// reservedSockets is the share of connections that is kept for direct calls to workers, peers and
 	// the outside systems.
 	reservedSockets = 0.3
+	bytesPerMB      = 1 << 20
+	// gcPercent trades memory for time: well below the memory limit, the heap may grow to three times what is
+	// in use.
+	gcPercent = 200
 	// counterLogInterval is the time between two lines of each adapter in the debug log.
 	counterLogInterval = 5 * time.Second
 	// peerStatusInterval is how often peers are asked for their status.
@@ -71,7 +75,12 @@
 
 // New returns a node that is not running yet.
 func New(cfg *config.Config) *Node {
-	n := &Node{cfg: cfg, inputs: inbox.New[msg.Input](time.Now), core: core.New(cfg, rand.Uint64()), start: time.Now()}
+	n := &Node{
+		cfg:    cfg,
+		inputs: inbox.New[msg.Input](time.Now),
+		core:   core.New(cfg, rand.Uint64()),
+		start:  time.Now(),
+	}
 	post := func(in msg.Input) { n.inputs.Post(inbox.Liveness, in) }
 	fromWorkers := func(in msg.Input) { n.inputs.Post(classOf(in), in) }
 	n.store = kvstore.New(cfg, n.clock, post)
@@ -166,8 +175,8 @@
 	if limitMB <= 0 {
 		return
 	}
-	debug.SetMemoryLimit(int64(limitMB * n.cfg.Settings.MemoryShare * (1 << 20)))
-	debug.SetGCPercent(200)
+	debug.SetMemoryLimit(int64(limitMB * n.cfg.Settings.MemoryShare * bytesPerMB))
+	debug.SetGCPercent(gcPercent)
 }
 
 func (n *Node) listenForUsers(ctx context.Context) (net.Listener, error) {
@@ -183,7 +192,11 @@
 }
 
 func (n *Node) logStart() {
-	slog.Info("serving", "node", n.cfg.Node, "location", n.cfg.Location, "users", n.cfg.ClientListen, "peers", n.cfg.PeerListen)
+	slog.Info("serving",
+		"node", n.cfg.Node,
+		"location", n.cfg.Location,
+		"users", n.cfg.ClientListen,
+		"peers", n.cfg.PeerListen)
 	if w := &n.cfg.Cluster.Workers; !w.LeaseEndsInTime() {
 		slog.Warn("cancel_s is not longer than lease_s: cancellations are confirmed only once every task is proven gone",
 			"lease_s", w.LeaseS, "cancel_s", w.CancelS)
@@ -263,6 +276,7 @@
 	}
 }
 
+// carryOut carries out an effect itself, or hands it to the adapter that does.
 func (n *Node) carryOut(ctx context.Context, e msg.Effect) {
 	switch x := e.(type) {
 	case msg.Log:
--- a/internal/process/port.go
+++ b/internal/process/port.go
@@ -18,7 +18,8 @@
 	)
 	var lastErr error
 	for range tries {
-		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", fmt.Sprintf("127.0.0.1:%d", from+rand.IntN(to-from)))
+		address := fmt.Sprintf("127.0.0.1:%d", from+rand.IntN(to-from))
+		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 		if err != nil {
 			lastErr = err
 			continue
