--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -20,33 +20,41 @@
 // goroutineID finds the number of a goroutine in its stack.
 var goroutineID = regexp.MustCompile(`^goroutine (\d+) `)
 
-// nodeGoroutines returns the stacks, by number, of the goroutines of nodes and of their connections.
-func nodeGoroutines() map[string]string {
+// goroutines returns the stacks of all goroutines by number.
+func goroutines() map[string]string {
 	buffer := make([]byte, 16<<20)
 	buffer = buffer[:runtime.Stack(buffer, true)]
 	stacks := map[string]string{}
 	for stack := range strings.SplitSeq(string(buffer), "\n\n") {
-		if strings.Contains(stack, "testing.tRunner(") {
-			continue // a test's own
-		}
-		for _, owner := range []string{"coralhub/internal/node", "net/http.", "net/rpc."} {
-			if id := goroutineID.FindStringSubmatch(stack); id != nil && strings.Contains(stack, owner) {
-				stacks[id[1]] = stack
-			}
+		if id := goroutineID.FindStringSubmatch(stack); id != nil {
+			stacks[id[1]] = stack
 		}
 	}
 	return stacks
 }
 
-// awaitNoGoroutinesSince waits until only goroutines of before are left. Those of net/http and net/rpc end a
-// moment after their connections are closed.
+// ofNode reports whether a goroutine that a test has not had from the start is of a node or of its connections.
+func ofNode(stack string) bool {
+	if strings.Contains(stack, "testing.tRunner(") {
+		return false // the test's own
+	}
+	for _, owner := range []string{"coralhub/internal/node", "net/http.", "net/rpc."} {
+		if strings.Contains(stack, owner) {
+			return true
+		}
+	}
+	return false
+}
+
+// awaitNoGoroutinesSince waits until no goroutines of nodes are left but those of before. Those of net/http and
+// net/rpc end a moment after their connections are closed.
 func awaitNoGoroutinesSince(t *testing.T, before map[string]string, limit time.Duration) {
 	t.Helper()
 	var left []string
 	for deadline := time.Now().Add(limit); ; time.Sleep(time.Millisecond) {
 		left = nil
-		for id, stack := range nodeGoroutines() {
-			if before[id] == "" {
+		for id, stack := range goroutines() {
+			if before[id] == "" && ofNode(stack) {
 				left = append(left, stack)
 			}
 		}
@@ -82,7 +90,7 @@
 	const limit = 300 * time.Millisecond // all time-outs of calls are a second or longer
 	server := nodetest.NewSilentServer(t)
 	n := New(silentConfig(t, server))
-	before := nodeGoroutines()
+	before := goroutines()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	for _, e := range []msg.Effect{
@@ -111,7 +119,7 @@
 
 // Nodes that have served users, workers and each other leave nothing behind.
 func TestLeavesNoGoroutines(t *testing.T) {
-	before := nodeGoroutines()
+	before := goroutines()
 	t.Run("three nodes", func(t *testing.T) {
 		r := newRig(t)
 		r.ready()
@@ -135,7 +143,7 @@
 	for _, failing := range []string{"users", "peers"} {
 		t.Run(failing, func(t *testing.T) {
 			n := New(silentConfig(t, nodetest.NewSilentServer(t)))
-			before := nodeGoroutines()
+			before := goroutines()
 			listeners := map[string]net.Listener{}
 			for _, name := range []string{"users", "peers"} {
 				l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
