--- a/internal/node/fairshare/fairshare_test.go
+++ b/internal/node/fairshare/fairshare_test.go
@@ -12,32 +12,32 @@
 
 const rounding = 1e-9
 
-// Whatever nodes want, their parts add up to the whole at most, nobody gets less than the
-// smaller of what it wants and an equal part, and wanting more never brings less.
-func TestPartsAddUp(t *testing.T) {
+// Whatever nodes demand, their shares add up to the total at most, nobody gets less than the
+// smaller of its demand and an equal share, and wanting more never brings less.
+func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := float64(rapid.IntRange(1, 100).Draw(t, "whole"))
-		var wants []float64
+		total := float64(rapid.IntRange(1, 100).Draw(t, "total"))
+		var demands []float64
 		for range rapid.IntRange(1, 9).Draw(t, "nodes") {
-			wants = append(wants, float64(rapid.IntRange(0, 300).Draw(t, "want"))/3)
+			demands = append(demands, float64(rapid.IntRange(0, 300).Draw(t, "demand"))/3)
 		}
-		part := func(i int, own float64) float64 {
-			others := append(append([]float64{}, wants[:i]...), wants[i+1:]...)
-			return Allocate(whole, own, others)
+		share := func(i int, own float64) float64 {
+			others := append(append([]float64{}, demands[:i]...), demands[i+1:]...)
+			return Allocate(total, own, others)
 		}
 		sum := 0.0
-		for i, w := range wants {
-			p := part(i, w)
-			sum += p
-			if p < min(w, whole/float64(len(wants)))-rounding {
-				t.Fatalf("%v of %v: %v gets %v", wants, whole, w, p)
+		for i, demand := range demands {
+			got := share(i, demand)
+			sum += got
+			if got < min(demand, total/float64(len(demands)))-rounding {
+				t.Fatalf("%v of %v: %v gets %v", demands, total, demand, got)
 			}
-			if more := part(i, w+1); more < p-rounding {
-				t.Fatalf("%v of %v: %v gets %v, and with one more %v", wants, whole, w, p, more)
+			if more := share(i, demand+1); more < got-rounding {
+				t.Fatalf("%v of %v: %v gets %v, and with one more %v", demands, total, demand, got, more)
 			}
 		}
-		if sum > whole+rounding*whole {
-			t.Fatalf("%v of %v get %v", wants, whole, sum)
+		if sum > total+rounding*total {
+			t.Fatalf("%v of %v get %v", demands, total, sum)
 		}
 	})
 }
--- a/internal/node/inbox/inbox_test.go
+++ b/internal/node/inbox/inbox_test.go
@@ -17,45 +17,45 @@
 
 func TestUsersDoNotDelayOtherClasses(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
-	l := New[Class](c.now)
-	for l.Offer(Users, Users) {
+	box := New[Class](c.now)
+	for box.Offer(Users, Users) {
 	}
-	for l.Offer(Submissions, Submissions) {
+	for box.Offer(Submissions, Submissions) {
 	}
-	l.Post(Liveness, Liveness)
-	if !l.Offer(Workers, Workers) {
+	box.Post(Liveness, Liveness)
+	if !box.Offer(Workers, Workers) {
 		t.Fatal("a worker was refused because of users")
 	}
-	if x, ok := l.Next(); !ok || x.Input != Liveness {
+	if x, ok := box.Next(); !ok || x.Input != Liveness {
 		t.Errorf("first came %v", x.Input)
 	}
-	if x, ok := l.Next(); !ok || x.Input != Workers {
+	if x, ok := box.Next(); !ok || x.Input != Workers {
 		t.Errorf("then %v", x.Input)
 	}
 }
 
 func TestShedsWhatWouldWaitTooLong(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
-	l := New[int](c.now)
-	l.Offer(Users, 1)
-	l.Offer(Users, 2)
+	box := New[int](c.now)
+	box.Offer(Users, 1)
+	box.Offer(Users, 2)
 	c.at = c.at.Add(limits[Users].maxWait + 1)
-	if l.Offer(Users, 3) {
+	if box.Offer(Users, 3) {
 		t.Error("accepted though the one before it has expired")
 	}
-	if x, _ := l.Next(); !x.Expired {
+	if x, _ := box.Next(); !x.Expired {
 		t.Error("an expired input was not marked")
 	}
-	l.Next()
-	if !l.Offer(Users, 4) {
+	box.Next()
+	if !box.Offer(Users, 4) {
 		t.Error("an empty queue refuses")
 	}
-	if x, _ := l.Next(); x.Expired || x.Input != 4 {
+	if x, _ := box.Next(); x.Expired || x.Input != 4 {
 		t.Errorf("%+v", x)
 	}
-	l.Post(Liveness, 5)
+	box.Post(Liveness, 5)
 	c.at = c.at.Add(time.Hour)
-	if x, _ := l.Next(); x.Expired {
+	if x, _ := box.Next(); x.Expired {
 		t.Error("a posted answer was shed")
 	}
 }
@@ -65,20 +65,20 @@
 func TestNoClassStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &clock{time.Unix(1, 0)}
-		l := New[[2]int](c.now)
+		box := New[[2]int](c.now)
 		var put, got [classes]int
 		waits := [classes]int{} // inputs of others taken while it waited
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			if class := Class(rapid.IntRange(0, int(classes)).Draw(t, "class")); class < classes {
 				if class == Liveness {
-					l.Post(Liveness, [2]int{int(class), put[class]})
-				} else if !l.Offer(class, [2]int{int(class), put[class]}) {
+					box.Post(Liveness, [2]int{int(class), put[class]})
+				} else if !box.Offer(class, [2]int{int(class), put[class]}) {
 					t.Fatal("refused with room")
 				}
 				put[class]++
 				continue
 			}
-			x, ok := l.Next()
+			x, ok := box.Next()
 			if !ok {
 				if got != put {
 					t.Fatalf("got %v of %v", got, put)
@@ -104,15 +104,15 @@
 
 // Whoever has an answer for a loop that has ended isn't held up by it.
 func TestClosedInboxDropsInputs(t *testing.T) {
-	l := New[int]((&clock{time.Unix(1, 0)}).now)
+	box := New[int]((&clock{time.Unix(1, 0)}).now)
 	for range limits[Liveness].length {
-		l.Post(Liveness, 1)
+		box.Post(Liveness, 1)
 	}
 	const posters = 3
 	posted := make(chan struct{}, posters)
 	for range posters {
 		go func() {
-			l.Post(Liveness, 2)
+			box.Post(Liveness, 2)
 			posted <- struct{}{}
 		}()
 	}
@@ -121,7 +121,7 @@
 		t.Fatal("posted to a full class")
 	case <-time.After(20 * time.Millisecond):
 	}
-	l.Close()
+	box.Close()
 	for range posters {
 		select {
 		case <-posted:
@@ -129,8 +129,8 @@
 			t.Fatal("blocked by a closed inbox")
 		}
 	}
-	l.Post(Liveness, 3)
-	if l.Offer(Users, 3) {
+	box.Post(Liveness, 3)
+	if box.Offer(Users, 3) {
 		t.Error("a closed inbox accepts requests")
 	}
 }
--- a/internal/node/kvstore/transactions.go
+++ b/internal/node/kvstore/transactions.go
@@ -31,7 +31,7 @@
 func (s *Store) sendWithRetries(ctx context.Context, x *msg.Commit) (wire.TransactionResult, int, error) {
 	var result wire.TransactionResult
 	status, err := s.send(ctx, x, &result)
-	for retry := 0; x.Priority != msg.Deferrable && status == http.StatusTooManyRequests && retry < quotaRetries; retry++ {
+	for retry := 0; retry < quotaRetries && mayRetry(x, status); retry++ {
 		s.noteQuota(x, true)
 		wait.For(ctx, quotaRetryInterval)
 		status, err = s.send(ctx, x, &result)
@@ -48,6 +48,11 @@
 	return result, status, err
 }
 
+// mayRetry reports whether a transaction is one to send again, by the status that it was refused with.
+func mayRetry(x *msg.Commit, status int) bool {
+	return status == http.StatusTooManyRequests && x.Priority != msg.Deferrable
+}
+
 func (s *Store) send(ctx context.Context, x *msg.Commit, result *wire.TransactionResult) (int, error) {
 	s.counters.transactions[x.Purpose].Add()
 	return s.call(ctx, http.MethodPost, wire.PathCommit, x.Transaction, result)
--- a/internal/node/metrics/names_test.go
+++ b/internal/node/metrics/names_test.go
@@ -26,12 +26,21 @@
 	var gauges leader.Gauges
 	gauges.Waiting, gauges.Machines = map[string]int{"train": 1}, map[string]int{"usable": 2}
 	gauges.Usage = []leader.UsageRow{{Team: "red", Class: "train", Kind: "batch"}}
-	shares := slo.Attainment{Class: map[string]slo.Ratio{"train": {}}, Team: map[string]slo.Ratio{"red": {}}, Largest: map[string]slo.Ratio{"train": {}}}
+	shares := slo.Attainment{
+		Class:   map[string]slo.Ratio{"train": {}},
+		Team:    map[string]slo.Ratio{"red": {}},
+		Largest: map[string]slo.Ratio{"train": {}},
+	}
 	gauges.CompletedInTime, gauges.StartedInTime = shares, shares
-	m := New(func() (leader.Gauges, bool) { return gauges, true }, fixedStore{}, func() map[string]float64 { return map[string]float64{"handed": 1} })
-	for _, in := range []msg.Input{msg.Tick{}, msg.Snapshot{}, msg.Changed{}, msg.CommitDone{}, msg.ReadDone{}, msg.LeaseDone{}, msg.HeartbeatIn{}, msg.CommandDone{},
-		msg.CatalogDone{}, msg.ListDone{}, msg.ScaleOutDone{}, msg.ScaleInDone{}, msg.SubmitIn{}, msg.PollIn{}, msg.CancelIn{}, msg.ForwardDone{}, msg.HeartbeatBatchIn{},
-		msg.HeartbeatBatchDone{}, msg.PeerAlive{}, msg.PeerUpdate{}, msg.AdminIn{}} {
+	coreGauges := func() (leader.Gauges, bool) { return gauges, true }
+	peerTotals := func() map[string]float64 { return map[string]float64{"handed": 1} }
+	m := New(coreGauges, fixedStore{}, peerTotals)
+	for _, in := range []msg.Input{
+		msg.Tick{}, msg.Snapshot{}, msg.Changed{}, msg.CommitDone{}, msg.ReadDone{}, msg.LeaseDone{},
+		msg.HeartbeatIn{}, msg.CommandDone{}, msg.CatalogDone{}, msg.ListDone{}, msg.ScaleOutDone{},
+		msg.ScaleInDone{}, msg.SubmitIn{}, msg.PollIn{}, msg.CancelIn{}, msg.ForwardDone{},
+		msg.HeartbeatBatchIn{}, msg.HeartbeatBatchDone{}, msg.PeerAlive{}, msg.PeerUpdate{}, msg.AdminIn{},
+	} {
 		m.ObserveStep(in, time.Millisecond)
 	}
 	w := httptest.NewRecorder()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -82,11 +82,7 @@
 		r.start(i)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r.wg.Add(1)
-	go func() {
-		defer r.wg.Done()
-		r.servers.Drive(ctx, addr(workers))
-	}()
+	r.wg.Go(func() { r.servers.Drive(ctx, addr(workers)) })
 	t.Cleanup(func() {
 		cancel()
 		for _, stop := range r.stops {
@@ -104,13 +100,11 @@
 func (r *rig) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stops[i] = cancel
-	r.wg.Add(1)
-	go func() {
-		defer r.wg.Done()
+	r.wg.Go(func() {
 		if err := New(r.configs[i]).Run(ctx); err != nil {
 			r.t.Error(err)
 		}
-	}()
+	})
 }
 
 func (r *rig) call(node int, method, path string, body any) (int, wire.JobStatus, http.Header) {
@@ -122,7 +116,8 @@
 	default:
 		raw, _ = wire.Marshal(b)
 	}
-	req, err := http.NewRequestWithContext(r.t.Context(), method, "http://"+r.configs[node].ClientListen+path, bytes.NewReader(raw))
+	url := "http://" + r.configs[node].ClientListen + path
+	req, err := http.NewRequestWithContext(r.t.Context(), method, url, bytes.NewReader(raw))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -231,6 +226,9 @@
 	r.reaches(2, "j-2", wire.Done)
 	r.reaches(0, "j-3", wire.Running)
 
+	otherTeam := &wire.Job{
+		ID: "j-9", Class: "c", Team: "none", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, Image: "i",
+	}
 	for _, tt := range []struct {
 		method, path string
 		body         any
@@ -238,7 +236,7 @@
 	}{
 		{http.MethodPost, wire.PathJobs, []byte("{}"), 400},
 		{http.MethodPost, wire.PathJobs, bytes.Repeat([]byte{0x91}, wire.MaxBody+1), 400},
-		{http.MethodPost, wire.PathJobs, &wire.Job{ID: "j-9", Class: "c", Team: "none", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, Image: "i"}, 422},
+		{http.MethodPost, wire.PathJobs, otherTeam, 422},
 		{http.MethodPost, wire.PathJobs, map[string]any{"ref": "j-1"}, 200},
 		{http.MethodGet, wire.PathJobs + "/j-77", nil, 404},
 		{http.MethodGet, wire.PathJobs + "/%2e%2e", nil, 404},
@@ -272,8 +270,13 @@
 		if metricOf(t, string(text), `coralhub_state_requests_total{purpose="watch"}`) == 0 {
 			t.Errorf("%s has counted no watches", c.Node)
 		}
-		if !strings.Contains(string(text), `coralhub_step_seconds_count{input="tick"}`) || !strings.Contains(string(text), `coralhub_changes_total{kind="later_taken"}`) {
-			t.Errorf("metrics: %s", text)
+		for _, sample := range []string{
+			`coralhub_step_seconds_count{input="tick"}`,
+			`coralhub_changes_total{kind="later_taken"}`,
+		} {
+			if !strings.Contains(string(text), sample) {
+				t.Errorf("no %s in metrics: %s", sample, text)
+			}
 		}
 	}
 	if leaders != 1 {
@@ -322,9 +325,13 @@
 	r.submit(1, r.job("j-6", wire.Array, 1, "j-5"))
 	r.submit(2, r.job("j-7", wire.Array, 1, "j-6"))
 	ask := func(node int, needs any) int {
-		status, _, _ := r.call(node, http.MethodPost, wire.PathJobs, map[string]any{"ref": "j-8", "docket": "c", "desk": "red",
-			"shape": wire.Array, "rank": wire.Low, "lots": 1, "cores": 1, "gpus": 0, "ram_gb": 1, "build": "i", "pull_gb": 1, "one_zone": false,
-			"spread": false, "loaners": false, "expect_s": 1, "bookmark_s": 0, "stash_s": 0, "awaits": needs})
+		job := map[string]any{
+			"ref": "j-8", "docket": "c", "desk": "red", "shape": wire.Array, "rank": wire.Low,
+			"lots": 1, "cores": 1, "gpus": 0, "ram_gb": 1, "build": "i", "pull_gb": 1,
+			"one_zone": false, "spread": false, "loaners": false,
+			"expect_s": 1, "bookmark_s": 0, "stash_s": 0, "awaits": needs,
+		}
+		status, _, _ := r.call(node, http.MethodPost, wire.PathJobs, job)
 		return status
 	}
 	for _, tt := range []struct {
@@ -338,7 +345,8 @@
 			t.Errorf("needs %v: %d, want %d", tt.needs, status, tt.want)
 		}
 	}
-	if status, st, _ := r.call(1, http.MethodPost, wire.PathJobs+"/j-6/"+wire.CancelVerb, nil); status != 200 || st.Status != wire.Cancelled {
+	status, st, _ := r.call(1, http.MethodPost, wire.PathJobs+"/j-6/"+wire.CancelVerb, nil)
+	if status != 200 || st.Status != wire.Cancelled {
 		t.Errorf("cancelled in the middle: %d %s", status, st.Status)
 	}
 	r.reaches(0, "j-7", wire.Cancelled)
