--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -58,7 +58,9 @@
 	isClosed    bool // no connection is opened any more
 	connections map[connectionKey]*connection
 
-	handed, lost, busy, full, closed counter.Counter
+	// Forwarded heartbeats by what became of them, calls that found too many others under way, and connections
+	// given up.
+	answered, lost, busy, rejected, disconnected counter.Counter
 }
 
 // New returns the peers of a node. It posts the results of calls to the core.
@@ -79,7 +81,7 @@
 
 // Totals returns how many heartbeats were forwarded to the leader, and lost on the way, since the process began.
 func (p *Peers) Totals() map[string]float64 {
-	return map[string]float64{"handed": p.handed.Total(), "lost": p.lost.Total()}
+	return map[string]float64{"handed": p.answered.Total(), "lost": p.lost.Total()}
 }
 
 // Counters returns key-value pairs for the debug log, since the last call: heartbeats that the leader has answered
@@ -87,11 +89,11 @@
 // connections given up (closed). One goroutine may call it.
 func (p *Peers) Counters() []any {
 	return []any{
-		"handed", p.handed.Since(),
+		"handed", p.answered.Since(),
 		"lost", p.lost.Since(),
 		"busy", p.busy.Since(),
-		"full", p.full.Since(),
-		"closed", p.closed.Since(),
+		"full", p.rejected.Since(),
+		"closed", p.disconnected.Since(),
 	}
 }
 
@@ -141,7 +143,7 @@
 		done.Response, done.Busy = p.callReport(ctx, x)
 		switch {
 		case done.Response != nil:
-			p.handed.Add()
+			p.answered.Add()
 		case done.Busy:
 			p.busy.Add()
 		default:
@@ -210,7 +212,7 @@
 			f()
 		})
 	default:
-		p.full.Add()
+		p.rejected.Add()
 		instead()
 	}
 }
@@ -248,7 +250,7 @@
 	p.mu.Lock()
 	if p.connections[key] == c {
 		delete(p.connections, key)
-		p.closed.Add()
+		p.disconnected.Add()
 	}
 	p.mu.Unlock()
 	_ = c.Close()
