--- a/internal/node/cloud/cloud.go
+++ b/internal/node/cloud/cloud.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"net/url"
 	"strconv"
+	"sync"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -24,8 +25,14 @@
 	maxResponseBytes = 4 << 20
 	// quotaShare is the part of the cloud's quota that a leader uses.
 	quotaShare = 0.7
-	// errNoCapacity is the cloud's error when it has no such machines.
-	errNoCapacity = "no capacity"
+	// noCapacity is the text of the cloud's response when it has no such machines.
+	noCapacity = "no capacity"
+)
+
+// Requests that were certainly not executed.
+var (
+	errNoCapacity = errors.New("the cloud has no such machines")
+	errRefused    = errors.New("refused")
 )
 
 // Cloud is a client of the cloud's interface.
@@ -34,6 +41,7 @@
 	post    func(msg.Input)
 	client  *http.Client
 	limiter *rate.Limiter
+	calls   sync.WaitGroup
 }
 
 // New returns a client that posts results to the core.
@@ -47,36 +55,45 @@
 	}
 }
 
-// Do carries out an effect; it returns false for effects of other adapters.
-func (c *Cloud) Do(e msg.Effect) bool {
+// Do starts to carry out an effect, until ctx ends at the latest; it returns false for effects of other adapters.
+func (c *Cloud) Do(ctx context.Context, e msg.Effect) bool {
 	switch x := e.(type) {
 	case msg.FetchCatalog:
-		go c.fetchCatalog()
+		c.calls.Go(func() { c.fetchCatalog(ctx) })
 	case msg.ListMachines:
-		go c.listMachines()
+		c.calls.Go(func() { c.listMachines(ctx) })
 	case msg.ScaleOut:
-		go c.scaleOut(x.Request)
+		c.calls.Go(func() { c.scaleOut(ctx, x.Request) })
 	case msg.ScaleIn:
-		go c.scaleIn(x.Machines)
+		c.calls.Go(func() { c.scaleIn(ctx, x.Machines) })
 	default:
 		return false
 	}
 	return true
 }
 
+// Wait returns once all calls have ended, and closes the connections that they leave idle. It is for after the end
+// of their contexts and of Do.
+func (c *Cloud) Wait() {
+	c.calls.Wait()
+	c.client.CloseIdleConnections()
+}
+
 // call makes a request. The outcome is OK, Conflict for a lack of capacity, Refused or Unknown.
-func (c *Cloud) call(method, path string, in, out any) msg.Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+func (c *Cloud) call(ctx context.Context, method, path string, in, out any) msg.Outcome {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if c.limiter.Wait(ctx) != nil {
 		return msg.Refused
 	}
-	status, err := c.send(ctx, method, path, in, out)
-	var refused *refusedError
+	return outcomeOf(c.send(ctx, method, path, in, out))
+}
+
+func outcomeOf(status int, err error) msg.Outcome {
 	switch {
-	case errors.As(err, &refused) && refused.reason == errNoCapacity:
+	case errors.Is(err, errNoCapacity):
 		return msg.Conflict
-	case refused != nil:
+	case errors.Is(err, errRefused):
 		return msg.Refused
 	case err != nil:
 		return msg.Unknown
@@ -86,26 +103,17 @@
 	return msg.Refused
 }
 
-// refusedError is a request that was certainly not executed, with the cloud's reason.
-type refusedError struct{ reason string }
-
-func (e *refusedError) Error() string { return "refused: " + e.reason }
-
 func (c *Cloud) send(ctx context.Context, method, path string, in, out any) (int, error) {
 	req, err := httpclient.NewRequest(ctx, method, c.baseURL+path, in)
 	if err != nil {
-		return 0, &refusedError{err.Error()}
+		return 0, fmt.Errorf("%w: %w", errRefused, err)
 	}
 	status, raw, err := httpclient.Do(c.client, req, maxResponseBytes)
 	if err != nil {
 		return 0, fmt.Errorf("cloud: %w", err)
 	}
 	if status == http.StatusServiceUnavailable {
-		var e wire.Error
-		if wire.Unmarshal(raw, &e) != nil {
-			e.Error = "unreadable"
-		}
-		return status, &refusedError{e.Error}
+		return status, refusal(raw)
 	}
 	if status == http.StatusOK && out != nil {
 		return status, wire.Unmarshal(raw, out)
@@ -113,13 +121,25 @@
 	return status, nil
 }
 
-func (c *Cloud) fetchCatalog() {
+// refusal is the error of a request that the cloud has refused with a body.
+func refusal(body []byte) error {
+	var reason wire.Error
+	if err := wire.Unmarshal(body, &reason); err != nil {
+		return fmt.Errorf("%w: %w", errRefused, err)
+	}
+	if reason.Error == noCapacity {
+		return errNoCapacity
+	}
+	return fmt.Errorf("%w: %s", errRefused, reason.Error)
+}
+
+func (c *Cloud) fetchCatalog(ctx context.Context) {
 	var done msg.CatalogDone
-	done.Outcome = c.call(http.MethodGet, wire.PathCatalog, nil, &done.Catalog)
+	done.Outcome = c.call(ctx, http.MethodGet, wire.PathCatalog, nil, &done.Catalog)
 	c.post(done)
 }
 
-func (c *Cloud) listMachines() {
+func (c *Cloud) listMachines(ctx context.Context) {
 	var done msg.ListDone
 	after := ""
 	for {
@@ -128,7 +148,7 @@
 			q.Set("from", after)
 		}
 		var page wire.MachineList
-		done.Outcome = c.call(http.MethodGet, wire.PathHosts+"?"+q.Encode(), nil, &page)
+		done.Outcome = c.call(ctx, http.MethodGet, wire.PathHosts+"?"+q.Encode(), nil, &page)
 		done.Machines = append(done.Machines, page.Machines...)
 		if done.Outcome != msg.OK || !page.More || len(page.Machines) == 0 {
 			break
@@ -138,16 +158,16 @@
 	c.post(done)
 }
 
-func (c *Cloud) scaleOut(r wire.RentalRequest) {
+func (c *Cloud) scaleOut(ctx context.Context, r wire.RentalRequest) {
 	var names wire.MachineNames
 	done := msg.ScaleOutDone{Name: r.Name}
-	done.Outcome = c.call(http.MethodPost, wire.PathHosts, r, &names)
+	done.Outcome = c.call(ctx, http.MethodPost, wire.PathHosts, r, &names)
 	done.Machines = names.Machines
 	c.post(done)
 }
 
-func (c *Cloud) scaleIn(machines []string) {
+func (c *Cloud) scaleIn(ctx context.Context, machines []string) {
 	done := msg.ScaleInDone{Machines: machines}
-	done.Outcome = c.call(http.MethodPost, wire.PathRelease, wire.MachineNames{Machines: machines}, nil)
+	done.Outcome = c.call(ctx, http.MethodPost, wire.PathRelease, wire.MachineNames{Machines: machines}, nil)
 	c.post(done)
 }
--- a/internal/node/httpapi/httpapi.go
+++ b/internal/node/httpapi/httpapi.go
@@ -3,6 +3,7 @@
 package httpapi
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net/http"
@@ -26,6 +27,8 @@
 	post  func(msg.Input) bool
 	ready func() bool
 
+	closed chan struct{} // by Close
+
 	mu      sync.Mutex
 	lastID  uint64
 	pending map[uint64]chan msg.Respond // by request ID
@@ -34,7 +37,13 @@
 // New returns the interface. post returns false when the node has no time for another request. Operators'
 // queries are served only if admin is set.
 func New(post func(msg.Input) bool, ready func() bool, admin bool) *API {
-	a := &API{echo: echo.New(), post: post, ready: ready, pending: map[uint64]chan msg.Respond{}}
+	a := &API{
+		echo:    echo.New(),
+		post:    post,
+		ready:   ready,
+		closed:  make(chan struct{}),
+		pending: map[uint64]chan msg.Respond{},
+	}
 	e := a.echo
 	e.HideBanner, e.HidePort = true, true
 	e.POST(wire.PathJobs, a.submit)
@@ -43,63 +52,23 @@
 	e.POST(wire.PathHeartbeat, a.heartbeat)
 	e.GET(wire.PathReady, a.health)
 	if admin {
-		e.GET(PathEstimates, a.admin(msg.QueryEstimates))
-		e.GET(PathJob+"/:id", a.admin(msg.QueryJob))
-		e.GET(PathRuns, a.admin(msg.QueryRuns))
-		e.GET(PathAccounts, a.admin(msg.QueryAccounts))
-		e.GET(PathPreemptions, a.admin(msg.QueryPreemptions))
-		e.GET(PathWaits+"/:id", a.admin(msg.QueryWaitReason))
-	}
-	e.HTTPErrorHandler = func(err error, c echo.Context) {
-		status := http.StatusInternalServerError
-		var he *echo.HTTPError
-		if errors.As(err, &he) {
-			status = he.Code
-		}
-		if !c.Response().Committed {
-			_ = reply(c, msg.Respond{Status: status, Body: wire.Error{Error: http.StatusText(status)}})
-		}
+		a.addAdminRoutes()
 	}
+	e.HTTPErrorHandler = replyError
 	return a
 }
 
-// Paths of operators' queries, which are answered in JSON.
-const (
-	PathEstimates   = "/admin/v1/estimates"
-	PathJob         = "/admin/v1/jobs"
-	PathRuns        = "/admin/v1/runs"
-	PathAccounts    = "/admin/v1/accounts"
-	PathPreemptions = "/admin/v1/standing"
-	PathWaits       = "/admin/v1/waits"
-)
-
-// admin answers an operator's query. It may have the parameters from and most.
-func (a *API) admin(kind msg.AdminQuery) echo.HandlerFunc {
-	return func(c echo.Context) error {
-		in := msg.AdminIn{Query: kind, JobID: c.Param("id")}
-		var err error
-		if s := c.QueryParam("from"); s != "" {
-			if in.From, err = strconv.ParseUint(s, 10, 64); err != nil {
-				return c.JSON(http.StatusBadRequest, query.Error{Error: "from: no number"})
-			}
-		}
-		if s := c.QueryParam("most"); s != "" {
-			if in.Limit, err = strconv.Atoi(s); err != nil || in.Limit < 1 {
-				return c.JSON(http.StatusBadRequest, query.Error{Error: "most: no number above 0"})
-			}
-		}
-		x := a.ask(c.Request().Context().Done(), func(requestID uint64) msg.Input {
-			in.RequestID = requestID
-			return in
-		})
-		if x.RetryAfter > 0 {
-			c.Response().Header().Set("Retry-After", strconv.Itoa(x.RetryAfter))
-		}
-		if e, ok := x.Body.(wire.Error); ok {
-			x.Body = query.Error{Error: e.Error}
-		}
-		return c.JSON(x.Status, x.Body)
+// replyError answers a request whose handler has failed, or that has no handler.
+func replyError(err error, c echo.Context) {
+	if c.Response().Committed {
+		return
 	}
+	status := http.StatusInternalServerError
+	var httpError *echo.HTTPError
+	if errors.As(err, &httpError) {
+		status = httpError.Code
+	}
+	_ = reply(c, msg.Respond{Status: status, Body: wire.Error{Error: http.StatusText(status)}}) // the client may be gone
 }
 
 // Serve adds a page of another package to the users' listener.
@@ -107,7 +76,7 @@
 
 // Gauges asks the core for its gauges; false if it has no time.
 func (a *API) Gauges() (query.Gauges, bool) {
-	response := a.ask(nil, func(requestID uint64) msg.Input {
+	response := a.ask(context.Background(), func(requestID uint64) msg.Input {
 		return msg.AdminIn{RequestID: requestID, Query: msg.QueryGauges}
 	})
 	gauges, ok := response.Body.(query.Gauges)
@@ -117,12 +86,12 @@
 // Handler is the interface as an HTTP handler.
 func (a *API) Handler() http.Handler { return a.echo }
 
-// Do carries out an effect; it returns false for effects of other adapters.
-func (a *API) Do(e msg.Effect) bool {
-	x, ok := e.(msg.Respond)
-	if !ok {
-		return false
-	}
+// Close ends requests that wait for the core, and later ones at once: they are answered as by an overloaded core.
+// It is for when the core answers no more, and to be called once.
+func (a *API) Close() { close(a.closed) }
+
+// Respond hands the core's response to whoever has made the request, unless they no longer wait for it.
+func (a *API) Respond(x msg.Respond) {
 	a.mu.Lock()
 	ch := a.pending[x.RequestID]
 	delete(a.pending, x.RequestID)
@@ -130,15 +99,26 @@
 	if ch != nil {
 		ch <- x
 	}
-	return true
 }
 
 // overloaded is the response when the core has no time for a request.
-var overloaded = msg.Respond{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "overloaded"}, RetryAfter: 1, Busy: true}
+var overloaded = msg.Respond{
+	Status:     http.StatusServiceUnavailable,
+	Body:       wire.Error{Error: "overloaded"},
+	RetryAfter: 1,
+	Busy:       true,
+}
 
-// ask posts the input made for a request ID and waits for the response, until the client is gone or the request
-// has timed out.
-func (a *API) ask(clientGone <-chan struct{}, input func(requestID uint64) msg.Input) msg.Respond {
+// notReady is the response to a health check of a node that can't take requests.
+var notReady = msg.Respond{
+	Status:     http.StatusServiceUnavailable,
+	Body:       wire.Error{Error: "not ready"},
+	RetryAfter: 1,
+}
+
+// ask posts the input made for a request ID and waits for the response, until ctx ends, the request has timed out
+// or the API is closed.
+func (a *API) ask(ctx context.Context, input func(requestID uint64) msg.Input) msg.Respond {
 	ch := make(chan msg.Respond, 1)
 	id := a.addPending(ch)
 	if !a.post(input(id)) {
@@ -151,7 +131,8 @@
 	case x := <-ch:
 		return x
 	case <-timeout.C:
-	case <-clientGone:
+	case <-ctx.Done():
+	case <-a.closed:
 	}
 	a.removePending(id)
 	return overloaded
@@ -184,23 +165,23 @@
 	default:
 		return
 	}
-	a.Do(x)
+	a.Respond(x)
 }
 
 func (a *API) serve(c echo.Context, input func(requestID uint64) msg.Input) error {
-	return reply(c, a.ask(c.Request().Context().Done(), input))
+	return reply(c, a.ask(c.Request().Context(), input))
 }
 
 // Heartbeat answers a worker's heartbeat that a relay has forwarded to this node.
 func (a *API) Heartbeat(r wire.Heartbeat) msg.Respond {
-	return a.ask(nil, func(requestID uint64) msg.Input {
+	return a.ask(context.Background(), func(requestID uint64) msg.Input {
 		return msg.HeartbeatIn{RequestID: requestID, Heartbeat: r, Forwarded: true}
 	})
 }
 
 // HeartbeatBatch answers a relay that has acknowledged heartbeats for this node.
 func (a *API) HeartbeatBatch(x msg.HeartbeatBatchIn) msg.Respond {
-	return a.ask(nil, func(requestID uint64) msg.Input {
+	return a.ask(context.Background(), func(requestID uint64) msg.Input {
 		x.RequestID = requestID
 		return x
 	})
@@ -213,9 +194,7 @@
 }
 
 func reply(c echo.Context, x msg.Respond) error {
-	if x.RetryAfter > 0 {
-		c.Response().Header().Set("Retry-After", strconv.Itoa(x.RetryAfter))
-	}
+	setRetryAfter(c, x)
 	raw, err := wire.Marshal(x.Body)
 	if err != nil {
 		return err
@@ -223,7 +202,17 @@
 	return c.Blob(x.Status, wire.ContentType, raw)
 }
 
-var errTooLarge = errors.New("body too large")
+func setRetryAfter(c echo.Context, x msg.Respond) {
+	if x.RetryAfter > 0 {
+		c.Response().Header().Set("Retry-After", strconv.Itoa(x.RetryAfter))
+	}
+}
+
+// Errors of requests' bodies.
+var (
+	errTooLarge         = errors.New("body too large")
+	errUnreadableReport = errors.New("unreadable report")
+)
 
 // readBody reads a request's body, up to the protocol's limit.
 func readBody(c echo.Context) ([]byte, error) {
@@ -266,14 +255,14 @@
 	}
 	var r wire.Heartbeat
 	if err := wire.Unmarshal(raw, &r); err != nil {
-		return badRequest(c, errors.New("unreadable report"))
+		return badRequest(c, errUnreadableReport)
 	}
 	return a.serve(c, func(requestID uint64) msg.Input { return msg.HeartbeatIn{RequestID: requestID, Heartbeat: r} })
 }
 
 func (a *API) health(c echo.Context) error {
 	if !a.ready() {
-		return reply(c, msg.Respond{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "not ready"}, RetryAfter: 1})
+		return reply(c, notReady)
 	}
 	return c.NoContent(http.StatusOK)
 }
--- a/internal/node/kvstore/transactions.go
+++ b/internal/node/kvstore/transactions.go
@@ -11,8 +11,8 @@
 )
 
 // commit carries out a transaction and posts what came of it.
-func (s *Store) commit(x msg.Commit) {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+func (s *Store) commit(ctx context.Context, x msg.Commit) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	done := msg.CommitDone{ID: x.ID, Outcome: msg.Refused}
 	if s.awaitRequestQuota(ctx) != nil || s.awaitWriteQuota(ctx, &x) != nil {
@@ -31,7 +31,7 @@
 func (s *Store) sendWithRetries(ctx context.Context, x *msg.Commit) (wire.TransactionResult, int, error) {
 	var result wire.TransactionResult
 	status, err := s.send(ctx, x, &result)
-	for retry := 0; x.Priority != msg.Deferrable && status == http.StatusTooManyRequests && retry < quotaRetries; retry++ {
+	for retry := 0; retry < quotaRetries && mayRetry(x, status); retry++ {
 		s.noteQuota(x, true)
 		wait.For(ctx, quotaRetryInterval)
 		status, err = s.send(ctx, x, &result)
@@ -48,6 +48,11 @@
 	return result, status, err
 }
 
+// mayRetry reports whether a transaction is one to send again, by the status that it was refused with.
+func mayRetry(x *msg.Commit, status int) bool {
+	return status == http.StatusTooManyRequests && x.Priority != msg.Deferrable
+}
+
 func (s *Store) send(ctx context.Context, x *msg.Commit, result *wire.TransactionResult) (int, error) {
 	s.counters.transactions[x.Purpose].Add()
 	return s.call(ctx, http.MethodPost, wire.PathCommit, x.Transaction, result)
@@ -102,8 +107,8 @@
 }
 
 // read reads a key and posts what came of it. A key that does not exist has version 0.
-func (s *Store) read(x msg.Read) {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+func (s *Store) read(ctx context.Context, x msg.Read) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	done := msg.ReadDone{ID: x.ID, Outcome: msg.Refused, Key: x.Key}
 	if s.awaitRequestQuota(ctx) != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,8 +9,8 @@
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"net/http"
 	"runtime/debug"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -34,6 +34,10 @@
 	// reservedSockets is the share of connections that is kept for direct calls to workers, peers and
 	// the outside systems.
 	reservedSockets = 0.3
+	bytesPerMB      = 1 << 20
+	// gcPercent trades memory for time: well below the memory limit, the heap may grow to three times what is
+	// in use.
+	gcPercent = 200
 	// counterLogInterval is the time between two lines of each adapter in the debug log.
 	counterLogInterval = 5 * time.Second
 	// peerStatusInterval is how often peers are asked for their status.
@@ -43,9 +47,14 @@
 	isolatedAfter = 1500 * time.Millisecond
 )
 
-// adapter carries out effects. Do returns false for effects of other adapters.
+// adapter carries out effects in the background.
 type adapter interface {
-	Do(msg.Effect) bool
+	// Do starts to carry out an effect, until ctx ends at the latest; it returns false for effects of other
+	// adapters. Only the node's loop calls it.
+	Do(ctx context.Context, effect msg.Effect) bool
+	// Wait returns once all that Do has started has ended. It is called after the end of the context and of the
+	// loop, so that Do starts nothing meanwhile.
+	Wait()
 }
 
 // Node is a running controller.
@@ -66,7 +75,12 @@
 
 // New returns a node that is not running yet.
 func New(cfg *config.Config) *Node {
-	n := &Node{cfg: cfg, inputs: inbox.New[msg.Input](time.Now), core: core.New(cfg, rand.Uint64()), start: time.Now()}
+	n := &Node{
+		cfg:    cfg,
+		inputs: inbox.New[msg.Input](time.Now),
+		core:   core.New(cfg, rand.Uint64()),
+		start:  time.Now(),
+	}
 	post := func(in msg.Input) { n.inputs.Post(inbox.Liveness, in) }
 	fromWorkers := func(in msg.Input) { n.inputs.Post(classOf(in), in) }
 	n.store = kvstore.New(cfg, n.clock, post)
@@ -76,7 +90,7 @@
 		n.metrics = metrics.New(n.api.Gauges, n.store, n.peers.Totals)
 		n.api.Serve(metrics.Path, n.metrics)
 	}
-	n.adapters = []adapter{n.api, n.store, worker.New(fromWorkers), cloud.New(cfg, post), n.peers}
+	n.adapters = []adapter{n.store, worker.New(fromWorkers), cloud.New(cfg, post), n.peers}
 	return n
 }
 
@@ -109,37 +123,48 @@
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
-	defer func() { _ = users.Close() }()
 	peers, err := new(net.ListenConfig).Listen(ctx, "tcp", n.cfg.PeerListen)
 	if err != nil {
+		_ = users.Close() // nobody was served yet
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	defer func() { _ = peers.Close() }()
-	failed := make(chan error, 2)
-	server := &http.Server{
-		Handler:           n.api.Handler(),
-		ReadHeaderTimeout: 5 * time.Second,
-		ReadTimeout:       10 * time.Second,
-		WriteTimeout:      10 * time.Second,
-		IdleTimeout:       2 * time.Minute,
-		MaxHeaderBytes:    16 << 10,
-	}
-	defer func() { _ = server.Close() }()
-	go func() { failed <- server.Serve(users) }()
-	go func() {
-		failed <- peer.Serve(peers, func(in msg.Input) { n.offer(in) }, n.api, n.status)
-	}()
-	go n.store.Follow(ctx)
-	go n.store.RenewLeases(ctx)
-	go n.watchPeers(ctx)
+	return n.serve(ctx, users, peers)
+}
+
+// serve serves on the listeners until parent ends or one of them fails, and returns the latter's error. By then it
+// has closed them, and all that the node has started has ended.
+func (n *Node) serve(parent context.Context, users, peers net.Listener) error {
+	ctx, end := context.WithCancelCause(parent)
+	defer end(nil)
+	userServer := newUserServer(n.api.Handler())
+	peerServer := peer.NewServer(func(in msg.Input) { n.offer(in) }, n.api, n.status)
+	var background sync.WaitGroup
+	background.Go(func() { end(userServer.Serve(users)) })
+	background.Go(func() { end(peerServer.Serve(peers)) })
+	background.Go(func() { n.store.Follow(ctx) })
+	background.Go(func() { n.store.RenewLeases(ctx) })
+	background.Go(func() { n.watchPeers(ctx) })
 	n.logStart()
-	n.loop(ctx, failed)
-	select {
-	case err := <-failed:
-		if !errors.Is(err, http.ErrServerClosed) {
-			return err
-		}
-	default:
+	n.loop(ctx)
+
+	// Clients are cut off before the API is closed: the end of this node is not to be taken for a busy one. Errors
+	// of closing are of no use to anybody here.
+	_ = userServer.Close()
+	_ = peers.Close()
+	peerServer.Close()
+	n.api.Close()
+	n.inputs.Close()
+	n.peers.Close()
+
+	// The loops go first: they start calls of the adapters too.
+	background.Wait()
+	userServer.Wait()
+	peerServer.Wait()
+	for _, a := range n.adapters {
+		a.Wait()
+	}
+	if cause := context.Cause(ctx); !errors.Is(cause, context.Cause(parent)) {
+		return cause
 	}
 	return nil
 }
@@ -150,8 +175,8 @@
 	if limitMB <= 0 {
 		return
 	}
-	debug.SetMemoryLimit(int64(limitMB * n.cfg.Settings.MemoryShare * (1 << 20)))
-	debug.SetGCPercent(200)
+	debug.SetMemoryLimit(int64(limitMB * n.cfg.Settings.MemoryShare * bytesPerMB))
+	debug.SetGCPercent(gcPercent)
 }
 
 func (n *Node) listenForUsers(ctx context.Context) (net.Listener, error) {
@@ -167,30 +192,32 @@
 }
 
 func (n *Node) logStart() {
-	slog.Info("serving", "node", n.cfg.Node, "location", n.cfg.Location, "users", n.cfg.ClientListen, "peers", n.cfg.PeerListen)
+	slog.Info("serving",
+		"node", n.cfg.Node,
+		"location", n.cfg.Location,
+		"users", n.cfg.ClientListen,
+		"peers", n.cfg.PeerListen)
 	if w := &n.cfg.Cluster.Workers; !w.LeaseEndsInTime() {
 		slog.Warn("cancel_s is not longer than lease_s: cancellations are confirmed only once every task is proven gone",
 			"lease_s", w.LeaseS, "cancel_s", w.CancelS)
 	}
 }
 
-// loop hands inputs and ticks to the core until ctx ends or a listener fails. It is the only goroutine that
-// uses the core.
-func (n *Node) loop(ctx context.Context, failed chan error) {
+// loop hands inputs and ticks to the core until ctx ends. It is the only goroutine that uses the core, and that
+// calls the adapters' Do.
+func (n *Node) loop(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	loggedAt := n.start
 	for {
 		delivery, ok := n.inputs.Next()
+		if ctx.Err() != nil {
+			return // the input may be of a call that has failed for nothing but the end of ctx
+		}
 		if ok {
-			n.process(delivery)
+			n.process(ctx, delivery)
 			select {
 			case <-tick.C:
-			case err := <-failed:
-				failed <- err
-				return
-			case <-ctx.Done():
-				return
 			default:
 				continue
 			}
@@ -199,15 +226,12 @@
 			case <-tick.C:
 			case <-n.inputs.Ready():
 				continue
-			case err := <-failed:
-				failed <- err
-				return
 			case <-ctx.Done():
 				return
 			}
 		}
 		now := time.Now()
-		n.step(msg.Tick{WallClock: now.UnixMicro()})
+		n.step(ctx, msg.Tick{WallClock: now.UnixMicro()})
 		if now.Sub(loggedAt) >= counterLogInterval && slog.Default().Enabled(ctx, slog.LevelDebug) {
 			loggedAt = now
 			n.logCounters()
@@ -224,7 +248,7 @@
 
 // process hands an input to the core, unless its sender has waited for too long: shedding it costs next to
 // nothing.
-func (n *Node) process(d inbox.Delivery[msg.Input]) {
+func (n *Node) process(ctx context.Context, d inbox.Delivery[msg.Input]) {
 	if d.Expired {
 		n.api.Shed(d.Input)
 		return
@@ -234,7 +258,7 @@
 		x.Age += d.Waited.Microseconds()
 		in = x
 	}
-	n.step(in)
+	n.step(ctx, in)
 	if _, ok := in.(msg.Snapshot); ok {
 		n.loaded.Store(true)
 	}
@@ -244,29 +268,33 @@
 func (n *Node) clock() msg.Micros { return time.Since(n.start).Microseconds() + 1 }
 
 // step hands an input to the core and carries out the effects.
-func (n *Node) step(in msg.Input) {
+func (n *Node) step(ctx context.Context, in msg.Input) {
 	began := time.Now()
 	defer func() { n.metrics.ObserveStep(in, time.Since(began)) }()
 	for _, e := range n.core.Step(n.clock(), in) {
-		n.carryOut(e)
+		n.carryOut(ctx, e)
 	}
 }
 
-func (n *Node) carryOut(e msg.Effect) {
+// carryOut carries out an effect itself, or hands it to the adapter that does.
+func (n *Node) carryOut(ctx context.Context, e msg.Effect) {
 	switch x := e.(type) {
 	case msg.Log:
 		level := slog.LevelInfo
 		if x.Debug {
 			level = slog.LevelDebug
 		}
-		slog.Log(context.Background(), level, x.Message, x.Args...)
+		slog.Log(ctx, level, x.Message, x.Args...)
 		return
 	case msg.StopServing:
 		n.stopped.Store(true)
 		return
+	case msg.Respond:
+		n.api.Respond(x)
+		return
 	}
 	for _, a := range n.adapters {
-		if a.Do(e) {
+		if a.Do(ctx, e) {
 			return
 		}
 	}
@@ -284,7 +312,11 @@
 	wait.Every(ctx, peerStatusInterval, func() {
 		anyReaches := false
 		var admissionDemands []float64
-		for node, status := range n.peers.CollectStatus() {
+		statuses := n.peers.CollectStatus(ctx)
+		if ctx.Err() != nil {
+			return // those that have not answered may be in reach
+		}
+		for node, status := range statuses {
 			anyReaches = anyReaches || status.StateOK
 			if status.Says {
 				admissionDemands = append(admissionDemands, status.Accepts)
