--- a/internal/core/job/placement.go
+++ b/internal/core/job/placement.go
@@ -1,6 +1,10 @@
 package job
 
-import "sort"
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
 
 // Placement states that a task may be running on a machine. It stays open until there is proof
 // that the task is not there any more.
@@ -26,21 +30,20 @@
 	Attempt uint64
 }
 
+// compare orders keys by job, task and attempt.
+func (k AttemptKey) compare(other AttemptKey) int {
+	switch {
+	case k.Job != other.Job:
+		return cmp.Compare(k.Job, other.Job)
+	case k.Task != other.Task:
+		return cmp.Compare(k.Task, other.Task)
+	}
+	return cmp.Compare(k.Attempt, other.Attempt)
+}
+
 // SortedAttemptKeys returns the keys of a map in the order of job, task and attempt.
 func SortedAttemptKeys[V any](m map[AttemptKey]V) []AttemptKey {
-	keys := make([]AttemptKey, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	sort.Slice(keys, func(i, j int) bool {
-		a, b := keys[i], keys[j]
-		if a.Job != b.Job {
-			return a.Job < b.Job
-		}
-		if a.Task != b.Task {
-			return a.Task < b.Task
-		}
-		return a.Attempt < b.Attempt
-	})
+	keys := slices.AppendSeq(make([]AttemptKey, 0, len(m)), maps.Keys(m))
+	slices.SortFunc(keys, AttemptKey.compare)
 	return keys
 }
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -3,10 +3,10 @@
 package queue
 
 import (
+	"cmp"
 	"maps"
 	"math"
 	"slices"
-	"sort"
 
 	"coralhub/internal/config"
 	"coralhub/wire"
@@ -153,26 +153,27 @@
 	Created config.Micros
 }
 
-// Before reports whether an entry ranks before another one: by level, tier, cost, credit, age and id.
-func (e *Entry) Before(other *Entry) bool {
+// compare orders entries by level, tier, cost, credit, age and id. It is negative if the entry ranks before the
+// other one. A switch in place of cmp.Or compares no more than it has to: every cycle ranks the whole queue.
+func (e *Entry) compare(other *Entry) int {
 	switch {
 	case e.Level != other.Level:
-		return e.Level > other.Level
+		return cmp.Compare(other.Level, e.Level)
 	case e.Tier != other.Tier:
-		return e.Tier < other.Tier
+		return cmp.Compare(e.Tier, other.Tier)
 	case e.Cost != other.Cost:
-		return e.Cost < other.Cost
+		return cmp.Compare(e.Cost, other.Cost)
 	case e.Credit != other.Credit:
-		return e.Credit > other.Credit
+		return cmp.Compare(other.Credit, e.Credit)
 	case e.Created != other.Created:
-		return e.Created < other.Created
+		return cmp.Compare(e.Created, other.Created)
 	}
-	return e.ID < other.ID
+	return cmp.Compare(e.ID, other.ID)
 }
 
-// Rank sorts entries by Before.
+// Rank sorts entries in the order in which they are to be placed.
 func Rank(entries []Entry) {
-	sort.Slice(entries, func(i, j int) bool { return entries[i].Before(&entries[j]) })
+	slices.SortFunc(entries, func(a, b Entry) int { return a.compare(&b) })
 }
 
 // DemoteBeyondGuarantee gives an entry the level that it has beyond its team's guarantee.
@@ -188,7 +189,7 @@
 	var demoted [beyondGuarantee + 1][]Entry // by level, each in order
 	visitDemoted := func(before *Entry) {    // those that rank before an entry; nil: all
 		for level := beyondGuarantee; level > 0; level-- {
-			for len(demoted[level]) > 0 && (before == nil || demoted[level][0].Before(before)) {
+			for len(demoted[level]) > 0 && (before == nil || demoted[level][0].compare(before) < 0) {
 				first := demoted[level][0]
 				demoted[level] = demoted[level][1:]
 				visit(&first)
--- a/internal/core/relay/redirect.go
+++ b/internal/core/relay/redirect.go
@@ -3,7 +3,7 @@
 import (
 	"hash/fnv"
 	"net/http"
-	"sort"
+	"slices"
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/msg"
@@ -64,7 +64,7 @@
 	if len(candidates) == 0 {
 		return ""
 	}
-	sort.Strings(candidates)
+	slices.Sort(candidates)
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(hb.Machine)) // never fails
 	return candidates[int(hash.Sum32()%uint32(len(candidates)))]
--- a/internal/core/relay/relayed_heartbeats.go
+++ b/internal/core/relay/relayed_heartbeats.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"slices"
-	"sort"
 
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
@@ -98,13 +97,16 @@
 // queuedByNovelty returns the queued heartbeats, those that say something new first, in the order of
 // machines.
 func (r *Relay) queuedByNovelty() []RelayedHeartbeat {
-	var heartbeats []RelayedHeartbeat
+	var changed, unchanged []RelayedHeartbeat
 	for _, machine := range slices.Sorted(maps.Keys(r.queued)) {
-		heartbeats = append(heartbeats, r.queued[machine])
+		h := r.queued[machine]
+		if h.differsFrom(r.written[machine]) {
+			changed = append(changed, h)
+		} else {
+			unchanged = append(unchanged, h)
+		}
 	}
-	isNew := func(h RelayedHeartbeat) bool { return h.differsFrom(r.written[h.Machine]) }
-	sort.SliceStable(heartbeats, func(i, j int) bool { return isNew(heartbeats[i]) && !isNew(heartbeats[j]) })
-	return heartbeats
+	return append(changed, unchanged...)
 }
 
 func (r *Relay) writeDone(heartbeats []RelayedHeartbeat, done msg.CommitDone) {
--- a/internal/core/zone/preemption.go
+++ b/internal/core/zone/preemption.go
@@ -1,8 +1,8 @@
 package zone
 
 import (
+	"cmp"
 	"slices"
-	"sort"
 )
 
 // Reclaim is what preempting a victim frees on a machine.
@@ -46,21 +46,20 @@
 // then the longest remaining duration, then the longest running. To go by the last alone would
 // assume that everything can be saved in a checkpoint.
 func SortByLoss(victims []*Victim) {
-	sort.Slice(victims, func(i, j int) bool {
-		a, b := victims[i], victims[j]
+	slices.SortFunc(victims, func(a, b *Victim) int {
 		switch {
 		case a.Level != b.Level:
-			return a.Level < b.Level
+			return cmp.Compare(a.Level, b.Level)
 		case a.Loss != b.Loss:
-			return a.Loss < b.Loss
+			return cmp.Compare(a.Loss, b.Loss)
 		case a.Left != b.Left:
-			return a.Left > b.Left
+			return cmp.Compare(b.Left, a.Left)
 		case a.Since != b.Since:
-			return a.Since < b.Since
+			return cmp.Compare(a.Since, b.Since)
 		case a.Job != b.Job:
-			return a.Job < b.Job
+			return cmp.Compare(a.Job, b.Job)
 		}
-		return a.Task < b.Task
+		return cmp.Compare(a.Task, b.Task)
 	})
 }
 
@@ -153,7 +152,7 @@
 // dropUnneeded gives back, smallest first, the victims without which enough tasks fit, and returns
 // the others, largest first.
 func (p *preemption) dropUnneeded(victims []*Victim) []*Victim {
-	sort.SliceStable(victims, func(i, j int) bool { return victims[i].weight() > victims[j].weight() })
+	slices.SortStableFunc(victims, func(a, b *Victim) int { return cmp.Compare(b.weight(), a.weight()) })
 	for i := len(victims) - 1; i >= 0; i-- {
 		p.reclaim(victims[i], -1)
 		if p.fit < p.wanted {
