--- a/internal/core/reconciler/heartbeats.go
+++ b/internal/core/reconciler/heartbeats.go
@@ -38,31 +38,49 @@
 	return true
 }
 
+// workerState is what a worker had last reported before a message of it was applied.
+type workerState struct {
+	incarnation  uint64 // 0 if this is its first message
+	fencingToken uint64
+	silent       bool // it was known to reach nobody
+	tasks        map[job.AttemptKey]zone.Task
+}
+
+// stateOf returns the state of a machine's worker. Its tasks are not copied: a message replaces the map as a whole.
+func stateOf(m *zone.Machine) workerState {
+	return workerState{
+		incarnation:  m.Incarnation,
+		fencingToken: m.FencingToken,
+		silent:       m.SilentSince != 0,
+		tasks:        m.Tasks,
+	}
+}
+
 // Observe takes a worker's message, whichever way it came, and reconciles the records with it. It returns false for one
 // that is not the newest. isHeartbeat tells heartbeats from answers to direct calls.
 func (r *Reconciler) Observe(m *zone.Machine, h *wire.Heartbeat, isHeartbeat bool) bool {
-	before := *m
+	before := stateOf(m)
 	if !m.ApplyHeartbeat(r.outbox.Now(), h, isHeartbeat) {
 		return false
 	}
-	isFirst := before.Incarnation == 0
-	if (m.SilentSince != 0) != (before.SilentSince != 0) {
+	isFirst := before.incarnation == 0
+	if silent := m.SilentSince != 0; silent != before.silent {
 		r.listener.MachineChanged(m)
 	}
 	if isFirst {
 		r.outbox.Log("worker joined", "machine", m.Name, "zone", m.Zone, "spot", m.Spot, "after_ms", (r.outbox.Now()-m.RentedAt)/1000)
 		r.listener.WorkerJoined(m)
 	} else {
-		r.checkLeaseExpiry(m, before.Incarnation)
+		r.checkLeaseExpiry(m, before.incarnation)
 	}
 	r.reconcileIncarnation(m)
 	if m.ReclaimedAt != 0 {
 		r.evictGracefully(m)
 	}
-	if !isFirst && m.FencingToken > before.FencingToken {
+	if !isFirst && m.FencingToken > before.fencingToken {
 		r.markReachable(m)
 	}
-	r.reconcileTasks(m, &before)
+	r.reconcileTasks(m, before)
 	return true
 }
 
@@ -97,8 +115,8 @@
 }
 
 // reconcileTasks passes on what the worker's tasks have come to.
-func (r *Reconciler) reconcileTasks(m, before *zone.Machine) {
-	sameIncarnation := before.Incarnation != 0 && m.Incarnation == before.Incarnation
+func (r *Reconciler) reconcileTasks(m *zone.Machine, before workerState) {
+	sameIncarnation := before.incarnation != 0 && m.Incarnation == before.incarnation
 	expected := r.replica.PlacementsOn(m.Name)
 	images := map[string]float64{}
 	for _, key := range job.SortedAttemptKeys(m.Tasks) {
@@ -111,7 +129,7 @@
 		if !open || p.Incarnation != m.Incarnation {
 			continue
 		}
-		if _, known := before.Tasks[key]; !known && sameIncarnation {
+		if _, known := before.tasks[key]; !known && sameIncarnation {
 			r.markReachable(m) // it has carried out a start
 		}
 		switch t.State {
--- a/internal/estimate/restore.go
+++ b/internal/estimate/restore.go
@@ -110,16 +110,29 @@
 	g.rebuildDistribution()
 }
 
-// restoreCoverage takes the fullest coverage of each class, for as many as are allowed.
-func (m *Model) restoreCoverage(chunks []*Chunk) {
-	fullest := map[string]storedTrust{}
+// evidence is a stored value of which several chunks may hold versions, under one name.
+type evidence[T any] interface {
+	name() string
+	fuller(other T) bool // whether it is to be preferred to another value of the same name
+}
+
+// fullestByName returns the fullest of the values that the chunks contain under each name. A value that is
+// not fuller than the zero value is left out.
+func fullestByName[T evidence[T]](chunks []*Chunk, values func(*Chunk) []T) map[string]T {
+	fullest := map[string]T{}
 	for _, c := range chunks {
-		for _, stored := range c.Trust {
-			if stored.fuller(fullest[stored.Class]) {
-				fullest[stored.Class] = stored
+		for _, stored := range values(c) {
+			if stored.fuller(fullest[stored.name()]) {
+				fullest[stored.name()] = stored
 			}
 		}
 	}
+	return fullest
+}
+
+// restoreCoverage takes the fullest coverage of each class, for as many as are allowed.
+func (m *Model) restoreCoverage(chunks []*Chunk) {
+	fullest := fullestByName(chunks, func(c *Chunk) []storedTrust { return c.Trust })
 	for class, stored := range fullest {
 		if len(m.coverage) >= m.settings.Groups || stored.Stated == 0 {
 			continue
@@ -132,6 +145,8 @@
 	}
 }
 
+func (s storedTrust) name() string { return s.Class }
+
 // fuller reports whether the coverage is to be preferred to another of the same class.
 func (s storedTrust) fuller(other storedTrust) bool {
 	return cmp.Or(cmp.Compare(s.Stated, other.Stated), slices.Compare(s.Inside[:], other.Inside[:])) > 0
@@ -139,14 +154,7 @@
 
 // restoreSpeeds takes the fullest speed of each machine, for as many as are allowed.
 func (m *Model) restoreSpeeds(chunks []*Chunk) {
-	fullest := map[string]storedSpeed{}
-	for _, c := range chunks {
-		for _, stored := range c.Speeds {
-			if stored.fuller(fullest[stored.Machine]) {
-				fullest[stored.Machine] = stored
-			}
-		}
-	}
+	fullest := fullestByName(chunks, func(c *Chunk) []storedSpeed { return c.Speeds })
 	for name, stored := range fullest {
 		if len(m.machines) >= m.settings.Machines || stored.N == 0 {
 			continue
@@ -159,6 +167,8 @@
 	}
 }
 
+func (s storedSpeed) name() string { return s.Machine }
+
 // fuller reports whether the speed is to be preferred to another of the same machine.
 func (s storedSpeed) fuller(other storedSpeed) bool {
 	return cmp.Or(cmp.Compare(s.N, other.N), cmp.Compare(s.Sum, other.Sum), cmp.Compare(s.Spread, other.Spread)) > 0
