--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -114,4 +114,9 @@
 	if !errors.As(err, &field) || field.Field != "cluster.zones" {
 		t.Errorf("a missing field: %v", err)
 	}
+	_, err = Load(write(t, "p.toml", strings.Replace(platform, "[external]", "[external", 1)), "")
+	var parse *ParseError
+	if !errors.As(err, &parse) || parse.Row == 0 || parse.Err == nil {
+		t.Errorf("not TOML: %v", err)
+	}
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -38,6 +38,23 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
+// ParseError is a platform file that does not parse.
+type ParseError struct {
+	Row, Column int    // 0: not known
+	Field       string // that is at fault, if the row is known
+	Err         error
+}
+
+func (e *ParseError) Error() string {
+	reason := schema.OneLine(e.Err.Error())
+	if e.Row == 0 {
+		return reason
+	}
+	return fmt.Sprintf("line %d column %d: field %s: %s", e.Row, e.Column, e.Field, reason)
+}
+
+func (e *ParseError) Unwrap() error { return e.Err }
+
 // Load reads the platform's file and, unless settings is empty, the operators' settings. Its errors are of type *Error, of
 // one line that names the file and, if the content is at fault, the field.
 func Load(platform, settings string) (*Config, error) {
@@ -66,11 +83,10 @@
 	var decodeError *toml.DecodeError
 	if errors.As(err, &decodeError) {
 		row, column := decodeError.Position()
-		field := strings.Join(decodeError.Key(), ".")
-		return fmt.Errorf("line %d column %d: field %s: %s", row, column, field, schema.OneLine(decodeError.Error()))
+		return &ParseError{Row: row, Column: column, Field: strings.Join(decodeError.Key(), "."), Err: decodeError}
 	}
 	if err != nil {
-		return errors.New(schema.OneLine(err.Error()))
+		return &ParseError{Err: err}
 	}
 	return p.check()
 }
--- a/internal/core/job/format.go
+++ b/internal/core/job/format.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"strconv"
 
 	"github.com/vmihailenco/msgpack/v5"
 
@@ -102,7 +101,7 @@
 	packed := Shard{DoneSet: s.DoneSet, Usage: s.Usage}
 	first := s.Open[0].Task / TasksPerShard * TasksPerShard
 	for _, key := range order {
-		tasks := strconv.FormatUint(masks[key], 16)
+		tasks := formatTaskSet(masks[key])
 		if format >= FormatPreemption {
 			packed.TimedGroups = append(packed.TimedGroups, timedGroup{First: first, Tasks: tasks, Attempt: key.attempt,
 				Machine: key.machine, Incarnation: key.incarnation, Zone: key.zone, PlacedAt: key.placedAt})
@@ -132,7 +131,7 @@
 }
 
 func (s *Shard) unpackGroup(g *timedGroup) {
-	mask, _ := strconv.ParseUint(g.Tasks, 16, 64)
+	mask := parseTaskSet(g.Tasks)
 	for i := range TasksPerShard {
 		if mask>>uint(i)&1 == 0 {
 			continue
--- a/internal/core/job/job_test.go
+++ b/internal/core/job/job_test.go
@@ -40,6 +40,14 @@
 	}
 }
 
+func TestMalformedTaskSetHasNoTasks(t *testing.T) {
+	for set, want := range map[string]int{"": 0, "5": 2, "ffffffffffffffff": 64, "x": 0, "1ffffffffffffffff": 0} {
+		if got := CountDoneSet(set); got != want {
+			t.Errorf("%q has %d tasks, want %d", set, got, want)
+		}
+	}
+}
+
 func TestShrinkKeepsPhaseAndDoneTasks(t *testing.T) {
 	r := Record{Spec: &wire.Job{}, Phase: Done, DoneTasks: 3}
 	r.Shrink()
--- a/internal/core/job/shard.go
+++ b/internal/core/job/shard.go
@@ -26,7 +26,7 @@
 func (s *Shard) IsDone(i int) bool { return s.doneMask()>>uint(i)&1 == 1 }
 
 // SetDone marks the i-th task as done.
-func (s *Shard) SetDone(i int) { s.DoneSet = formatDoneSet(s.doneMask() | 1<<uint(i)) }
+func (s *Shard) SetDone(i int) { s.DoneSet = formatTaskSet(s.doneMask() | 1<<uint(i)) }
 
 // DoneCount returns the number of done tasks.
 func (s *Shard) DoneCount() int { return bits.OnesCount64(s.doneMask()) }
@@ -94,7 +94,7 @@
 	})
 }
 
-func (s *Shard) doneMask() uint64 { return parseDoneSet(s.DoneSet) }
+func (s *Shard) doneMask() uint64 { return parseTaskSet(s.DoneSet) }
 
 // UnionDoneSets returns the bit set of the tasks that are done in either set.
 func UnionDoneSets(a, b string) string {
@@ -104,19 +104,23 @@
 	case b == "":
 		return a
 	}
-	return formatDoneSet(parseDoneSet(a) | parseDoneSet(b))
+	return formatTaskSet(parseTaskSet(a) | parseTaskSet(b))
 }
 
 // CountDoneSet returns the number of done tasks in a bit set.
-func CountDoneSet(doneSet string) int { return bits.OnesCount64(parseDoneSet(doneSet)) }
+func CountDoneSet(doneSet string) int { return bits.OnesCount64(parseTaskSet(doneSet)) }
 
-// parseDoneSet parses a hexadecimal bit set. The empty string, and one that is malformed, has no tasks.
-func parseDoneSet(doneSet string) uint64 {
-	if doneSet == "" {
+// parseTaskSet parses a hexadecimal bit set of tasks. The empty string, and one that is malformed, has no tasks.
+func parseTaskSet(set string) uint64 {
+	if set == "" {
+		return 0
+	}
+	mask, err := strconv.ParseUint(set, 16, 64)
+	if err != nil {
 		return 0
 	}
-	mask, _ := strconv.ParseUint(doneSet, 16, 64)
 	return mask
 }
 
-func formatDoneSet(mask uint64) string { return strconv.FormatUint(mask, 16) }
+// formatTaskSet formats a bit set of tasks as parseTaskSet reads it.
+func formatTaskSet(mask uint64) string { return strconv.FormatUint(mask, 16) }
--- a/internal/core/relay/relayed_heartbeats.go
+++ b/internal/core/relay/relayed_heartbeats.go
@@ -83,6 +83,7 @@
 		value, err = job.Encode(heartbeats)
 	}
 	if err != nil {
+		r.outbox.Log("relayed heartbeats not encoded", "error", err.Error())
 		return
 	}
 	r.writePending = true
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"slices"
 
@@ -11,31 +12,38 @@
 
 // ValidationError is a submission that is malformed: users hear 400 and its text.
 type ValidationError struct {
-	Field  string // on the wire; empty if it is the body as a whole
-	Reason string
+	Field string // on the wire; empty if it is the body as a whole
+	Err   error
 }
 
 func (e *ValidationError) Error() string {
 	switch {
 	case e.Field == "":
-		return e.Reason
-	case e.Reason == reasonMissing:
+		return e.Err.Error()
+	case errors.Is(e.Err, errMissing):
 		return fmt.Sprintf("field %q is missing", e.Field)
 	}
-	return fmt.Sprintf("field %q: %s", e.Field, e.Reason)
+	return fmt.Sprintf("field %q: %v", e.Field, e.Err)
 }
 
-const reasonMissing = "missing"
+func (e *ValidationError) Unwrap() error { return e.Err }
+
+var (
+	errMissing      = errors.New("missing")
+	errBodyTooLarge = errors.New("body too large")
+	errNotMap       = errors.New("body is not a map")
+	errNeedsItself  = errors.New("the job itself")
+)
 
 // ParseJob reads and checks a submission. Its errors are of type *ValidationError. When the ID could be read it is
 // returned even along with an error, since a job that is known already is answered whatever a retry holds.
 func ParseJob(body []byte) (Job, error) {
 	var j Job
 	if len(body) > MaxBody {
-		return j, &ValidationError{Reason: "body too large"}
+		return j, &ValidationError{Err: errBodyTooLarge}
 	}
 	if err := Check(body); err != nil {
-		return j, &ValidationError{Reason: err.Error()}
+		return j, &ValidationError{Err: err}
 	}
 	present, err := readFields(body, &j)
 	if err != nil {
@@ -43,14 +51,14 @@
 	}
 	for _, name := range requiredFields {
 		if !present[name] {
-			return j, &ValidationError{Field: name, Reason: reasonMissing}
+			return j, &ValidationError{Field: name, Err: errMissing}
 		}
 	}
 	if j.Shape == Service {
 		j.EstimateS = 0
 	}
 	if slices.Contains(j.Needs, j.ID) {
-		return j, &ValidationError{Field: "awaits", Reason: "the job itself"}
+		return j, &ValidationError{Field: "awaits", Err: errNeedsItself}
 	}
 	return j, nil
 }
@@ -61,33 +69,33 @@
 	d := msgpack.NewDecoder(bytes.NewReader(body))
 	code, err := d.PeekCode()
 	if err != nil || !isMap(code) {
-		return nil, &ValidationError{Reason: "body is not a map"}
+		return nil, &ValidationError{Err: errNotMap}
 	}
 	n, err := d.DecodeMapLen()
 	if err != nil {
-		return nil, &ValidationError{Reason: fmt.Sprintf("body: %v", err)}
+		return nil, &ValidationError{Err: fmt.Errorf("body: %w", err)}
 	}
 	present = map[string]bool{}
 	var invalid error
 	for range n {
 		name, err := decodeText(d)
 		if err != nil {
-			return nil, &ValidationError{Reason: fmt.Sprintf("field name: %v", err)}
+			return nil, &ValidationError{Err: fmt.Errorf("field name: %w", err)}
 		}
 		set, known := jobFields[name]
 		if !known {
 			if err := d.Skip(); err != nil {
-				return nil, &ValidationError{Field: name, Reason: err.Error()}
+				return nil, &ValidationError{Field: name, Err: err}
 			}
 			continue
 		}
 		raw, err := d.DecodeRaw()
 		if err != nil {
-			return nil, &ValidationError{Field: name, Reason: err.Error()}
+			return nil, &ValidationError{Field: name, Err: err}
 		}
 		present[name], err = set(j, raw)
 		if err != nil && invalid == nil {
-			invalid = &ValidationError{Field: name, Reason: err.Error()}
+			invalid = &ValidationError{Field: name, Err: err}
 		}
 	}
 	return present, invalid
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -182,4 +182,16 @@
 	if !errors.As(err, &invalid) || invalid.Field != "gpus" || err.Error() != `field "gpus": not a number` {
 		t.Errorf("%v", err)
 	}
+	delete(m, "gpus")
+	if raw, err = Marshal(m); err != nil {
+		t.Fatal(err)
+	}
+	_, err = ParseJob(raw)
+	if !errors.Is(err, errMissing) || err.Error() != `field "gpus" is missing` {
+		t.Errorf("%v", err)
+	}
+	_, err = ParseJob(raw[:len(raw)-1])
+	if !errors.Is(err, errShort) || err.Error() != "message ends early" {
+		t.Errorf("%v", err)
+	}
 }
