--- a/internal/core/relay/relayed_heartbeats.go
+++ b/internal/core/relay/relayed_heartbeats.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"slices"
-	"sort"
 
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
@@ -84,6 +83,7 @@
 		value, err = job.Encode(heartbeats)
 	}
 	if err != nil {
+		r.outbox.Log("relayed heartbeats not encoded", "error", err.Error())
 		return
 	}
 	r.writePending = true
@@ -98,13 +98,16 @@
 // queuedByNovelty returns the queued heartbeats, those that say something new first, in the order of
 // machines.
 func (r *Relay) queuedByNovelty() []RelayedHeartbeat {
-	var heartbeats []RelayedHeartbeat
+	var changed, unchanged []RelayedHeartbeat
 	for _, machine := range slices.Sorted(maps.Keys(r.queued)) {
-		heartbeats = append(heartbeats, r.queued[machine])
+		h := r.queued[machine]
+		if h.differsFrom(r.written[machine]) {
+			changed = append(changed, h)
+		} else {
+			unchanged = append(unchanged, h)
+		}
 	}
-	isNew := func(h RelayedHeartbeat) bool { return h.differsFrom(r.written[h.Machine]) }
-	sort.SliceStable(heartbeats, func(i, j int) bool { return isNew(heartbeats[i]) && !isNew(heartbeats[j]) })
-	return heartbeats
+	return append(changed, unchanged...)
 }
 
 func (r *Relay) writeDone(heartbeats []RelayedHeartbeat, done msg.CommitDone) {
