--- a/cmd/coralhub/faulttest.go
+++ b/cmd/coralhub/faulttest.go
@@ -143,7 +143,9 @@
 	opt := faulttest.Options{Program: program, Seed: f.seed, Settings: f.settings, Log: f.logLevel, Dir: folder}
 	screen := f.showProgress(ctx, stop, out, s, &opt)
 	res, err := faulttest.Run(ctx, s, opt)
-	screen.Close()
+	if screenErr := screen.Close(); screenErr != nil {
+		fmt.Fprintln(os.Stderr, "coralhub: the progress could not be shown:", screenErr)
+	}
 	if err != nil && ctx.Err() != nil {
 		return nil, err
 	}
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -10,6 +10,8 @@
 	"net"
 	"sync"
 	"time"
+
+	"coralhub/internal/wait"
 )
 
 // Mode is what a proxy does with connections.
@@ -49,6 +51,8 @@
 // Proxy forwards connections to a target.
 type Proxy struct {
 	name, target, addr string
+	ctx                context.Context // ends when the proxy is closed
+	stop               context.CancelFunc
 
 	mu        sync.Mutex
 	listener  net.Listener // nil while connections are refused
@@ -57,9 +61,8 @@
 	delay     time.Duration
 	change    chan struct{} // is closed, and replaced, when the mode changes or the proxy is closed
 	conns     map[*forwarded]bool
-	closed    bool
 	onFailure func(error) // may be nil
-	wg        sync.WaitGroup
+	running   sync.WaitGroup
 }
 
 // forwarded is a connection of a client and the one to the target that it is forwarded on.
@@ -75,7 +78,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("proxy %s: %w", name, err)
 	}
+	ctx, stop := context.WithCancel(context.Background())
 	p := &Proxy{
+		ctx:      ctx,
+		stop:     stop,
 		name:     name,
 		target:   target,
 		addr:     l.Addr().String(),
@@ -84,8 +90,7 @@
 		change:   make(chan struct{}),
 		conns:    map[*forwarded]bool{},
 	}
-	p.wg.Add(1)
-	go p.accept(l)
+	p.running.Go(func() { p.accept(l) })
 	return p, nil
 }
 
@@ -101,7 +106,7 @@
 // syscall.EADDRINUSE.
 func (p *Proxy) Set(mode Mode, direction Direction) error {
 	p.mu.Lock()
-	if p.closed {
+	if p.closed() {
 		p.mu.Unlock()
 		return net.ErrClosed
 	}
@@ -174,43 +179,49 @@
 
 // listen listens again on the proxy's address.
 func (p *Proxy) listen() error {
-	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", p.addr)
+	l, err := new(net.ListenConfig).Listen(p.ctx, "tcp", p.addr)
 	if err != nil {
 		return fmt.Errorf("proxy %s: %w", p.name, err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed {
+	if p.closed() {
 		return l.Close()
 	}
 	p.listener = l
-	p.wg.Add(1)
-	go p.accept(l)
+	p.running.Go(func() { p.accept(l) })
 	return nil
 }
 
-// Close ends the proxy and its connections, and waits until they have ended.
+// closed reports whether the proxy is closed. It doesn't become so while p.mu is held.
+func (p *Proxy) closed() bool { return p.ctx.Err() != nil }
+
+// Close ends the proxy and its connections, and waits until all its goroutines have ended. An error of
+// closing its port is reported as a failure.
 func (p *Proxy) Close() {
 	p.mu.Lock()
-	p.closed = true
-	if p.listener != nil {
-		_ = p.listener.Close()
-	}
+	p.stop()
+	listener := p.listener
+	p.listener = nil
 	p.signalChange()
 	conns := make([]*forwarded, 0, len(p.conns))
 	for c := range p.conns {
 		conns = append(conns, c)
 	}
 	p.mu.Unlock()
+	if listener != nil {
+		if err := listener.Close(); err != nil {
+			p.reportFailure(err)
+		}
+	}
 	for _, c := range conns {
 		c.reset()
 	}
-	p.wg.Wait()
+	p.running.Wait()
 }
 
 // accept serves the connections of a listener until it is closed.
 func (p *Proxy) accept(l net.Listener) {
-	defer p.wg.Done()
 	for {
 		conn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -218,28 +229,28 @@
 		}
 		if err != nil { // most likely this process can open no more files: a later connection may succeed
 			p.reportFailure(err)
-			time.Sleep(acceptPause)
+			wait.For(p.ctx, acceptPause)
 			continue
 		}
-		p.wg.Add(1)
-		go p.serve(conn)
+		p.running.Go(func() { p.serve(conn) })
 	}
 }
 
 // serve forwards a connection until it ends.
 func (p *Proxy) serve(client net.Conn) {
-	defer p.wg.Done()
 	p.mu.Lock()
-	mode, closed := p.mode, p.closed
+	mode, closed := p.mode, p.closed()
 	p.mu.Unlock()
 	c := &forwarded{client: client, acceptedIn: mode}
 	if mode == Reset || closed {
 		c.reset()
 		return
 	}
-	target, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(context.Background(), "tcp", p.target)
+	target, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(p.ctx, "tcp", p.target)
 	if err != nil {
-		p.reportFailure(err)
+		if !p.closed() {
+			p.reportFailure(err)
+		}
 		c.reset()
 		return
 	}
@@ -255,6 +266,7 @@
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
+	// Whatever a pump or reset has left open; what they have closed, they have closed for good.
 	_ = client.Close()
 	_ = target.Close()
 }
@@ -263,7 +275,7 @@
 func (p *Proxy) register(c *forwarded) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed {
+	if p.closed() {
 		return false
 	}
 	p.conns[c] = true
@@ -307,7 +319,7 @@
 func (p *Proxy) awaitPass(c *forwarded, direction Direction) bool {
 	for {
 		p.mu.Lock()
-		mode, change, delay, closed := p.mode, p.change, p.delay, p.closed
+		mode, change, delay, closed := p.mode, p.change, p.delay, p.closed()
 		affected := p.direction == Both || p.direction == direction
 		if affected && mode == Drop {
 			c.dropped = true
@@ -323,10 +335,7 @@
 			c.reset()
 			return false
 		default:
-			if delay > 0 {
-				time.Sleep(delay)
-			}
-			return true
+			return delay <= 0 || wait.For(p.ctx, delay)
 		}
 	}
 }
--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -190,8 +190,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.wg.Add(1)
-	go p.accept(&outOfFilesListener{Listener: l})
+	p.running.Go(func() { p.accept(&outOfFilesListener{Listener: l}) })
 	if err := <-failures; !errors.Is(err, syscall.EMFILE) {
 		t.Errorf("reported %v", err)
 	}
--- a/internal/faulttest/run.go
+++ b/internal/faulttest/run.go
@@ -274,7 +274,12 @@
 		return
 	}
 	r.logf("no more jobs come")
-	r.awaitEnd(ctx, began, &finite)
+	ended := make(chan struct{})
+	background.Go(func() {
+		finite.Wait()
+		close(ended)
+	})
+	r.awaitEnd(ctx, began, ended)
 }
 
 // submitJobs starts the user of each job at its time, of services in the group of services and
@@ -295,14 +300,9 @@
 	return true
 }
 
-// awaitEnd waits for the scenario's duration, over which services are watched, and then until the
-// jobs that end by themselves have ended or the time to settle is over.
-func (r *run) awaitEnd(ctx context.Context, began time.Time, finite *sync.WaitGroup) {
-	ended := make(chan struct{})
-	go func() {
-		finite.Wait()
-		close(ended)
-	}()
+// awaitEnd waits for the scenario's duration, over which services are watched, and then until ended is
+// closed, since the jobs that end by themselves have ended, or the time to settle is over.
+func (r *run) awaitEnd(ctx context.Context, began time.Time, ended <-chan struct{}) {
 	until := func(seconds float64) time.Duration { return time.Until(began.Add(duration(seconds))) }
 	if !wait.For(ctx, until(r.scenario.DurationS)) {
 		return
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -27,6 +27,7 @@
 	gangWait          time.Duration
 	gangPeer          time.Duration
 	meter             meter
+	background        sync.WaitGroup // the goroutines of all workers; only Run's goroutine adds to it
 
 	outMu sync.Mutex
 	out   *json.Encoder
@@ -35,13 +36,13 @@
 	workersStarted int // workers that were ever started
 	workers        map[string]*worker
 	jobs           map[string]*Job
+	serveErr       error // of the workers' servers that ended by themselves
 }
 
-// Run hosts workers until its input or ctx ends. Input and output are lines of JSON: a Config and
-// then Commands are read, Events are written. The error says which line was invalid.
+// Run hosts workers until its input ends; the workers end with ctx if that is earlier. When it returns,
+// all its goroutines have ended. Input and output are lines of JSON: a Config and then Commands are
+// read, Events are written. The error says which line was invalid, or why a worker could not listen on.
 func Run(ctx context.Context, in io.Reader, out io.Writer) error {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
 	lines := json.NewDecoder(bufio.NewReader(in))
 	var config Config
 	if err := lines.Decode(&config); err != nil {
@@ -51,6 +52,14 @@
 		return errors.New("hollow workers: a configuration needs nodes, report_s and lease_s")
 	}
 	h := newHost(config, out)
+	ctx, stop := context.WithCancel(ctx)
+	err := h.handleAll(ctx, lines)
+	stop()
+	return errors.Join(err, h.close())
+}
+
+// handleAll executes commands until there are no more.
+func (h *Host) handleAll(ctx context.Context, lines *json.Decoder) error {
 	for {
 		var c Command
 		err := lines.Decode(&c)
@@ -64,6 +73,22 @@
 	}
 }
 
+// close waits for the workers, whose context has ended, and returns the errors of their servers.
+func (h *Host) close() error {
+	h.forEachWorker((*worker).abandonTasks)
+	h.background.Wait()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.serveErr
+}
+
+// serveFailed notes that a worker's server has ended by itself.
+func (h *Host) serveFailed(machine string, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.serveErr = errors.Join(h.serveErr, fmt.Errorf("worker of %s: %w", machine, err))
+}
+
 func newHost(config Config, out io.Writer) *Host {
 	return &Host{
 		config:            config,
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"net/http"
 	"sync"
@@ -19,6 +20,8 @@
 	nextNodePause = time.Second
 	// maxRedirectPause bounds the pause before a worker follows a redirection.
 	maxRedirectPause = 500 * time.Millisecond
+	// readHeaderTimeout is how long the header of a request to a worker may take.
+	readHeaderTimeout = 10 * time.Second
 )
 
 // worker is the worker of one machine.
@@ -79,17 +82,29 @@
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
-	server := &http.Server{Handler: w, ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = server.Serve(w.listener) }() // ends when it is closed
-	context.AfterFunc(ctx, func() {
-		_ = server.Close()
-		w.client.CloseIdleConnections()
-	})
-	go w.sendHeartbeats(ctx)
-	go w.watchLease(ctx)
+	h.background.Go(func() { w.serve(ctx) })
+	h.background.Go(func() { w.sendHeartbeats(ctx) })
+	h.background.Go(func() { w.watchLease(ctx) })
 	return w, nil
 }
 
+// serve serves the worker's listener until ctx ends.
+func (w *worker) serve(ctx context.Context) {
+	server := &http.Server{Handler: w, ReadHeaderTimeout: readHeaderTimeout}
+	var serving sync.WaitGroup
+	serving.Go(func() {
+		if err := server.Serve(w.listener); !errors.Is(err, http.ErrServerClosed) {
+			w.host.serveFailed(w.machine.Name, err)
+		}
+	})
+	<-ctx.Done()
+	if err := server.Close(); err != nil {
+		w.host.serveFailed(w.machine.Name, err)
+	}
+	w.client.CloseIdleConnections()
+	serving.Wait()
+}
+
 // sendHeartbeats sends heartbeats until ctx ends.
 func (w *worker) sendHeartbeats(ctx context.Context) {
 	timer := time.NewTimer(time.Duration(w.host.random() * float64(w.host.heartbeatInterval)))
@@ -244,7 +259,7 @@
 	w.restarting = true
 	w.mu.Unlock()
 	w.client.CloseIdleConnections()
-	go func() {
+	w.host.background.Go(func() {
 		if !w.host.sleep(ctx, downtime) {
 			return
 		}
@@ -253,7 +268,7 @@
 		w.restarting = false
 		w.renewedAt = time.Now()
 		w.requestHeartbeat()
-	}()
+	})
 }
 
 // remove removes the machine with all its tasks.
@@ -267,3 +282,16 @@
 	w.tasks = nil
 	w.removed = true
 }
+
+// abandonTasks has no timer of a task take effect any more, without events: the process ends.
+func (w *worker) abandonTasks() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, t := range w.tasks {
+		if t.timer != nil {
+			t.timer.Stop()
+		}
+	}
+	w.tasks = nil
+	w.removed = true
+}
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -20,12 +20,9 @@
 	wake  chan struct{}
 }
 
-// newHost returns the host of a process, and starts sending the commands that are enqueued until the
-// process ends.
+// newHost returns the host of a process.
 func newHost(p *process.Process) *host {
-	h := &host{Process: p, usage: make(chan hollow.Usage, 1), wake: make(chan struct{}, 1)}
-	go h.send(p.Input())
-	return h
+	return &host{Process: p, usage: make(chan hollow.Usage, 1), wake: make(chan struct{}, 1)}
 }
 
 // enqueue enqueues a command to be sent in the order of calls. It never blocks: the caller may hold a
--- a/internal/scale/machines.go
+++ b/internal/scale/machines.go
@@ -40,7 +40,7 @@
 			start()
 			return
 		}
-		time.AfterFunc(up, start)
+		r.startLater(up, start)
 	case invariants.MachineGone:
 		r.mu.Lock()
 		h := r.hostByMachine[e.Machine]
@@ -55,6 +55,15 @@
 	}
 }
 
+// startLater calls f after a machine has booted, unless the region is closed by then.
+func (r *region) startLater(boot time.Duration, f func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.closed {
+		r.boots = append(r.boots, time.AfterFunc(boot, f))
+	}
+}
+
 // assign assigns a machine to the process with the fewest workers.
 func (r *region) assign(machine string) *host {
 	r.mu.Lock()
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -37,11 +38,17 @@
 	hosts        []*host
 	gangs        gangs
 
+	ctx        context.Context // ends when the region is closed
+	stop       context.CancelFunc
+	background sync.WaitGroup // all goroutines that the region has started
+
 	mu            sync.Mutex
 	events        []invariants.Event
 	hostByMachine map[string]*host // by machine
 	listening     int              // number of machines whose workers listen
 	faults        faultCounts
+	boots         []*time.Timer // of machines that were rented
+	closed        bool          // no more timers may be added
 }
 
 // faultCounts counts the injected faults of machines.
@@ -50,9 +57,12 @@
 	Restarted int `json:"restarted"`
 }
 
-func newRegion(s *Settings, opt *run, number int) *region {
+func newRegion(ctx context.Context, s *Settings, opt *run, number int) *region {
 	name := "region-" + strconv.Itoa(number)
+	ctx, stop := context.WithCancel(ctx)
 	return &region{
+		ctx:           ctx,
+		stop:          stop,
 		settings:      s,
 		run:           opt,
 		name:          name,
@@ -66,7 +76,7 @@
 
 // start starts everything and returns when all controllers are ready and all workers listen.
 func (r *region) start(ctx context.Context) error {
-	if err := r.startServers(ctx); err != nil {
+	if err := r.startServers(); err != nil {
 		return err
 	}
 	if err := r.startControllers(ctx); err != nil {
@@ -83,7 +93,7 @@
 const keptRevisions = 10_000
 
 // startServers starts the emulators of the state service and the cloud.
-func (r *region) startServers(ctx context.Context) error {
+func (r *region) startServers() error {
 	s := r.settings
 	r.servers.State.Keep = keptRevisions
 	r.servers.State.ValueBytes = int(s.State.ValueKB * 1024)
@@ -105,7 +115,7 @@
 	if r.cloudAddress, err = r.serve(r.servers.CloudHandler()); err != nil {
 		return err
 	}
-	go wait.Every(ctx, expireInterval, r.servers.Expire)
+	r.background.Go(func() { wait.Every(r.ctx, expireInterval, r.servers.Expire) })
 	return nil
 }
 
@@ -114,13 +124,17 @@
 
 // serve starts an HTTP server on a loopback port and returns its address.
 func (r *region) serve(h http.Handler) (string, error) {
-	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(r.ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	r.listeners = append(r.listeners, server)
-	go func() { _ = server.Serve(l) }() // ends when it is closed
+	r.background.Go(func() {
+		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			r.run.fail(fmt.Errorf("%s: a server has ended: %w", r.name, err))
+		}
+	})
 	return l.Addr().String(), nil
 }
 
@@ -146,16 +160,17 @@
 		if err != nil {
 			return err
 		}
-		if err := json.NewEncoder(p.Input()).Encode(&c); err != nil {
-			return fmt.Errorf("hollow workers: %w", err)
-		}
 		h := newHost(p)
 		r.hosts = append(r.hosts, h)
-		go r.readEvents(h, read)
-		go func() {
+		r.background.Go(func() { r.readEvents(h, read) })
+		r.background.Go(func() {
 			<-p.Gone()
-			_ = write.Close()
-		}()
+			_ = write.Close() // always nil, see io.PipeWriter
+		})
+		if err := json.NewEncoder(p.Input()).Encode(&c); err != nil {
+			return fmt.Errorf("hollow workers: %w", err)
+		}
+		r.background.Go(func() { h.send(p.Input()) })
 	}
 	return nil
 }
@@ -167,12 +182,17 @@
 	}
 }
 
-// readEvents handles the events of a process of hollow workers until it ends.
-func (r *region) readEvents(h *host, from io.Reader) {
+// readEvents handles the events of a process of hollow workers until it ends. That a process has ended
+// before the run has is noticed when it is measured.
+func (r *region) readEvents(h *host, from *io.PipeReader) {
 	events := json.NewDecoder(from)
 	for {
 		var e hollow.Event
-		if events.Decode(&e) != nil {
+		if err := events.Decode(&e); err != nil {
+			if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+				r.run.fail(fmt.Errorf("%s: events of hollow workers: %w", r.name, err))
+			}
+			_ = from.CloseWithError(err) // always nil; the process must not block on its output
 			return
 		}
 		switch {
@@ -181,7 +201,10 @@
 		case e.Task != nil:
 			r.taskChanged(e.At, e.Task)
 		case e.Usage != nil:
-			h.usage <- *e.Usage
+			select {
+			case h.usage <- *e.Usage:
+			case <-r.ctx.Done():
+			}
 		}
 	}
 }
@@ -215,8 +238,9 @@
 // now returns the Unix time in microseconds, the clock of all processes of a run.
 func now() int64 { return time.Now().UnixMicro() }
 
-// close kills all processes and waits for their end.
+// close kills all processes, and waits for their end and that of all goroutines of the region.
 func (r *region) close() {
+	r.stop()
 	for _, c := range r.controllers {
 		c.kill()
 	}
@@ -224,7 +248,21 @@
 		kill(h.Process)
 	}
 	for _, s := range r.listeners {
-		_ = s.Close()
+		if err := s.Close(); err != nil {
+			r.run.logf("%s: a server was not closed: %v", r.name, err)
+		}
+	}
+	r.stopBoots()
+	r.background.Wait()
+}
+
+// stopBoots has no more machines boot.
+func (r *region) stopBoots() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.closed = true
+	for _, t := range r.boots {
+		t.Stop()
 	}
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -4,8 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"math"
-	"math/rand/v2"
 	"os"
 	"sync"
 	"time"
@@ -52,8 +50,6 @@
 	ownMB    = 500
 	// memoryCheckInterval is how often the memory in use is checked.
 	memoryCheckInterval = time.Second
-	// unfinishedPollInterval is how often is checked whether jobs are left.
-	unfinishedPollInterval = 200 * time.Millisecond
 )
 
 // plan computes how many processes a run needs. The error says why the run can't be made.
@@ -122,22 +118,24 @@
 		return nil, err
 	}
 	ctx, o.stop = context.WithCancel(ctx)
-	defer o.stop()
+	var background sync.WaitGroup
 	var regions []*region
 	defer func() {
+		o.stop()
+		background.Wait()
 		for _, r := range regions {
 			r.close()
 		}
 	}()
 	for i := range s.Regions {
-		regions = append(regions, newRegion(&s, o, i))
+		regions = append(regions, newRegion(ctx, &s, o, i))
 	}
 	start := time.Now()
 	if err := each(regions, func(r *region) error { return r.start(ctx) }); err != nil {
 		return nil, o.failureOr(err)
 	}
 	o.logf("%d regions of %d controllers serve; %d workers listen after %.1f s", s.Regions, s.Controllers, s.Regions*s.Workers, time.Since(start).Seconds())
-	go o.watchMemory(ctx, regions)
+	background.Go(func() { o.watchMemory(ctx, regions) })
 	results := make([]RegionResult, len(regions))
 	err := each(regions, func(r *region) error {
 		res, err := r.measure(ctx, s.Seed+uint64(r.number))
@@ -195,59 +193,5 @@
 	return used
 }
 
-// measure generates load in a region and measures it.
-func (r *region) measure(ctx context.Context, seed uint64) (*RegionResult, error) {
-	s := r.settings
-	followCtx, stopFollowing := context.WithCancel(ctx)
-	defer stopFollowing()
-	loadCtx, stopLoad := context.WithCancel(ctx)
-	defer stopLoad()
-	u := newUsers(r)
-	defer u.client.HTTP.CloseIdleConnections()
-	var followed, background sync.WaitGroup
-	background.Go(func() { u.probe(followCtx) })
-	background.Go(func() { r.injectFaults(loadCtx, rand.New(rand.NewPCG(seed, math.MaxUint32))) })
-	for class := range s.Classes {
-		background.Go(func() {
-			u.submitUntil(loadCtx, followCtx, class, rand.New(rand.NewPCG(seed, uint64(class))), &followed)
-		})
-	}
-	if !wait.For(ctx, seconds(s.RampS)) {
-		return nil, ctx.Err()
-	}
-	first, err := r.sample(ctx)
-	if err != nil {
-		return nil, err
-	}
-	r.run.logf("%s: measuring", r.name)
-	if !wait.For(ctx, seconds(s.DurationS)) {
-		return nil, ctx.Err()
-	}
-	last, err := r.sample(ctx)
-	if err != nil {
-		return nil, err
-	}
-	stopLoad()
-	r.run.logf("%s: no more jobs come", r.name)
-	u.waitUntilFinished(ctx, seconds(s.SettleS))
-	stopFollowing()
-	followed.Wait()
-	background.Wait()
-	if err := ctx.Err(); err != nil {
-		return nil, err
-	}
-	return r.result(u, &first, &last), nil
-}
-
-// waitUntilFinished waits until all accepted jobs have ended, up to a timeout.
-func (u *users) waitUntilFinished(ctx context.Context, timeout time.Duration) {
-	deadline := time.Now().Add(timeout)
-	for u.unfinished() > 0 && time.Now().Before(deadline) {
-		if !wait.For(ctx, unfinishedPollInterval) {
-			return
-		}
-	}
-}
-
 // seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -8,6 +8,7 @@
 	"os"
 	"slices"
 	"strings"
+	"sync"
 
 	tea "charm.land/bubbletea/v2"
 
@@ -17,28 +18,34 @@
 // Screen is a terminal that shows a fault test.
 type Screen struct {
 	program *tea.Program
-	done    chan struct{}
+	running sync.WaitGroup
+	err     error // why the program has ended, other than by Close or a key
 }
 
-// Open takes over the terminal f. It calls stop if somebody presses q or Ctrl-C there.
+// Open takes over the terminal f until ctx ends or the screen is closed. It calls stop if somebody presses
+// q or Ctrl-C there. If the terminal can't be used, the test continues unseen, and Close says why.
 func Open(ctx context.Context, f *os.File, stop func(), title string) *Screen {
-	s := &Screen{program: tea.NewProgram(model{title: title, stop: stop}, tea.WithContext(ctx), tea.WithOutput(f)), done: make(chan struct{})}
-	go func() {
-		defer close(s.done)
-		_, _ = s.program.Run() // without a terminal the test continues unseen
-	}()
+	s := &Screen{program: tea.NewProgram(model{title: title, stop: stop}, tea.WithContext(ctx), tea.WithOutput(f))}
+	s.running.Go(func() {
+		if _, err := s.program.Run(); ctx.Err() == nil {
+			s.err = err
+		}
+	})
 	return s
 }
 
 // Show shows the status of a test.
 func (s *Screen) Show(st faulttest.Status) { s.program.Send(st) }
 
-// Close releases the terminal. It does nothing for a nil Screen.
-func (s *Screen) Close() {
-	if s != nil {
-		s.program.Quit()
-		<-s.done
+// Close releases the terminal and waits until nothing draws on it any more. The error says why the
+// terminal could not be used. It does nothing for a nil Screen.
+func (s *Screen) Close() error {
+	if s == nil {
+		return nil
 	}
+	s.program.Quit()
+	s.running.Wait()
+	return s.err
 }
 
 // model is the state of the view.
