--- a/cmd/coralhub/estimate.go
+++ b/cmd/coralhub/estimate.go
@@ -139,7 +139,7 @@
 				w = f
 			}
 			r := &recorder.Recorder{Nodes: nodes, Client: &http.Client{Timeout: 5 * time.Second}, Report: func(s string) { fmt.Fprintln(cmd.ErrOrStderr(), s) }}
-			return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
+			return runUntilSignal(cmd.Context(), func(ctx context.Context, _ context.CancelFunc) error {
 				if span > 0 {
 					var cancel context.CancelFunc
 					ctx, cancel = context.WithTimeout(ctx, span)
--- a/cmd/coralhub/experiment.go
+++ b/cmd/coralhub/experiment.go
@@ -33,7 +33,7 @@
 			if err != nil {
 				return err
 			}
-			return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
+			return runUntilSignal(cmd.Context(), func(ctx context.Context, _ context.CancelFunc) error {
 				folder, err := runFolder(dir, e.Name)
 				if err != nil {
 					return err
--- a/cmd/coralhub/faulttest.go
+++ b/cmd/coralhub/faulttest.go
@@ -7,9 +7,7 @@
 	"fmt"
 	"io"
 	"os"
-	"os/signal"
 	"path/filepath"
-	"syscall"
 	"text/tabwriter"
 	"time"
 
@@ -72,9 +70,9 @@
 		Example: "  coralhub faulttest run surge\n  coralhub faulttest run --plain --seed 7 leader-killed ./my-night.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			return flags.playAll(ctx, stop, cmd.OutOrStdout(), args)
+			return runUntilSignal(cmd.Context(), func(ctx context.Context, stop context.CancelFunc) error {
+				return flags.playAll(ctx, stop, cmd.OutOrStdout(), args)
+			})
 		},
 	}
 	f := cmd.Flags()
@@ -256,10 +254,3 @@
 	cmd.Flags().StringVar(&out, "out", "", "the page's `FILE`; otherwise report.html beside the result")
 	return cmd
 }
-
-// runUntilSignal runs f until it ends or the program is told to.
-func runUntilSignal(ctx context.Context, f func(context.Context) error) error {
-	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	return f(ctx)
-}
--- a/cmd/coralhub/load.go
+++ b/cmd/coralhub/load.go
@@ -27,7 +27,7 @@
 			if opt.Spec.Shape, ok = wire.ParseShape(shape); !ok {
 				return fmt.Errorf("--shape %q: neither array, gang nor service", shape)
 			}
-			return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
+			return runUntilSignal(cmd.Context(), func(ctx context.Context, _ context.CancelFunc) error {
 				res, err := load.Run(ctx, opt)
 				if err != nil {
 					return err
--- a/cmd/coralhub/scale.go
+++ b/cmd/coralhub/scale.go
@@ -55,7 +55,9 @@
 			if flags.Changed("duration") {
 				s.DurationS = over.duration
 			}
-			return runUntilSignal(cmd.Context(), func(ctx context.Context) error { return runScale(ctx, cmd, s, dir, level, asJSON) })
+			return runUntilSignal(cmd.Context(), func(ctx context.Context, _ context.CancelFunc) error {
+				return runScale(ctx, cmd, s, dir, level, asJSON)
+			})
 		},
 	}
 	f := cmd.Flags()
--- a/cmd/coralhub/up.go
+++ b/cmd/coralhub/up.go
@@ -38,7 +38,7 @@
 		Example: "  coralhub up\n  coralhub up --nodes 5 --machines 200 --data ./cluster",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return runUntilSignal(cmd.Context(), func(ctx context.Context) error {
+			return runUntilSignal(cmd.Context(), func(ctx context.Context, _ context.CancelFunc) error {
 				return flags.run(ctx, cmd.OutOrStdout())
 			})
 		},
--- a/internal/faulttest/inject.go
+++ b/internal/faulttest/inject.go
@@ -112,14 +112,14 @@
 // are in seconds.
 func (r *run) scheduleFault(f *Fault, at, lasts float64) []scheduledAction {
 	var undo func()
-	begin := scheduledAction{duration(at), func() {
+	begin := scheduledAction{wait.Seconds(at), func() {
 		r.mark(f, "begins")
 		undo = r.injectFault(f)
 	}}
 	if lasts <= 0 {
 		return []scheduledAction{begin}
 	}
-	end := scheduledAction{duration(at + lasts), func() {
+	end := scheduledAction{wait.Seconds(at + lasts), func() {
 		if undo != nil {
 			r.mark(f, "ends")
 			undo()
@@ -140,8 +140,5 @@
 	r.marks = append(r.marks, Mark{At: inSeconds(r.now()), What: fmt.Sprint(text, " ", what)})
 }
 
-// duration converts seconds.
-func duration(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
-
 // inSeconds converts microseconds.
 func inSeconds(micros int64) float64 { return float64(micros) / 1e6 }
--- a/internal/faulttest/plan.go
+++ b/internal/faulttest/plan.go
@@ -9,6 +9,7 @@
 
 	"coralhub/internal/config"
 	"coralhub/internal/emulator"
+	"coralhub/internal/wait"
 	"coralhub/wire"
 )
 
@@ -104,7 +105,7 @@
 	runS := c.RunS * math.Exp(c.RunSpread*random.NormFloat64())
 	tasks := c.Tasks[0] + random.IntN(c.Tasks[1]-c.Tasks[0]+1)
 	image := random.IntN(max(c.Images, 1))
-	planned := plannedJob{at: duration(at), class: c, run: config.FromSeconds(runS)}
+	planned := plannedJob{at: wait.Seconds(at), class: c, run: config.FromSeconds(runS)}
 	planned.job = wire.Job{
 		ID:          fmt.Sprintf("j-%06d", len(p.jobs)+1),
 		Class:       c.Name,
@@ -131,7 +132,7 @@
 		planned.job.DeadlineS = &deadline
 	}
 	if random.Float64() < c.Cancelled {
-		planned.cancelIn = duration(cancelAfterLeastS + cancelAfterSpreadS*random.Float64())
+		planned.cancelIn = wait.Seconds(cancelAfterLeastS + cancelAfterSpreadS*random.Float64())
 	}
 	p.jobs = append(p.jobs, planned)
 }
--- a/internal/faulttest/run.go
+++ b/internal/faulttest/run.go
@@ -189,12 +189,6 @@
 // clusterOptions says what cluster the scenario needs.
 func (r *run) clusterOptions() cluster.Options {
 	d := &r.scenario.Deploy
-	capacity := map[string]int{}
-	spotCapacity := map[string]int{}
-	for i, zone := range d.Zones {
-		capacity[zone] = evenShare(d.Machines, len(d.Zones), i)
-		spotCapacity[zone] = evenShare(d.Spot, len(d.Zones), i)
-	}
 	return cluster.Options{
 		Program:      r.opt.Program,
 		Dir:          r.opt.Dir,
@@ -202,11 +196,11 @@
 		Settings:     r.opt.Settings,
 		Log:          r.opt.Log,
 		Cluster:      r.deployment(),
-		Capacity:     capacity,
+		Capacity:     emulator.CapacityByZone(d.Machines, d.Zones),
 		Boot:         config.FromSeconds(d.BootS),
 		Watch:        r.record,
 		Failed:       r.connectionFailed,
-		RestartAfter: duration(d.RestartAfterS),
+		RestartAfter: wait.Seconds(d.RestartAfterS),
 		Types: []wire.MachineType{{
 			Name: "m", CPUs: 16 * d.GPUs, GPUs: d.GPUs, MemoryGB: 64 * d.GPUs, CacheGB: 500, FetchGBs: 0.4,
 			Price: 4, SpotPrice: 2, BootS: d.BootS, Zones: d.Zones,
@@ -217,21 +211,12 @@
 			BootNever:    d.BootNeverShare,
 			ListLag:      config.FromSeconds(d.ListLagS),
 			Speed:        d.SpeedSpread,
-			SpotCapacity: spotCapacity,
+			SpotCapacity: emulator.CapacityByZone(d.Spot, d.Zones),
 			BootTimes:    1,
 		},
 	}
 }
 
-// evenShare is the i-th of n shares of a whole that differ by one at most.
-func evenShare(whole, n, i int) int {
-	share := whole / n
-	if i < whole%n {
-		share++
-	}
-	return share
-}
-
 // uploadJobs hands the descriptions of all jobs to the workers, as users do before they submit.
 func (r *run) uploadJobs() {
 	s := r.cluster.Servers
@@ -303,7 +288,7 @@
 // awaitEnd waits for the scenario's duration, over which services are watched, and then until ended is
 // closed, since the jobs that end by themselves have ended, or the time to settle is over.
 func (r *run) awaitEnd(ctx context.Context, began time.Time, ended <-chan struct{}) {
-	until := func(seconds float64) time.Duration { return time.Until(began.Add(duration(seconds))) }
+	until := func(seconds float64) time.Duration { return time.Until(began.Add(wait.Seconds(seconds))) }
 	if !wait.For(ctx, until(r.scenario.DurationS)) {
 		return
 	}
--- a/internal/hollow/commands.go
+++ b/internal/hollow/commands.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"coralhub/internal/wait"
 	"coralhub/wire"
 )
 
@@ -90,7 +91,7 @@
 		t.timer = w.after(w.host.gangWait, t, func() { w.exitTask(t, wire.CauseIncomplete) })
 		return
 	}
-	t.timer = w.after(seconds(t.job.RunS), t, func() { w.completeTask(t) })
+	t.timer = w.after(wait.Seconds(t.job.RunS), t, func() { w.completeTask(t) })
 }
 
 // hasOtherAttempt reports whether another attempt of a task is on the machine. The lock is held.
@@ -130,7 +131,7 @@
 		}
 		t.timer.Stop()
 		t.State = wire.Running
-		t.timer = w.after(seconds(t.job.RunS), t, func() { w.completeTask(t) })
+		t.timer = w.after(wait.Seconds(t.job.RunS), t, func() { w.completeTask(t) })
 		w.requestHeartbeat()
 	})
 }
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -92,10 +92,10 @@
 func newHost(config Config, out io.Writer) *Host {
 	return &Host{
 		config:            config,
-		heartbeatInterval: seconds(config.ReportS),
-		lease:             seconds(config.LeaseS),
-		gangWait:          seconds(config.GangWaitS),
-		gangPeer:          seconds(config.GangPeerS),
+		heartbeatInterval: wait.Seconds(config.ReportS),
+		lease:             wait.Seconds(config.LeaseS),
+		gangWait:          wait.Seconds(config.GangWaitS),
+		gangPeer:          wait.Seconds(config.GangPeerS),
 		out:               json.NewEncoder(out),
 		workers:           map[string]*worker{},
 		jobs:              map[string]*Job{},
@@ -116,7 +116,7 @@
 		}
 	case c.Restart != nil:
 		if w := h.worker(c.Restart.Machine); w != nil {
-			w.restart(ctx, seconds(c.Restart.AwayS))
+			w.restart(ctx, wait.Seconds(c.Restart.AwayS))
 		}
 	case c.Job != nil:
 		h.mu.Lock()
@@ -218,9 +218,6 @@
 	return d <= 0 && ctx.Err() == nil || wait.For(ctx, d)
 }
 
-// seconds converts seconds to a duration.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
 // postHeartbeat sends a heartbeat to a node and returns the status and body of the response; 0 if
 // there was none.
 func (w *worker) postHeartbeat(ctx context.Context, node int, heartbeat *wire.Heartbeat) (int, []byte) {
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -52,7 +52,7 @@
 	s := r.settings
 	l := r.startLoad(ctx, seed)
 	defer l.end()
-	if !wait.For(ctx, seconds(s.RampS)) {
+	if !wait.For(ctx, wait.Seconds(s.RampS)) {
 		return nil, ctx.Err()
 	}
 	first, err := r.sample(ctx)
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	r.run.logf("%s: measuring", r.name)
-	if !wait.For(ctx, seconds(s.DurationS)) {
+	if !wait.For(ctx, wait.Seconds(s.DurationS)) {
 		return nil, ctx.Err()
 	}
 	last, err := r.sample(ctx)
@@ -69,7 +69,7 @@
 	}
 	l.stopSubmitting()
 	r.run.logf("%s: no more jobs come", r.name)
-	l.users.waitUntilFinished(ctx, seconds(s.SettleS))
+	l.users.waitUntilFinished(ctx, wait.Seconds(s.SettleS))
 	l.end()
 	if err := ctx.Err(); err != nil {
 		return nil, err
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -102,12 +102,9 @@
 	r.servers.Delay(time.Duration(s.State.DelayMS * float64(time.Millisecond)))
 	env := r.servers.Environment
 	env.Types = []wire.MachineType{s.machineType()}
-	env.Capacity = map[string]int{}
+	env.Capacity = emulator.CapacityByZone(s.Workers, s.zoneNames())
 	env.Boot = config.FromSeconds(s.Cloud.BootS)
 	env.Watch = r.machineChanged
-	for i, zone := range s.zoneNames() {
-		env.Capacity[zone] = shareOf(s.Workers, s.Zones, i)
-	}
 	var err error
 	if r.stateAddress, err = r.serve(r.servers.StateHandler()); err != nil {
 		return err
@@ -265,12 +262,3 @@
 		t.Stop()
 	}
 }
-
-// shareOf returns the i-th of n nearly equal shares of a whole.
-func shareOf(whole, n, i int) int {
-	share := whole / n
-	if i < whole%n {
-		share++
-	}
-	return share
-}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -192,6 +192,3 @@
 	}
 	return used
 }
-
-// seconds converts seconds to a duration.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// Seconds converts seconds to a duration.
+func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
 // For waits for d. It returns false if ctx ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
