--- a/internal/emulator/cloud_server.go
+++ b/internal/emulator/cloud_server.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"slices"
 
 	"coralhub/wire"
 )
@@ -55,13 +54,7 @@
 
 // machinesAfter returns the machines of a sorted list after a name.
 func machinesAfter(machines []wire.Machine, name string) []wire.Machine {
-	i, _ := slices.BinarySearchFunc(machines, name, func(m wire.Machine, name string) int {
-		if m.Name <= name {
-			return -1
-		}
-		return 1
-	})
-	return machines[i:]
+	return machines[firstAfter(machines, name, func(m wire.Machine) string { return m.Name }):]
 }
 
 func (s *Servers) rent(w http.ResponseWriter, r *http.Request) {
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -4,11 +4,11 @@
 package emulator
 
 import (
+	"cmp"
 	"encoding/json"
 	"maps"
 	"net/http"
 	"slices"
-	"sort"
 	"strings"
 
 	"coralhub/wire"
@@ -163,8 +163,7 @@
 // more reports whether others follow.
 func (s *State) Page(prefix, from string, limit int) (items []wire.KeyValue, more bool) {
 	all := s.List(prefix)
-	i := sort.Search(len(all), func(i int) bool { return all[i].Key > from })
-	all = all[i:]
+	all = all[firstAfter(all, from, func(item wire.KeyValue) string { return item.Key }):]
 	size := 0
 	for n, item := range all {
 		size += len(item.Key) + len(item.Value)
@@ -230,15 +229,27 @@
 			out = append(out, item)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
+	slices.SortFunc(out, func(a, b wire.KeyValue) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
 
+// firstAfter returns the index of the first item of a sorted list whose key is above a limit; the length of
+// the list if there is none. Several items may have the same key.
+func firstAfter[T any, K cmp.Ordered](sorted []T, limit K, keyOf func(T) K) int {
+	i, _ := slices.BinarySearchFunc(sorted, limit, func(item T, limit K) int {
+		if keyOf(item) <= limit {
+			return -1
+		}
+		return 1
+	})
+	return i
+}
+
 // Since returns the changes under a prefix after a revision, as far as they are kept; see Lost.
 func (s *State) Since(prefix string, revision uint64) []wire.Change {
-	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].Version > revision })
+	newer := s.changes[firstAfter(s.changes, revision, func(c wire.Change) uint64 { return c.Version }):]
 	var out []wire.Change
-	for _, c := range s.changes[i:] {
+	for _, c := range newer {
 		if strings.HasPrefix(c.Put+c.Delete, prefix) {
 			out = append(out, c)
 		}
--- /dev/null
+++ b/internal/emulator/state_test.go
@@ -0,0 +1,24 @@
+package emulator
+
+import (
+	"slices"
+	"testing"
+)
+
+// The first item above a limit is found also where several items have the same key.
+func TestFirstAfter(t *testing.T) {
+	sorted := []int{2, 4, 4, 4, 7}
+	self := func(i int) int { return i }
+	for limit := range 9 {
+		want := slices.IndexFunc(sorted, func(i int) bool { return i > limit })
+		if want < 0 {
+			want = len(sorted)
+		}
+		if got := firstAfter(sorted, limit, self); got != want {
+			t.Errorf("after %d: %d, want %d", limit, got, want)
+		}
+	}
+	if got := firstAfter(nil, 1, self); got != 0 {
+		t.Errorf("of an empty list: %d", got)
+	}
+}
