--- a/internal/faulttest/expectations.go
+++ b/internal/faulttest/expectations.go
@@ -117,21 +117,29 @@
 // plannedAt is when the job was to be submitted, in seconds since the run began.
 func (o *jobOutcome) plannedAt() float64 { return o.planned.at.Seconds() }
 
-// evaluate compares an expectation with the outcomes of the jobs; end is when the run ended, in
-// seconds.
-func (r *run) evaluate(e *Expect, outcomes map[string]*jobOutcome, end float64) Finding {
-	if e.Kind == expectServed {
-		return r.evaluateStartedInTime(e, outcomes, end)
+// unknownExpectationError is the error of an expectation of a kind that there isn't.
+type unknownExpectationError struct{ kind string }
+
+func (e *unknownExpectationError) Error() string { return fmt.Sprintf("no expectation %q", e.kind) }
+
+// evaluate compares an expectation with the outcomes of the jobs. It returns an unknownExpectationError
+// for an unknown kind.
+func (e *evaluation) evaluate(expect *Expect) (Finding, error) {
+	if expect.Kind == expectServed {
+		return e.evaluateStartedInTime(expect), nil
 	}
-	f := Finding{Expect: e.String()}
-	scoreOf := scorers[e.Kind]
+	scoreOf := scorers[expect.Kind]
+	if scoreOf == nil {
+		return Finding{}, &unknownExpectationError{expect.Kind}
+	}
+	f := Finding{Expect: expect.String()}
 	met, weight := 0.0, 0.0
-	for _, o := range outcomes {
-		wrongClass := e.Class != "" && o.planned.class.Name != e.Class
+	for _, o := range e.outcomes {
+		wrongClass := expect.Class != "" && o.planned.class.Name != expect.Class
 		if wrongClass || o.submitted < 0 {
 			continue
 		}
-		s := scoreOf(e, o, end)
+		s := scoreOf(expect, o, e.end)
 		if !s.applies {
 			continue
 		}
@@ -140,21 +148,21 @@
 		weight += s.weight
 	}
 	if weight == 0 {
-		f.Met = e.Share == 0
-		return f
+		f.Met = expect.Share == 0
+		return f, nil
 	}
 	f.Found = met / weight
-	f.Met = f.Found >= e.Share-tolerance
-	return f
+	f.Met = f.Found >= expect.Share-tolerance
+	return f, nil
 }
 
-func (r *run) evaluateStartedInTime(e *Expect, outcomes map[string]*jobOutcome, end float64) Finding {
-	within := e.WithinS
+func (e *evaluation) evaluateStartedInTime(expect *Expect) Finding {
+	within := expect.WithinS
 	if within == 0 {
 		within = startWithin
 	}
-	shares, jobs := r.startedInTime(outcomes, end, within)
-	f := Finding{Expect: e.String(), Found: shares.least(e.Class), Of: jobs}
-	f.Met = f.Found >= e.Share-tolerance
+	shares, jobs := e.startedInTime(within)
+	f := Finding{Expect: expect.String(), Found: shares.least(expect.Class), Of: jobs}
+	f.Met = f.Found >= expect.Share-tolerance
 	return f
 }
--- a/internal/faulttest/inject.go
+++ b/internal/faulttest/inject.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"coralhub/internal/cluster"
+	"coralhub/internal/emulator"
 	"coralhub/internal/wait"
 )
 
@@ -35,43 +37,69 @@
 	faultMachineRecall      = "drain"
 )
 
-// injector applies a fault and returns the function that undoes it; nil if the fault can't be
-// undone.
-type injector func(r *run, f *Fault) (undo func())
+// undoFault ends a fault. It is nil if the fault can't be undone.
+type undoFault func()
 
-// injectors holds the injector of each kind of fault.
-var injectors = map[string]injector{
-	faultNodeKill:           (*run).killNodes,
-	faultNodeStop:           (*run).stopNodes,
-	faultNodeFromState:      (*run).cutNodesFromState,
-	faultNodeFromPeers:      (*run).cutNodesFromPeers,
-	faultNodeFromUsers:      (*run).cutNodesFromUsers,
-	faultNodeFromWorkers:    (*run).cutNodesFromWorkers,
-	faultZoneCut:            (*run).cutZone,
-	faultStateOut:           (*run).takeStateDown,
-	faultStateSlow:          (*run).slowState,
-	faultStateRefuses:       (*run).lowerStateQuotas,
-	faultCloudOut:           (*run).takeCloudDown,
-	faultCloudFull:          (*run).exhaustCloud,
-	faultBootsLate:          (*run).delayBoots,
-	faultMachineHang:        (*run).hangMachines,
-	faultMachineInboundLost: (*run).cutMachinesInbound,
-	faultMachineRestart:     (*run).restartMachines,
-	faultMachineFailsTasks:  (*run).failTasksOnMachines,
-	faultMachineSlow:        (*run).slowMachines,
-	faultMachineDie:         (*run).killMachines,
-	faultHeartbeatsRepeated: (*run).repeatHeartbeats,
-	faultSpotWave:           (*run).recallSpotMachines,
-	faultMachineRecall:      (*run).recallMachines,
+// applyFault applies a fault.
+type applyFault func(f *Fault) undoFault
+
+// injectors returns how each kind of fault is applied.
+func injectors(nodes *nodeFaults, services *serviceFaults, machines *machineFaults) map[string]applyFault {
+	return map[string]applyFault{
+		faultNodeKill:           nodes.killNodes,
+		faultNodeStop:           nodes.stopNodes,
+		faultNodeFromState:      nodes.cutNodesFromState,
+		faultNodeFromPeers:      nodes.cutNodesFromPeers,
+		faultNodeFromUsers:      nodes.cutNodesFromUsers,
+		faultNodeFromWorkers:    nodes.cutNodesFromWorkers,
+		faultZoneCut:            nodes.cutZone,
+		faultStateOut:           services.takeStateDown,
+		faultStateSlow:          services.slowState,
+		faultStateRefuses:       services.lowerStateQuotas,
+		faultCloudOut:           services.takeCloudDown,
+		faultCloudFull:          services.exhaustCloud,
+		faultBootsLate:          services.delayBoots,
+		faultMachineHang:        machines.hangMachines,
+		faultMachineInboundLost: machines.cutMachinesInbound,
+		faultMachineRestart:     machines.restartMachines,
+		faultMachineFailsTasks:  machines.failTasksOnMachines,
+		faultMachineSlow:        machines.slowMachines,
+		faultMachineDie:         machines.killMachines,
+		faultHeartbeatsRepeated: machines.repeatHeartbeats,
+		faultSpotWave:           machines.recallSpotMachines,
+		faultMachineRecall:      machines.recallMachines,
+	}
+}
+
+// faultInjector injects the faults of a scenario.
+type faultInjector struct {
+	faults   []Fault
+	apply    map[string]applyFault // by kind
+	history  *history
+	now      func() emulator.Micros // the time of the emulated services
+	progress progress
+}
+
+func newFaultInjector(c *cluster.Cluster, s *Scenario, h *history, failures *harness, p progress) *faultInjector {
+	nodes := &nodeFaults{cluster: c, harness: failures}
+	services := &serviceFaults{servers: c.Servers, quotas: s.deployment()}
+	machines := &machineFaults{servers: c.Servers, leaseS: s.Deploy.LeaseS, progress: p}
+	return &faultInjector{
+		faults:   s.Faults,
+		apply:    injectors(nodes, services, machines),
+		history:  h,
+		now:      c.Servers.Now,
+		progress: p,
+	}
 }
 
-// injectFault applies a fault and returns the function that undoes it; nil if there is none.
-func (r *run) injectFault(f *Fault) (undo func()) {
-	inject := injectors[f.Kind]
-	if inject == nil {
+// inject applies a fault and returns the function that undoes it; nil if there is none.
+func (i *faultInjector) inject(f *Fault) undoFault {
+	apply := i.apply[f.Kind]
+	if apply == nil {
 		return nil
 	}
-	return inject(r, f)
+	return apply(f)
 }
 
 // scheduledAction is the beginning or the end of a fault.
@@ -80,9 +108,9 @@
 	do func()
 }
 
-// injectFaults applies and undoes the faults of the scenario at their times, until ctx ends.
-func (r *run) injectFaults(ctx context.Context, began time.Time) {
-	for _, action := range r.faultSchedule() {
+// injectAll applies and undoes the faults of the scenario at their times, until ctx ends.
+func (i *faultInjector) injectAll(ctx context.Context, began time.Time) {
+	for _, action := range i.schedule() {
 		if !wait.For(ctx, time.Until(began.Add(action.at))) {
 			return
 		}
@@ -90,18 +118,18 @@
 	}
 }
 
-// faultSchedule lists the beginnings and ends of all faults in the order of their times; those
+// schedule lists the beginnings and ends of all faults in the order of their times; those
 // of the same time stay in the order of the scenario.
-func (r *run) faultSchedule() []scheduledAction {
+func (i *faultInjector) schedule() []scheduledAction {
 	var schedule []scheduledAction
-	for i := range r.scenario.Faults {
-		f := &r.scenario.Faults[i]
+	for n := range i.faults {
+		f := &i.faults[n]
 		if f.EveryS <= 0 {
-			schedule = append(schedule, r.scheduleFault(f, f.AtS, f.ForS)...)
+			schedule = append(schedule, i.scheduleFault(f, f.AtS, f.ForS)...)
 			continue
 		}
 		for at := f.AtS; at <= f.AtS+f.ForS; at += f.EveryS {
-			schedule = append(schedule, r.scheduleFault(f, at, 0)...)
+			schedule = append(schedule, i.scheduleFault(f, at, 0)...)
 		}
 	}
 	slices.SortStableFunc(schedule, func(a, b scheduledAction) int { return int(a.at - b.at) })
@@ -110,34 +138,32 @@
 
 // scheduleFault returns the beginning of a fault at a time, and its end if it lasts; both times
 // are in seconds.
-func (r *run) scheduleFault(f *Fault, at, lasts float64) []scheduledAction {
-	var undo func()
+func (i *faultInjector) scheduleFault(f *Fault, at, lasts float64) []scheduledAction {
+	var undo undoFault
 	begin := scheduledAction{wait.Seconds(at), func() {
-		r.mark(f, "begins")
-		undo = r.injectFault(f)
+		i.mark(f, "begins")
+		undo = i.inject(f)
 	}}
 	if lasts <= 0 {
 		return []scheduledAction{begin}
 	}
 	end := scheduledAction{wait.Seconds(at + lasts), func() {
 		if undo != nil {
-			r.mark(f, "ends")
+			i.mark(f, "ends")
 			undo()
 		}
 	}}
 	return []scheduledAction{begin, end}
 }
 
-// mark notes in the result that a fault begins or ends.
-func (r *run) mark(f *Fault, what string) {
+// mark notes in the history that a fault begins or ends.
+func (i *faultInjector) mark(f *Fault, what string) {
 	text := f.Kind
 	if f.Target != "" {
 		text += " " + f.Target
 	}
-	r.logf("%s %s", text, what)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.marks = append(r.marks, Mark{At: inSeconds(r.now()), What: fmt.Sprint(text, " ", what)})
+	i.progress.logf("%s %s", text, what)
+	i.history.mark(Mark{At: inSeconds(i.now()), What: fmt.Sprint(text, " ", what)})
 }
 
 // inSeconds converts microseconds.
--- a/internal/faulttest/inject_nodes.go
+++ b/internal/faulttest/inject_nodes.go
@@ -15,87 +15,93 @@
 	targetAll    = "all"
 )
 
-func (r *run) killNodes(f *Fault) func() {
-	r.signalNodes(r.targetNodes(f.Target), syscall.SIGKILL)
+// nodeFaults are the faults of nodes and of the links between them and others.
+type nodeFaults struct {
+	cluster *cluster.Cluster
+	harness *harness
+}
+
+func (nf *nodeFaults) killNodes(f *Fault) undoFault {
+	nf.signalNodes(nf.targetNodes(f.Target), syscall.SIGKILL)
 	return nil
 }
 
-func (r *run) stopNodes(f *Fault) func() {
-	nodes := r.targetNodes(f.Target)
-	r.signalNodes(nodes, syscall.SIGSTOP)
-	return func() { r.signalNodes(nodes, syscall.SIGCONT) }
+func (nf *nodeFaults) stopNodes(f *Fault) undoFault {
+	nodes := nf.targetNodes(f.Target)
+	nf.signalNodes(nodes, syscall.SIGSTOP)
+	return func() { nf.signalNodes(nodes, syscall.SIGCONT) }
 }
 
-func (r *run) signalNodes(nodes []*cluster.Node, sig syscall.Signal) {
-	for _, n := range nodes {
-		r.harnessFailed(n.Signal(sig))
+func (nf *nodeFaults) signalNodes(nodes []*cluster.Node, sig syscall.Signal) {
+	for _, node := range nodes {
+		nf.harness.failed(node.Signal(sig))
 	}
 }
 
-func (r *run) cutNodesFromState(f *Fault) func() {
+func (nf *nodeFaults) cutNodesFromState(f *Fault) undoFault {
 	var links []*faults.Proxy
-	for _, n := range r.targetNodes(f.Target) {
-		links = append(links, n.Links[cluster.LinkState])
+	for _, node := range nf.targetNodes(f.Target) {
+		links = append(links, node.Links[cluster.LinkState])
 	}
-	return r.cut(f, links)
+	return nf.cut(f, links)
 }
 
-func (r *run) cutNodesFromPeers(f *Fault) func() {
+func (nf *nodeFaults) cutNodesFromPeers(f *Fault) undoFault {
 	var links []*faults.Proxy
-	for _, n := range r.targetNodes(f.Target) {
-		for _, peer := range r.cluster.Nodes {
-			if peer != n {
-				links = append(links, n.Links[peer.Name], peer.Links[n.Name])
+	for _, node := range nf.targetNodes(f.Target) {
+		for _, peer := range nf.cluster.Nodes {
+			if peer != node {
+				links = append(links, node.Links[peer.Name], peer.Links[node.Name])
 			}
 		}
 	}
-	return r.cut(f, links)
+	return nf.cut(f, links)
 }
 
-func (r *run) cutNodesFromUsers(f *Fault) func() {
+func (nf *nodeFaults) cutNodesFromUsers(f *Fault) undoFault {
 	var links []*faults.Proxy
-	for _, n := range r.targetNodes(f.Target) {
-		links = append(links, n.Users)
+	for _, node := range nf.targetNodes(f.Target) {
+		links = append(links, node.Users)
 	}
-	return r.cut(f, links)
+	return nf.cut(f, links)
 }
 
-func (r *run) cutNodesFromWorkers(f *Fault) func() {
+func (nf *nodeFaults) cutNodesFromWorkers(f *Fault) undoFault {
 	var links []*faults.Proxy
-	for _, n := range r.targetNodes(f.Target) {
-		links = append(links, n.Workers)
+	for _, node := range nf.targetNodes(f.Target) {
+		links = append(links, node.Workers)
 	}
-	return r.cut(f, links)
+	return nf.cut(f, links)
 }
 
 // cutZone cuts the nodes of a zone off from those of the others, the state service, the cloud
 // and users.
-func (r *run) cutZone(f *Fault) func() {
+func (nf *nodeFaults) cutZone(f *Fault) undoFault {
 	var links []*faults.Proxy
-	for _, n := range r.cluster.Nodes {
-		if n.Zone != f.Target {
+	for _, node := range nf.cluster.Nodes {
+		if node.Zone != f.Target {
 			continue
 		}
-		for _, peer := range r.cluster.Nodes {
+		for _, peer := range nf.cluster.Nodes {
 			if peer.Zone != f.Target {
-				links = append(links, n.Links[peer.Name], peer.Links[n.Name])
+				links = append(links, node.Links[peer.Name], peer.Links[node.Name])
 			}
 		}
-		links = append(links, n.Links[cluster.LinkState], n.Links[cluster.LinkCloud], n.Users)
+		links = append(links, node.Links[cluster.LinkState], node.Links[cluster.LinkCloud], node.Users)
 	}
-	return r.cut(f, links)
+	return nf.cut(f, links)
 }
 
 // cut disturbs links in the mode and the direction that a fault gives, and returns the function
 // that restores them.
-func (r *run) cut(f *Fault, links []*faults.Proxy) func() {
+func (nf *nodeFaults) cut(f *Fault, links []*faults.Proxy) undoFault {
 	mode := f.proxyMode()
 	for _, l := range links {
-		r.harnessFailed(l.Set(mode, faults.Direction(f.Way)))
+		nf.harness.failed(l.Set(mode, faults.Direction(f.Way)))
 	}
 	return func() {
 		for _, l := range links {
-			r.harnessFailed(l.Set(faults.Pass, faults.Both))
+			nf.harness.failed(l.Set(faults.Pass, faults.Both))
 		}
 	}
 }
@@ -110,10 +116,10 @@
 
 // targetNodes resolves a target: the leader (also if there is no target), the node after it, all
 // nodes, or those of a zone. Without a leader the first node counts as it.
-func (r *run) targetNodes(target string) []*cluster.Node {
-	nodes := r.cluster.Nodes
-	leader := r.leader()
-	i := max(slices.IndexFunc(nodes, func(n *cluster.Node) bool { return n.Name == leader }), 0)
+func (nf *nodeFaults) targetNodes(target string) []*cluster.Node {
+	nodes := nf.cluster.Nodes
+	leader := leaderOf(nf.cluster.Servers)
+	i := max(slices.IndexFunc(nodes, func(node *cluster.Node) bool { return node.Name == leader }), 0)
 	switch target {
 	case "", targetLeader:
 		return nodes[i : i+1]
@@ -124,9 +130,9 @@
 		return nodes
 	}
 	var inZone []*cluster.Node
-	for _, n := range nodes {
-		if n.Zone == target {
-			inZone = append(inZone, n)
+	for _, node := range nodes {
+		if node.Zone == target {
+			inZone = append(inZone, node)
 		}
 	}
 	return inZone
--- a/internal/faulttest/kinds_test.go
+++ b/internal/faulttest/kinds_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"maps"
 	"slices"
 	"testing"
@@ -33,7 +34,8 @@
 
 // Every kind of fault that a scenario may name has an injector, and no injector is left over.
 func TestEveryFaultHasInjector(t *testing.T) {
-	if want, got := kindsInSchema(t, "fault"), slices.Sorted(maps.Keys(injectors)); !slices.Equal(got, want) {
+	applied := injectors(&nodeFaults{}, &serviceFaults{}, &machineFaults{})
+	if want, got := kindsInSchema(t, "fault"), slices.Sorted(maps.Keys(applied)); !slices.Equal(got, want) {
 		t.Errorf("injectors of %v, want %v", got, want)
 	}
 }
@@ -47,3 +49,13 @@
 		t.Errorf("scorers of %v, want %v", got, want)
 	}
 }
+
+// An expectation of a kind that there isn't is an error, also where no schema has excluded it.
+func TestUnknownExpectation(t *testing.T) {
+	e := newEvaluation(&Scenario{}, nil, nil, 0, 0)
+	_, err := e.evaluate(&Expect{Kind: "luck"})
+	var unknown *unknownExpectationError
+	if !errors.As(err, &unknown) || unknown.kind != "luck" {
+		t.Errorf("%v", err)
+	}
+}
--- /dev/null
+++ b/internal/faulttest/leader.go
@@ -0,0 +1,22 @@
+package faulttest
+
+import (
+	"github.com/vmihailenco/msgpack/v5"
+
+	"coralhub/internal/core/election"
+	"coralhub/internal/emulator"
+)
+
+// leaderKey is the key of the leader lease in the state service.
+const leaderKey = "ch/leader"
+
+// leaderOf names the node that holds the leader lease; "" if none does.
+func leaderOf(servers *emulator.Servers) string {
+	var lease election.LeaseRecord
+	var raw []byte
+	servers.With(func() { raw = servers.State.Get(leaderKey).Value })
+	if len(raw) == 0 || msgpack.Unmarshal(raw, &lease) != nil {
+		return ""
+	}
+	return lease.Node
+}
--- a/internal/faulttest/outcomes.go
+++ b/internal/faulttest/outcomes.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 
+	"coralhub/internal/emulator"
 	"coralhub/internal/invariants"
 	"coralhub/wire"
 )
@@ -26,17 +27,26 @@
 
 // outcomeRecorder follows the history of a run and keeps the outcome of each job.
 type outcomeRecorder struct {
-	r        *run
+	scenario *Scenario
+	from     emulator.Micros // when the run began
 	outcomes map[string]*jobOutcome
 	onSince  map[string]map[int]float64 // by job and task: the start of a task that is on a machine
 }
 
-// jobOutcomes reads the outcomes of all planned jobs from the history. r.mu is held.
-func (r *run) jobOutcomes() map[string]*jobOutcome {
-	rec := &outcomeRecorder{r: r, outcomes: map[string]*jobOutcome{}, onSince: map[string]map[int]float64{}}
-	for i := range r.jobs {
-		rec.outcomes[r.jobs[i].job.ID] = &jobOutcome{
-			planned:      &r.jobs[i],
+// jobOutcomes reads the outcomes of all planned jobs from the history of a run, which began at from and
+// ended so many seconds later.
+func jobOutcomes(
+	s *Scenario, jobs []plannedJob, events []invariants.Event, from emulator.Micros, end float64,
+) map[string]*jobOutcome {
+	rec := &outcomeRecorder{
+		scenario: s,
+		from:     from,
+		outcomes: map[string]*jobOutcome{},
+		onSince:  map[string]map[int]float64{},
+	}
+	for i := range jobs {
+		rec.outcomes[jobs[i].job.ID] = &jobOutcome{
+			planned:      &jobs[i],
 			submitted:    never,
 			accepted:     never,
 			started:      never,
@@ -45,22 +55,19 @@
 			doneTasks:    map[int]bool{},
 		}
 	}
-	for i := range r.events {
-		rec.observe(&r.events[i])
+	for i := range events {
+		rec.observe(&events[i])
 	}
-	rec.closeOpenTasks(r.elapsed())
+	rec.closeOpenTasks(end)
 	return rec.outcomes
 }
 
-// elapsed is how long the run has lasted, in seconds.
-func (r *run) elapsed() float64 { return inSeconds(r.now() - r.from) }
-
 func (rec *outcomeRecorder) observe(e *invariants.Event) {
 	o := rec.outcomes[e.Job]
 	if o == nil {
 		return
 	}
-	at := inSeconds(e.At - rec.r.from)
+	at := inSeconds(e.At - rec.from)
 	switch e.Kind {
 	case invariants.JobSubmitted:
 		o.submitted = at
@@ -93,7 +100,7 @@
 
 func (rec *outcomeRecorder) taskStarted(o *jobOutcome, e *invariants.Event, at float64) {
 	o.startedTasks[e.Task] = true
-	if o.started < 0 && len(o.startedTasks) >= rec.r.tasksToStart(o.planned) {
+	if o.started < 0 && len(o.startedTasks) >= rec.scenario.tasksToStart(o.planned) {
 		o.started = at
 	}
 	if rec.onSince[e.Job] == nil {
@@ -113,9 +120,9 @@
 
 // tasksToStart is how many tasks of a job must have started for it to count as started: all, or of
 // an array or a service as many as the team's quota allows at a time.
-func (r *run) tasksToStart(p *plannedJob) int {
+func (s *Scenario) tasksToStart(p *plannedJob) int {
 	n := p.job.Tasks
-	if limit := r.scenario.Deploy.TeamGPUs; limit > 0 && p.job.GPUs > 0 && p.class.Shape != shapeGang {
+	if limit := s.Deploy.TeamGPUs; limit > 0 && p.job.GPUs > 0 && p.class.Shape != shapeGang {
 		n = min(n, int(limit/p.job.GPUs))
 	}
 	return max(n, 1)
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -7,10 +7,7 @@
 	"os"
 	"path/filepath"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"coralhub/internal/cluster"
-	"coralhub/internal/config"
 	"coralhub/internal/invariants"
 	"coralhub/internal/quantile"
 )
@@ -64,17 +61,8 @@
 	historyFile = "events.jsonl"
 )
 
-const (
-	// maxSilence is how long every poll for a job may fail while others are answered.
-	maxSilence = 90 * config.Second
-	// maxUnanswered is how long every poll for a job may fail once the last fault is over.
-	maxUnanswered = 75 * config.Second
-	// longestRun bounds the seconds that a result counts the load of.
-	longestRun = 24 * 3600
-)
-
 // result evaluates the run.
-func (r *run) result() *Result {
+func (r *run) result() (*Result, error) {
 	res := &Result{
 		Scenario:   r.scenario.Name,
 		About:      r.scenario.About,
@@ -89,56 +77,43 @@
 		res.Refused = s.Refused
 		res.Changes = s.State.Revision()
 	})
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.outOfFiles.Load() {
-		res.Violations = append(res.Violations, invariants.Check(r.rules(), r.events)...)
+	e := newEvaluation(r.scenario, r.jobs, r.history.eventsFrom(0), r.from, r.cluster.Servers.Now())
+	harnessErr, outOfFiles := r.harness.failure()
+	if !outOfFiles {
+		res.Violations = append(res.Violations, e.violations()...)
 	}
-	outcomes := r.jobOutcomes()
-	end := r.elapsed()
 	for i := range r.scenario.Expect {
-		res.Findings = append(res.Findings, r.evaluate(&r.scenario.Expect[i], outcomes, end))
+		finding, err := e.evaluate(&r.scenario.Expect[i])
+		if err != nil {
+			return nil, err
+		}
+		res.Findings = append(res.Findings, finding)
 	}
 	for i := range r.scenario.Classes {
-		res.Classes = append(res.Classes, r.classResult(&r.scenario.Classes[i], outcomes))
+		c := &r.scenario.Classes[i]
+		res.Classes = append(res.Classes, e.classResult(c, r.users.statsOf(c.Name)))
 	}
-	res.StartedInTime, _ = r.startedInTime(outcomes, end, startWithin)
-	res.Marks = r.marks
-	res.Load = r.load()
+	res.StartedInTime, _ = e.startedInTime(startWithin)
+	res.Load = e.load()
+	res.Marks = r.history.marksSoFar()
 	for i := range res.Marks {
 		res.Marks[i].At -= inSeconds(r.from)
 	}
-	res.Why = r.failure(res)
+	res.Why = res.failure(harnessErr)
 	res.Passed = res.Why == ""
-	return res
-}
-
-// rules are the parameters of the rules that the history must keep.
-func (r *run) rules() invariants.Rules {
-	d := &r.scenario.Deploy
-	rules := invariants.Rules{
-		CancelIn:   config.FromSeconds(d.CancelS),
-		Silence:    maxSilence,
-		Settled:    r.from + config.FromSeconds(r.scenario.settled()),
-		Unanswered: maxUnanswered,
-		Teams:      map[string]invariants.Limit{},
-	}
-	for _, name := range r.scenario.teams() {
-		rules.Teams[name] = invariants.Limit{GPUs: d.TeamGPUs}
-	}
-	return rules
+	return res, nil
 }
 
 // failure says why a run did not pass: because the harness failed, rules were broken, or else by
 // the first expectation that was missed. It returns "" if the run passed.
-func (r *run) failure(res *Result) string {
+func (r *Result) failure(harnessErr error) string {
 	switch {
-	case r.harnessErr != nil:
-		return "the fault test itself: " + r.harnessErr.Error()
-	case len(res.Violations) > 0:
-		return fmt.Sprintf("%d rules broken, first %s", len(res.Violations), res.Violations[0])
+	case harnessErr != nil:
+		return "the fault test itself: " + harnessErr.Error()
+	case len(r.Violations) > 0:
+		return fmt.Sprintf("%d rules broken, first %s", len(r.Violations), r.Violations[0])
 	}
-	for _, f := range res.Findings {
+	for _, f := range r.Findings {
 		if !f.Met {
 			return fmt.Sprintf("%s: %.3f of %d", f.Expect, f.Found, f.Of)
 		}
@@ -146,97 +121,23 @@
 	return ""
 }
 
-func (r *run) classResult(c *Class, outcomes map[string]*jobOutcome) ClassResult {
-	out := ClassResult{Class: c.Name}
-	var submits, starts, ends []float64 // seconds
-	r.users.updateStats(c.Name, func(s *userStats) {
-		out.Submitted = s.Submitted
-		out.Accepted = s.Accepted
-		out.Errors = s.Errors
-		for _, latency := range s.latencies {
-			submits = append(submits, latency.Seconds())
-		}
-	})
-	for _, o := range outcomes {
-		if o.planned.class != c {
-			continue
-		}
-		if o.started >= 0 {
-			out.Started++
-			starts = append(starts, o.started-o.plannedAt())
-		}
-		if o.done >= 0 {
-			out.Done++
-			ends = append(ends, o.done-o.plannedAt())
-		}
-		if o.cancelled {
-			out.Cancelled++
-		}
-	}
-	out.SubmitMS = quantiles(submits, 1000)
-	out.StartS = quantiles(starts, 1)
-	out.DoneS = quantiles(ends, 1)
-	return out
-}
-
-// quantiles reads quantiles of values in seconds from a histogram, in units of so many to a second.
-func quantiles(values []float64, perSecond float64) quantile.Times {
-	const most = 24 * 3600 * 1_000_000 // microseconds
-	h := hdrhistogram.New(1, most, 3)
-	for _, v := range values {
-		_ = h.RecordValue(min(max(int64(v*1e6), 1), most)) // is within the histogram's bounds
-	}
-	return quantile.Of(h, perSecond)
-}
-
-// load counts what happened in each second. r.mu is held.
-func (r *run) load() []Second {
-	var out []Second
-	on := 0
-	for i := range r.events {
-		e := &r.events[i]
-		second := int((e.At - r.from) / config.Second)
-		if second < 0 || second > longestRun {
-			continue
-		}
-		for len(out) <= second {
-			out = append(out, Second{On: on})
-		}
-		switch e.Kind {
-		case invariants.JobSubmitted:
-			out[second].Submitted++
-		case invariants.TaskStarted:
-			out[second].Started++
-			on++
-		case invariants.TaskStopped:
-			on--
-		case invariants.TaskDone:
-			out[second].Done++
-		}
-		out[second].On = on
-	}
-	return out
-}
-
-// save writes the result and the history that it was judged by.
-func (r *run) save(res *Result) (err error) {
+// save writes the result and the history of a run into its directory.
+func save(dir string, res *Result, events []invariants.Event) (err error) {
 	raw, err := json.MarshalIndent(res, "", " ")
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(r.opt.Dir, resultFile), raw, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, resultFile), raw, 0o600); err != nil {
 		return err
 	}
-	f, err := os.Create(filepath.Join(r.opt.Dir, historyFile))
+	f, err := os.Create(filepath.Join(dir, historyFile))
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
 	enc := json.NewEncoder(f)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i := range r.events {
-		if err := enc.Encode(&r.events[i]); err != nil {
+	for i := range events {
+		if err := enc.Encode(&events[i]); err != nil {
 			return err
 		}
 	}
--- a/internal/faulttest/slo.go
+++ b/internal/faulttest/slo.go
@@ -46,19 +46,18 @@
 }
 
 // startedInTime evaluates which jobs started within so many seconds of their acceptance, or of their
-// first submission where they weren't accepted, and counts the jobs that it goes by. end is when the
-// run ended, in seconds. r.mu is held.
-func (r *run) startedInTime(outcomes map[string]*jobOutcome, end, within float64) (shares StartedInTime, jobs int) {
-	firstStart := r.firstStarts()
+// first submission where they weren't accepted, and counts the jobs that it goes by.
+func (e *evaluation) startedInTime(within float64) (shares StartedInTime, jobs int) {
+	firstStart := e.firstStarts()
 	var counted []startedJob
-	for id, o := range outcomes {
+	for id, o := range e.outcomes {
 		since := o.accepted
 		if since < 0 {
 			since = o.submitted
 		}
 		started, hasStarted := firstStart[id]
-		inTime := hasStarted && started-inSeconds(r.from)-since <= within
-		undecided := o.cancelled || end-since < within
+		inTime := hasStarted && started-inSeconds(e.from)-since <= within
+		undecided := o.cancelled || e.end-since < within
 		if o.submitted < 0 || !inTime && undecided {
 			continue
 		}
@@ -74,15 +73,15 @@
 }
 
 // firstStarts is when the first task of each job started, in seconds of the emulated services.
-func (r *run) firstStarts() map[string]float64 {
+func (e *evaluation) firstStarts() map[string]float64 {
 	first := map[string]float64{}
-	for i := range r.events {
-		e := &r.events[i]
-		if e.Kind != invariants.TaskStarted {
+	for i := range e.events {
+		event := &e.events[i]
+		if event.Kind != invariants.TaskStarted {
 			continue
 		}
-		if _, known := first[e.Job]; !known {
-			first[e.Job] = inSeconds(e.At)
+		if _, known := first[event.Job]; !known {
+			first[event.Job] = inSeconds(event.At)
 		}
 	}
 	return first
--- a/internal/faulttest/status.go
+++ b/internal/faulttest/status.go
@@ -1,12 +1,11 @@
 package faulttest
 
 import (
-	"context"
 	"time"
 
+	"coralhub/internal/cluster"
 	"coralhub/internal/emulator"
 	"coralhub/internal/invariants"
-	"coralhub/internal/wait"
 	"coralhub/wire"
 )
 
@@ -39,12 +38,6 @@
 // statusInterval is how often Options.Watch is called.
 const statusInterval = 500 * time.Millisecond
 
-// watch calls Options.Watch with the status of the run until ctx ends.
-func (r *run) watch(ctx context.Context, began time.Time) {
-	w := newWatcher(r)
-	wait.Every(ctx, statusInterval, func() { r.opt.Watch(w.status(time.Since(began))) })
-}
-
 // taskSet is a set of tasks by job.
 type taskSet map[string]map[int]bool
 
@@ -61,7 +54,10 @@
 
 // watcher counts the jobs of each class from the history as it grows.
 type watcher struct {
-	r          *run
+	scenario   *Scenario
+	history    *history
+	cluster    *cluster.Cluster
+	users      *users
 	seen       int // events
 	jobs       map[string]*plannedJob
 	counts     map[string]*ClassStatus // by class
@@ -71,20 +67,23 @@
 	cancelled  map[string]bool // jobs
 }
 
-func newWatcher(r *run) *watcher {
+func newWatcher(s *Scenario, jobs []plannedJob, h *history, c *cluster.Cluster, u *users) *watcher {
 	w := &watcher{
-		r:         r,
+		scenario:  s,
+		history:   h,
+		cluster:   c,
+		users:     u,
 		jobs:      map[string]*plannedJob{},
 		counts:    map[string]*ClassStatus{},
 		started:   taskSet{},
 		done:      taskSet{},
 		cancelled: map[string]bool{},
 	}
-	for i := range r.jobs {
-		w.jobs[r.jobs[i].job.ID] = &r.jobs[i]
+	for i := range jobs {
+		w.jobs[jobs[i].job.ID] = &jobs[i]
 	}
-	for i := range r.scenario.Classes {
-		name := r.scenario.Classes[i].Name
+	for i := range s.Classes {
+		name := s.Classes[i].Name
 		w.counts[name] = &ClassStatus{Class: name}
 	}
 	return w
@@ -122,35 +121,34 @@
 }
 
 func (w *watcher) status(elapsed time.Duration) Status {
-	r := w.r
+	servers := w.cluster.Servers
 	s := Status{
 		ElapsedS:  elapsed.Seconds(),
-		DurationS: r.scenario.DurationS,
-		Leader:    r.leader(),
+		DurationS: w.scenario.DurationS,
+		Leader:    leaderOf(servers),
 		Machines:  map[string]int{},
 	}
-	r.mu.Lock()
-	for ; w.seen < len(r.events); w.seen++ {
-		w.observe(&r.events[w.seen])
+	events := w.history.eventsFrom(w.seen)
+	w.seen += len(events)
+	for i := range events {
+		w.observe(&events[i])
 	}
-	s.Marks = append(s.Marks, r.marks...)
-	r.mu.Unlock()
+	s.Marks = w.history.marksSoFar()
 	s.OnMachines = w.onMachines
-	for i := range r.scenario.Classes {
-		s.Classes = append(s.Classes, *w.counts[r.scenario.Classes[i].Name])
+	for i := range w.scenario.Classes {
+		s.Classes = append(s.Classes, *w.counts[w.scenario.Classes[i].Name])
 	}
-	usage := r.cluster.Use()
-	for i, n := range r.cluster.Nodes {
+	usage := w.cluster.Use()
+	for i, n := range w.cluster.Nodes {
 		s.Nodes = append(s.Nodes, NodeStatus{
 			Name:     n.Name,
 			Zone:     n.Zone,
-			Ready:    r.users.isHealthy(i),
+			Ready:    w.users.isHealthy(i),
 			CPUS:     usage[i].CPUS,
 			PeakMB:   usage[i].PeakMB,
 			Restarts: usage[i].Restarts,
 		})
 	}
-	servers := r.cluster.Servers
 	servers.With(func() {
 		for _, m := range servers.Environment.Machines {
 			s.Machines[machineState(m, servers.Now())]++
--- a/internal/faulttest/users.go
+++ b/internal/faulttest/users.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"coralhub/internal/cluster"
+	"coralhub/internal/emulator"
 	"coralhub/internal/invariants"
 	"coralhub/internal/jobclient"
 	"coralhub/internal/wait"
@@ -30,7 +31,7 @@
 type users struct {
 	cluster *cluster.Cluster
 	record  func(invariants.Event)
-	now     func() int64 // in microseconds
+	now     func() emulator.Micros // the time of the emulated services
 	client  *jobclient.Client
 
 	mu      sync.Mutex
@@ -79,9 +80,11 @@
 	Errors              map[string]int  // by the HTTP status of the answer
 }
 
-// newUsers returns the users of a cluster. record takes what they see, now is the time of the events,
-// and wrap, if not nil, wraps their transport.
-func newUsers(c *cluster.Cluster, record func(invariants.Event), now func() int64, wrap func(http.RoundTripper) http.RoundTripper) *users {
+// newUsers returns the users of a cluster. record takes what they see, and wrap, if not nil, wraps their
+// transport.
+func newUsers(
+	c *cluster.Cluster, record func(invariants.Event), wrap func(http.RoundTripper) http.RoundTripper,
+) *users {
 	var transport http.RoundTripper = &http.Transport{MaxIdleConnsPerHost: 1024, IdleConnTimeout: time.Minute}
 	if wrap != nil {
 		transport = wrap(transport)
@@ -89,7 +92,7 @@
 	u := &users{
 		cluster: c,
 		record:  record,
-		now:     now,
+		now:     c.Servers.Now,
 		healthy: make([]bool, len(c.Nodes)),
 		stats:   map[string]*userStats{},
 		decided: map[string]*decision{},
@@ -178,10 +181,45 @@
 	f(s)
 }
 
+// statsOf returns the statistics of a class. Its users have ended.
+func (u *users) statsOf(class string) userStats {
+	var stats userStats
+	u.updateStats(class, func(s *userStats) { stats = *s })
+	return stats
+}
+
 func (u *users) recordAnswer(id, via string, a *jobclient.Answer) {
 	u.record(invariants.Event{At: u.now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
 }
 
+// uploadJobs hands the descriptions of all jobs to the workers, as users do before they submit.
+func uploadJobs(servers *emulator.Servers, jobs []plannedJob) {
+	servers.With(func() {
+		for i := range jobs {
+			p := &jobs[i]
+			servers.Environment.Jobs[p.job.ID] = &emulator.SubmittedJob{Job: p.job, Run: p.run}
+		}
+	})
+}
+
+// submitAll starts the user of each job at its time, of services in the group of services and
+// of all others in finite. It returns false if ctx ends before.
+func (u *users) submitAll(ctx context.Context, began time.Time, jobs []plannedJob, finite, services *sync.WaitGroup) bool {
+	for i := range jobs {
+		p := &jobs[i]
+		due := began.Add(p.at)
+		if !wait.For(ctx, time.Until(due)) {
+			return false
+		}
+		group := finite
+		if p.class.isService() {
+			group = services
+		}
+		group.Go(func() { u.follow(ctx, p, due) })
+	}
+	return true
+}
+
 // follow is a user with one job: it submits the job, polls until it is over, and cancels it if that
 // is planned. due is when the job was to be submitted.
 func (u *users) follow(ctx context.Context, p *plannedJob, due time.Time) {
