--- a/internal/emulator/gangs.go
+++ b/internal/emulator/gangs.go
@@ -12,51 +12,59 @@
 	task    *task
 }
 
-// advanceGangs starts gangs that are complete, and ends those that are done or have lost a task, be it
+// gangs starts and ends the gangs.
+type gangs struct {
+	cloud    *Cloud
+	jobs     *JobRegistry
+	tasks    *TaskRunner
+	progress *progress
+}
+
+// advance starts gangs that are complete, and ends those that are done or have lost a task, be it
 // only to a machine that hangs.
-func (e *Environment) advanceGangs(now Micros) {
-	for _, members := range e.gangs() {
-		e.advanceGang(now, members)
+func (g *gangs) advance(now Micros) {
+	for _, members := range g.members() {
+		g.advanceGang(now, members)
 	}
 }
 
-// gangs returns the tasks of each attempt of a gang that have not exited.
-func (e *Environment) gangs() map[string][]gangMember {
-	gangs := map[string][]gangMember{}
-	for _, name := range e.Names() {
-		m := e.Machines[name]
+// members returns the tasks of each attempt of a gang that have not exited.
+func (g *gangs) members() map[string][]gangMember {
+	members := map[string][]gangMember{}
+	for _, name := range g.cloud.Names() {
+		m := g.cloud.Machines[name]
 		for _, t := range m.tasks {
 			id, _, _ := wire.ParseTaskName(t.Task)
-			if j := e.Jobs[id]; j != nil && j.Shape == wire.Gang && t.State != wire.Exited {
+			if j := g.jobs.Jobs[id]; j != nil && j.Shape == wire.Gang && t.State != wire.Exited {
 				key := fmt.Sprint(id, " ", t.Attempt)
-				gangs[key] = append(gangs[key], gangMember{m, t})
+				members[key] = append(members[key], gangMember{m, t})
 			}
 		}
 	}
-	return gangs
+	return members
 }
 
-func (e *Environment) advanceGang(now Micros, members []gangMember) {
+func (g *gangs) advanceGang(now Micros, members []gangMember) {
 	id, _, _ := wire.ParseTaskName(members[0].task.Task)
-	j := e.Jobs[id]
-	waiting, running, progress := e.gangProgress(now, members)
+	j := g.jobs.Jobs[id]
+	waiting, running, progress := g.progressOf(now, members)
 	for _, member := range members {
 		m, t := member.machine, member.task
 		switch {
 		case m.Hang:
 		case waiting == j.Tasks:
-			e.run(now, m, t, j, 0)
+			g.tasks.run(now, m, t, j, 0)
 		case running == j.Tasks && progress >= j.Run:
-			e.complete(now, m, t)
+			g.tasks.complete(now, m, t)
 		case running > 0 && running < j.Tasks && t.State == wire.Running:
-			e.exit(now, m, t, wire.CausePeersGone)
+			g.tasks.exit(now, m, t, wire.CausePeersGone)
 		}
 	}
 }
 
-// gangProgress counts the members that wait and that run on machines which don't hang, and returns how
+// progressOf counts the members that wait and that run on machines which don't hang, and returns how
 // far the gang has come.
-func (e *Environment) gangProgress(now Micros, members []gangMember) (waiting, running int, progress Micros) {
+func (g *gangs) progressOf(now Micros, members []gangMember) (waiting, running int, progress Micros) {
 	for _, member := range members {
 		switch {
 		case member.machine.Hang:
@@ -64,9 +72,9 @@
 			waiting++
 		case member.task.State == wire.Running:
 			running++
-			own := e.progress(now, member.machine, member.task)
+			own := g.progress.of(now, member.machine, member.task)
 			// With a model the slowest member counts; without one all have started at the same time.
-			if running == 1 || own < progress || e.Model == nil {
+			if running == 1 || own < progress || g.cloud.Model == nil {
 				progress = own
 			}
 		}
--- a/internal/emulator/heartbeats.go
+++ b/internal/emulator/heartbeats.go
@@ -156,7 +156,9 @@
 
 // post sends a heartbeat to a node and returns the status and the body of the answer; a status of 0 means
 // that there was none.
-func (s *Servers) post(ctx context.Context, client *http.Client, node int, heartbeat *wire.Heartbeat) (int, []byte) {
+func (s *Servers) post(
+	ctx context.Context, client *http.Client, node int, heartbeat *wire.Heartbeat,
+) (status int, body []byte) {
 	raw, err := wire.Marshal(heartbeat)
 	if err != nil {
 		return 0, nil
@@ -173,7 +175,7 @@
 		return 0, nil
 	}
 	defer func() { _ = res.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
+	body, err = io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil
 	}
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -39,6 +39,9 @@
 // recallNoticeS is the time left that a worker reports once it knows of its machine's recall.
 const recallNoticeS = 0.5
 
+// defaultFetchGBs is the rate at which a machine fetches images, in GB a second.
+const defaultFetchGBs = 0.4
+
 // Status returns the next heartbeat of the worker.
 func (m *Machine) Status() wire.Heartbeat {
 	m.Sequence++
@@ -62,23 +65,6 @@
 	return h
 }
 
-// Restart has a machine stop with all its tasks and be up again after a time. Its worker goes on with
-// the next incarnation; or it starts anew, without any memory, even of its incarnation.
-func (e *Environment) Restart(now, after Micros, m *Machine, anew bool) {
-	e.endTasks(now, m)
-	m.tasks = nil
-	m.changed = true
-	m.inFlight = false
-	m.Incarnation++
-	if anew {
-		m.Incarnation = 1
-		m.Sequence = 0
-		m.FencingToken = 0
-	}
-	m.Up = now + after
-	m.leaseFrom = now + after
-}
-
 // Due reports whether the worker is to send a heartbeat.
 func (m *Machine) Due(now Micros) bool {
 	if m.Hang || m.inFlight || now < m.Up {
@@ -103,17 +89,6 @@
 	m.changed = false
 }
 
-// Answered handles a successful answer to a heartbeat that was sent at a time by an incarnation. An
-// answer with an older fencing token, to another incarnation, or that is too late has no effect.
-func (e *Environment) Answered(now, sent Micros, incarnation uint64, m *Machine, response wire.HeartbeatResponse) {
-	if response.FencingToken < m.FencingToken || incarnation != m.Incarnation || now-sent > maxAnswerAge {
-		return
-	}
-	m.observeFencingToken(response.FencingToken)
-	m.leaseFrom = sent
-	e.execute(now, m, response.Commands)
-}
-
 // observeFencingToken notes a fencing token, if it is higher than the one known.
 func (m *Machine) observeFencingToken(token uint64) {
 	if token > m.FencingToken {
@@ -159,3 +134,18 @@
 		}
 	}
 }
+
+// hasImage reports whether a machine has the image of a job, which it fetches once for all tasks. The
+// first call starts the fetch.
+func (m *Machine) hasImage(now Micros, j *SubmittedJob) bool {
+	ready, known := m.images[j.Image]
+	if !known {
+		rate := defaultFetchGBs
+		if j.FetchGBs > 0 {
+			rate = j.FetchGBs
+		}
+		ready = now + Micros(j.ImageGB/rate*float64(Second))
+		m.images[j.Image] = ready
+	}
+	return now >= ready
+}
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -7,9 +7,6 @@
 	"coralhub/wire"
 )
 
-// defaultFetchGBs is the rate at which a machine fetches images, in GB a second.
-const defaultFetchGBs = 0.4
-
 // listInterval is how often the model takes a list of the machines.
 const listInterval = Second / 2
 
@@ -37,11 +34,11 @@
 }
 
 // rented draws the boot time and the speed of a new machine.
-func (m *Model) rented(now Micros, e *Environment, machine *Machine) {
+func (m *Model) rented(now Micros, c *Cloud, machine *Machine) {
 	if m == nil {
 		return
 	}
-	boot := float64(e.Boot) * (1 + m.BootSpread*(2*m.Rand.Float64()-1))
+	boot := float64(c.Boot) * (1 + m.BootSpread*(2*m.Rand.Float64()-1))
 	if m.BootTimes > 0 {
 		boot *= m.BootTimes
 	}
@@ -54,51 +51,19 @@
 }
 
 // list returns a list of the machines that lags behind.
-func (m *Model) list(now Micros, e *Environment) []wire.Machine {
-	if n := len(e.listed); n == 0 || now-e.listed[n-1].at >= listInterval {
-		e.listed = append(e.listed, listing{now, e.listNow(now)})
+func (m *Model) list(now Micros, c *Cloud) []wire.Machine {
+	if n := len(c.listed); n == 0 || now-c.listed[n-1].at >= listInterval {
+		c.listed = append(c.listed, listing{now, c.listNow(now)})
 	}
 	lag := Micros(float64(m.ListLag) * (0.5 + m.Rand.Float64()))
-	for len(e.listed) > 2 && now-e.listed[1].at > 2*m.ListLag {
-		e.listed = e.listed[1:]
+	for len(c.listed) > 2 && now-c.listed[1].at > 2*m.ListLag {
+		c.listed = c.listed[1:]
 	}
-	latest := e.listed[0]
-	for _, l := range e.listed {
+	latest := c.listed[0]
+	for _, l := range c.listed {
 		if now-l.at >= lag {
 			latest = l
 		}
 	}
 	return latest.machines
 }
-
-// hasCapacity reports whether one more machine can be rented, after so many in the same request.
-func (e *Environment) hasCapacity(r wire.RentalRequest, rented int) bool {
-	if !r.Spot {
-		return e.Capacity[r.Zone] > 0
-	}
-	if e.Model == nil {
-		return rented == 0
-	}
-	inZone := 0
-	for _, m := range e.Machines {
-		if m.Spot && m.Zone == r.Zone {
-			inZone++
-		}
-	}
-	return inZone < e.Model.SpotCapacity[r.Zone]
-}
-
-// hasImage reports whether a machine has the image of a job, which it fetches once for all tasks. The
-// first call starts the fetch.
-func (m *Machine) hasImage(now Micros, j *SubmittedJob) bool {
-	ready, known := m.images[j.Image]
-	if !known {
-		rate := defaultFetchGBs
-		if j.FetchGBs > 0 {
-			rate = j.FetchGBs
-		}
-		ready = now + Micros(j.ImageGB/rate*float64(Second))
-		m.images[j.Image] = ready
-	}
-	return now >= ready
-}
--- /dev/null
+++ b/internal/emulator/workers.go
@@ -0,0 +1,138 @@
+package emulator
+
+import (
+	"net/http"
+
+	"coralhub/wire"
+)
+
+// Workers emulates the workers of the machines: their leases, incarnations and commands.
+type Workers struct {
+	protocol *Protocol
+	cloud    *Cloud
+	jobs     *JobRegistry
+	checker  *Checker
+	tasks    *TaskRunner
+}
+
+// tickWorker advances a worker that has started, and its tasks.
+func (w *Workers) tickWorker(now Micros, m *Machine) {
+	// Hanging or not: see HangKeeps.
+	if now-m.leaseFrom > w.protocol.Lease && (!w.protocol.HangKeeps || !m.Hang) {
+		w.tasks.endAll(now, m)
+		m.tasks = nil
+		m.changed = true
+		m.Incarnation++
+		m.leaseFrom = now
+	}
+	if m.Hang {
+		return
+	}
+	for _, t := range m.tasks {
+		w.tasks.advance(now, m, t)
+	}
+}
+
+// Commands handles a direct call with commands to a worker and returns the HTTP status and the worker's
+// heartbeat. Commands with an older fencing token or for another incarnation are refused.
+func (w *Workers) Commands(now Micros, m *Machine, request wire.CommandRequest) (int, wire.Heartbeat) {
+	m.observeFencingToken(request.FencingToken)
+	if request.FencingToken < m.FencingToken || request.Incarnation != m.Incarnation {
+		return http.StatusConflict, m.Status()
+	}
+	w.execute(now, m, request.Commands)
+	return http.StatusOK, m.Status()
+}
+
+// execute executes commands in order. One that doesn't apply to the task's state has no effect.
+func (w *Workers) execute(now Micros, m *Machine, commands []wire.Command) {
+	for _, c := range commands {
+		t := m.find(c.Task, c.Attempt)
+		switch {
+		case c.Verb == wire.CommandStart && t == nil:
+			w.start(now, m, c)
+		case c.Verb == wire.CommandStop && t != nil && t.State != wire.Exited:
+			w.stop(now, m, t, c)
+		case c.Verb == wire.CommandForget && t != nil && t.State == wire.Exited:
+			m.forget(t)
+		}
+	}
+}
+
+// stop has a task save a checkpoint if it can within the grace of the command, and ends it otherwise.
+// A task that saves goes on unless the command gives no grace.
+func (w *Workers) stop(now Micros, m *Machine, t *task, c wire.Command) {
+	id, _, _ := wire.ParseTaskName(c.Task)
+	j := w.jobs.Jobs[id]
+	if t.State == wire.Running && j.CheckpointS > 0 && c.GraceS != nil && *c.GraceS >= j.SaveS {
+		t.fromProgress = w.tasks.progress.of(now, m, t)
+		t.State = wire.Saving
+		t.stateSince = now
+		m.changed = true
+		return
+	}
+	noGrace := c.GraceS == nil || *c.GraceS == 0
+	if t.State != wire.Saving || noGrace {
+		w.tasks.exit(now, m, t, wire.CauseStopped)
+	}
+}
+
+// start adds a task to a machine, which fetches its image next. A task that is unknown or doesn't fit
+// exits at once.
+func (w *Workers) start(now Micros, m *Machine, c wire.Command) {
+	m.changed = true
+	t := &task{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.Fetching}, stateSince: now}
+	m.tasks = append(m.tasks, t)
+	id, n, ok := wire.ParseTaskName(c.Task)
+	j := w.jobs.Jobs[id]
+	if !ok || j == nil || n >= j.Tasks {
+		w.tasks.exit(now, m, t, wire.CauseUnknown)
+		return
+	}
+	if w.usedGPUs(m) > w.cloud.gpusOf(m) {
+		w.tasks.exit(now, m, t, wire.CauseNoCapacity)
+		return
+	}
+	j.Starts++
+	w.checker.checkStart(now, m, t)
+}
+
+// usedGPUs is how many GPUs the tasks on a machine use.
+func (w *Workers) usedGPUs(m *Machine) float64 {
+	used := 0.0
+	for _, t := range m.tasks {
+		id, _, _ := wire.ParseTaskName(t.Task)
+		if j := w.jobs.Jobs[id]; j != nil && t.State != wire.Exited {
+			used += j.GPUs
+		}
+	}
+	return used
+}
+
+// Restart has a machine stop with all its tasks and be up again after a time. Its worker goes on with
+// the next incarnation; or it starts anew, without any memory, even of its incarnation.
+func (w *Workers) Restart(now, after Micros, m *Machine, anew bool) {
+	w.tasks.endAll(now, m)
+	m.tasks = nil
+	m.changed = true
+	m.inFlight = false
+	m.Incarnation++
+	if anew {
+		m.Incarnation = 1
+		m.Sequence = 0
+		m.FencingToken = 0
+	}
+	m.Up = now + after
+	m.leaseFrom = now + after
+}
+
+// Answered handles a successful answer to a heartbeat that was sent at a time by an incarnation. An
+// answer with an older fencing token, to another incarnation, or that is too late has no effect.
+func (w *Workers) Answered(now, sent Micros, incarnation uint64, m *Machine, response wire.HeartbeatResponse) {
+	if response.FencingToken < m.FencingToken || incarnation != m.Incarnation || now-sent > maxAnswerAge {
+		return
+	}
+	m.observeFencingToken(response.FencingToken)
+	m.leaseFrom = sent
+	w.execute(now, m, response.Commands)
+}
--- a/internal/faulttest/leak_test.go
+++ b/internal/faulttest/leak_test.go
@@ -31,5 +31,6 @@
 	if _, err := Run(ctx, s, opt); err == nil {
 		t.Fatal("an interrupted run has a result")
 	}
-	leaktest.Check(t, "faulttest.(*run)", "faulttest.(*faultInjector)", "faulttest.(*users)", "faulttest.(*watcher)", "emulator.(*Servers)")
+	leaktest.Check(t, "faulttest.(*run)", "faulttest.(*faultInjector)", "faulttest.(*users)",
+		"faulttest.(*watcher)", "emulator.(*Servers)")
 }
