--- a/cmd/coralhub/faulttest.go
+++ b/cmd/coralhub/faulttest.go
@@ -7,9 +7,7 @@
 	"fmt"
 	"io"
 	"os"
-	"os/signal"
 	"path/filepath"
-	"syscall"
 	"text/tabwriter"
 	"time"
 
@@ -72,9 +70,9 @@
 		Example: "  coralhub faulttest run surge\n  coralhub faulttest run --plain --seed 7 leader-killed ./my-night.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			return flags.playAll(ctx, stop, cmd.OutOrStdout(), args)
+			return runUntilSignal(cmd.Context(), func(ctx context.Context, stop context.CancelFunc) error {
+				return flags.playAll(ctx, stop, cmd.OutOrStdout(), args)
+			})
 		},
 	}
 	f := cmd.Flags()
@@ -143,7 +141,9 @@
 	opt := faulttest.Options{Program: program, Seed: f.seed, Settings: f.settings, Log: f.logLevel, Dir: folder}
 	screen := f.showProgress(ctx, stop, out, s, &opt)
 	res, err := faulttest.Run(ctx, s, opt)
-	screen.Close()
+	if screenErr := screen.Close(); screenErr != nil {
+		fmt.Fprintln(os.Stderr, "coralhub: the progress could not be shown:", screenErr)
+	}
 	if err != nil && ctx.Err() != nil {
 		return nil, err
 	}
@@ -254,10 +254,3 @@
 	cmd.Flags().StringVar(&out, "out", "", "the page's `FILE`; otherwise report.html beside the result")
 	return cmd
 }
-
-// runUntilSignal runs f until it ends or the program is told to.
-func runUntilSignal(ctx context.Context, f func(context.Context) error) error {
-	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	return f(ctx)
-}
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -27,6 +27,7 @@
 	gangWait          time.Duration
 	gangPeer          time.Duration
 	meter             meter
+	background        sync.WaitGroup // the goroutines of all workers; only Run's goroutine adds to it
 
 	outMu sync.Mutex
 	out   *json.Encoder
@@ -35,13 +36,13 @@
 	workersStarted int // workers that were ever started
 	workers        map[string]*worker
 	jobs           map[string]*Job
+	serveErr       error // of the workers' servers that ended by themselves
 }
 
-// Run hosts workers until its input or ctx ends. Input and output are lines of JSON: a Config and
-// then Commands are read, Events are written. The error says which line was invalid.
+// Run hosts workers until its input ends; the workers end with ctx if that is earlier. When it returns,
+// all its goroutines have ended. Input and output are lines of JSON: a Config and then Commands are
+// read, Events are written. The error says which line was invalid, or why a worker could not listen on.
 func Run(ctx context.Context, in io.Reader, out io.Writer) error {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
 	lines := json.NewDecoder(bufio.NewReader(in))
 	var config Config
 	if err := lines.Decode(&config); err != nil {
@@ -51,6 +52,14 @@
 		return errors.New("hollow workers: a configuration needs nodes, report_s and lease_s")
 	}
 	h := newHost(config, out)
+	ctx, stop := context.WithCancel(ctx)
+	err := h.handleAll(ctx, lines)
+	stop()
+	return errors.Join(err, h.close())
+}
+
+// handleAll executes commands until there are no more.
+func (h *Host) handleAll(ctx context.Context, lines *json.Decoder) error {
 	for {
 		var c Command
 		err := lines.Decode(&c)
@@ -64,13 +73,29 @@
 	}
 }
 
+// close waits for the workers, whose context has ended, and returns the errors of their servers.
+func (h *Host) close() error {
+	h.forEachWorker((*worker).abandonTasks)
+	h.background.Wait()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.serveErr
+}
+
+// serveFailed notes that a worker's server has ended by itself.
+func (h *Host) serveFailed(machine string, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.serveErr = errors.Join(h.serveErr, fmt.Errorf("worker of %s: %w", machine, err))
+}
+
 func newHost(config Config, out io.Writer) *Host {
 	return &Host{
 		config:            config,
-		heartbeatInterval: seconds(config.ReportS),
-		lease:             seconds(config.LeaseS),
-		gangWait:          seconds(config.GangWaitS),
-		gangPeer:          seconds(config.GangPeerS),
+		heartbeatInterval: wait.Seconds(config.ReportS),
+		lease:             wait.Seconds(config.LeaseS),
+		gangWait:          wait.Seconds(config.GangWaitS),
+		gangPeer:          wait.Seconds(config.GangPeerS),
 		out:               json.NewEncoder(out),
 		workers:           map[string]*worker{},
 		jobs:              map[string]*Job{},
@@ -91,7 +116,7 @@
 		}
 	case c.Restart != nil:
 		if w := h.worker(c.Restart.Machine); w != nil {
-			w.restart(ctx, seconds(c.Restart.AwayS))
+			w.restart(ctx, wait.Seconds(c.Restart.AwayS))
 		}
 	case c.Job != nil:
 		h.mu.Lock()
@@ -193,9 +218,6 @@
 	return d <= 0 && ctx.Err() == nil || wait.For(ctx, d)
 }
 
-// seconds converts seconds to a duration.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
 // postHeartbeat sends a heartbeat to a node and returns the status and body of the response; 0 if
 // there was none.
 func (w *worker) postHeartbeat(ctx context.Context, node int, heartbeat *wire.Heartbeat) (int, []byte) {
