--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -6,7 +6,6 @@
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/completionlog"
-	"coralhub/internal/core/delegation"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/records"
 	"coralhub/wire"
@@ -17,7 +16,7 @@
 type jobCommitter struct {
 	*environment
 	completionLog *completionlog.Log
-	delegations   *delegation.Delegations
+	cancellations *cancellations
 	estimates     *runTimeEstimates
 	placements    *placementCommits
 	scheduler     *scheduler
@@ -100,7 +99,7 @@
 	if j.transaction != nil || jc.outbox.Now() < j.retryAt || jc.elector.TokenChangePending() {
 		return false
 	}
-	jc.confirmCancellation(j)
+	jc.cancellations.confirm(j)
 	t, more := jc.fittingTransaction(j)
 	if t == nil || t.completionsOnly {
 		return jc.commitByPages(j, t, more)
--- a/internal/core/leader/completions.go
+++ b/internal/core/leader/completions.go
@@ -42,39 +42,46 @@
 	return done, open
 }
 
+// completionCollector collects the proofs that placements are over, for the jobs' records.
+type completionCollector struct {
+	*environment
+	commits   *jobCommitter
+	estimates *runTimeEstimates
+}
+
 // closePlacement records the proof that a placement is over.
-func (jc *jobCommitter) closePlacement(key job.AttemptKey, machine string, done bool) {
-	jc.closeWithProgress(key, machine, done, false)
+func (cc *completionCollector) closePlacement(key job.AttemptKey, machine string, done bool) {
+	cc.closeWithProgress(key, machine, done, false)
 }
 
 // closeWithProgress does so for a task that may have saved a checkpoint.
-func (jc *jobCommitter) closeWithProgress(key job.AttemptKey, machine string, done, saved bool) {
-	j := jc.jobs[key.Job]
+func (cc *completionCollector) closeWithProgress(key job.AttemptKey, machine string, done, saved bool) {
+	j := cc.jobs[key.Job]
 	if j == nil || j.isClosing(key, machine) {
 		return
 	}
-	jc.estimates.observeRun(j, key, machine, done)
+	cc.estimates.observeRun(j, key, machine, done)
 	j.completions = append(j.completions, completion{
 		key:       key,
 		machine:   machine,
 		done:      done,
-		occupancy: jc.occupancyOf(j, key, machine, done || saved),
+		occupancy: cc.occupancyOf(j, key, machine, done || saved),
 	})
 	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang {
 		j.noteLeft(machine, key.Attempt)
 	}
-	jc.reconciler.TerminationDone(key)
-	jc.requestCommit(key.Job)
+	cc.reconciler.TerminationDone(key)
+	cc.commits.requestCommit(key.Job)
 }
 
 // occupancyOf returns the end of a placement as it is charged. Unless its work is kept, the time since the
 // last checkpoint is lost.
-func (jc *jobCommitter) occupancyOf(j *Job, key job.AttemptKey, machine string, kept bool) job.Occupancy {
+func (cc *completionCollector) occupancyOf(j *Job, key job.AttemptKey, machine string, kept bool) job.Occupancy {
 	spec := j.Record.Spec
-	if jc.encoding.Format < job.FormatPreemption || spec == nil {
+	if cc.encoding.Format < job.FormatPreemption || spec == nil {
 		return job.Occupancy{}
 	}
-	occupancy := job.Occupancy{End: job.EncodeTime(j.Record.CreatedAt, jc.wallClock())}
+	occupancy := job.Occupancy{End: job.EncodeTime(j.Record.CreatedAt, cc.wallClock())}
 	if kept || spec.Shape == wire.Service {
 		return occupancy
 	}
@@ -86,45 +93,3 @@
 	}
 	return occupancy
 }
-
-// confirmCancellation decides whether the cancellation of a job may be confirmed to the user. If so, nodes get
-// no further delegation before they know of it.
-func (jc *jobCommitter) confirmCancellation(j *Job) {
-	if !j.Record.CancelRequested || j.Record.Final() {
-		j.cancelling = false
-		return
-	}
-	if !jc.cancellationCertain(j) {
-		return
-	}
-	j.cancelling = true
-	if j.OpenTasks > 0 {
-		jc.delegations.AcknowledgeCancel(j.Version)
-	}
-}
-
-// cancellationCertain reports whether a cancelled job is certain to stop: every
-// open placement must be on a worker that follows this leader, so that the leader will stop the
-// task or the worker's lease ends, and no start may still be in flight that
-// could take effect after that. Where a lease may outlast the time allowed for a cancellation, or a delegate that
-// doesn't know of the cancellation could keep a task alive, only proof that all of the job is over
-// will do: a worker that receives nothing keeps its tasks until its lease ends.
-func (jc *jobCommitter) cancellationCertain(j *Job) bool {
-	stopsWithLease := jc.cfg.Cluster.Workers.LeaseEndsInTime() && jc.delegations.CancelKnown(j.Version)
-	certain := j.OpenTasks == 0 || stopsWithLease
-	j.EachPlacement(func(p job.Placement) {
-		m := jc.reconciler.Registry().Get(p.Machine)
-		if m == nil || m.FencingToken < jc.elector.TermStart() {
-			certain = false
-			return
-		}
-		if _, reported := m.Tasks[p.AttemptKey(j.ID)]; reported || !m.StartMayArrive(jc.outbox.Now()) {
-			return
-		}
-		certain = false
-		if !m.StartInFlight && m.StartUncertain() {
-			jc.elector.RequestNewToken()
-		}
-	})
-	return certain
-}
--- a/internal/core/leader/events.go
+++ b/internal/core/leader/events.go
@@ -51,7 +51,7 @@
 
 // ClosePlacement is called when a task's attempt is proven not to be on a machine any more; done: it succeeded.
 func (h EventHandler) ClosePlacement(key job.AttemptKey, machine string, done bool) {
-	h.leader.commits.closePlacement(key, machine, done)
+	h.leader.completions.closePlacement(key, machine, done)
 }
 
 // IsClosing reports whether ClosePlacement was called for an attempt and its end is not committed yet.
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -45,6 +45,8 @@
 	electedAt Micros // when the current term began
 
 	commits       *jobCommitter
+	cancellations *cancellations
+	completions   *completionCollector
 	placements    *placementCommits
 	completionLog *completionlog.Log
 	scheduler     *scheduler
@@ -121,12 +123,14 @@
 	})
 	l.machineCache = machinecache.New(env.outbox, env.encoding, env.elector, env.reconciler)
 	l.delegations = delegation.New(env.cfg, env.outbox, env.elector, env.reconciler, l.snapshot.checkAvailability)
+	l.cancellations = &cancellations{environment: env, delegations: l.delegations}
+	l.completions = &completionCollector{environment: env, commits: l.commits, estimates: l.estimates}
 }
 
 // connectCommits gives the components that write records and follow workers those that they call.
 func (l *Leader) connectCommits() {
 	l.commits.completionLog = l.completionLog
-	l.commits.delegations = l.delegations
+	l.commits.cancellations = l.cancellations
 	l.commits.estimates = l.estimates
 	l.commits.placements = l.placements
 	l.commits.scheduler = l.scheduler
@@ -137,7 +141,7 @@
 	l.placements.scheduler = l.scheduler
 	l.placements.snapshot = l.snapshot
 
-	l.taskEvents.commits = l.commits
+	l.taskEvents.completions = l.completions
 	l.taskEvents.scheduler = l.scheduler
 	l.taskEvents.availability = l.snapshot
 }
--- a/internal/core/leader/record_events.go
+++ b/internal/core/leader/record_events.go
@@ -125,7 +125,7 @@
 		} else if h.leader.autoscaler.IsDeleted(p.Machine) {
 			// Deleted while the transaction was in flight: nothing else would
 			// ever close the placement.
-			h.leader.commits.closePlacement(p.AttemptKey(j.ID), p.Machine, false)
+			h.leader.completions.closePlacement(p.AttemptKey(j.ID), p.Machine, false)
 		}
 	}
 }
--- a/internal/core/leader/task_events.go
+++ b/internal/core/leader/task_events.go
@@ -29,7 +29,7 @@
 // taskEvents draws the conclusions from the states of tasks that workers report.
 type taskEvents struct {
 	*environment
-	commits      *jobCommitter
+	completions  *completionCollector
 	scheduler    *scheduler
 	availability availabilityChecker
 }
@@ -96,7 +96,7 @@
 	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang && !refused {
 		j.failedGangAttempt = max(j.failedGangAttempt, key.Attempt)
 	}
-	te.commits.closeWithProgress(key, m.Name, t.Cause == wire.Done, t.Saved)
+	te.completions.closeWithProgress(key, m.Name, t.Cause == wire.Done, t.Saved)
 }
 
 // onTaskFailed distinguishes machines that fail every job from jobs that fail on every machine.
