--- a/internal/scenario/direct_calls_test.go
+++ b/internal/scenario/direct_calls_test.go
@@ -92,12 +92,13 @@
 	to := s.node(batch.Node)
 	if to.alive && s.peers(n, to) == "" {
 		s.lastRequestID++
-		in := msg.HeartbeatBatchIn{RequestID: s.lastRequestID, Node: n.name, Revision: batch.Revision, Acks: batch.Acks}
+		req := s.lastRequestID
+		in := msg.HeartbeatBatchIn{RequestID: req, Node: n.name, Revision: batch.Revision, Acks: batch.Acks}
 		for _, e := range s.step(to, in) {
-			s.execute(to, e)
+			s.execute(to, e) // may make requests of its own
 		}
-		response, _ := to.answers[s.lastRequestID].Body.(msg.HeartbeatBatchResponse)
-		delete(to.answers, s.lastRequestID)
+		response, _ := to.answers[req].Body.(msg.HeartbeatBatchResponse)
+		delete(to.answers, req)
 		s.reply(n, s.messageFaults.batchDelay(), msg.HeartbeatBatchDone{Batch: batch, HeartbeatBatchResponse: response})
 		return
 	}
