--- a/internal/faulttest/plan.go
+++ b/internal/faulttest/plan.go
@@ -110,8 +110,8 @@
 		ID:          fmt.Sprintf("j-%06d", len(p.jobs)+1),
 		Class:       c.Name,
 		Team:        c.Team,
-		Shape:       wireShape(c.Shape),
-		Priority:    wirePriority(c.Priority),
+		Shape:       wire.ShapeOrArray(c.Shape),
+		Priority:    wire.PriorityOrNormal(c.Priority),
 		Tasks:       tasks,
 		CPUs:        1,
 		GPUs:        c.GPUs,
@@ -149,19 +149,3 @@
 		last[p.class.Name] = p.job.ID
 	}
 }
-
-// wireShape is the shape of a class's jobs in the protocol; without one they are arrays.
-func wireShape(name string) string {
-	if shape, ok := wire.ParseShape(name); ok {
-		return shape
-	}
-	return wire.Array
-}
-
-// wirePriority is the priority of a class's jobs in the protocol; without one it is normal.
-func wirePriority(name string) string {
-	if priority, ok := wire.ParsePriority(name); ok {
-		return priority
-	}
-	return wire.Normal
-}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -248,22 +248,6 @@
 		Price: 4, SpotPrice: 2, BootS: s.Cloud.BootS, Zones: s.zoneNames()}
 }
 
-// shape returns the class's shape in the protocol's terms.
-func (c *Class) shape() string {
-	if shape, ok := wire.ParseShape(c.Shape); ok {
-		return shape
-	}
-	return wire.Array
-}
-
-// priority returns the class's priority in the protocol's terms.
-func (c *Class) priority() string {
-	if priority, ok := wire.ParsePriority(c.Priority); ok {
-		return priority
-	}
-	return wire.Normal
-}
-
 // meanTasks returns the mean number of tasks of the class's jobs.
 func (c *Class) meanTasks() float64 {
 	sum := 0
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -41,7 +41,7 @@
 	OneZone     bool     `msgpack:"one_zone"`
 	Spread      bool     `msgpack:"spread"`     // at most half of the tasks, rounded up, in one zone
 	Spot        bool     `msgpack:"loaners"`    // may use spot instances
-	EstimateS   float64  `msgpack:"expect_s"`   // the owner's estimate of a task's run time
+	EstimateS   float64  `msgpack:"expect_s"`   // the user's estimate of a task's run time
 	CheckpointS float64  `msgpack:"bookmark_s"` // checkpoint interval; 0: tasks cannot save
 	SaveS       float64  `msgpack:"stash_s"`    // time to save a checkpoint when stopped
 	DeadlineS   *float64 `msgpack:"due_s,omitempty"`
@@ -77,6 +77,22 @@
 	return priority, ok
 }
 
+// ShapeOrArray returns the shape with a name of ShapeName, and Array if there is none.
+func ShapeOrArray(name string) string {
+	if shape, ok := ParseShape(name); ok {
+		return shape
+	}
+	return Array
+}
+
+// PriorityOrNormal returns the priority with a name of ParsePriority, and Normal if there is none.
+func PriorityOrNormal(name string) string {
+	if priority, ok := ParsePriority(name); ok {
+		return priority
+	}
+	return Normal
+}
+
 // JobStatus answers submissions, polls and cancellations.
 type JobStatus struct {
 	ID      string `msgpack:"ref"`
