--- a/internal/core/frontend/cancellations.go
+++ b/internal/core/frontend/cancellations.go
@@ -1,9 +1,7 @@
 package frontend
 
 import (
-	"maps"
 	"net/http"
-	"slices"
 
 	"coralhub/internal/config"
 	"coralhub/internal/core/job"
@@ -12,19 +10,9 @@
 	"coralhub/wire"
 )
 
-const (
-	// cancelDeadline is how long a cancellation waits for the leader before its user is asked to try again.
-	cancelDeadline = 400 * config.Second / 1000
-	// placementsQuietTime is how long the placement pages must be unchanged for conditions on all of them to be likely to
-	// hold: a transaction whose conditions fail costs as much of the quota as one that is applied.
-	placementsQuietTime = config.Second
-)
-
-// waitingCancel is a cancellation that is recorded, until the leader has cancelled the job.
-type waitingCancel struct {
-	requestID uint64
-	deadline  Micros
-}
+// placementsQuietTime is how long the placement pages must be unchanged for conditions on all of them to be likely to
+// hold: a transaction whose conditions fail costs as much of the quota as one that is applied.
+const placementsQuietTime = config.Second
 
 // Cancel handles POST /v1/jobs/{id}/withdraw. The request is committed first and stops all starting; the user hears
 // "cancelled" once the leader has made sure that every worker concerned will stop its tasks.
@@ -164,50 +152,24 @@
 	}
 	pages := f.replica.PlacementPageConditions()
 	tooMany := len(conditions)+len(pages) > wire.ConditionsPerChange*f.encoding.MaxOps()
-	if tooMany || f.outbox.Now()-f.placementsChangedAt < placementsQuietTime {
+	if tooMany || f.outbox.Now()-f.pageChanges.lastSeenAt < placementsQuietTime {
 		return nil, false
 	}
 	return append(conditions, pages...), true
 }
 
-// notePlacementPages notes when placement pages have changed.
-func (f *Frontend) notePlacementPages() {
-	if revision := f.replica.PlacementPagesRevision(); revision != f.placementsRevision {
-		f.placementsRevision, f.placementsChangedAt = revision, f.outbox.Now()
-	}
-}
-
 // waitForCancel responds to a cancellation once the job's phase is final, or with 503 when that takes too long.
 func (f *Frontend) waitForCancel(requestID uint64, j *records.Job) {
 	if j.Record.Final() {
 		f.respondCancelled(requestID, j)
 		return
 	}
-	f.waitingCancels[j.ID] = append(f.waitingCancels[j.ID], waitingCancel{requestID, f.outbox.Now() + cancelDeadline})
+	f.waitingCancels.add(requestID, j.ID)
 }
 
 // JobFinished responds to the cancellations of a job whose phase is final now.
 func (f *Frontend) JobFinished(j *records.Job) {
-	for _, w := range f.waitingCancels[j.ID] {
-		f.respondCancelled(w.requestID, j)
-	}
-	delete(f.waitingCancels, j.ID)
-}
-
-// dropLateCancels asks the users whose cancellations have waited too long to try again.
-func (f *Frontend) dropLateCancels() {
-	for _, id := range slices.Sorted(maps.Keys(f.waitingCancels)) {
-		left := f.waitingCancels[id][:0]
-		for _, w := range f.waitingCancels[id] {
-			if f.outbox.Now() >= w.deadline {
-				f.outbox.RetryLater(w.requestID, "tasks are being stopped")
-				continue
-			}
-			left = append(left, w)
-		}
-		f.waitingCancels[id] = left
-		if len(left) == 0 {
-			delete(f.waitingCancels, id)
-		}
+	for _, requestID := range f.waitingCancels.remove(j.ID) {
+		f.respondCancelled(requestID, j)
 	}
 }
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -34,7 +34,7 @@
 	ApplyWritten(wire.Change)
 }
 
-// Frontend is a node's. Polls that arrive together share one check of the replica.
+// Frontend serves the users of one node.
 type Frontend struct {
 	cfg      *config.Config
 	teams    map[string]*config.Team
@@ -44,20 +44,14 @@
 	catalog  *zone.Catalog
 	node     Node
 
-	pendingPolls        []pendingPoll
-	checkInFlight       bool
-	checkedPolls        []pendingPoll // those that the check in flight is for
-	nextCheckAt         Micros
-	fastPollRequestedAt Micros                     // when the watch was last asked to poll fast
-	waitingCancels      map[string][]waitingCancel // by job: until the leader has cancelled it
-
-	placementsRevision  uint64 // of the last change of a placement page
-	placementsChangedAt Micros // when that was seen
+	polls          pollQueue
+	waitingCancels waitingCancels
+	pageChanges    pageChanges
 }
 
 // New returns the frontend of a node.
 func New(cfg *config.Config, out *outbox.Outbox, replica *records.Replica, encoding *records.Encoding, catalog *zone.Catalog, node Node) *Frontend {
-	return &Frontend{
+	f := &Frontend{
 		cfg:            cfg,
 		teams:          cfg.Cluster.TeamsByName(),
 		outbox:         out,
@@ -65,8 +59,10 @@
 		encoding:       encoding,
 		catalog:        catalog,
 		node:           node,
-		waitingCancels: map[string][]waitingCancel{},
+		waitingCancels: waitingCancels{outbox: out, byJob: map[string][]waitingCancel{}},
 	}
+	f.polls = pollQueue{outbox: out, replica: replica, encoding: encoding, responder: f}
+	return f
 }
 
 // Status returns a job's state as users are told it.
@@ -94,10 +90,37 @@
 
 // Tick gives up requests that have waited too long.
 func (f *Frontend) Tick() {
-	f.notePlacementPages()
-	f.pendingPolls = f.dropLatePolls(f.pendingPolls)
-	f.checkedPolls = f.dropLatePolls(f.checkedPolls) // the answer to a check may take longer than its users wait
-	f.dropLateCancels()
+	f.pageChanges.observe(f.outbox.Now(), f.replica.PlacementPagesRevision())
+	f.polls.refuseLate()
+	f.waitingCancels.refuseLate()
+}
+
+// Flush sends one check of the replica for the polls that wait, if it is due. It is called at the end of each step.
+func (f *Frontend) Flush() { f.polls.check() }
+
+// WatchAdvanced answers the polls for which the replica is current now that the watch has responded.
+func (f *Frontend) WatchAdvanced() { f.polls.watchAdvanced() }
+
+// Poll handles GET /v1/jobs/{id}.
+func (f *Frontend) Poll(x msg.PollIn) {
+	if !f.canAnswer(x.RequestID, x.JobID) {
+		return
+	}
+	if j := f.replica.Job(x.JobID); j != nil && j.Record.Final() {
+		f.outbox.Respond(x.RequestID, http.StatusOK, Status(j))
+		return
+	}
+	if !f.polls.add(x.RequestID, x.JobID) {
+		f.outbox.RetryLater(x.RequestID, "too many requests")
+	}
+}
+
+func (f *Frontend) respondToPoll(p pendingPoll, j *records.Job) {
+	if j == nil || j.Version == 0 { // without a version, it is only known as a dependency
+		f.outbox.Respond(p.requestID, http.StatusNotFound, wire.Error{Error: reasonNoSuchJob})
+		return
+	}
+	f.respondWithStatus(p.requestID, j)
 }
 
 // canAnswer reports whether requests about a job can be answered. If not, it has responded: there is no job of such an ID, or the
--- a/internal/core/frontend/polls.go
+++ b/internal/core/frontend/polls.go
@@ -8,6 +8,7 @@
 	"coralhub/internal/config"
 	"coralhub/internal/core/job"
 	"coralhub/internal/core/msg"
+	"coralhub/internal/core/outbox"
 	"coralhub/internal/core/records"
 	"coralhub/wire"
 )
@@ -33,65 +34,81 @@
 	since     Micros
 }
 
-// Poll handles GET /v1/jobs/{id}.
-func (f *Frontend) Poll(x msg.PollIn) {
-	if !f.canAnswer(x.RequestID, x.JobID) {
-		return
-	}
-	if j := f.replica.Job(x.JobID); j != nil && j.Record.Final() {
-		f.outbox.Respond(x.RequestID, http.StatusOK, Status(j))
-		return
-	}
-	if len(f.pendingPolls) >= maxPendingPolls {
-		f.outbox.RetryLater(x.RequestID, "too many requests")
-		return
+// pollResponder answers polls, as the Frontend does.
+type pollResponder interface {
+	// respondToPoll responds with a job's state, which is known to be current; the job is nil if there is none.
+	respondToPoll(p pendingPoll, j *records.Job)
+	// readCurrent reads a job's record and calls then with the job, nil if there is none.
+	readCurrent(requestID uint64, id string, then func(*records.Job))
+}
+
+// pollQueue holds the polls that wait until the replica is known to be current, and checks that it is. Polls that
+// arrive together share one check.
+type pollQueue struct {
+	outbox    *outbox.Outbox
+	replica   *records.Replica
+	encoding  *records.Encoding
+	responder pollResponder
+
+	pending             []pendingPoll
+	checked             []pendingPoll // those that the check in flight is for
+	checkInFlight       bool
+	nextCheckAt         Micros
+	fastPollRequestedAt Micros // when the watch was last asked to poll fast
+}
+
+// add queues a poll. It returns false if too many are pending.
+func (q *pollQueue) add(requestID uint64, jobID string) bool {
+	if len(q.pending) >= maxPendingPolls {
+		return false
 	}
-	f.pendingPolls = append(f.pendingPolls, pendingPoll{x.RequestID, x.JobID, f.outbox.Now()})
+	q.pending = append(q.pending, pendingPoll{requestID, jobID, q.outbox.Now()})
+	return true
 }
 
-// Flush sends one check for the polls that wait, unless one is in flight. A check is a transaction without changes
+// check sends one check for the pending polls, unless one is in flight. A check is a transaction without changes
 // whose conditions are the versions of the jobs in the replica.
-func (f *Frontend) Flush() {
-	if f.checkInFlight || len(f.pendingPolls) == 0 || f.outbox.Now() < f.nextCheckAt {
+func (q *pollQueue) check() {
+	if q.checkInFlight || len(q.pending) == 0 || q.outbox.Now() < q.nextCheckAt {
 		return
 	}
-	maxConditions := wire.ConditionsPerChange * f.encoding.MaxOps()
-	if len(f.pendingPolls) > maxConditions && f.watchWillAnswer() {
+	maxConditions := wire.ConditionsPerChange * q.encoding.MaxOps()
+	if len(q.pending) > maxConditions && q.watchWillAnswer() {
 		return
 	}
-	conditions := f.takeBatch(maxConditions)
-	f.checkInFlight, f.nextCheckAt = true, f.outbox.Now()+checkInterval
-	f.outbox.Commit(wire.Transaction{Conditions: conditions}, msg.PurposeReadCheck, func(d msg.CommitDone) {
-		f.checkInFlight = false
-		batch := f.checkedPolls
-		f.checkedPolls = nil
-		f.checkDone(batch, d)
+	conditions := q.takeBatch(maxConditions)
+	q.checkInFlight, q.nextCheckAt = true, q.outbox.Now()+checkInterval
+	q.outbox.Commit(wire.Transaction{Conditions: conditions}, msg.PurposeReadCheck, func(d msg.CommitDone) {
+		q.checkInFlight = false
+		batch := q.checked
+		q.checked = nil
+		q.checkDone(batch, d)
 	})
 }
 
 // watchWillAnswer asks the watch to poll fast, and reports whether its next response will come soon: that confirms all
 // pending polls with one request.
-func (f *Frontend) watchWillAnswer() bool {
-	if f.fastPollRequestedAt == 0 || f.outbox.Now()-f.fastPollRequestedAt > fastPollInterval {
-		f.fastPollRequestedAt = f.outbox.Now()
-		f.outbox.Emit(msg.PollWatchFast{})
+func (q *pollQueue) watchWillAnswer() bool {
+	if q.fastPollRequestedAt == 0 || q.outbox.Now()-q.fastPollRequestedAt > fastPollInterval {
+		q.fastPollRequestedAt = q.outbox.Now()
+		q.outbox.Emit(msg.PollWatchFast{})
 	}
-	return f.outbox.Now()-f.replica.CurrentAt() < watchFreshness
+	return q.outbox.Now()-q.replica.CurrentAt() < watchFreshness
 }
 
-// takeBatch moves as many pending polls as one check has conditions for to checkedPolls, and returns the conditions.
-func (f *Frontend) takeBatch(maxConditions int) []wire.Condition {
+// takeBatch moves as many pending polls as one check has conditions for to checked, and returns the conditions.
+func (q *pollQueue) takeBatch(maxConditions int) []wire.Condition {
 	versions := map[string]uint64{} // by job
 	n := 0
-	for ; n < len(f.pendingPolls) && len(versions) < maxConditions; n++ {
-		id := f.pendingPolls[n].jobID
+	for ; n < len(q.pending) && len(versions) < maxConditions; n++ {
+		id := q.pending[n].jobID
 		versions[id] = 0
-		if j := f.replica.Job(id); j != nil {
+		if j := q.replica.Job(id); j != nil {
 			versions[id] = j.Version
 		}
 	}
-	f.checkedPolls = f.pendingPolls[:n:n]
-	f.pendingPolls = slices.Clone(f.pendingPolls[n:])
+	q.checked = q.pending[:n:n]
+	q.pending = slices.Clone(q.pending[n:])
 	conditions := make([]wire.Condition, 0, len(versions))
 	for id, version := range versions {
 		conditions = append(conditions, wire.Condition{Key: job.RecordKey(id), Version: version})
@@ -100,58 +117,54 @@
 	return conditions
 }
 
-// WatchAdvanced answers the polls that came before the watch was last asked: the replica holds everything that happened
+// watchAdvanced answers the polls that came before the watch was last asked: the replica holds everything that happened
 // before that. Under a flood of polls the watch responds all the time, while a check is a request to the state service
 // for some 40 polls.
-func (f *Frontend) WatchAdvanced() {
-	left := f.pendingPolls[:0]
-	for _, p := range f.pendingPolls {
-		if p.since >= f.replica.CurrentAt() {
+func (q *pollQueue) watchAdvanced() {
+	left := q.pending[:0]
+	for _, p := range q.pending {
+		if p.since >= q.replica.CurrentAt() {
 			left = append(left, p)
 			continue
 		}
-		f.respondToPoll(p, f.replica.Job(p.jobID))
+		q.responder.respondToPoll(p, q.replica.Job(p.jobID))
 	}
-	f.pendingPolls = left
+	q.pending = left
 }
 
-func (f *Frontend) checkDone(batch []pendingPoll, d msg.CommitDone) {
+func (q *pollQueue) checkDone(batch []pendingPoll, d msg.CommitDone) {
 	failed := map[string]bool{}
 	for _, key := range d.Failed {
 		failed[key] = true
 	}
 	for _, p := range batch {
-		j := f.replica.Job(p.jobID)
+		j := q.replica.Job(p.jobID)
 		switch {
 		case d.Outcome != msg.OK && d.Outcome != msg.Conflict:
-			f.outbox.RetryLater(p.requestID, reasonStoreUnavailable)
+			q.outbox.RetryLater(p.requestID, reasonStoreUnavailable)
 		case j != nil && j.Record.Final():
-			f.outbox.Respond(p.requestID, http.StatusOK, Status(j))
+			q.outbox.Respond(p.requestID, http.StatusOK, Status(j))
 		case failed[job.RecordKey(p.jobID)]:
-			f.readCurrent(p.requestID, p.jobID, func(j *records.Job) { f.respondToPoll(p, j) })
+			q.responder.readCurrent(p.requestID, p.jobID, func(j *records.Job) { q.responder.respondToPoll(p, j) })
 		case d.Outcome == msg.Conflict && len(failed) == 0:
-			f.outbox.RetryLater(p.requestID, reasonTryAgain)
+			q.outbox.RetryLater(p.requestID, reasonTryAgain)
 		default:
-			f.respondToPoll(p, j)
+			q.responder.respondToPoll(p, j)
 		}
 	}
 }
 
-func (f *Frontend) respondToPoll(p pendingPoll, j *records.Job) {
-	if j == nil || j.Version == 0 { // without a version, it is only known as a dependency
-		f.outbox.Respond(p.requestID, http.StatusNotFound, wire.Error{Error: reasonNoSuchJob})
-		return
-	}
-	f.respondWithStatus(p.requestID, j)
+// refuseLate refuses the polls whose users will not wait much longer: the answer to a check may take that long, too.
+func (q *pollQueue) refuseLate() {
+	q.pending = slices.DeleteFunc(q.pending, q.refuseIfLate)
+	q.checked = slices.DeleteFunc(q.checked, q.refuseIfLate)
 }
 
-// dropLatePolls refuses the polls whose users will not wait much longer, and returns the others.
-func (f *Frontend) dropLatePolls(polls []pendingPoll) []pendingPoll {
-	return slices.DeleteFunc(polls, func(p pendingPoll) bool {
-		late := f.outbox.Now()-p.since > pollDeadline
-		if late {
-			f.outbox.RetryLater(p.requestID, reasonStoreUnavailable)
-		}
-		return late
-	})
+// refuseIfLate refuses a poll if its user will not wait much longer, and reports whether it did.
+func (q *pollQueue) refuseIfLate(p pendingPoll) bool {
+	late := q.outbox.Now()-p.since > pollDeadline
+	if late {
+		q.outbox.RetryLater(p.requestID, reasonStoreUnavailable)
+	}
+	return late
 }
