--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -55,8 +55,8 @@
 
 func (e *ParseError) Unwrap() error { return e.Err }
 
-// Load reads the platform's file and, unless settings is empty, the operators' settings. Its errors are of type *Error, of
-// one line that names the file and, if the content is at fault, the field.
+// Load reads the platform's file and, unless settings is empty, the operators' settings. Its errors are of type *Error,
+// of one line that names the file and, if the content is at fault, the field.
 func Load(platform, settings string) (*Config, error) {
 	raw, err := os.ReadFile(platform)
 	if err != nil {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -37,8 +37,8 @@
 	Limits     Limits      `toml:"machine_limits"`
 }
 
-// Team has a quota: what it is guaranteed, and what it may use at most (Max); 0 means none. Amounts are whole or parts of
-// cores and GPUs.
+// Team has a quota: what it is guaranteed, and what it may use at most (Max); 0 means none. Amounts are whole or parts
+// of cores and GPUs.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -68,8 +68,8 @@
 // clockDriftMargin is by how much a worker's clock may be slow against this node's, both drifting by 0.05%.
 const clockDriftMargin = 0.001
 
-// LeaseEndsInTime reports whether a worker's lease that is not renewed any more is certain to expire within the time of a
-// cancellation. If not, a cancellation can't rely on it.
+// LeaseEndsInTime reports whether a worker's lease that is not renewed any more is certain to expire within the time of
+// a cancellation. If not, a cancellation can't rely on it.
 func (w *Workers) LeaseEndsInTime() bool { return w.LeaseS*(1+clockDriftMargin) < w.CancelS }
 
 // State holds the quotas and limits of the state service, a second and in KiB, and those that it will have from some
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -41,8 +41,8 @@
 	RankShortest = "shortest"
 )
 
-// Defaults returns the settings that hold where the operators give none. A SilentScaleInS of 0 stands for a time by lease and
-// heartbeat interval, an IdleScaleInS of 0 for one by the machine's boot time.
+// Defaults returns the settings that hold where the operators give none. A SilentScaleInS of 0 stands for a time by
+// lease and heartbeat interval, an IdleScaleInS of 0 for one by the machine's boot time.
 func Defaults() Settings {
 	return Settings{
 		AgeWeight:          1,
--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -58,7 +58,10 @@
 }
 
 // New returns an inactive Autoscaler without machines.
-func New(cfg *config.Config, out *outbox.Outbox, replica *records.Replica, catalog *zone.Catalog, elector *election.Elector, machines Machines, listener Listener) *Autoscaler {
+func New(
+	cfg *config.Config, out *outbox.Outbox, replica *records.Replica, catalog *zone.Catalog, elector *election.Elector,
+	machines Machines, listener Listener,
+) *Autoscaler {
 	a := &Autoscaler{
 		cfg:      cfg,
 		outbox:   out,
--- a/internal/core/autoscaler/plan.go
+++ b/internal/core/autoscaler/plan.go
@@ -20,7 +20,9 @@
 // Plan returns how many machines to rent in each pool for demands beyond the booting and the
 // requested machines, at most as many as may be requested now. existing is the number of machines
 // in each pool.
-func (p *Provisioner) Plan(now Micros, demands []Demand, booting []Pool, existing map[Pool]int, types []*wire.MachineType) map[Pool]int {
+func (p *Provisioner) Plan(
+	now Micros, demands []Demand, booting []Pool, existing map[Pool]int, types []*wire.MachineType,
+) map[Pool]int {
 	plan := rentalPlan{
 		provisioner: p,
 		now:         now,
@@ -80,7 +82,9 @@
 
 // cheapest returns the available pool with the lowest price that suits a demand; among equal prices
 // the one with the fewest machines, rented and existing. It returns false if there is none.
-func (p *Provisioner) cheapest(now Micros, d *Demand, rentals, existing map[Pool]int, types []*wire.MachineType) (Pool, bool) {
+func (p *Provisioner) cheapest(
+	now Micros, d *Demand, rentals, existing map[Pool]int, types []*wire.MachineType,
+) (Pool, bool) {
 	var best Pool
 	bestPrice, found := 0.0, false
 	consider := func(pool Pool, price float64) {
--- a/internal/core/autoscaler/scale_in.go
+++ b/internal/core/autoscaler/scale_in.go
@@ -84,7 +84,8 @@
 		return false
 	}
 	if m.ReleaseSentAt == 0 {
-		a.outbox.Log("scaling in", "machine", m.Name, "reason", string(reason), "placements", len(a.replica.PlacementsOn(m.Name)))
+		placements := len(a.replica.PlacementsOn(m.Name))
+		a.outbox.Log("scaling in", "machine", m.Name, "reason", string(reason), "placements", placements)
 	}
 	m.Releasing = true
 	m.ReleaseSentAt = now
--- a/internal/core/autoscaler/scale_out.go
+++ b/internal/core/autoscaler/scale_out.go
@@ -44,7 +44,8 @@
 	if !ok {
 		return
 	}
-	a.outbox.Log("scaled out", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "requested", request.Count, "granted", len(x.Machines))
+	a.outbox.Log("scaled out", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+		"requested", request.Count, "granted", len(x.Machines))
 	for _, name := range x.Machines {
 		m := a.machines.EnsureMachine(name)
 		m.Describe("", request.Type, request.Zone, request.Spot)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -177,7 +177,8 @@
 			puts = append(puts, put)
 		}
 	}
-	c.outbox.Log("transaction rejected as malformed", "puts", strings.Join(puts, " "), "max_value_bytes", c.encoding.MaxValueBytes())
+	c.outbox.Log("transaction rejected as malformed", "puts", strings.Join(puts, " "),
+		"max_value_bytes", c.encoding.MaxValueBytes())
 	if len(puts) == 0 {
 		return // the size of values is not the cause
 	}
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -44,7 +44,8 @@
 	c.leader.RequestCycle()
 	if mark.Format > job.NewestFormat && !c.formatUnknown {
 		c.formatUnknown = true
-		c.outbox.Log("not serving: stored format is newer than this version", "format", int(mark.Format), "newest_known", int(job.NewestFormat))
+		c.outbox.Log("not serving: stored format is newer than this version", "format", int(mark.Format),
+			"newest_known", int(job.NewestFormat))
 		c.outbox.Emit(msg.StopServing{})
 		c.elector.Resign("stored format is newer than this version")
 	}
--- a/internal/core/frontend/cancellations.go
+++ b/internal/core/frontend/cancellations.go
@@ -80,7 +80,9 @@
 
 // writeCancel commits a record that says that a job is cancelled, or is to be. If the conditions fail although it is
 // not, onRefused is called once the replica has the job as it is now.
-func (f *Frontend) writeCancel(requestID uint64, j *records.Job, rec *job.Record, conditions []wire.Condition, onRefused func()) {
+func (f *Frontend) writeCancel(
+	requestID uint64, j *records.Job, rec *job.Record, conditions []wire.Condition, onRefused func(),
+) {
 	value, err := f.encodeCancelled(rec)
 	if err != nil || !f.encoding.Fits(value) {
 		f.outbox.Log("cancellation not recorded: record too large", "job", j.ID, "limit", f.encoding.MaxValueBytes())
@@ -132,10 +134,11 @@
 	})
 }
 
-// neverPlacedConditions returns conditions that hold only if no task of a job is on any machine: then no leader is needed
-// to cancel it. From job.FormatPlacementPages on a placement may be in a page, which no condition on the record excludes. So
-// either there are conditions on all pages, and on the next one, which is the only one that could be begun; or the job
-// waits for a dependency that is not done: the record of that one says so, and no task of this job starts before.
+// neverPlacedConditions returns conditions that hold only if no task of a job is on any machine: then no leader is
+// needed to cancel it. From job.FormatPlacementPages on a placement may be in a page, which no condition on the record
+// excludes. So either there are conditions on all pages, and on the next one, which is the only one that could be
+// created; or the job waits for a dependency that is not done: the record of that one says so, and no task of this job
+// starts before.
 func (f *Frontend) neverPlacedConditions(j *records.Job) (conditions []wire.Condition, certain bool) {
 	rec := &j.Record
 	hasShards := rec.Spec.Tasks > job.TasksPerShard || rec.ShardsOnly
--- a/internal/core/frontend/first_record.go
+++ b/internal/core/frontend/first_record.go
@@ -14,8 +14,8 @@
 const (
 	// recordOverhead is what a record holds beside its description and placements, in bytes.
 	recordOverhead = 120
-	// minTasksInRecord is how many tasks of an array or a service a record needs room for; otherwise they are
-	// kept in shards alone.
+	// minTasksInRecord is for how many placements the record of an array or a service needs space; otherwise
+	// they are kept in shards alone.
 	minTasksInRecord = 16
 	// placementBytes is what a placement takes at most beside its zone, with a machine name of usual length.
 	placementBytes = 52
@@ -23,8 +23,8 @@
 	firstFormatSlack = 6
 )
 
-// firstRecord returns the record of a job as it is accepted, and its value. Dependencies are kept as far as they are not
-// done. If any of them is cancelled, so is the job from the start.
+// firstRecord returns the record of a job as it is accepted, and its value. Dependencies are kept as far as they are
+// not done. If any of them is cancelled, so is the job from the start.
 func (f *Frontend) firstRecord(x msg.SubmitIn, spec *wire.Job) (*job.Record, []byte, error) {
 	left, cancelled := f.unfinishedDependencies(spec)
 	if cancelled {
@@ -75,7 +75,7 @@
 	return left, false
 }
 
-// tasksInRecord is how many placements a record has to have room for.
+// tasksInRecord is for how many placements a record needs space.
 func tasksInRecord(spec *wire.Job) int {
 	tasks := min(spec.Tasks, job.TasksPerShard)
 	if spec.Shape == wire.Gang {
@@ -103,8 +103,9 @@
 	return placementBytes + longest
 }
 
-// firstFormatLimit is how large a description may be in the first format, in which tasks are never kept in shards alone. It
-// goes by the limits that the state service has now: lower ones come after the upgrade, when a record can be rewritten.
+// firstFormatLimit is how large a description may be in the first format, in which tasks are never kept in shards
+// alone. It goes by the limits that the state service has now: lower ones come after the upgrade, when a record can be
+// rewritten.
 func (f *Frontend) firstFormatLimit() int {
 	placements := job.TasksPerShard * (f.placementSize() - firstFormatSlack)
 	return int(f.cfg.Cluster.State.ValueKB*1024) - placements - recordOverhead
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -50,7 +50,10 @@
 }
 
 // New returns the frontend of a node.
-func New(cfg *config.Config, out *outbox.Outbox, replica *records.Replica, encoding *records.Encoding, catalog *zone.Catalog, node Node) *Frontend {
+func New(
+	cfg *config.Config, out *outbox.Outbox, replica *records.Replica, encoding *records.Encoding, catalog *zone.Catalog,
+	node Node,
+) *Frontend {
 	f := &Frontend{
 		cfg:            cfg,
 		teams:          cfg.Cluster.TeamsByName(),
@@ -123,8 +126,8 @@
 	f.respondWithStatus(p.requestID, j)
 }
 
-// canAnswer reports whether requests about a job can be answered. If not, it has responded: there is no job of such an ID, or the
-// node does not serve.
+// canAnswer reports whether requests about a job can be answered. If not, it has responded: there is no job of such an
+// ID, or the node does not serve.
 func (f *Frontend) canAnswer(requestID uint64, jobID string) bool {
 	if !wire.ValidJobID(jobID) {
 		f.outbox.Respond(requestID, http.StatusNotFound, wire.Error{Error: reasonNoSuchJob})
--- a/internal/core/frontend/submissions.go
+++ b/internal/core/frontend/submissions.go
@@ -158,9 +158,9 @@
 	})
 }
 
-// checkDependencies calls then with the first of the jobs that was never accepted, empty if all were, as the state service
-// confirms it now. This node's replica may lag, and users submit a job as soon as its dependencies are accepted,
-// perhaps by another node.
+// checkDependencies calls then with the first of the jobs that was never accepted, empty if all were, as the state
+// service confirms it now. This node's replica may lag, and users submit a job as soon as its dependencies are
+// accepted, perhaps by another node.
 func (f *Frontend) checkDependencies(ids []string, then func(missing string, outcome msg.Outcome)) {
 	batch := f.replica.UnknownJobs(ids)
 	if len(batch) == 0 {
--- a/internal/core/job/format.go
+++ b/internal/core/job/format.go
@@ -136,8 +136,15 @@
 		if mask>>uint(i)&1 == 0 {
 			continue
 		}
-		s.Open = append(s.Open, Placement{Task: g.First + i, Attempt: g.Attempt, Machine: g.Machine, Incarnation: g.Incarnation,
-			Zone: g.Zone, PlacedAt: g.PlacedAt / 2, Spot: g.PlacedAt%2 == 1})
+		s.Open = append(s.Open, Placement{
+			Task:        g.First + i,
+			Attempt:     g.Attempt,
+			Machine:     g.Machine,
+			Incarnation: g.Incarnation,
+			Zone:        g.Zone,
+			PlacedAt:    g.PlacedAt / 2,
+			Spot:        g.PlacedAt%2 == 1,
+		})
 	}
 }
 
--- a/internal/core/leader/cycle.go
+++ b/internal/core/leader/cycle.go
@@ -85,7 +85,7 @@
 		j := sc.jobs[e.ID]
 		return !j.queuedBehind || sc.startOrder.mayClaimGuarantee(j, c.used)
 	}
-	queue.Visit(entries, mayUseGuarantee, func(e *queue.Entry) {
+	queue.EachRanked(entries, mayUseGuarantee, func(e *queue.Entry) {
 		sc.reserveForPreemptors(c, e.Level)
 		sc.placeJob(c, e)
 	})
--- a/internal/core/outbox/outbox.go
+++ b/internal/core/outbox/outbox.go
@@ -98,7 +98,9 @@
 }
 
 // CommitWithPriority requests a transaction of the given priority.
-func (o *Outbox) CommitWithPriority(transaction wire.Transaction, priority msg.WritePriority, purpose msg.Purpose, then func(msg.CommitDone)) {
+func (o *Outbox) CommitWithPriority(
+	transaction wire.Transaction, priority msg.WritePriority, purpose msg.Purpose, then func(msg.CommitDone),
+) {
 	id := o.NextID()
 	o.commits[id] = func(done msg.CommitDone) {
 		if done.Outcome == msg.Invalid {
--- a/internal/core/preemption/counts.go
+++ b/internal/core/preemption/counts.go
@@ -51,7 +51,12 @@
 // Each calls f for each pair with its number of tasks, the largest number first.
 func (c *Counts) Each(f func(Pair, uint64)) {
 	pairs := slices.SortedFunc(maps.Keys(c.tasks), func(a, b Pair) int {
-		return cmp.Or(cmp.Compare(c.tasks[b], c.tasks[a]), cmp.Compare(a.Preemptor, b.Preemptor), cmp.Compare(a.Victim, b.Victim), cmp.Compare(a.Reason, b.Reason))
+		return cmp.Or(
+			cmp.Compare(c.tasks[b], c.tasks[a]),
+			cmp.Compare(a.Preemptor, b.Preemptor),
+			cmp.Compare(a.Victim, b.Victim),
+			cmp.Compare(a.Reason, b.Reason),
+		)
 	})
 	for _, pair := range pairs {
 		f(pair, c.tasks[pair])
--- a/internal/core/preemption/decisions.go
+++ b/internal/core/preemption/decisions.go
@@ -157,7 +157,9 @@
 // Pack adds fresh decisions to as few pages as possible, beside the stored ones that are still needed. It
 // returns the pages to write, at most maxWrites, and the number of fresh decisions that they contain, which are
 // the first ones. Decisions that are not needed any more are removed from a page when it is written.
-func (ds *Decisions) Pack(fresh []Decision, maxWrites int, needed func(*Decision) bool, fits func([]byte) bool) (writes []PageWrite, packed int) {
+func (ds *Decisions) Pack(
+	fresh []Decision, maxWrites int, needed func(*Decision) bool, fits func([]byte) bool,
+) (writes []PageWrite, packed int) {
 	kept := ds.neededByPage(needed)
 	for _, n := range emptiestFirst(kept) {
 		if packed == len(fresh) || len(writes) == maxWrites {
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -183,28 +183,28 @@
 	}
 }
 
-// Visit calls visit for each of the ranked entries, in order. An entry within its team's guarantee for which
-// claims no longer holds when it is reached is demoted beyond the guarantee, and visited where it ranks then.
-func Visit(entries []Entry, claims func(*Entry) bool, visit func(*Entry)) {
+// EachRanked calls place with each of the ranked entries, in order. An entry within its team's guarantee for which
+// mayUseGuarantee does not hold when its turn comes is demoted beyond the guarantee, and placed where it ranks then.
+func EachRanked(entries []Entry, mayUseGuarantee func(*Entry) bool, place func(*Entry)) {
 	var demoted [beyondGuarantee + 1][]Entry // by level, each in order
-	visitDemoted := func(before *Entry) {    // those that rank before an entry; nil: all
+	placeDemoted := func(before *Entry) {    // those that rank before an entry; nil: all
 		for level := beyondGuarantee; level > 0; level-- {
 			for len(demoted[level]) > 0 && (before == nil || demoted[level][0].compare(before) < 0) {
 				first := demoted[level][0]
 				demoted[level] = demoted[level][1:]
-				visit(&first)
+				place(&first)
 			}
 		}
 	}
 	for i := range entries {
 		e := &entries[i]
-		visitDemoted(e)
-		if e.Level > beyondGuarantee && !claims(e) {
+		placeDemoted(e)
+		if e.Level > beyondGuarantee && !mayUseGuarantee(e) {
 			e.DemoteBeyondGuarantee()
 			demoted[e.Level] = append(demoted[e.Level], *e)
 			continue
 		}
-		visit(e)
+		place(e)
 	}
-	visitDemoted(nil)
+	placeDemoted(nil)
 }
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// An entry that no longer fits into its team's guarantee, once others of the team were visited, is visited
-// where it ranks beyond the guarantee, and none is left out or visited twice.
-func TestVisitDemotesBeyondGuarantee(t *testing.T) {
+// An entry that no longer fits into its team's guarantee, once others of the team were placed, is placed
+// where it ranks beyond the guarantee, and none is left out or placed twice.
+func TestEachRankedDemotesBeyondGuarantee(t *testing.T) {
 	entries := []Entry{
 		{ID: "a", Level: Level(wire.High, true), Tier: 1}, {ID: "b", Level: Level(wire.High, true), Tier: 2},
 		{ID: "c", Level: Level(wire.High, true), Tier: 3}, {ID: "d", Level: Level(wire.Low, true)},
@@ -43,14 +43,14 @@
 		{ID: "g", Level: Level(wire.Low, false)},
 	}
 	var order []string
-	claimsLeft := 1
-	claims := func(*Entry) bool {
-		claimsLeft--
-		return claimsLeft >= 0
+	guaranteesLeft := 1
+	mayUseGuarantee := func(*Entry) bool {
+		guaranteesLeft--
+		return guaranteesLeft >= 0
 	}
-	Visit(entries, claims, func(e *Entry) { order = append(order, e.ID) })
+	EachRanked(entries, mayUseGuarantee, func(e *Entry) { order = append(order, e.ID) })
 	if got := strings.Join(order, " "); got != "a e f b c d g" {
-		t.Errorf("visited %s", got)
+		t.Errorf("placed %s", got)
 	}
 }
 
--- a/internal/core/reconciler/calls.go
+++ b/internal/core/reconciler/calls.go
@@ -86,8 +86,8 @@
 // canCall reports whether a direct call to a machine is possible now.
 func canCall(m *zone.Machine) bool { return m.Addr != "" && !m.CallInFlight && !m.Releasing }
 
-// AnnounceToken shows the fencing token to machines that have not followed it yet. That frees workers that a leader before
-// this one, cut off from the others, still answers.
+// AnnounceToken sends the fencing token to machines that have not reported it yet. That frees workers that an earlier
+// leader, cut off from the other nodes, still answers.
 func (r *Reconciler) AnnounceToken() {
 	for _, m := range slices.SortedFunc(maps.Keys(r.unfenced), zone.ByName) {
 		if m.FencingToken >= r.elector.TermStart() || !m.Registered() {
--- a/internal/core/reconciler/commands.go
+++ b/internal/core/reconciler/commands.go
@@ -48,8 +48,8 @@
 	return wire.Command{Verb: verb, Task: wire.TaskName(key.Job, key.Task), Attempt: key.Attempt, GraceS: graceS}
 }
 
-// shouldStart reports whether an attempt that is placed on a machine and not reported by its worker is to be started. One
-// that is not wanted any more is closed once no start of it can be in flight.
+// shouldStart reports whether an attempt that is placed on a machine and not reported by its worker is to be started.
+// One that is not wanted any more is closed once no start of it can be in flight.
 func (r *Reconciler) shouldStart(m *zone.Machine, key job.AttemptKey, inResponse bool) bool {
 	if j := r.replica.Job(key.Job); j != nil && r.listener.IsClosing(key, m.Name) {
 		// Its end is proven and only not committed yet: a start now would run beside the next attempt.
@@ -66,8 +66,8 @@
 	return false
 }
 
-// shouldStop reports whether an attempt is to be stopped, and with how many seconds of grace. t is nil if the worker does
-// not report it.
+// shouldStop reports whether an attempt is to be stopped, and with how many seconds of grace. t is nil if the worker
+// does not report it.
 func (r *Reconciler) shouldStop(key job.AttemptKey, t *zone.Task) (graceS float64, stop bool) {
 	j := r.replica.Job(key.Job)
 	if j == nil || j.Record.CancelRequested || j.Record.Phase == job.Cancelled {
--- a/internal/core/reconciler/heartbeats.go
+++ b/internal/core/reconciler/heartbeats.go
@@ -68,7 +68,8 @@
 		r.listener.MachineChanged(m)
 	}
 	if isFirst {
-		r.outbox.Log("worker joined", "machine", m.Name, "zone", m.Zone, "spot", m.Spot, "after_ms", (r.outbox.Now()-m.RentedAt)/1000)
+		afterMS := (r.outbox.Now() - m.RentedAt) / 1000
+		r.outbox.Log("worker joined", "machine", m.Name, "zone", m.Zone, "spot", m.Spot, "after_ms", afterMS)
 		r.listener.WorkerJoined(m)
 	} else {
 		r.checkLeaseExpiry(m, before.incarnation)
@@ -114,7 +115,7 @@
 	}
 }
 
-// reconcileTasks passes on what the worker's tasks have come to.
+// reconcileTasks notifies the listener of the tasks that run or have exited, and of the images that the worker has.
 func (r *Reconciler) reconcileTasks(m *zone.Machine, before workerState) {
 	sameIncarnation := before.incarnation != 0 && m.Incarnation == before.incarnation
 	expected := r.replica.PlacementsOn(m.Name)
--- a/internal/core/reconciler/reconciler.go
+++ b/internal/core/reconciler/reconciler.go
@@ -1,6 +1,6 @@
-// Package reconciler brings workers in line with the committed records, as the leader: it takes their heartbeats, commands
-// what the records ask of them, and proves which attempts are over. It starts nothing that is not committed, and
-// closes no placement without proof.
+// Package reconciler brings workers in line with the committed records, on the leader: it handles their heartbeats,
+// commands what the records ask of them, and proves which attempts are over. It starts nothing that is not committed,
+// and closes no placement without proof.
 package reconciler
 
 import (
@@ -15,20 +15,20 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
-// Listener learns what the reconciler finds out. It is the leader, which has the records written.
+// Listener is notified of what a Reconciler finds out. The leader implements it, and has the records written.
 type Listener interface {
-	WorkerJoined(*zone.Machine)                                   // the first message of its worker has come
+	WorkerJoined(*zone.Machine)                                   // its worker has sent its first message
 	MachineChanged(*zone.Machine)                                 // any change
 	AvailabilityChanged(*zone.Machine)                            // whether it gets work at all may have changed
 	ImagesChanged(*zone.Machine)                                  // it is believed to have other images
 	CacheGB(*zone.Machine) float64                                // size of its image cache in GB; 0: not known
-	TaskRunning(key job.AttemptKey)                               // by its worker's word
-	TaskExited(m *zone.Machine, key job.AttemptKey, t *zone.Task) // by its worker's word
+	TaskRunning(key job.AttemptKey)                               // as its worker reports
+	TaskExited(m *zone.Machine, key job.AttemptKey, t *zone.Task) // as its worker reports
 	ClosePlacement(key job.AttemptKey, machine string, done bool) // it is proven that the attempt is not there any more
 	IsClosing(key job.AttemptKey, machine string) bool            // whether that is proven already
 }
 
-// Reconciler is a node's. It is active while the node leads.
+// Reconciler reconciles the workers of the cluster with the records. It is active while its node leads.
 type Reconciler struct {
 	cfg      *config.Config
 	outbox   *outbox.Outbox
@@ -45,13 +45,15 @@
 }
 
 // New returns an inactive reconciler.
-func New(cfg *config.Config, out *outbox.Outbox, replica *records.Replica, elector *election.Elector, listener Listener) *Reconciler {
+func New(
+	cfg *config.Config, out *outbox.Outbox, replica *records.Replica, elector *election.Elector, listener Listener,
+) *Reconciler {
 	r := &Reconciler{cfg: cfg, outbox: out, replica: replica, elector: elector, listener: listener}
 	r.Reset()
 	return r
 }
 
-// Reset forgets what is only of use in one term. Addresses and images of machines stay.
+// Reset discards all state that belongs to one term. Addresses and images of machines are kept.
 func (r *Reconciler) Reset() {
 	previous := r.registry
 	r.active = false
@@ -70,7 +72,7 @@
 	}
 }
 
-// Activate begins to command: the records have been read since the election.
+// Activate starts commanding workers. The caller has read the stored records since its node was elected.
 func (r *Reconciler) Activate() {
 	r.active = true
 	for _, name := range r.replica.OccupiedMachines() {
--- a/internal/core/records/placement_encoding.go
+++ b/internal/core/records/placement_encoding.go
@@ -133,7 +133,8 @@
 		if !known {
 			k = len(attempts[i].Machines)
 			machineIndex[ak][mk] = k
-			attempts[i].Machines = append(attempts[i].Machines, storedMachine{Machine: p.Machine, Incarnation: p.Incarnation, Zone: zone})
+			stored := storedMachine{Machine: p.Machine, Incarnation: p.Incarnation, Zone: zone}
+			attempts[i].Machines = append(attempts[i].Machines, stored)
 		}
 		masks[ak][mk] |= 1 << uint(p.Task%job.TasksPerShard)
 		attempts[i].Machines[k].Tasks = strconv.FormatUint(masks[ak][mk], 16)
--- a/internal/core/relay/delegation.go
+++ b/internal/core/relay/delegation.go
@@ -111,7 +111,12 @@
 		}
 		if j.Record.CancelRequested || j.Record.Phase == job.Cancelled {
 			grace := 0.0
-			commands = append(commands, wire.Command{Verb: wire.CommandStop, Task: status.Task, Attempt: status.Attempt, GraceS: &grace})
+			commands = append(commands, wire.Command{
+				Verb:    wire.CommandStop,
+				Task:    status.Task,
+				Attempt: status.Attempt,
+				GraceS:  &grace,
+			})
 		}
 	}
 	delete(r.acked, in.Heartbeat.Machine)
--- a/internal/core/relay/redirect.go
+++ b/internal/core/relay/redirect.go
@@ -14,14 +14,14 @@
 	// redirectMemory is how long a redirect is remembered: a worker that comes back within this
 	// time cannot reach the node that it was sent to.
 	redirectMemory = 3 * peerTimeout
-	// servedHereDuration is how long such a worker is served here before it is redirected again.
-	servedHereDuration = 20 * config.Second
+	// redirectExemption is how long such a worker may report here before it is redirected again.
+	redirectExemption = 20 * config.Second
 )
 
 // redirect records that a worker was redirected to another node.
 type redirect struct {
-	sentAt          Micros
-	servedHereUntil Micros // set if the worker came back
+	sentAt      Micros
+	exemptUntil Micros // set if the worker came back
 }
 
 // Redirect redirects a worker to the node that it should report to, and reports whether it did. It
@@ -34,12 +34,12 @@
 	now := r.outbox.Now()
 	machine := in.Heartbeat.Machine
 	last := r.redirects[machine]
-	if now < last.servedHereUntil {
+	if now < last.exemptUntil {
 		return false
 	}
 	cameBack := last.sentAt != 0 && now-last.sentAt < redirectMemory
 	if cameBack {
-		r.redirects[machine] = redirect{servedHereUntil: now + servedHereDuration}
+		r.redirects[machine] = redirect{exemptUntil: now + redirectExemption}
 		return false
 	}
 	r.redirects[machine] = redirect{sentAt: now}
--- a/internal/core/relay/relay.go
+++ b/internal/core/relay/relay.go
@@ -4,7 +4,7 @@
 // which the leader may have something to say, is forwarded. One that repeats what the leader has
 // acknowledged, while the records require nothing of the worker, is answered by this node; the
 // leader is told of those in batches. If the leader cannot be reached, as in a network partition
-// between zones, this node acts as its delegate and relays what it hears through the key-value store.
+// between zones, this node acts as its delegate and relays heartbeats through the key-value store.
 //
 // Both rely on this node's replica of the records. A node that is not the leader stops the tasks of
 // cancelled jobs, but starts no tasks and forgets none: conclusions about starts are drawn by the
@@ -43,9 +43,9 @@
 	encoding *records.Encoding
 	elector  *election.Elector
 
-	location    map[string]string // zone of each node
-	peerHeardAt map[string]Micros // when another node last answered
-	redirects   map[string]redirect
+	location        map[string]string // zone of each node
+	peerRespondedAt map[string]Micros // when another node last answered
+	redirects       map[string]redirect
 
 	acked       map[string]ackedHeartbeat // by machine
 	pendingAcks []msg.HeartbeatAck        // heartbeats answered on behalf of the leader since the last batch
@@ -62,19 +62,21 @@
 }
 
 // New returns the Relay of a node.
-func New(cfg *config.Config, out *outbox.Outbox, replica *records.Replica, encoding *records.Encoding, elector *election.Elector) *Relay {
+func New(
+	cfg *config.Config, out *outbox.Outbox, replica *records.Replica, encoding *records.Encoding, elector *election.Elector,
+) *Relay {
 	r := &Relay{
-		cfg:         cfg,
-		outbox:      out,
-		replica:     replica,
-		encoding:    encoding,
-		elector:     elector,
-		location:    map[string]string{cfg.Node: cfg.Location},
-		peerHeardAt: map[string]Micros{},
-		redirects:   map[string]redirect{},
-		acked:       map[string]ackedHeartbeat{},
-		queued:      map[string]RelayedHeartbeat{},
-		written:     map[string]RelayedHeartbeat{},
+		cfg:             cfg,
+		outbox:          out,
+		replica:         replica,
+		encoding:        encoding,
+		elector:         elector,
+		location:        map[string]string{cfg.Node: cfg.Location},
+		peerRespondedAt: map[string]Micros{},
+		redirects:       map[string]redirect{},
+		acked:           map[string]ackedHeartbeat{},
+		queued:          map[string]RelayedHeartbeat{},
+		written:         map[string]RelayedHeartbeat{},
 	}
 	for _, peer := range cfg.Peers {
 		r.location[peer.Node] = peer.Location
@@ -92,7 +94,7 @@
 // OnHolderChanged is called when the leader key was written.
 func (r *Relay) OnHolderChanged(from, to string) {
 	if from != to {
-		r.peerHeardAt[to] = r.outbox.Now()
+		r.peerRespondedAt[to] = r.outbox.Now()
 		r.leaderChangedAt = r.outbox.Now()
 		r.leaderResponded = false
 	}
@@ -100,11 +102,11 @@
 }
 
 // PeerAlive records that another node has answered.
-func (r *Relay) PeerAlive(peer msg.PeerAlive) { r.peerHeardAt[peer.Node] = r.outbox.Now() }
+func (r *Relay) PeerAlive(peer msg.PeerAlive) { r.peerRespondedAt[peer.Node] = r.outbox.Now() }
 
 // alive reports whether a node is this one or has answered lately.
 func (r *Relay) alive(node string) bool {
-	return node == r.cfg.Node || r.outbox.Now()-r.peerHeardAt[node] <= peerTimeout
+	return node == r.cfg.Node || r.outbox.Now()-r.peerRespondedAt[node] <= peerTimeout
 }
 
 // HandleHeartbeat serves a worker while another node is the leader.
@@ -118,7 +120,8 @@
 	case r.unchanged(hb):
 		ack := msg.HeartbeatAck{Machine: hb.Machine, Incarnation: hb.Incarnation, Sequence: hb.Sequence}
 		r.pendingAcks = append(r.pendingAcks, ack)
-		r.outbox.Respond(in.RequestID, http.StatusOK, wire.HeartbeatResponse{FencingToken: leader.Version, Commands: []wire.Command{}})
+		response := wire.HeartbeatResponse{FencingToken: leader.Version, Commands: []wire.Command{}}
+		r.outbox.Respond(in.RequestID, http.StatusOK, response)
 	default:
 		delete(r.acked, hb.Machine)
 		r.outbox.Emit(msg.Forward{RequestID: in.RequestID, Node: leader.Node, Heartbeat: *hb})
@@ -130,7 +133,7 @@
 	now := r.outbox.Now()
 	if len(r.redirects) > maxRememberedWorkers {
 		maps.DeleteFunc(r.redirects, func(_ string, d redirect) bool {
-			return now > max(d.servedHereUntil, d.sentAt+redirectMemory)
+			return now > max(d.exemptUntil, d.sentAt+redirectMemory)
 		})
 	}
 	if len(r.acked) > maxRememberedWorkers {
--- a/internal/core/relay/relayed_heartbeats.go
+++ b/internal/core/relay/relayed_heartbeats.go
@@ -56,7 +56,13 @@
 		receivedAt:   r.outbox.Now(),
 	}
 	for _, t := range hb.Tasks {
-		relayed.Tasks = append(relayed.Tasks, RelayedTask{Task: t.Task, Attempt: t.Attempt, State: t.State, Cause: t.Cause, Saved: t.Saved})
+		relayed.Tasks = append(relayed.Tasks, RelayedTask{
+			Task:    t.Task,
+			Attempt: t.Attempt,
+			State:   t.State,
+			Cause:   t.Cause,
+			Saved:   t.Saved,
+		})
 	}
 	last := r.written[hb.Machine]
 	// An unchanged heartbeat still shows in time that the worker is alive.
--- a/internal/core/zone/capacity_index.go
+++ b/internal/core/zone/capacity_index.go
@@ -47,7 +47,11 @@
 
 // moreFree orders the offers of a bucket. It uses nothing that changes while an offer is in there.
 func moreFree(a, b *Offer) bool {
-	return cmp.Or(cmp.Compare(b.Free.GPUs, a.Free.GPUs), cmp.Compare(b.Free.CPUs, a.Free.CPUs), cmp.Compare(a.Machine.Name, b.Machine.Name)) < 0
+	return cmp.Or(
+		cmp.Compare(b.Free.GPUs, a.Free.GPUs),
+		cmp.Compare(b.Free.CPUs, a.Free.CPUs),
+		cmp.Compare(a.Machine.Name, b.Machine.Name),
+	) < 0
 }
 
 // suits reports whether a request may use machines of the bucket's type.
--- a/internal/core/zone/catalog.go
+++ b/internal/core/zone/catalog.go
@@ -27,7 +27,9 @@
 
 // Allows reports whether a task of a job fits on machines of a type and may run on them.
 func Allows(spec *wire.Job, t *wire.MachineType) bool {
-	fits := spec.CPUs <= t.CPUs+specTolerance && spec.GPUs <= t.GPUs+specTolerance && spec.MemoryGB <= t.MemoryGB+specTolerance
+	fits := spec.CPUs <= t.CPUs+specTolerance &&
+		spec.GPUs <= t.GPUs+specTolerance &&
+		spec.MemoryGB <= t.MemoryGB+specTolerance
 	return fits && allowsType(spec, t) && allowsZone(spec, t)
 }
 
--- a/internal/core/zone/resources.go
+++ b/internal/core/zone/resources.go
@@ -29,7 +29,12 @@
 // Count returns how many tasks that take r fit into what is free.
 func (r Resources) Count(free Resources) int {
 	n := math.MaxInt32
-	for _, x := range [...]struct{ needed, free float64 }{{r.CPUs, free.CPUs}, {r.GPUs, free.GPUs}, {r.MemoryGB, free.MemoryGB}} {
+	quantities := [...]struct{ needed, free float64 }{
+		{r.CPUs, free.CPUs},
+		{r.GPUs, free.GPUs},
+		{r.MemoryGB, free.MemoryGB},
+	}
+	for _, x := range quantities {
 		if x.needed > 0 {
 			n = min(n, max(0, int((x.free+tolerance)/x.needed)))
 		} else if x.free < -tolerance {
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -92,7 +92,13 @@
 	if s.Groups <= 0 || s.Machines <= 0 {
 		s = DefaultSettings()
 	}
-	return &Model{settings: s, epoch: epoch, groups: map[groupKey]*group{}, coverage: map[string]*coverage{}, machines: map[string]*speed{}}
+	return &Model{
+		settings: s,
+		epoch:    epoch,
+		groups:   map[groupKey]*group{},
+		coverage: map[string]*coverage{},
+		machines: map[string]*speed{},
+	}
 }
 
 // Changes returns the number of sudden changes that were detected.
--- a/internal/estimate/group.go
+++ b/internal/estimate/group.go
@@ -99,9 +99,13 @@
 
 // combine adds another tally if sign is 1, or subtracts it if sign is -1.
 func (t *tally) combine(other *tally, sign int64) {
-	for _, v := range [][2]*int64{{&t.N, &other.N}, {&t.Y, &other.Y}, {&t.Nx, &other.Nx}, {&t.X, &other.X}, {&t.Yx, &other.Yx}, {&t.XX, &other.XX}, {&t.XY, &other.XY}} {
-		*v[0] += sign * *v[1]
-	}
+	t.N += sign * other.N
+	t.Y += sign * other.Y
+	t.Nx += sign * other.Nx
+	t.X += sign * other.X
+	t.Yx += sign * other.Yx
+	t.XX += sign * other.XX
+	t.XY += sign * other.XY
 	t.Errors = 0
 	for i := range t.Ends {
 		t.Ends[i] = clampCount(int64(t.Ends[i]) + sign*int64(other.Ends[i]))
@@ -179,13 +183,13 @@
 		return
 	}
 	g.setErrorQuantiles()
-	// Few samples leave the outer quantiles uncertain: they are stretched accordingly.
-	stretch := 1 + 1.5/float64(g.Errors)
+	// Few samples leave the outer quantiles uncertain: they are moved away from the median accordingly.
+	widening := 1 + 1.5/float64(g.Errors)
 	median := g.errorDistribution[medianIndex]
 	// The location, which is learned as well, already corrects part of the median error.
 	shift := median * float64(g.Errors) / (float64(g.Errors) + 20)
 	for i := range g.errorDistribution {
-		g.errorDistribution[i] = shift + (g.errorDistribution[i]-median)*stretch
+		g.errorDistribution[i] = shift + (g.errorDistribution[i]-median)*widening
 	}
 }
 
--- a/internal/estimate/stored.go
+++ b/internal/estimate/stored.go
@@ -239,7 +239,12 @@
 	var stored []storedSpeed
 	for name, s := range m.machines {
 		if s.slowness() != 0 {
-			stored = append(stored, storedSpeed{Machine: name, N: uint16(s.n), Sum: int32(s.sum * 1000), Spread: int32(s.spread * 1000)})
+			stored = append(stored, storedSpeed{
+				Machine: name,
+				N:       uint16(s.n),
+				Sum:     int32(s.sum * 1000),
+				Spread:  int32(s.spread * 1000),
+			})
 		}
 	}
 	slices.SortFunc(stored, func(a, b storedSpeed) int { return cmp.Compare(a.Machine, b.Machine) })
--- a/wire/submission_fields.go
+++ b/wire/submission_fields.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 
 	"github.com/vmihailenco/msgpack/v5"
@@ -25,8 +26,8 @@
 var requiredFields = []string{"ref", "docket", "desk", "shape", "rank", "lots", "cores", "gpus", "ram_gb",
 	"build", "pull_gb", "one_zone", "spread", "loaners", "expect_s", "bookmark_s", "stash_s"}
 
-// jobFields set the fields of a Job from their encoded values, by the names on the wire. They return false for null, and an
-// error that tells why a value is invalid.
+// jobFields set the fields of a Job from their encoded values, by the names on the wire. They return false for null, and
+// an error that says why a value is invalid.
 var jobFields = map[string]func(*Job, []byte) (bool, error){
 	"ref": func(j *Job, b []byte) (bool, error) {
 		s, ok, err := textValue(b)
@@ -189,13 +190,11 @@
 		if err != nil || !ok {
 			return ok, err
 		}
-		for _, a := range allowed {
-			if s == a {
-				*at(j) = s
-				return true, nil
-			}
+		if !slices.Contains(allowed, s) {
+			return true, errors.New("not one of " + strings.Join(allowed, ", "))
 		}
-		return true, errors.New("not one of " + strings.Join(allowed, ", "))
+		*at(j) = s
+		return true, nil
 	}
 }
 
