--- a/internal/core/relay/relay.go
+++ b/internal/core/relay/relay.go
@@ -63,7 +63,8 @@
 
 // New returns the Relay of a node.
 func New(
-	cfg *config.Config, out *outbox.Outbox, replica *records.Replica, encoding *records.Encoding, elector *election.Elector,
+	cfg *config.Config, out *outbox.Outbox, replica *records.Replica, encoding *records.Encoding,
+	elector *election.Elector,
 ) *Relay {
 	r := &Relay{
 		cfg:             cfg,
--- a/internal/estimate/learn.go
+++ b/internal/estimate/learn.go
@@ -22,7 +22,9 @@
 // walk descends the hierarchy and returns the estimate of the narrowest level, the level
 // that it is attributed to and that level's number of runs. If visit isn't nil it is
 // called at each level with the estimate there; the group is nil if it doesn't exist.
-func (m *Model) walk(f *Features, visit func(l Level, g *group, estimate levelEstimate)) (estimate levelEstimate, attributed Level, samples float64) {
+func (m *Model) walk(
+	f *Features, visit func(l Level, g *group, estimate levelEstimate),
+) (estimate levelEstimate, attributed Level, samples float64) {
 	if f.Expect > 0 {
 		estimate = levelEstimate{location: logSeconds(f.Expect), errors: defaultUserErrors, known: true}
 		attributed = User
--- a/internal/estimate/stored.go
+++ b/internal/estimate/stored.go
@@ -278,7 +278,8 @@
 	if err != nil {
 		return nil, err
 	}
-	w, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithWindowSize(64<<10))
+	w, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedDefault),
+		zstd.WithWindowSize(64<<10))
 	if err != nil {
 		return nil, err
 	}
@@ -322,7 +323,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecodedBytes), zstd.WithDecoderLowmem(true))
+	r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecodedBytes),
+		zstd.WithDecoderLowmem(true))
 	if err != nil {
 		return nil, err
 	}
--- a/wire/submission_fields.go
+++ b/wire/submission_fields.go
@@ -26,8 +26,8 @@
 var requiredFields = []string{"ref", "docket", "desk", "shape", "rank", "lots", "cores", "gpus", "ram_gb",
 	"build", "pull_gb", "one_zone", "spread", "loaners", "expect_s", "bookmark_s", "stash_s"}
 
-// jobFields set the fields of a Job from their encoded values, by the names on the wire. They return false for null, and
-// an error that says why a value is invalid.
+// jobFields set the fields of a Job from their encoded values, by the names on the wire. They return false for null,
+// and an error that says why a value is invalid.
 var jobFields = map[string]func(*Job, []byte) (bool, error){
 	"ref": func(j *Job, b []byte) (bool, error) {
 		s, ok, err := textValue(b)
