--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -3,9 +3,6 @@
 package autoscaler
 
 import (
-	"maps"
-	"slices"
-
 	"coralhub/internal/config"
 	"coralhub/internal/core/election"
 	"coralhub/internal/core/job"
@@ -51,10 +48,8 @@
 
 	list cloudList
 
-	pools     map[*zone.Machine]Pool // of the machines that count as capacity
-	poolSizes map[Pool]int
-	booting   map[*zone.Machine]bool
-	watched   map[*zone.Machine]bool // candidates for scaling in
+	pools   machinePools
+	watched map[*zone.Machine]bool // candidates for scaling in
 }
 
 // New returns an inactive Autoscaler without machines.
@@ -81,9 +76,7 @@
 	a.activeSince = a.outbox.Now()
 	a.provisioner = NewProvisioner(a.cfg.Cluster.Cloud.RPS)
 	a.list.reset()
-	a.pools = map[*zone.Machine]Pool{}
-	a.poolSizes = map[Pool]int{}
-	a.booting = map[*zone.Machine]bool{}
+	a.pools = newMachinePools()
 	a.watched = map[*zone.Machine]bool{}
 }
 
@@ -107,48 +100,28 @@
 // TotalCapacity returns the total resources of the machines that are up or booting. Spot instances
 // count only if spot is set.
 func (a *Autoscaler) TotalCapacity(spot bool) zone.Resources {
-	var sum zone.Resources
-	for _, pool := range slices.SortedFunc(maps.Keys(a.poolSizes), comparePools) {
-		t := a.catalog.Types[pool.Type]
-		if t != nil && (spot || !pool.Spot) {
-			sum = sum.Plus(zone.CapacityOf(t), float64(a.poolSizes[pool]))
-		}
-	}
-	return sum
+	return a.pools.totalCapacity(a.catalog, spot)
 }
 
 // Growing reports whether more than a quarter of the machines are booting. Until they are up, the
 // cluster's free capacity is not known.
-func (a *Autoscaler) Growing() bool { return len(a.booting)*4 > len(a.pools) }
+func (a *Autoscaler) Growing() bool { return a.pools.growing() }
 
 // ForgetMachine drops a machine that was removed from the registry.
 func (a *Autoscaler) ForgetMachine(m *zone.Machine) {
-	a.removeFromPool(m)
+	a.pools.remove(m)
 	delete(a.watched, m)
 }
 
-func (a *Autoscaler) removeFromPool(m *zone.Machine) {
-	if pool, ok := a.pools[m]; ok {
-		a.poolSizes[pool]--
-		delete(a.pools, m)
-	}
-	delete(a.booting, m)
-}
-
 // UpdateMachine counts a changed machine in its pool. empty says that no open placement is on the
 // machine, used that some placement is on it or planned there.
 func (a *Autoscaler) UpdateMachine(m *zone.Machine, empty, used bool) {
-	a.removeFromPool(m)
+	a.pools.remove(m)
 	a.WatchMachine(m, used)
 	if m.Releasing || m.Type == "" {
 		return
 	}
-	pool := Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-	a.pools[m] = pool
-	a.poolSizes[pool]++
-	if m.Incarnation == 0 && !m.Failed && empty {
-		a.booting[m] = true
-	}
+	a.pools.add(m, m.Incarnation == 0 && !m.Failed && empty)
 }
 
 // WatchMachine updates since when a machine is idle, and whether it is a candidate for scaling in:
--- a/internal/core/autoscaler/scale_out.go
+++ b/internal/core/autoscaler/scale_out.go
@@ -5,21 +5,16 @@
 	"slices"
 
 	"coralhub/internal/core/msg"
-	"coralhub/internal/core/zone"
 	"coralhub/wire"
 )
 
 // ScaleOut requests the machines that demands call for beyond those that are booting.
 func (a *Autoscaler) ScaleOut(demands []Demand) {
-	var booting []Pool
-	for _, m := range slices.SortedFunc(maps.Keys(a.booting), zone.ByName) {
-		booting = append(booting, a.pools[m])
-	}
 	types := make([]*wire.MachineType, 0, len(a.catalog.Types))
 	for _, name := range slices.Sorted(maps.Keys(a.catalog.Types)) {
 		types = append(types, a.catalog.Types[name])
 	}
-	rentals := a.provisioner.Plan(a.outbox.Now(), demands, booting, a.poolSizes, types)
+	rentals := a.provisioner.Plan(a.outbox.Now(), demands, a.pools.ofBooting(), a.pools.sizes, types)
 	a.provisioner.Enqueue(a.elector.FencingToken(), rentals)
 	a.sendDue()
 }
@@ -58,10 +53,8 @@
 // CapacityExhausted reports whether the cloud recently had no capacity in any pool that suits a
 // demand, and no machine of such a pool is booting.
 func (a *Autoscaler) CapacityExhausted(demand *Demand) bool {
-	for m := range a.booting {
-		if demand.accepts(a.pools[m]) {
-			return false
-		}
+	if a.pools.anyBootingFor(demand) {
+		return false
 	}
 	for name := range demand.Types {
 		t := a.catalog.Types[name]
