--- a/internal/core/completionlog/completionlog.go
+++ b/internal/core/completionlog/completionlog.go
@@ -58,7 +58,7 @@
 	replica  *records.Replica
 	jobs     Jobs
 
-	pagesBegun    uint64 // pages begun in this term
+	pagesStarted  uint64 // pages started in this term
 	currentPage   uint64 // number of the page that this leader fills; 0: none
 	unwritten     []records.CompletionEntry
 	transaction   *wire.Transaction // not settled; nil: none
@@ -76,7 +76,7 @@
 
 // Reset has the next term begin new pages. The time of the next write is kept: it saves the key-value store's quota.
 func (l *Log) Reset() {
-	l.pagesBegun = 0
+	l.pagesStarted = 0
 	l.currentPage = 0
 	l.unwritten = nil
 	l.transaction = nil
@@ -129,8 +129,8 @@
 	if version != 0 && value != nil {
 		return value, version
 	}
-	l.pagesBegun++
-	l.currentPage = l.elector.TermStart()<<pageNumberBits | l.pagesBegun
+	l.pagesStarted++
+	l.currentPage = l.elector.TermStart()<<pageNumberBits | l.pagesStarted
 	return l.encode(nil), 0
 }
 
--- a/internal/faulttest/experiment.go
+++ b/internal/faulttest/experiment.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"coralhub/internal/schema"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -39,7 +40,7 @@
 	}
 	e := &Experiment{Scale: 1}
 	if err := toml.Unmarshal(raw, e); err != nil {
-		return nil, fmt.Errorf("experiment %s: %w", path, withPosition(err))
+		return nil, fmt.Errorf("experiment %s: %w", path, schema.NewTOMLError(err))
 	}
 	names := map[string]bool{}
 	for _, v := range e.Variants {
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -180,14 +180,14 @@
 func Parse(raw []byte) (*Scenario, error) {
 	var doc any
 	if err := toml.Unmarshal(raw, &doc); err != nil {
-		return nil, withPosition(err)
+		return nil, schema.NewTOMLError(err)
 	}
 	if err := schema.CheckValue(schemaText, doc); err != nil {
 		return nil, err
 	}
 	s := defaultScenario()
 	if err := toml.Unmarshal(raw, s); err != nil {
-		return nil, withPosition(err)
+		return nil, schema.NewTOMLError(err)
 	}
 	for i := range s.Classes {
 		c := &s.Classes[i]
@@ -201,16 +201,6 @@
 	return s, s.check()
 }
 
-// withPosition adds the line and the column to an error of TOML that has them.
-func withPosition(err error) error {
-	var decodeError *toml.DecodeError
-	if errors.As(err, &decodeError) {
-		row, column := decodeError.Position()
-		return fmt.Errorf("line %d column %d: %s", row, column, decodeError.Error())
-	}
-	return err
-}
-
 // settled is when the last fault ends, in seconds since the run began.
 func (s *Scenario) settled() float64 {
 	last := 0.0
--- a/internal/node/inbox/inbox.go
+++ b/internal/node/inbox/inbox.go
@@ -54,7 +54,7 @@
 
 	mu        sync.Mutex
 	closed    bool
-	hasRoom   [classes]*sync.Cond
+	notFull   [classes]*sync.Cond
 	queues    [classes][]item[T]
 	remaining [classes]int // inputs that a class may still have taken in this round
 	shed      [classes]int // since Counters was last called
@@ -63,8 +63,8 @@
 // New returns an empty inbox that goes by a clock.
 func New[T any](now func() time.Time) *Inbox[T] {
 	b := &Inbox[T]{now: now, wake: make(chan struct{}, 1), remaining: weights}
-	for i := range b.hasRoom {
-		b.hasRoom[i] = sync.NewCond(&b.mu)
+	for i := range b.notFull {
+		b.notFull[i] = sync.NewCond(&b.mu)
 	}
 	return b
 }
@@ -75,7 +75,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for !b.closed && len(b.queues[class]) >= limits[class].length {
-		b.hasRoom[class].Wait()
+		b.notFull[class].Wait()
 	}
 	if b.closed {
 		return
@@ -88,8 +88,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
-	for _, hasRoom := range b.hasRoom {
-		hasRoom.Broadcast()
+	for _, notFull := range b.notFull {
+		notFull.Broadcast()
 	}
 }
 
@@ -157,7 +157,7 @@
 	if len(queue) == 1 {
 		b.queues[class] = nil
 	}
-	b.hasRoom[class].Signal()
+	b.notFull[class].Signal()
 	expired := x.offered && b.expired(class, &x)
 	if expired {
 		b.shed[class]++
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -144,7 +144,7 @@
 	s := Defaults()
 	var doc any
 	if err := toml.Unmarshal(raw, &doc); err != nil {
-		return s, decodeError(err)
+		return s, schema.NewTOMLError(err)
 	}
 	if err := schema.CheckValue(schemaText, doc); err != nil {
 		return s, err
@@ -152,7 +152,7 @@
 	classes := s.Classes
 	s.Classes = nil
 	if err := toml.Unmarshal(raw, &s); err != nil {
-		return s, decodeError(err)
+		return s, schema.NewTOMLError(err)
 	}
 	if len(s.Classes) == 0 {
 		s.Classes = classes
@@ -160,16 +160,6 @@
 	return s, s.Check()
 }
 
-// decodeError returns a TOML error as one line with its position.
-func decodeError(err error) error {
-	var decodeError *toml.DecodeError
-	if errors.As(err, &decodeError) {
-		row, col := decodeError.Position()
-		return fmt.Errorf("line %d column %d: %s", row, col, schema.OneLine(decodeError.Error()))
-	}
-	return errors.New(schema.OneLine(err.Error()))
-}
-
 // Check rejects settings that fit the schema and can't be run.
 func (s *Settings) Check() error {
 	switch {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,4 +1,5 @@
-// Package schema validates documents against JSON schemas, with errors of one line.
+// Package schema validates documents against JSON schemas and describes TOML documents that do not parse, with errors
+// of one line.
 package schema
 
 import (
