--- a/cmd/coralhub/names_test.go
+++ b/cmd/coralhub/names_test.go
@@ -31,3 +31,16 @@
 		t.Errorf("the old name of faulttest finds %v, %v", run, err)
 	}
 }
+
+// Deploy files and shells set LOG_LEVEL. A wrong value is refused before the settings are read, whichever command line
+// starts the service.
+func TestNameOfLogLevelVariable(t *testing.T) {
+	t.Setenv("LOG_LEVEL", "loud")
+	for _, args := range [][]string{{"--config", "none.toml"}, {"serve", "--config", "none.toml"}} {
+		cmd := command()
+		cmd.SetArgs(args)
+		if err := cmd.Execute(); err == nil || err.Error() != `LOG_LEVEL: "loud" is not error, info or debug` {
+			t.Errorf("coralhub %s: %v", strings.Join(args, " "), err)
+		}
+	}
+}
