--- a/internal/core/job/format.go
+++ b/internal/core/job/format.go
@@ -9,36 +9,36 @@
 )
 
 // Format is the version of the encoding of stored values. Nodes of different versions run side by
-// side during an upgrade, and a node that doesn't know a field drops it when it rewrites a value.
-// So a node writes the format in force, which is raised once every node has announced that it
-// reads the next one; it reads all formats up to NewestFormat.
+// side during an upgrade, and a node drops fields that its version does not have when it rewrites a
+// value. Each node therefore writes the format in force, which is raised once every node has
+// announced that it reads the next one. It reads all formats up to NewestFormat.
 type Format int
 
 const (
-	// FormatPlacements is the first format: each open placement is stored by itself, and jobs
-	// have no dependencies. Its encoder, and this name, can be removed once every deployment has
-	// raised its format; its decoder once no stored value has it. Code that serves it alone tests
-	// for formats below FormatGrouped.
+	// FormatPlacements is the first format: each open placement is stored individually, and jobs
+	// have no dependencies. Its encoder and this constant can be removed once every deployment has
+	// raised its format, and its decoder once no stored value uses it. Code that exists only for
+	// this format checks for formats below FormatGrouped.
 	FormatPlacements Format = 1
 	// FormatGrouped stores the tasks of a job that are on the same machine as a group, and lets
 	// jobs have dependencies.
 	FormatGrouped Format = 2
-	// FormatPreemption has leaders commit preemption decisions before they stop tasks. Open
-	// placements have the time at which they were made, shards and the completion log have
-	// usage, and finished jobs have usage accounts.
+	// FormatPreemption makes leaders commit preemption decisions before they stop tasks. It stores
+	// the placement time of open placements, usage in shards and the completion log, and usage
+	// accounts of finished jobs.
 	FormatPreemption Format = 3
-	// FormatPlacementPages has leaders place tasks of many jobs in one value, see package
-	// records. A record alone doesn't show any more whether tasks of its job were ever placed.
+	// FormatPlacementPages makes leaders place tasks of many jobs in one value, see package
+	// records. A record alone no longer shows whether tasks of its job were ever placed.
 	FormatPlacementPages Format = 4
 	// NewestFormat is the newest format that this version reads.
 	NewestFormat = FormatPlacementPages
 )
 
-// group is the tasks of a shard that share a machine and an attempt.
+// group holds the tasks of a shard that share a machine and an attempt.
 type group struct {
 	//lint:ignore U1000 read by the encoder: a group is encoded as an array, to be short
 	_msgpack    struct{} `msgpack:",as_array"`
-	First       int      // task number that bit 0 stands for
+	First       int      // task number of bit 0 of Tasks
 	Tasks       string   // hexadecimal bit set
 	Attempt     uint64
 	Machine     string
@@ -47,7 +47,7 @@
 }
 
 // timedGroup is a group with the time at which its tasks were placed. PlacedAt is twice the encoded
-// time, plus one on a spot instance.
+// time (see EncodeTime), plus one for a spot instance.
 type timedGroup struct {
 	//lint:ignore U1000 read by the encoder: a group is encoded as an array, to be short
 	_msgpack    struct{} `msgpack:",as_array"`
@@ -60,14 +60,14 @@
 	PlacedAt    int64
 }
 
-// groupKey is what the tasks of a group have in common.
+// groupKey identifies a group by the fields that its tasks have in common.
 type groupKey struct {
 	attempt, incarnation uint64
 	machine, zone        string
 	placedAt             int64 // as in timedGroup, 0 for a group without a time
 }
 
-// groupKeyOf returns the key of the group that a placement belongs to in a format.
+// groupKeyOf returns the key of the group that a placement belongs to in the given format.
 func groupKeyOf(p *Placement, format Format) groupKey {
 	key := groupKey{attempt: p.Attempt, incarnation: p.Incarnation, machine: p.Machine, zone: p.Zone}
 	if format < FormatPreemption {
@@ -80,7 +80,8 @@
 	return key
 }
 
-// pack returns the shard as it is stored in a format. Groups are in the order of their first placement.
+// pack returns the shard as it is stored in the given format. Groups are in the order of their first
+// placement.
 func (s Shard) pack(format Format) Shard {
 	if format < FormatPreemption {
 		s.Usage = nil
@@ -175,8 +176,8 @@
 	return err
 }
 
-// Encode encodes any other stored value.
+// Encode encodes a stored value. Records and shards are encoded by EncodeRecord and EncodeShard.
 func Encode(v any) ([]byte, error) { return msgpack.Marshal(v) }
 
-// Decode is the inverse of Encode.
+// Decode decodes a value that was encoded by Encode. v must be a pointer.
 func Decode(value []byte, v any) error { return wire.Unmarshal(value, v) }
--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -1,5 +1,5 @@
-// Package job defines the stored record of a job, which is the only source of truth about it, and
-// the changes that a record may go through.
+// Package job defines the stored record of a job, which is the single source of truth about it, and
+// the changes that a record may undergo.
 package job
 
 import "coralhub/wire"
@@ -12,7 +12,7 @@
 )
 
 // Record is the value stored under a job's key. Once a job is finished and has no open placements,
-// its record shrinks to its phase.
+// its record is shrunk: only the phase, the number of done tasks and the account remain.
 type Record struct {
 	Spec            *wire.Job `msgpack:"s,omitempty"`
 	Phase           string    `msgpack:"f,omitempty"`
@@ -20,10 +20,11 @@
 	CreatedAt       int64     `msgpack:"t,omitempty"` // time of day of the submission, in microseconds
 	LastAttempt     uint64    `msgpack:"a,omitempty"` // highest attempt placed so far
 	DoneTasks       int       `msgpack:"n,omitempty"` // number of done tasks, for display only
-	// ShardsOnly is set if the spec is so large that no tasks fit beside it: all of them are in
-	// shards of their own, from 1 on. It is written from FormatGrouped on.
+	// ShardsOnly is set if the spec is so large that no tasks fit into the record beside it: all of
+	// them are in shards of their own, from shard 1 on. It is written from FormatGrouped on.
 	ShardsOnly bool `msgpack:"p,omitempty"`
-	// Account is what the job has used, once it is finished and nothing else of it is left.
+	// Account is the total usage of the job. It is set only in shrunk records, from
+	// FormatPreemption on.
 	Account *UsageAccount `msgpack:"b,omitempty"`
 	Shard
 }
@@ -55,7 +56,7 @@
 	return first, first + (tasks+TasksPerShard-1)/TasksPerShard
 }
 
-// Final reports whether the record's phase cannot change any more.
+// Final reports whether the record's phase can no longer change.
 func (r *Record) Final() bool { return r.Phase != Active }
 
 // Clone returns a copy that shares nothing mutable with r.
@@ -65,7 +66,8 @@
 	return c
 }
 
-// Shrink reduces the record of a finished job that has no open placements.
+// Shrink reduces the record of a finished job without open placements to its phase and its number of
+// done tasks.
 func (r *Record) Shrink() {
 	*r = Record{Phase: r.Phase, DoneTasks: r.DoneTasks}
 }
--- a/internal/core/job/job_test.go
+++ b/internal/core/job/job_test.go
@@ -29,14 +29,14 @@
 		t.Fatal(err)
 	}
 	if n := wire.JSONSize(raw); n > 4096 {
-		t.Fatalf("%d bytes", n)
+		t.Fatalf("the record has %d bytes, want at most 4096", n)
 	}
 	var decoded Record
 	if err := Decode(raw, &decoded); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(r, &decoded) {
-		t.Fatalf("decoded as %+v", decoded)
+		t.Fatalf("decoded record:\ngot  %+v\nwant %+v", decoded, *r)
 	}
 }
 
@@ -52,11 +52,11 @@
 	r := Record{Spec: &wire.Job{}, Phase: Done, DoneTasks: 3}
 	r.Shrink()
 	if r.Spec != nil || r.Phase != Done || r.DoneTasks != 3 || !r.Final() {
-		t.Fatalf("%+v", r)
+		t.Fatalf("shrunk record %+v, want only phase %q and 3 done tasks", r, Done)
 	}
 }
 
-// Done tasks and open placements of a shard behave like sets.
+// The done tasks and the open placements of a shard behave like sets.
 func TestShardBehavesLikeSets(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var shard Shard
@@ -75,19 +75,19 @@
 		case 2:
 			before := shard.Clone()
 			if shard.Remove(i, 1, "m") != open[i] {
-				t.Fatal("removed a placement that was not open")
+				t.Fatalf("Remove of task %d returned %v, want %v", i, !open[i], open[i])
 			}
 			if len(before.Open) != len(open) {
-				t.Fatal("a clone changed")
+				t.Fatalf("clone made before Remove has %d open placements, want %d", len(before.Open), len(open))
 			}
 			delete(open, i)
 		}
 		if shard.DoneCount() != len(done) || len(shard.Open) != len(open) || shard.IsDone(i) != done[i] {
-			t.Fatalf("%+v, want %v done and %v open", shard, done, open)
+			t.Fatalf("shard %+v, want done tasks %v and open tasks %v", shard, done, open)
 		}
 		for _, m := range shard.Missing(TasksPerShard) {
 			if done[m] || open[m] {
-				t.Fatalf("%d is not missing", m)
+				t.Fatalf("Missing returned task %d: done %v, open %v, want neither", m, done[m], open[m])
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 	} {
 		id, shard, ok := ParseKey(tt.key)
 		if ok != tt.ok || ok && (id != tt.id || shard != tt.shard) {
-			t.Errorf("%q: %s %d %v", tt.key, id, shard, ok)
+			t.Errorf("ParseKey(%q) = %q, %d, %v, want %q, %d, %v", tt.key, id, shard, ok, tt.id, tt.shard, tt.ok)
 		}
 	}
 }
--- a/internal/core/job/keys.go
+++ b/internal/core/job/keys.go
@@ -22,8 +22,8 @@
 // ShardKey returns the key of a job's n-th shard, for n from 1 on.
 func ShardKey(id string, n int) string { return fmt.Sprintf("%s%s/%d", shardPrefix, id, n) }
 
-// ParseKey parses the key of a record or of a shard; shard is 0 for a record. ok is false for any
-// other key.
+// ParseKey parses the key of a record or of a shard. For a record, shard is 0. For any other key, ok
+// is false and the other results are meaningless.
 func ParseKey(key string) (id string, shard int, ok bool) {
 	if id, ok = strings.CutPrefix(key, recordPrefix); ok {
 		return id, 0, wire.ValidJobID(id)
--- a/internal/core/job/placement.go
+++ b/internal/core/job/placement.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Placement states that a task may be running on a machine. It stays open until there is proof
-// that the task is not there any more.
+// Placement states that a task may be running on a machine. It remains open until there is proof
+// that the task is no longer there.
 type Placement struct {
 	//lint:ignore U1000 read by the encoder: a placement is encoded as an array, to be short
 	_msgpack    struct{} `msgpack:",as_array"`
 	Task        int
 	Attempt     uint64
 	Machine     string
-	Incarnation uint64 // of the machine's worker
+	Incarnation uint64 // incarnation of the machine's worker
 	Zone        string
 	PlacedAt    int64 `msgpack:"-"` // see EncodeTime; stored with groups from FormatPreemption on
 	Spot        bool  `msgpack:"-"` // whether the machine is a spot instance
--- a/internal/core/job/shard.go
+++ b/internal/core/job/shard.go
@@ -6,20 +6,20 @@
 	"strconv"
 )
 
-// TasksPerShard is how many tasks share one value of the key-value store: the open placements of
-// this many tasks fit into 2 KiB with names of usual length.
+// TasksPerShard is the number of tasks that share one value of the key-value store: the open
+// placements of this many tasks fit into 2 KiB with names of usual length.
 const TasksPerShard = 32
 
 // Shard holds the state of TasksPerShard tasks. Shard 0 is stored inside the record, the others
 // under keys of their own. A stored value has placements in one of Open, Groups and TimedGroups,
-// depending on its format; in memory they are always in Open. The methods that take a number i
-// count the tasks of the shard from 0.
+// depending on its format; in memory they are always in Open. Methods that take an index i count
+// the tasks of the shard from 0.
 type Shard struct {
 	DoneSet     string       `msgpack:"d,omitempty"` // hexadecimal bit set
 	Open        []Placement  `msgpack:"o,omitempty"`
 	Groups      []group      `msgpack:"g,omitempty"`
 	TimedGroups []timedGroup `msgpack:"h,omitempty"` // in place of Groups from FormatPreemption on
-	Usage       *Usage       `msgpack:"u,omitempty"` // never modified, only replaced
+	Usage       *Usage       `msgpack:"u,omitempty"` // never modified in place, so copies may share it
 }
 
 // IsDone reports whether the i-th task is done.
@@ -31,7 +31,7 @@
 // DoneCount returns the number of done tasks.
 func (s *Shard) DoneCount() int { return bits.OnesCount64(s.doneMask()) }
 
-// Missing returns which of the first n tasks are neither done nor placed.
+// Missing returns the indexes of those of the first n tasks that are neither done nor placed.
 func (s *Shard) Missing(n int) []int {
 	taken := s.doneMask()
 	for _, p := range s.Open {
@@ -64,8 +64,8 @@
 	return true
 }
 
-// Close removes the placement of a task's attempt on a machine and charges the shard with its usage.
-// It reports whether the placement was open: one that is not has been charged before.
+// Close removes the placement of a task's attempt on a machine and adds its usage to the shard's. It
+// returns false if the placement is not open: its usage has been added before.
 func (s *Shard) Close(task int, attempt uint64, machine string, occupancy Occupancy) bool {
 	i := s.find(task, attempt, machine)
 	if i < 0 {
@@ -110,7 +110,7 @@
 // CountDoneSet returns the number of done tasks in a bit set.
 func CountDoneSet(doneSet string) int { return bits.OnesCount64(parseTaskSet(doneSet)) }
 
-// parseTaskSet parses a hexadecimal bit set of tasks. The empty string, and one that is malformed, has no tasks.
+// parseTaskSet parses a hexadecimal bit set of tasks. An empty or malformed string is an empty set.
 func parseTaskSet(set string) uint64 {
 	if set == "" {
 		return 0
@@ -122,5 +122,5 @@
 	return mask
 }
 
-// formatTaskSet formats a bit set of tasks as parseTaskSet reads it.
+// formatTaskSet formats a bit set of tasks as hexadecimal text, the inverse of parseTaskSet.
 func formatTaskSet(mask uint64) string { return strconv.FormatUint(mask, 16) }
--- a/internal/core/job/usage.go
+++ b/internal/core/job/usage.go
@@ -6,13 +6,12 @@
 	"coralhub/wire"
 )
 
-// EncodedTimesPerSecond is how many units of an encoded time make a second, see EncodeTime.
+// EncodedTimesPerSecond is the number of units of encoded time per second, see EncodeTime.
 const EncodedTimesPerSecond = 10
 
 // timeUnit is the unit of encoded times, in microseconds.
 const timeUnit = 1_000_000 / EncodedTimesPerSecond
 
-// microsPerSecond converts times of day in microseconds to seconds.
 const microsPerSecond = 1_000_000
 
 // EncodeTime encodes a time of day as it is stored with the placements of a job: in tenths of a
@@ -25,7 +24,7 @@
 	return max(0, (wall-created)/timeUnit) + 1
 }
 
-// DecodeTime is the inverse of EncodeTime: it returns a time of day in microseconds, 0 if unknown.
+// DecodeTime is the inverse of EncodeTime. It returns a time of day in microseconds, or 0 if unknown.
 func DecodeTime(created, encoded int64) int64 {
 	if created == 0 || encoded == 0 {
 		return 0
@@ -33,8 +32,8 @@
 	return created + (encoded-1)*timeUnit
 }
 
-// Usage is how long tasks have occupied machines, in microseconds. It counts closed placements
-// only, from the placement to the proof of its end.
+// Usage is the time for which tasks have occupied machines, in microseconds. It counts closed
+// placements only, from the placement to the proof of its end.
 type Usage struct {
 	//lint:ignore U1000 read by the encoder: encoded as an array, to be short
 	_msgpack struct{} `msgpack:",as_array"`
@@ -60,8 +59,8 @@
 	Lost int64 // work that has to be repeated, in tenths of a second
 }
 
-// usage returns the usage of a placement that ends; nil if its length is unknown, or not positive
-// because the clock went back.
+// usage returns the usage of a placement that has ended. It returns nil if the duration is unknown,
+// or not positive because the clock was set back.
 func (p *Placement) usage(occupancy Occupancy) *Usage {
 	if p.PlacedAt == 0 || occupancy.End == 0 || occupancy.End <= p.PlacedAt {
 		return nil
@@ -74,12 +73,12 @@
 	return u
 }
 
-// ResourceUsage is what a job has used: amounts of resources times microseconds.
+// ResourceUsage is the resources that a job has used: amounts of resources times microseconds.
 type ResourceUsage struct {
 	//lint:ignore U1000 read by the encoder: encoded as an array, to be short
 	_msgpack         struct{} `msgpack:",as_array"`
-	CPU, GPU, Memory int64    // of cores, GPUs and GB
-	Time, Spot, Lost int64    // of tasks, see Usage
+	CPU, GPU, Memory int64    // core-microseconds, GPU-microseconds and GB-microseconds
+	Time, Spot, Lost int64    // task time in microseconds, see Usage
 }
 
 // Plus returns the sum of u and n times another usage.
@@ -94,7 +93,8 @@
 	}
 }
 
-// ResourceUsageOf returns what the tasks of a job have used in the given time, which may be nil.
+// ResourceUsageOf returns the resources that the tasks of a job have used during the time in usage,
+// which may be nil.
 func ResourceUsageOf(spec *wire.Job, usage *Usage) ResourceUsage {
 	if usage == nil {
 		return ResourceUsage{}
@@ -110,18 +110,18 @@
 	}
 }
 
-// UsageAccount is what is kept of a job's usage once it is finished.
+// UsageAccount is the total usage of a finished job, as kept in its record.
 type UsageAccount struct {
 	//lint:ignore U1000 read by the encoder: encoded as an array, to be short
 	_msgpack    struct{} `msgpack:",as_array"`
 	Team, Class string
 	Service     bool
 	Usage       ResourceUsage
-	End         int64 // time of day in seconds, 0 if unknown
+	End         int64 // time of day at which the job ended, in seconds; 0 if unknown
 }
 
-// NewUsageAccount returns the account of a job that ended at a time of day in microseconds. It is
-// nil if usage is nil.
+// NewUsageAccount returns the account of a job that ended at a time of day in microseconds, 0 if
+// unknown. It returns nil if usage is nil.
 func NewUsageAccount(spec *wire.Job, usage *Usage, wall int64) *UsageAccount {
 	if usage == nil {
 		return nil
--- a/internal/core/job/usage_test.go
+++ b/internal/core/job/usage_test.go
@@ -8,8 +8,9 @@
 	"coralhub/wire"
 )
 
-// In whatever order placements are closed, and however often each is: a shard is charged with the
-// sum of their usage, each once, and has the same usage after it was encoded and decoded.
+// Whatever the order in which placements are closed, and however often each is closed, the usage of
+// the shard is the sum of theirs, each counted once, and does not change when the shard is encoded
+// and decoded.
 func TestPlacementsAreChargedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shard := Shard{}
@@ -26,7 +27,7 @@
 			shard.Open = append(shard.Open, placement)
 			ended = append(ended, endedPlacement{placement, occupancy})
 			if placement.PlacedAt == 0 || occupancy.End <= placement.PlacedAt {
-				continue // unknown, or the clock went back
+				continue // the duration is unknown, or the clock was set back
 			}
 			duration := (occupancy.End - placement.PlacedAt) * timeUnit
 			want.Time += duration
@@ -51,12 +52,12 @@
 			got = *shard.Usage
 		}
 		if got != want || len(shard.Open) != 0 {
-			t.Fatalf("usage %+v, want %+v; %d open", got, want, len(shard.Open))
+			t.Fatalf("usage %+v, want %+v; %d open placements, want 0", got, want, len(shard.Open))
 		}
 	})
 }
 
-// The record of a finished job stays small: there is one for each job that was ever submitted.
+// The record of a finished job must stay small, because there is one for each job ever submitted.
 func TestUsageAccountIsSmall(t *testing.T) {
 	spec := &wire.Job{Class: "loudness-sweep", Team: "newsroom-north", Shape: wire.Array, CPUs: 5, GPUs: 1, MemoryGB: 36}
 	record := Record{Phase: Done, DoneTasks: 10, Account: NewUsageAccount(spec, &Usage{Time: 400_000_000, Lost: 3_000_000}, 1_900_000_000_000_000)}
@@ -65,9 +66,9 @@
 		t.Fatal(err)
 	}
 	if len(raw) > 120 {
-		t.Errorf("%d bytes", len(raw))
+		t.Errorf("the record has %d bytes, want at most 120", len(raw))
 	}
-	t.Logf("%d bytes", len(raw))
+	t.Logf("%d bytes with the account", len(raw))
 	record.Account = nil
 	if raw, err = EncodeRecord(&record, FormatPreemption); err != nil {
 		t.Fatal(err)
