--- a/internal/core/records/completion_encoding.go
+++ b/internal/core/records/completion_encoding.go
@@ -11,9 +11,9 @@
 // CompletionPageKey returns the key of a page of the completion log.
 func CompletionPageKey(n uint64) string { return completionPrefix + strconv.FormatUint(n, 10) }
 
-// CompletionEntry is an entry of the completion log: an attempt of a task is not on a machine any
-// more. That stays true for ever, so an entry can be applied to any version of a record and any
-// number of times.
+// CompletionEntry is an entry of the completion log. It records that an attempt of a task is no
+// longer on a machine. This never becomes untrue, so an entry can be applied to any version of a
+// record and any number of times.
 type CompletionEntry struct {
 	//lint:ignore U1000 read by the encoder: an entry is encoded as an array, to be short
 	_msgpack      struct{} `msgpack:",as_array"`
@@ -22,7 +22,7 @@
 	Attempt       uint64
 	Machine       string
 	Done          bool
-	job.Occupancy // from FormatPreemption on
+	job.Occupancy // stored from FormatPreemption on
 }
 
 // completionEntryV1 is an entry in the formats before FormatPreemption.
@@ -36,7 +36,7 @@
 	Done     bool
 }
 
-// EncodeCompletionPage encodes entries as the value of a page.
+// EncodeCompletionPage encodes entries as the value of a page in the given format.
 func EncodeCompletionPage(entries []CompletionEntry, format job.Format) ([]byte, error) {
 	if format >= job.FormatPreemption {
 		return job.Encode(entries)
@@ -63,7 +63,7 @@
 	}
 	var v1 []completionEntryV1
 	if job.Decode(value, &v1) != nil {
-		return nil, err // the error for the present format
+		return nil, err // the error for the current format
 	}
 	entries = make([]CompletionEntry, len(v1))
 	for i, entry := range v1 {
--- a/internal/core/records/completion_pages.go
+++ b/internal/core/records/completion_pages.go
@@ -9,15 +9,15 @@
 	"coralhub/wire"
 )
 
-// Completion is an entry of the completion log together with what it has been merged into.
+// Completion is an entry of the completion log together with its merge state.
 type Completion struct {
 	CompletionEntry
-	Merged bool       // the job's record, shard or placement page, as stored, includes it
-	entry  *pageEntry // the entry of a placement page in which the attempt is open as stored, or nil
+	Merged bool       // whether the stored value of the job's record, shard or placement page includes it
+	entry  *pageEntry // placement page entry whose stored value has the attempt open, or nil
 }
 
 // PlacementPage returns the placement page that has to be rewritten before the completion can be
-// dropped from the log. It returns false if there is none.
+// dropped from the log. ok is false if there is none.
 func (c *Completion) PlacementPage() (page uint64, ok bool) {
 	if c.entry == nil {
 		return 0, false
@@ -34,7 +34,7 @@
 // CompletionPages returns the numbers of the pages of the completion log, oldest first.
 func (r *Replica) CompletionPages() []uint64 { return slices.Sorted(maps.Keys(r.completionPages)) }
 
-// CompletionPage returns a page of the completion log, nil if it does not exist.
+// CompletionPage returns a page of the completion log, or nil if it does not exist.
 func (r *Replica) CompletionPage(n uint64) *CompletionPage { return r.completionPages[n] }
 
 func (r *Replica) applyCompletionPage(n uint64, change *wire.Change) error {
@@ -50,14 +50,14 @@
 	}
 	entries, err := DecodeCompletionPage(change.Value)
 	if err != nil {
-		return fmt.Errorf("completion log page %d: %w", n, err)
+		return fmt.Errorf("decode completion log page %d: %w", n, err)
 	}
 	if page == nil {
 		page = &CompletionPage{}
 		r.completionPages[n] = page
 	}
 	page.Version = change.Version
-	known := min(len(page.Completions), len(entries)) // a page only grows
+	known := min(len(page.Completions), len(entries)) // entries are only ever appended to a page
 	for _, entry := range entries[known:] {
 		c := &Completion{CompletionEntry: entry}
 		page.Completions = append(page.Completions, c)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// DropCompletionPage drops a page that was deleted.
+// DropCompletionPage removes a deleted page from the replica, which must have it.
 func (r *Replica) DropCompletionPage(n uint64) {
 	for _, c := range r.completionPages[n].Completions {
 		if j := r.jobs[c.Job]; j != nil {
@@ -78,14 +78,14 @@
 
 // applyCompletion applies a new completion to its job.
 func (r *Replica) applyCompletion(c *Completion) {
-	j := r.jobOrNew(c.Job)
+	j := r.getOrAddJob(c.Job)
 	j.completions = append(j.completions, c)
 	if r.closeInPlacementPages(j, c) {
 		return
 	}
 	n := j.Record.ShardOf(c.Task)
 	if j.Version == 0 || j.Archived() || n > len(j.Shards) {
-		return // the record or the shard comes later, or not at all
+		return // there is no record or shard to update: it will be applied later, or never
 	}
 	shard, _ := j.Shard(n)
 	updated := shard.Clone()
@@ -99,7 +99,7 @@
 }
 
 // closeInPlacementPages closes the placement of a completion if it is open in a placement page, and
-// reports whether it was.
+// reports whether it was open there.
 func (r *Replica) closeInPlacementPages(j *Job, c *Completion) bool {
 	for _, e := range j.pageEntries {
 		old := e.Open
@@ -115,7 +115,7 @@
 }
 
 // apply applies the completion to a shard of its job, and reports whether that changed the shard. A
-// completion of a placement that is in a placement page does not concern the shard.
+// completion of a placement that is in a placement page does not change the shard.
 func (c *Completion) apply(j *Job, shard *job.Shard) bool {
 	if c.entry != nil {
 		return false
@@ -142,8 +142,8 @@
 	}
 }
 
-// EachUnmerged calls f with the task of each completion that the job's record or shards, as stored,
-// do not include yet.
+// EachUnmerged calls f with the task of each completion that the stored values of the job's record
+// and shards do not include yet. Completions of placements in placement pages are left out.
 func (j *Job) EachUnmerged(f func(task int)) {
 	for _, c := range j.completions {
 		if !c.Merged && c.entry == nil {
--- a/internal/core/records/dependencies.go
+++ b/internal/core/records/dependencies.go
@@ -8,18 +8,19 @@
 
 // Dependencies form a DAG: a job may depend on other jobs, all of which must be done before any of
 // its tasks starts. Whether a job is blocked follows from committed records alone: the phases "done"
-// and "cancelled" never change, so that starting a job needs no conditions on its dependencies.
-// Every node links the jobs as their records come. The work of each step is proportional to the
-// number of jobs concerned, and nothing is recursive, so that chains of dependencies may be long.
+// and "cancelled" never change, so a transaction that starts a job needs no conditions on its
+// dependencies. Every node links the jobs as their records arrive. The cost of each step is
+// proportional to the number of affected jobs, and nothing is recursive, so chains of dependencies
+// may be long.
 
-// dependencies is the part of a job that relates it to other jobs.
+// dependencies links a job to the jobs that it depends on and to those that depend on it.
 type dependencies struct {
 	linked     bool
 	dependsOn  []*Job // dependencies that were not done when the job was linked
-	unmet      int    // how many of them are not done yet
+	unmet      int    // number of dependencies that are not done yet
 	dependents []*Job // unfinished jobs that depend on this one
-	// dependencyCancelled is set once a direct or indirect dependency is cancelled: this job will
-	// be cancelled as well, and its record will say so before any client is told.
+	// dependencyCancelled is set once a direct or indirect dependency is cancelled. This job will
+	// be cancelled as well; clients get that status only once its record has been written with it.
 	dependencyCancelled bool
 	// inheritedPriority is the highest priority of the direct and indirect dependents. It is not
 	// lowered when they are cancelled, since it only affects the order of the queue.
@@ -29,18 +30,18 @@
 // HasDependencies reports whether the job was submitted with dependencies.
 func (j *Job) HasDependencies() bool { return j.Record.Spec != nil && len(j.Record.Spec.Needs) > 0 }
 
-// WaitsForDependencies reports whether a dependency of the job is not done yet.
+// WaitsForDependencies reports whether any dependency of the job is not done yet.
 func (j *Job) WaitsForDependencies() bool { return j.unmet > 0 }
 
 // DependencyCancelled reports whether a direct or indirect dependency of the job is cancelled.
 func (j *Job) DependencyCancelled() bool { return j.dependencyCancelled }
 
 // Blocked reports whether the job waits for its dependencies, or will never start because one of
-// them is cancelled. A blocked job is not queued, and has no part in fair share and guarantees.
+// them is cancelled. A blocked job is not queued, and does not count for fair share and guarantees.
 func (j *Job) Blocked() bool { return j.unmet > 0 || j.dependencyCancelled }
 
-// UnfinishedDependencies returns the IDs of the dependencies that are neither done nor cancelled,
-// and whose records have come.
+// UnfinishedDependencies returns the IDs of the dependencies whose records the replica has and that
+// are neither done nor cancelled.
 func (j *Job) UnfinishedDependencies() []string {
 	var ids []string
 	for _, dependency := range j.dependsOn {
@@ -51,7 +52,7 @@
 	return ids
 }
 
-// DependentCount returns how many jobs wait for this one.
+// DependentCount returns the number of jobs that wait for this one.
 func (j *Job) DependentCount() int { return len(j.dependents) }
 
 // Priority returns the job's priority, or that of a direct or indirect dependent if it is higher.
@@ -63,8 +64,8 @@
 	return j.inheritedPriority
 }
 
-// linkDependencies links a job to its dependencies when its record first comes. The record of a
-// dependency may come later.
+// linkDependencies links a job to its dependencies when its record is first applied. The record of
+// a dependency may be applied later.
 func (r *Replica) linkDependencies(j *Job) {
 	if j.linked || j.Record.Spec == nil {
 		return
@@ -74,7 +75,7 @@
 		return
 	}
 	for _, id := range j.Record.Spec.Needs {
-		dependency := r.jobOrNew(id)
+		dependency := r.getOrAddJob(id)
 		if dependency.Record.Phase == job.Done {
 			continue
 		}
@@ -129,7 +130,8 @@
 	}
 }
 
-// cancelDependents marks a job with a cancelled dependency, and all of its direct and indirect dependents.
+// cancelDependents marks a job that has a cancelled dependency, and all of its direct and indirect
+// dependents.
 func (r *Replica) cancelDependents(j *Job) {
 	for stack := []*Job{j}; len(stack) > 0; {
 		dependent := stack[len(stack)-1]
--- a/internal/core/records/dependencies_test.go
+++ b/internal/core/records/dependencies_test.go
@@ -9,8 +9,8 @@
 	"coralhub/wire"
 )
 
-// chainLength is long enough for anything that is recursive along a chain of dependencies, or goes
-// through all of it at each step, to be noticed.
+// chainLength is long enough to expose code that recurses along a chain of dependencies, or
+// traverses all of it at each step.
 const chainLength = 20000
 
 // recordingListener records the jobs whose dependencies are met.
@@ -33,12 +33,12 @@
 		t.Fatal(err)
 	}
 	if handled, err := r.Apply(&wire.Change{Put: job.RecordKey(fmt.Sprintf("j-%d", n)), Value: value, Version: version}); !handled || err != nil {
-		t.Fatal(handled, err)
+		t.Fatalf("apply the record of j-%d: handled %v, error %v", n, handled, err)
 	}
 }
 
-// newChain returns a replica with a chain of jobs, each of which depends on the one before. The last
-// job alone has high priority. The records come from the first job on, or backwards.
+// newChain returns a replica with a chain of jobs, each of which depends on the one before. Only the
+// last job has high priority. The records are applied from the first job on, or in reverse order.
 func newChain(t *testing.T, backwards bool) (*Replica, *recordingListener) {
 	t.Helper()
 	listener := &recordingListener{}
@@ -69,17 +69,19 @@
 		for n := range chainLength {
 			j := replica.Job(fmt.Sprintf("j-%d", n))
 			if j.Blocked() != (n > 0) || j.Priority() != wire.High {
-				t.Fatalf("job %d: blocked %v, priority %s", n, j.Blocked(), j.Priority())
+				t.Fatalf("j-%d: blocked %v, want %v; priority %s, want %s",
+					n, j.Blocked(), n > 0, j.Priority(), wire.High)
 			}
 		}
 		putRecord(t, replica, chainLength+1, job.Record{Phase: job.Done}, 0)
 		if replica.Job("j-1").Blocked() || !replica.Job("j-2").Blocked() || !slices.Equal(listener.unblocked, []string{"j-1"}) {
-			t.Fatal("the end of a job must unblock the next and no other")
+			t.Fatalf("after j-0 is done: unblocked %q, want only j-1; blocked: j-1 %v, j-2 %v",
+				listener.unblocked, replica.Job("j-1").Blocked(), replica.Job("j-2").Blocked())
 		}
 		putRecord(t, replica, chainLength+2, job.Record{Phase: job.Cancelled}, 1)
 		for n := 2; n < chainLength; n++ {
 			if !replica.Job(fmt.Sprintf("j-%d", n)).DependencyCancelled() {
-				t.Fatalf("job %d is not cancelled by a cancelled dependency", n)
+				t.Fatalf("j-%d is not marked as having a cancelled dependency, though j-1 is cancelled", n)
 			}
 		}
 	}
--- a/internal/core/records/encoding.go
+++ b/internal/core/records/encoding.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// valueSlackBytes is how far values stay below the limit of the key-value store.
+	// valueSlackBytes is the margin between the largest value and the limit of the key-value store.
 	valueSlackBytes = 32
 	// minValueBytes is the lower bound of a reduced value limit.
 	minValueBytes = 1024
-	// minWriteShare bounds the interval between writes when a share is tiny.
-	minWriteShare = 0.01
+	// minWritesPerSecond limits the interval between writes when a share of the write rate is tiny.
+	minWritesPerSecond = 0.01
 )
 
 // FormatKey is the key of the format in force.
@@ -21,20 +21,19 @@
 // Encoding determines how values are encoded: the format in force, and the size limits of the
 // key-value store.
 type Encoding struct {
-	Format  job.Format // as far as this node knows
-	Version uint64     // of FormatKey, 0 if it does not exist
+	Format  job.Format // format in force, as last observed by this node
+	Version uint64     // version of FormatKey, 0 if it does not exist
 
 	state        *config.State
-	reducedLimit int // upper bound of values in bytes, 0 if there is none
+	reducedLimit int // limit of values in bytes set by ReduceMaxValueBytes, 0 if it was not called
 }
 
-// NewEncoding returns the first format within the limits of a key-value store.
+// NewEncoding returns an Encoding with the first format and the limits of a key-value store.
 func NewEncoding(state *config.State) *Encoding {
 	return &Encoding{Format: job.FormatPlacements, state: state}
 }
 
-// Condition returns a condition that fails a transaction unless the format that this node knows is
-// in force.
+// Condition returns a condition that fails a transaction unless Format is still in force.
 func (e *Encoding) Condition() wire.Condition {
 	return wire.Condition{Key: FormatKey, Version: e.Version}
 }
@@ -49,21 +48,22 @@
 	return e.state.ValueBytes()
 }
 
-// MaxValueBytes returns how large a value may be. It respects the present limit of the key-value
-// store as well as announced ones, since it is not known when they take effect.
+// MaxValueBytes returns the maximum size of a value. It respects the current limit of the key-value
+// store as well as announced ones, since it is not known when those take effect.
 func (e *Encoding) MaxValueBytes() int { return e.valueLimit() - valueSlackBytes }
 
 // Fits reports whether an encoded value is small enough to be put.
 func (e *Encoding) Fits(value []byte) bool { return wire.JSONSize(value) <= e.MaxValueBytes() }
 
-// MaxOps returns how many changes a transaction may have.
+// MaxOps returns the maximum number of changes in a transaction.
 func (e *Encoding) MaxOps() int { return e.state.Ops() }
 
-// ReduceMaxValueBytes lowers the limit of values by a quarter, down to a bound. It is called when
-// the key-value store has rejected a transaction as malformed.
+// ReduceMaxValueBytes lowers the limit of values by a quarter, to minValueBytes at the lowest. It is
+// called when the key-value store has rejected a transaction as malformed.
 func (e *Encoding) ReduceMaxValueBytes() { e.reducedLimit = max(minValueBytes, e.valueLimit()*3/4) }
 
-// IntervalForShare returns the time between writes that may take a share, from 0 to 1, of the write rate.
+// IntervalForShare returns the time between writes that together use the given share, from 0 to 1, of
+// the key-value store's write rate.
 func (e *Encoding) IntervalForShare(share float64) Micros {
-	return config.FromSeconds(1 / max(minWriteShare, share*e.state.LeastWriteRPS()))
+	return config.FromSeconds(1 / max(minWritesPerSecond, share*e.state.LeastWriteRPS()))
 }
--- a/internal/core/records/job.go
+++ b/internal/core/records/job.go
@@ -7,19 +7,19 @@
 	"coralhub/wire"
 )
 
-// Job is the replica's view of a job: its record, its shards, and the completion log and placement
-// pages as far as they concern it. It must not be modified outside of this package.
+// Job is the replica's view of a job: its record, its shards, and its entries of the completion log
+// and the placement pages. It must not be modified outside of this package.
 type Job struct {
 	ID        string
 	Record    job.Record
-	Version   uint64  // 0 if the record has not come yet
+	Version   uint64  // version of the record, 0 if the replica does not have it yet
 	Shards    []Shard // from shard 1 on; shard 0 is in Record
 	DoneTasks int     // number of done tasks
 	OpenTasks int     // number of open placements
 
 	completions    []*Completion // entries of the completion log for this job
 	pageEntries    []*pageEntry  // entries of placement pages for this job, in the order of pages
-	highestAttempt uint64        // highest attempt that was ever seen
+	highestAttempt uint64        // highest attempt ever observed in the record or a placement page
 	dependencies
 }
 
@@ -29,10 +29,11 @@
 	Version uint64
 }
 
-// Archived reports whether the job is finished and nothing is left of it but its phase.
+// Archived reports whether the job is finished and its record has been shrunk (see job.Record).
 func (j *Job) Archived() bool { return j.Record.Final() && j.Record.Spec == nil }
 
-// Shard returns the job's n-th shard and its version, without what placement pages say of its tasks.
+// Shard returns the job's n-th shard and its version, without the state of its tasks in placement
+// pages. A shard that does not exist is empty and has version 0.
 func (j *Job) Shard(n int) (*job.Shard, uint64) {
 	if n == 0 {
 		return &j.Record.Shard, j.Version
@@ -43,8 +44,8 @@
 	return &job.Shard{}, 0
 }
 
-// CombinedShard returns the n-th shard together with the done tasks and open placements that
-// placement pages have for its tasks. The result must not be modified.
+// CombinedShard returns the n-th shard together with the done tasks and open placements of its tasks
+// in placement pages. The result must not be modified.
 func (j *Job) CombinedShard(n int) *job.Shard {
 	shard, _ := j.Shard(n)
 	if len(j.pageEntries) == 0 {
@@ -102,7 +103,8 @@
 	return found, ok
 }
 
-// recount counts done tasks and open placements. A task that is done in several places counts once.
+// recount updates the numbers of done tasks and open placements. A task that is done in several
+// places (its record or shard, and placement pages) counts once.
 func (j *Job) recount() {
 	j.DoneTasks = j.Record.DoneCount()
 	j.OpenTasks = len(j.Record.Open)
@@ -113,7 +115,7 @@
 	if len(j.pageEntries) == 0 {
 		return
 	}
-	doneInPages := map[int]string{} // bit sets by index of the entry
+	doneInPages := map[int]string{} // bit sets by entry index
 	for _, e := range j.pageEntries {
 		doneInPages[e.index] = job.UnionDoneSets(doneInPages[e.index], e.DoneSet)
 		j.OpenTasks += len(e.Open)
--- a/internal/core/records/page_entries.go
+++ b/internal/core/records/page_entries.go
@@ -7,7 +7,7 @@
 	"coralhub/wire"
 )
 
-// pageEntry is an entry of a placement page with the completion log applied.
+// pageEntry is an entry of a placement page with the completion log applied, see PlacementEntry.
 type pageEntry struct {
 	page        uint64
 	index       int
@@ -33,7 +33,8 @@
 	return e.index == task/job.TasksPerShard && e.IsDone(task%job.TasksPerShard)
 }
 
-// pageEntry returns the job's entry with an index in a page, or nil. The job may be nil.
+// pageEntry returns the job's entry with the given index in a page, or nil if there is none. The job
+// may be nil.
 func (j *Job) pageEntry(page uint64, index int) *pageEntry {
 	if j == nil {
 		return nil
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// eachPageEntry calls f for the job's entries with an index, in the order of pages.
+// eachPageEntry calls f for the job's entries with the given index, in the order of pages.
 func (j *Job) eachPageEntry(index int, f func(*pageEntry)) {
 	for _, e := range j.pageEntries {
 		if e.index == index {
@@ -68,8 +69,8 @@
 }
 
 // markMergedIntoPage marks the completions of placements that the old value of a page had open as
-// merged into its new value. If that has the placements open, too, the mark is taken back when the
-// completions are applied to its entries.
+// merged into its new value. If the new value also has such a placement open, applyCompletionsToEntry
+// removes the mark.
 func (j *Job) markMergedIntoPage(page uint64) {
 	for _, c := range j.completions {
 		if c.entry != nil && c.entry.page == page {
@@ -79,8 +80,8 @@
 	}
 }
 
-// raiseLastAttempt sets the last attempt of the record in memory to the highest one that was ever
-// seen: pages place attempts that the stored record does not know of.
+// raiseLastAttempt sets the last attempt of the record in memory to the highest one ever observed:
+// placement pages have attempts that the stored record does not include.
 func (j *Job) raiseLastAttempt() {
 	for _, e := range j.pageEntries {
 		j.highestAttempt = max(j.highestAttempt, e.lastAttempt)
@@ -91,7 +92,7 @@
 	}
 }
 
-// doneInPages reports whether a task is done according to a placement page.
+// doneInPages reports whether a task is done in any placement page.
 func (j *Job) doneInPages(task int) bool {
 	return slices.ContainsFunc(j.pageEntries, func(e *pageEntry) bool { return e.isTaskDone(task) })
 }
@@ -104,8 +105,8 @@
 	})
 }
 
-// PageDoneSet returns the bit set of the tasks of a record's n-th shard that are done according to
-// placement pages.
+// PageDoneSet returns the bit set of the tasks of a record's n-th shard that are done in placement
+// pages.
 func (j *Job) PageDoneSet(record *job.Record, n int) string {
 	first, _ := record.ShardSpan(n, wire.MaxTasks)
 	doneSet := ""
@@ -115,7 +116,7 @@
 	return doneSet
 }
 
-// LastPageShard returns the highest shard of a record that has tasks in placement pages, 0 if none has.
+// LastPageShard returns the highest shard of a record that has tasks in placement pages, or 0 if none has.
 func (j *Job) LastPageShard(record *job.Record) int {
 	last := 0
 	for _, e := range j.pageEntries {
@@ -133,7 +134,7 @@
 	return open
 }
 
-// PageUsage returns the usage that placement pages have for the job, nil if there is none.
+// PageUsage returns the job's usage in placement pages, or nil if there is none.
 func (j *Job) PageUsage() *job.Usage {
 	var sum *job.Usage
 	for _, e := range j.pageEntries {
--- a/internal/core/records/placement_encoding.go
+++ b/internal/core/records/placement_encoding.go
@@ -12,16 +12,16 @@
 // PlacementPageKey returns the key of a placement page.
 func PlacementPageKey(n uint64) string { return placementPagePrefix + strconv.FormatUint(n, 10) }
 
-// PlacementEntry is the state that a placement page holds for the TasksPerShard tasks of a job from
-// TasksPerShard*Index on.
+// PlacementEntry is the state that a placement page holds for the TasksPerShard tasks of a job that
+// start at task TasksPerShard*Index.
 type PlacementEntry struct {
 	Job         string
-	Index       int    // task number divided by TasksPerShard, whichever shard of the job has the task
-	LastAttempt uint64 // highest attempt ever placed here; attempts rise over records and pages
+	Index       int    // task number divided by TasksPerShard, whichever shard of the job stores the task
+	LastAttempt uint64 // highest attempt ever placed in this entry; attempts increase across records and pages
 	job.Shard
 }
 
-// storedPage is the value of a page. It names each zone once.
+// storedPage is the value of a page. It holds each zone name once; machines have the index of theirs.
 type storedPage struct {
 	//lint:ignore U1000 read by the encoder: a page is encoded as an array, to be short
 	_msgpack struct{} `msgpack:",as_array"`
@@ -57,7 +57,7 @@
 	Tasks       string   // hexadecimal bit set
 	Machine     string
 	Incarnation uint64
-	Zone        int // twice the index of the zone in the page, plus one on a spot instance
+	Zone        int // twice the index of the zone in the page, plus one for a spot instance
 }
 
 // EncodePlacementPage encodes entries as the value of a page.
@@ -83,10 +83,11 @@
 // pageEncoder builds the stored form of a page.
 type pageEncoder struct {
 	page  storedPage
-	zones map[string]int // index in page.Zones by name
+	zones map[string]int // index in page.Zones by zone name
 }
 
-// storedZone returns the zone of a placement as a storedMachine has it.
+// storedZone returns the zone of a placement as encoded in storedMachine.Zone, and adds it to the
+// zones of the page if it is new.
 func (pe *pageEncoder) storedZone(p *job.Placement) int {
 	index, known := pe.zones[p.Zone]
 	if !known {
@@ -100,8 +101,8 @@
 	return 2 * index
 }
 
-// attempts groups open placements by attempt and time, and within each by machine, in the order of
-// their first placements.
+// attempts groups open placements by attempt and placement time, and each group by machine,
+// incarnation and zone. Groups are in the order of their first placements.
 func (pe *pageEncoder) attempts(open []job.Placement) []storedAttempt {
 	type attemptKey struct {
 		attempt  uint64
@@ -159,7 +160,7 @@
 		}
 		for k := range stored.Attempts {
 			if err := entry.addPlacements(&stored.Attempts[k], page.Zones); err != nil {
-				return nil, fmt.Errorf("placement entry of %s: %w", stored.Job, err)
+				return nil, fmt.Errorf("entry %d of %s: %w", stored.Index, stored.Job, err)
 			}
 		}
 		entries = append(entries, entry)
@@ -171,11 +172,12 @@
 func (e *PlacementEntry) addPlacements(attempt *storedAttempt, zones []string) error {
 	for _, m := range attempt.Machines {
 		if m.Zone < 0 || m.Zone/2 >= len(zones) {
-			return fmt.Errorf("no zone %d", m.Zone)
+			return fmt.Errorf("machine %s: encoded zone %d is out of range: the page has %d zones",
+				m.Machine, m.Zone, len(zones))
 		}
 		mask, err := strconv.ParseUint(m.Tasks, 16, job.TasksPerShard)
 		if err != nil {
-			return err
+			return fmt.Errorf("machine %s: parse bit set of tasks: %w", m.Machine, err)
 		}
 		for i := range job.TasksPerShard {
 			if mask>>uint(i)&1 == 0 {
--- a/internal/core/records/placement_pages.go
+++ b/internal/core/records/placement_pages.go
@@ -11,11 +11,11 @@
 )
 
 // Placement pages. A job's tasks are stored in its record and its shards; from
-// job.FormatPlacementPages on, leaders place tasks in placement pages as well: a page is one value
+// job.FormatPlacementPages on, leaders place tasks in placement pages as well. A page is one value
 // that holds entries of many jobs, so that one write places tasks of all of them. An entry adds to
-// what the record, the shards and other pages say of the same tasks: a task is done if any of them
-// says so, the open placements are those of all, and usage is summed up. An attempt of a task is
-// open in one of them at most. Once a job is finished its entries in pages are void.
+// the state of the same tasks in the record, the shards and other pages: a task is done if it is
+// done in any of them, the open placements are those of all, and the usage is the sum. An attempt
+// of a task is open in at most one of them. The page entries of an archived job are ignored.
 
 // PlacementPage is a placement page as it is stored.
 type PlacementPage struct {
@@ -26,15 +26,15 @@
 // PlacementPages returns the numbers of the placement pages, oldest first.
 func (r *Replica) PlacementPages() []uint64 { return slices.Sorted(maps.Keys(r.placementPages)) }
 
-// PlacementPage returns a placement page, nil if it does not exist.
+// PlacementPage returns a placement page, or nil if it does not exist.
 func (r *Replica) PlacementPage(n uint64) *PlacementPage { return r.placementPages[n] }
 
-// PlacementPagesRevision returns the revision of the last change of a placement page, 0 if there is none.
+// PlacementPagesRevision returns the revision of the last change of any placement page, or 0 if there is none.
 func (r *Replica) PlacementPagesRevision() uint64 { return r.placementPagesRevision }
 
 // PlacementPageConditions returns conditions that hold only if no placement page was changed or
-// created since this replica was current: pages are numbered from 1 on, and the next one is created
-// only once all before it exist.
+// created since the state that this replica has. Pages are numbered from 1 on, and a page is created
+// only once all pages before it exist, so a condition on the next page covers all new ones.
 func (r *Replica) PlacementPageConditions() []wire.Condition {
 	var conditions []wire.Condition
 	next := r.NextPlacementPage()
@@ -57,8 +57,8 @@
 	return next
 }
 
-// Compacted returns the entries of a page as they are now: with the completion log applied, and
-// without archived jobs. Replacing the page by them does not change its meaning for any reader.
+// Compacted returns the current entries of a page, with the completion log applied and without
+// archived jobs. Replacing the page by them does not change the state that any reader derives.
 func (r *Replica) Compacted(n uint64) []PlacementEntry {
 	page := r.placementPages[n]
 	if page == nil {
@@ -89,14 +89,14 @@
 	}
 	entries, err := DecodePlacementPage(change.Value)
 	if err != nil {
-		return fmt.Errorf("placement page %d: %w", n, err)
+		return fmt.Errorf("decode placement page %d: %w", n, err)
 	}
 	r.placementPagesRevision = max(r.placementPagesRevision, change.Version)
 	r.setPlacementPage(n, &PlacementPage{Version: change.Version, Entries: entries})
 	return nil
 }
 
-// setPlacementPage replaces a page, and the entries of all jobs that are in the old or the new one.
+// setPlacementPage replaces a page, and the page entries of all jobs that are in its old or new value.
 func (r *Replica) setPlacementPage(n uint64, page *PlacementPage) {
 	affected := map[string]bool{}
 	if old := r.placementPages[n]; old != nil {
@@ -112,7 +112,7 @@
 		affected[e.Job] = true
 	}
 	for _, id := range slices.Sorted(maps.Keys(affected)) {
-		r.setPageEntries(r.jobOrNew(id), n, entriesByJob[id])
+		r.setPageEntries(r.getOrAddJob(id), n, entriesByJob[id])
 	}
 }
 
@@ -148,8 +148,8 @@
 	return open
 }
 
-// addPageEntries adds stored entries of a page to the job, and returns those of their placements that
-// are open after the completion log was applied.
+// addPageEntries adds stored entries of a page to the job and applies the completion log to them. It
+// returns the placements that are open after that.
 func (j *Job) addPageEntries(page uint64, entries []*PlacementEntry) []job.Placement {
 	var open []job.Placement
 	for _, stored := range entries {
@@ -171,7 +171,7 @@
 	return a.Time == b.Time && a.Spot == b.Spot && a.Lost == b.Lost
 }
 
-// dropPageEntries drops all page entries of a finished job.
+// dropPageEntries drops all page entries of an archived job.
 func (r *Replica) dropPageEntries(j *Job) {
 	var old []job.Placement
 	for _, e := range j.pageEntries {
--- a/internal/core/records/placement_pages_test.go
+++ b/internal/core/records/placement_pages_test.go
@@ -14,7 +14,7 @@
 	"coralhub/wire"
 )
 
-// A page is decoded as it was encoded, and a malformed one is refused.
+// An encoded page decodes to the same entries, and a malformed one is rejected.
 func TestPlacementPageEncoding(t *testing.T) {
 	entries := []PlacementEntry{
 		{Job: "j-1", Index: 0, LastAttempt: 3, Shard: job.Shard{DoneSet: "5", Usage: &job.Usage{Time: 7, Spot: 2, Lost: 1}, Open: []job.Placement{
@@ -31,7 +31,7 @@
 	}
 	got, err := DecodePlacementPage(value)
 	if err != nil || !reflect.DeepEqual(got, entries) {
-		t.Errorf("%v\n%+v\n%+v", err, got, entries)
+		t.Errorf("decode an encoded page: error %v\ngot  %+v\nwant %+v", err, got, entries)
 	}
 	for _, page := range []storedPage{
 		{Entries: []storedEntry{{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "1", Zone: 2}}}}}}},
@@ -44,12 +44,13 @@
 			t.Fatal(err)
 		}
 		if _, err := DecodePlacementPage(value); err == nil {
-			t.Errorf("%+v was decoded without an error", page)
+			t.Errorf("malformed page %+v: no error, want one", page)
 		}
 	}
 }
 
-// leaderModel is a key-value store that one writer changes as a leader does, with the writer's replica.
+// leaderModel is a key-value store with a single writer that changes it as a leader does, and the
+// writer's replica.
 type leaderModel struct {
 	t       *rapid.T
 	store   map[string]wire.KeyValue
@@ -86,7 +87,7 @@
 	m.put(job.RecordKey(id), value)
 }
 
-// pick draws a job that is not finished, nil if there is none.
+// pick draws a job that is not archived. It returns nil if there is none.
 func (m *leaderModel) pick() *Job {
 	var active []*Job
 	for i := range m.jobs {
@@ -100,7 +101,7 @@
 	return rapid.SampledFrom(active).Draw(m.t, "job")
 }
 
-// place places some tasks of a job in an existing page or the next.
+// place places some tasks of a job in an existing placement page or the next one.
 func (m *leaderModel) place() {
 	j := m.pick()
 	if j == nil {
@@ -139,7 +140,7 @@
 	m.put(PlacementPageKey(page), value)
 }
 
-// compact rewrites a page without new placements.
+// compact rewrites a placement page without new placements.
 func (m *leaderModel) compact() {
 	if pages := m.replica.PlacementPages(); len(pages) > 0 {
 		n := rapid.SampledFrom(pages).Draw(m.t, "page")
@@ -191,7 +192,7 @@
 	}
 }
 
-// rewrite writes a job's record as the replica has it, as a node does to request a cancellation.
+// rewrite writes a job's record back as the replica has it, as a node does to request a cancellation.
 func (m *leaderModel) rewrite() {
 	if j := m.pick(); j != nil {
 		record := j.Record.Clone()
@@ -206,12 +207,12 @@
 	}
 }
 
-// usage returns what a job has used in total.
+// usage returns the total usage of a job in its record and placement pages.
 func (m *leaderModel) usage(j *Job) *job.Usage {
 	return j.Record.Usage.Plus(j.PageUsage())
 }
 
-// jobState is what a replica says of a job.
+// jobState is the state of a job in a replica.
 type jobState struct {
 	Done, Open int
 	Usage      job.Usage
@@ -220,7 +221,7 @@
 	Placements []job.Placement
 }
 
-// jobStates returns the state of each job according to a replica.
+// jobStates returns the state of each job in a replica by ID.
 func (m *leaderModel) jobStates(replica *Replica) map[string]jobState {
 	states := map[string]jobState{}
 	for i := range m.jobs {
@@ -241,8 +242,9 @@
 	return states
 }
 
-// Whatever a leader has done with placement pages, records and the completion log, a node that starts
-// now has the same state of each job as the leader, in whichever order it reads the values.
+// After any sequence of writes of placement pages, records and the completion log by a leader, a
+// node that starts has the same state of each job as the leader, in whichever order it reads the
+// values.
 func TestReplicaStateIsIndependentOfReadOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &leaderModel{t: t, store: map[string]wire.KeyValue{}, replica: New(noopListener{}), logPage: 1}
@@ -260,7 +262,8 @@
 				m.apply(fresh, wire.Change{Put: key, Value: item.Value, Version: item.Version})
 			}
 			if got := m.jobStates(fresh); !reflect.DeepEqual(got, want) {
-				t.Fatalf("read in the order %v:\n%+v\nthe leader:\n%+v", order, got, want)
+				t.Fatalf("job states after reading the keys in the order %v:\ngot  %+v\nwant %+v (the leader's)",
+					order, got, want)
 			}
 		}
 	})
--- a/internal/core/records/replica.go
+++ b/internal/core/records/replica.go
@@ -1,7 +1,7 @@
-// Package records is a node's replica of what is committed about jobs: their records and shards,
-// the completion log, the placement pages, and the dependencies between jobs. It applies changes in
-// whatever order they come, and notifies a listener of what each means. It makes no decisions and
-// writes nothing.
+// Package records implements a node's replica of the committed state of jobs: their records and
+// shards, the completion log, the placement pages, and the dependencies between jobs. It applies
+// changes in any order, and notifies a listener of their effects. It makes no decisions and writes
+// nothing to the key-value store.
 package records
 
 import (
@@ -19,14 +19,14 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
-// Listener is notified of what changes mean, in the order in which they take effect.
+// Listener is notified of the effects of changes, in the order in which they occur.
 type Listener interface {
-	JobAdded(*Job)                                      // the replica has this job from now on
+	JobAdded(*Job)                                      // the job was added to the replica
 	PlacementsChanged(j *Job, old, now []job.Placement) // open placements of one shard or page entry were replaced
-	PlanOutdated(*Job)                                  // a newer value was applied than plans were made for
+	PlanOutdated(*Job)                                  // a newer value was applied, so existing plans are stale
 	RecordChanged(*Job)                                 // a newer record was applied
-	JobFinished(*Job)                                   // the job's phase is final
-	JobChanged(*Job)                                    // something about the job has changed
+	JobFinished(*Job)                                   // a record with a final phase was applied
+	JobChanged(*Job)                                    // any state of the job may have changed
 	DependenciesMet(*Job)                               // the last of the job's dependencies is done
 	DependencyCancelled(*Job)                           // a direct or indirect dependency of the job is cancelled
 }
@@ -37,11 +37,11 @@
 	jobs            map[string]*Job
 	completionPages map[uint64]*CompletionPage
 	placementPages  map[uint64]*PlacementPage
-	openByMachine   map[string]map[job.AttemptKey]job.Placement // by machine
+	openByMachine   map[string]map[job.AttemptKey]job.Placement // open placements by machine name
 
 	currentAt              Micros
 	revision               uint64
-	placementPagesRevision uint64 // of the last change of a placement page
+	placementPagesRevision uint64 // revision of the last change of any placement page
 }
 
 // New returns an empty Replica.
@@ -55,9 +55,9 @@
 	}
 }
 
-// Apply applies a put or a delete of the key of a record, shard, completion page or placement page.
-// It returns false for any other key. If a value cannot be decoded it returns an error and changes
-// nothing.
+// Apply applies a put or a delete of a record, shard, completion page or placement page. It returns
+// false for any other key. If a value cannot be decoded, it returns an error and applies nothing.
+// A change that is not newer than the replica's version of the key is ignored.
 func (r *Replica) Apply(change *wire.Change) (bool, error) {
 	key := change.Put
 	if key == "" {
@@ -66,14 +66,14 @@
 	if number, ok := strings.CutPrefix(key, completionPrefix); ok {
 		n, err := strconv.ParseUint(number, 10, 64)
 		if err != nil {
-			return true, fmt.Errorf("completion log: %w", err)
+			return true, fmt.Errorf("parse page number in completion log key %q: %w", key, err)
 		}
 		return true, r.applyCompletionPage(n, change)
 	}
 	if number, ok := strings.CutPrefix(key, placementPagePrefix); ok {
 		n, err := strconv.ParseUint(number, 10, 64)
 		if err != nil {
-			return true, fmt.Errorf("placement pages: %w", err)
+			return true, fmt.Errorf("parse page number in placement page key %q: %w", key, err)
 		}
 		return true, r.applyPlacementPage(n, change)
 	}
@@ -88,7 +88,8 @@
 	}
 }
 
-// ApplyListing drops what is not in a listing of the given revision and therefore was deleted.
+// ApplyListing drops the shards and completion pages that are no newer than a listing of the given
+// revision and not in it, which means that they were deleted.
 func (r *Replica) ApplyListing(revision uint64, listed map[string]bool) {
 	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
 		j := r.jobs[id]
@@ -117,7 +118,7 @@
 // Revision returns the latest revision up to which the replica holds all changes.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Job returns a job, nil if nothing is known of it.
+// Job returns a job, or nil if the replica does not have it.
 func (r *Replica) Job(id string) *Job { return r.jobs[id] }
 
 // UnknownJobs returns those of the ids for which the replica has no record.
@@ -131,8 +132,8 @@
 	return unknown
 }
 
-// jobOrNew returns a job, and adds it if nothing is known of it yet.
-func (r *Replica) jobOrNew(id string) *Job {
+// getOrAddJob returns a job, and adds it if the replica does not have it yet.
+func (r *Replica) getOrAddJob(id string) *Job {
 	j := r.jobs[id]
 	if j == nil {
 		j = &Job{ID: id}
--- a/internal/core/records/stored_jobs.go
+++ b/internal/core/records/stored_jobs.go
@@ -17,15 +17,15 @@
 	}
 	var record job.Record
 	if err := job.DecodeRecord(change.Value, &record); err != nil {
-		return fmt.Errorf("record of %s: %w", id, err)
+		return fmt.Errorf("decode record of %s: %w", id, err)
 	}
 	r.SetRecord(id, record, change.Version)
 	return nil
 }
 
-// SetRecord replaces the record of a job by a newer one.
+// SetRecord replaces the record of a job by a newer one. The caller must have compared the versions.
 func (r *Replica) SetRecord(id string, record job.Record, version uint64) {
-	j := r.jobOrNew(id)
+	j := r.getOrAddJob(id)
 	old := j.Record.Open
 	j.Record = record
 	j.Version = version
@@ -51,7 +51,8 @@
 	r.listener.JobChanged(j)
 }
 
-// clearShards drops the contents of an archived job's shards. Their keys may still have to be deleted.
+// clearShards drops the contents of an archived job's shards. It keeps their versions, since their
+// keys may still have to be deleted.
 func (r *Replica) clearShards(j *Job) {
 	for n := range j.Shards {
 		r.replacePlacements(j, j.Shards[n].Open, nil)
@@ -59,8 +60,8 @@
 	}
 }
 
-// ShortenSpec replaces a job's spec by a shorter one that leads to the same decisions. If spec is
-// nil there is none, and it returns false.
+// ShortenSpec replaces a job's spec by a shorter one that leads to the same decisions, and returns
+// true. If spec is nil, which means that there is no shorter one, it returns false.
 func (r *Replica) ShortenSpec(j *Job, spec *wire.Job) bool {
 	if spec != nil {
 		j.Record.Spec = spec
@@ -69,7 +70,7 @@
 }
 
 func (r *Replica) applyShard(id string, n int, change *wire.Change) error {
-	j := r.jobOrNew(id)
+	j := r.getOrAddJob(id)
 	if n <= len(j.Shards) && j.Shards[n-1].Version >= change.Version {
 		return nil
 	}
@@ -81,19 +82,19 @@
 		return nil
 	}
 	if err := job.DecodeShard(change.Value, &shard); err != nil {
-		return fmt.Errorf("shard %d of %s: %w", n, id, err)
+		return fmt.Errorf("decode shard %d of %s: %w", n, id, err)
 	}
 	r.SetShard(j, n, shard, change.Version)
 	return nil
 }
 
-// SetShard replaces a shard of a job by a newer one; version 0 means that it was deleted.
+// SetShard replaces a shard of a job by a newer one. Version 0 means that it was deleted.
 func (r *Replica) SetShard(j *Job, n int, shard job.Shard, version uint64) {
 	for len(j.Shards) < n {
 		j.Shards = append(j.Shards, Shard{})
 	}
 	if j.Archived() {
-		shard = job.Shard{} // its contents are out of date
+		shard = job.Shard{} // the shards of an archived job are obsolete
 	}
 	j.applyCompletions(n, &shard)
 	r.replacePlacements(j, j.Shards[n-1].Open, shard.Open)
