--- a/internal/core/election/elector.go
+++ b/internal/core/election/elector.go
@@ -1,7 +1,7 @@
-// Package election elects a leader through a key of the key-value store that is bound to a
-// lease, and follows who holds that key. The store's revision of the write that made a node
-// leader is its fencing token: revisions only grow, so that a later leader's token is higher
-// without a counter that would have to be stored.
+// Package election elects a leader by means of a key of the key-value store that is bound to a
+// lease, and tracks which node holds that key. A leader's fencing token is the store's revision of
+// the write that made it the leader, or of the write that last replaced the token. Revisions only
+// increase, so a later leader's token is higher, and no counter has to be stored.
 package election
 
 import (
@@ -18,11 +18,11 @@
 type Micros = config.Micros
 
 const (
-	// tokenChangeInterval is the least time between two replacements of the fencing token.
+	// tokenChangeInterval is the minimum time between two replacements of the fencing token.
 	tokenChangeInterval = 2 * config.Second
-	// maxJitter bounds the random part of the delay before a campaign.
+	// maxJitter limits the random part of the delay before a campaign, in microseconds.
 	maxJitter = 200_000
-	// renewalsPerTTL is how many times a lease is renewed within its time to live.
+	// renewalsPerTTL is the number of renewals of a lease within its TTL.
 	renewalsPerTTL = 4
 )
 
@@ -32,12 +32,13 @@
 	Nonce uint64 `msgpack:"nonce"`
 }
 
-// Holder is the holder of the leader key, as far as this node knows.
+// Holder is the holder of the leader key, as last observed by this node.
 type Holder struct {
-	Node    string // empty if there is none
-	Version uint64 // of the leader key, 0 if there is no holder
-	// TermStart is the version at which the holder's term began: any lower version is of another
-	// leader. It is 0 if unknown: the value of a listing may be a rewritten one.
+	Node    string // empty if there is no holder
+	Version uint64 // version of the leader key, 0 if there is no holder
+	// TermStart is the version of the leader key at which the holder's term began: any lower version
+	// belongs to another leader. It is 0 if unknown, because a value in a listing may have been
+	// rewritten since the term began.
 	TermStart uint64
 	nonce     uint64
 }
@@ -46,10 +47,11 @@
 type Listener interface {
 	// OnElected is called when this node has become the leader.
 	OnElected()
-	// OnDeposed is called when this node is not the leader any more. The token is the fencing
-	// token that it held last.
-	OnDeposed(why string, token uint64)
-	// OnHolderChanged is called whenever the leader key was written; both nodes may be the same.
+	// OnDeposed is called when this node is no longer the leader. The token is its last fencing
+	// token.
+	OnDeposed(reason string, token uint64)
+	// OnHolderChanged is called for each observed put of the leader key. The nodes may be the same,
+	// and from is empty if there was no holder.
 	OnHolderChanged(from, to string)
 }
 
@@ -67,11 +69,11 @@
 	termState
 }
 
-// keyState is what this node knows of the leader key.
+// keyState is the state of the leader key, as last observed by this node.
 type keyState struct {
-	holder      Holder
-	seenVacant  bool   // the key was seen without a holder, and no change can have been missed since
-	vacantSince Micros // when the key lost its last holder
+	holder          Holder
+	vacancyObserved bool   // the key was observed without a holder, and no change can have been missed since
+	vacantSince     Micros // when the key lost its last holder
 }
 
 // leaseState is this node's own lease.
@@ -80,17 +82,17 @@
 	leaseRequested   bool
 	renewalSent      bool
 	renewalSentAt    Micros
-	leaseConfirmedAt Micros // when the last request was sent that proved the lease alive
+	leaseConfirmedAt Micros // when the latest request was sent whose response confirmed the lease
 }
 
-// campaignState is what decides when this node campaigns, and which values of the key are its own.
+// campaignState determines when this node campaigns, and which values of the key are its own.
 type campaignState struct {
 	jitter      Micros
 	campaigning bool
-	nonce       uint64 // of the last value written
-	firstNonce  uint64 // of the first value written under the present lease
+	nonce       uint64 // nonce of the last value written
+	firstNonce  uint64 // nonce of the first value written under the current lease
 	electedAt   Micros // when this node was last elected
-	shortTerms  int    // how many terms in a row ended early because the lease expired
+	shortTerms  int    // number of consecutive terms that ended early because the lease expired
 }
 
 // termState is this node's term as the leader.
@@ -105,7 +107,7 @@
 
 // New returns an Elector for a node. The seed distinguishes its values of the key from those of
 // an earlier process of the same node, and determines the jitter that keeps nodes from
-// campaigning at the same moment. The ttl is that of the lease.
+// campaigning at the same time. The ttl is that of the lease.
 func New(out *outbox.Outbox, key, node string, ttl Micros, seed uint64, listener Listener) *Elector {
 	return &Elector{
 		outbox:   out,
@@ -123,7 +125,7 @@
 // Key returns the leader key.
 func (e *Elector) Key() string { return e.key }
 
-// Holder returns the holder of the leader key as far as this node knows.
+// Holder returns the holder of the leader key, as last observed by this node.
 func (e *Elector) Holder() Holder { return e.holder }
 
 // OtherHolder returns the name of the holder if it is another node, and the empty string otherwise.
@@ -134,14 +136,15 @@
 	return e.holder.Node
 }
 
-// IsLeader reports whether this node is the leader, as far as it knows.
+// IsLeader reports whether this node is the leader by its own state: another node may have been
+// elected without this one having observed it yet.
 func (e *Elector) IsLeader() bool { return e.leading }
 
 // FencingToken returns this node's fencing token, 0 unless it leads.
 func (e *Elector) FencingToken() uint64 { return e.fencingToken }
 
 // TermStart returns the fencing token with which this node's term began, 0 unless it leads. Lower
-// tokens are other leaders'.
+// tokens belong to other leaders.
 func (e *Elector) TermStart() uint64 { return e.termStart }
 
 // TokenChangePending reports whether the fencing token is being replaced.
@@ -152,15 +155,16 @@
 	return wire.Condition{Key: e.key, Version: e.fencingToken}
 }
 
-// HolderCondition returns a condition that fails a transaction once the leader key was written
-// again, by whichever node, since the version that this node knows.
+// HolderCondition returns a condition that fails a transaction if any node, including this one, has
+// changed the leader key since the version that this node last observed.
 func (e *Elector) HolderCondition() wire.Condition {
 	return wire.Condition{Key: e.key, Version: e.holder.Version}
 }
 
 // DeposedBy evaluates the failed conditions of a transaction that was conditional on a version of
-// the leader key. If that version is this node's present fencing token, it has lost its
-// leadership: DeposedBy resigns and returns true.
+// the leader key. If the condition on the leader key failed though that version is this node's
+// current fencing token and is not being replaced, the node has lost its leadership: DeposedBy
+// resigns and returns true.
 func (e *Elector) DeposedBy(version uint64, failedKeys []string) bool {
 	if version != e.fencingToken || e.tokenChanging || !slices.Contains(failedKeys, e.key) {
 		return false
@@ -169,9 +173,10 @@
 	return true
 }
 
-// Tick does what is due by time alone: it renews the lease, and campaigns if there is no leader.
+// Tick performs the time-driven work: it releases an unused lease, renews the lease when that is due,
+// and campaigns if there is no leader.
 func (e *Elector) Tick() {
-	e.abandonUnusedLease()
+	e.releaseUnusedLease()
 	e.renewLeaseIfDue()
 	if !e.campaignDue() {
 		return
@@ -191,35 +196,36 @@
 	return e.outbox.Now()-e.vacantSince >= e.jitter+e.campaignDelay()
 }
 
-// Resign gives up the leadership, or acknowledges that it is lost already. The lease is not
-// renewed any more, so that a key that is left behind expires with it.
-func (e *Elector) Resign(why string) {
+// Resign ends this node's leadership, whether it is given up or was already lost. The lease is no
+// longer renewed, so that a leader key that this node leaves in place expires with it.
+func (e *Elector) Resign(reason string) {
 	if !e.leading {
 		return
 	}
 	token := e.fencingToken
-	e.dropLease()
+	e.releaseLease()
 	e.leading = false
 	e.fencingToken = 0
 	e.termStart = 0
 	e.tokenChanging = false
 	e.tokenRequested = false
-	e.listener.OnDeposed(why, token)
+	e.listener.OnDeposed(reason, token)
 }
 
-// wroteUnderPresentLease reports whether this process wrote a value of the leader key under its
-// present lease: the last one, or an earlier one whose response was lost. Each of those writes is
-// conditional on the key's version, so at most one of them is in force.
-func (e *Elector) wroteUnderPresentLease(node string, nonce uint64) bool {
+// isOwnWrite reports whether this process wrote a value of the leader key under its current lease:
+// the last one, or an earlier one whose response was lost. Each of those writes is conditional on
+// the key's version, so at most one of them is in force.
+func (e *Elector) isOwnWrite(node string, nonce uint64) bool {
 	return node == e.node && e.lease != 0 && nonce >= e.firstNonce && nonce <= e.nonce
 }
 
-// keyTransaction writes a new value of the leader key in place of the given version, 0 for none.
+// keyTransaction returns a transaction that replaces the given version of the leader key by a new
+// value. Version 0 means that the key must not exist.
 func (e *Elector) keyTransaction(version uint64) wire.Transaction {
 	e.nonce++
 	value, err := job.Encode(LeaseRecord{Node: e.node, Nonce: e.nonce})
 	if err != nil {
-		panic(err) // a struct of text and number always encodes
+		panic(err) // a struct of a string and an integer always encodes
 	}
 	return wire.Transaction{
 		Conditions: []wire.Condition{{Key: e.key, Version: version}},
@@ -239,13 +245,13 @@
 	case msg.OK:
 		e.becomeLeader(done.Revision)
 	case msg.Gone:
-		e.dropLease()
+		e.releaseLease()
 	case msg.Unknown, msg.Conflict:
-		if e.holder.Version != 0 && e.wroteUnderPresentLease(e.holder.Node, e.holder.nonce) {
-			e.becomeLeader(e.holder.Version) // the watch was faster than the response
+		if e.holder.Version != 0 && e.isOwnWrite(e.holder.Node, e.holder.nonce) {
+			e.becomeLeader(e.holder.Version) // the watch reported the write before the response arrived
 			return
 		}
-		e.outbox.Emit(msg.Relist{}) // the listing shows whether the write went through
+		e.outbox.Emit(msg.Relist{}) // the listing shows whether the write was applied
 	}
 }
 
@@ -260,16 +266,16 @@
 	e.tokenChanging = false
 	e.tokenRequested = false
 	e.holder = Holder{Node: e.node, Version: token, TermStart: token, nonce: e.nonce}
-	e.seenVacant = false
+	e.vacancyObserved = false
 	e.listener.OnElected()
 }
 
-// RequestNewToken has the fencing token replaced soon.
+// RequestNewToken requests that ReplaceTokenIfRequested replace the fencing token.
 func (e *Elector) RequestNewToken() { e.tokenRequested = true }
 
-// ReplaceTokenIfRequested rewrites the leader key if a new token was requested, at most once per
-// tokenChangeInterval. The new token invalidates every command that is still in flight under the
-// old one.
+// ReplaceTokenIfRequested rewrites the leader key if a new fencing token was requested, at most once
+// per tokenChangeInterval. The new token invalidates every command that is still in flight under
+// the old one.
 func (e *Elector) ReplaceTokenIfRequested() {
 	if !e.tokenRequested || e.tokenChanging || e.outbox.Now()-e.tokenChangedAt <= tokenChangeInterval {
 		return
--- a/internal/core/election/elector_test.go
+++ b/internal/core/election/elector_test.go
@@ -11,8 +11,8 @@
 	"coralhub/wire"
 )
 
-// electorPair is two electors of one node, each with a leader key of its own: what happens to one
-// must not affect the other.
+// electorPair is two electors of one node, each with a leader key of its own. The state of one must
+// not affect the other.
 type electorPair struct {
 	t      *testing.T
 	outbox *outbox.Outbox
@@ -29,7 +29,7 @@
 
 func (l recordingListener) OnElected() { l.record("elected") }
 
-func (l recordingListener) OnDeposed(why string, _ uint64) { l.record("deposed: " + why) }
+func (l recordingListener) OnDeposed(reason string, _ uint64) { l.record("deposed: " + reason) }
 
 func (l recordingListener) OnHolderChanged(_, to string) { l.record("held by " + to) }
 
@@ -55,7 +55,7 @@
 	return pair.outbox.End()
 }
 
-// expectEvents checks the events since its last call.
+// expectEvents checks the events that were recorded since its last call.
 func (pair *electorPair) expectEvents(want ...string) {
 	pair.t.Helper()
 	if !slices.Equal(pair.events, want) {
@@ -74,7 +74,7 @@
 		}
 	}
 	if len(found) != 1 {
-		pair.t.Fatalf("%d transactions", len(found))
+		pair.t.Fatalf("got %d transactions, want 1", len(found))
 	}
 	return found[0]
 }
@@ -85,15 +85,17 @@
 	pair.step(elector.Tick)
 	campaign := pair.transaction(pair.step(func() { elector.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: lease}) }))
 	if campaign.Transaction.Conditions[0] != (wire.Condition{Key: elector.Key()}) || campaign.Transaction.Changes[0].Lease != lease {
-		pair.t.Fatalf("%+v", campaign.Transaction)
+		pair.t.Fatalf("campaign transaction %+v, want the condition that %s does not exist, and lease %d",
+			campaign.Transaction, elector.Key(), lease)
 	}
 	pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: revision}) })
 	if !elector.IsLeader() || elector.FencingToken() != revision || elector.TermStart() != revision || elector.Condition() != (wire.Condition{Key: elector.Key(), Version: revision}) {
-		pair.t.Fatalf("leading %v, token %d", elector.IsLeader(), elector.FencingToken())
+		pair.t.Fatalf("after the campaign: leading %v, token %d, term start %d, condition %+v; want token %d",
+			elector.IsLeader(), elector.FencingToken(), elector.TermStart(), elector.Condition(), revision)
 	}
 }
 
-// put applies a watched value of the leader key.
+// put applies a put of the leader key that the watch reports.
 func (pair *electorPair) put(elector *Elector, node string, nonce, revision uint64) {
 	pair.t.Helper()
 	value, err := job.Encode(LeaseRecord{Node: node, Nonce: nonce})
@@ -109,18 +111,19 @@
 	pair.elect(pair.b, 8, 41)
 	pair.expectEvents("a elected", "b elected")
 
-	// The expiry of a lease deposes its own elector alone.
+	// The expiry of a lease deposes only the elector of that lease.
 	pair.step(func() { pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.Gone, Lease: 7, IsRenewal: true}) })
 	pair.expectEvents("a deposed: lease expired")
 	if !pair.b.IsLeader() || pair.a.IsLeader() || pair.a.FencingToken() != 0 {
-		t.Fatal("b must still lead and a must not")
+		t.Fatalf("leading: a %v, b %v, want only b; token of a: %d, want 0",
+			pair.a.IsLeader(), pair.b.IsLeader(), pair.a.FencingToken())
 	}
 
-	// A key that another node holds is followed, without a campaign.
+	// While another node holds the key, the elector tracks the holder and does not campaign.
 	pair.put(pair.a, "n2", 1, 50)
 	pair.expectEvents("a held by n2")
 	if pair.a.OtherHolder() != "n2" || len(pair.step(pair.a.Tick)) != 0 {
-		t.Fatalf("%+v", pair.a.Holder())
+		t.Fatalf("holder %+v, want n2 and no effects of a tick", pair.a.Holder())
 	}
 	pair.step(func() { pair.a.ApplyListingWithoutHolder(60) })
 	pair.step(pair.a.Tick)
@@ -137,13 +140,15 @@
 	pair.a.RequestNewToken()
 	replacement := pair.transaction(pair.step(pair.a.ReplaceTokenIfRequested))
 	if replacement.Transaction.Conditions[0] != (wire.Condition{Key: "zone/a", Version: 40}) || !pair.a.TokenChangePending() {
-		t.Fatalf("%+v", replacement.Transaction)
+		t.Fatalf("transaction %+v, want the condition that zone/a has version 40; token change pending %v, want true",
+			replacement.Transaction, pair.a.TokenChangePending())
 	}
 	pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: replacement.ID, Outcome: msg.OK, Revision: 45}) })
 	if pair.a.FencingToken() != 45 || pair.a.TermStart() != 40 || pair.a.TokenChangePending() {
-		t.Fatalf("token %d, term start %d", pair.a.FencingToken(), pair.a.TermStart())
+		t.Fatalf("token %d, want 45; term start %d, want 40; token change pending %v, want false",
+			pair.a.FencingToken(), pair.a.TermStart(), pair.a.TokenChangePending())
 	}
-	// A value of another node that the conditions should have prevented deposes the leader.
+	// A value of another node deposes the leader, even though the conditions should have prevented it.
 	pair.put(pair.a, "n2", 1, 50)
 	pair.expectEvents("a elected", "a held by n2", "a deposed: elected elsewhere: n2")
 
@@ -155,19 +160,19 @@
 	pair.expectEvents("b elected", "b deposed: leader key changed")
 }
 
-// The leader key of an earlier process of this node is not kept alive by this process, or it would
-// never expire.
+// While the leader key is that of an earlier process of this node, this process does not renew its
+// lease: otherwise a key that is bound to that lease would never expire.
 func TestKeyOfEarlierProcessExpires(t *testing.T) {
 	pair := newElectorPair(t)
 	pair.step(pair.a.Tick)
 	pair.put(pair.a, "n1", 3, 30)
 	if effects := pair.step(func() { pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }); len(effects) != 0 || pair.a.IsLeader() {
-		t.Fatalf("%v", effects)
+		t.Fatalf("after a lease was granted: effects %v, want none; leading %v, want false", effects, pair.a.IsLeader())
 	}
 	for range 10 {
 		for _, e := range pair.step(pair.a.Tick) {
 			if _, renews := e.(msg.RenewLease); renews {
-				t.Fatal("renews a lease while the leader key is an earlier process's")
+				t.Fatal("the lease is renewed while the leader key is that of an earlier process")
 			}
 		}
 	}
@@ -177,8 +182,8 @@
 	pair.expectEvents("a held by n1", "a elected")
 }
 
-// A node whose terms end early, one after the other, backs off from campaigns for longer each time,
-// up to a maximum; a long term resets the backoff.
+// Each consecutive term that ends early lengthens the delay before the node's next campaign, up to a
+// maximum. A long term resets the backoff.
 func TestShortTermsBackOff(t *testing.T) {
 	pair := newElectorPair(t)
 	revision := uint64(40)
@@ -186,26 +191,27 @@
 		vacantSince := pair.now
 		for !requestsLease(pair.step(pair.a.Tick)) {
 			if pair.now-vacantSince > maxCampaignDelay+2*config.Second {
-				t.Fatal("never campaigns again")
+				t.Fatalf("no campaign within %d us after %d terms", pair.now-vacantSince, i)
 			}
 		}
 		switch delay := pair.now - vacantSince; {
 		case i == 0 && delay > config.Second:
-			t.Errorf("the first campaign is delayed by %d us", delay)
+			t.Errorf("delay of the first campaign: %d us, want at most 1 s", delay)
 		case i > 6 && i < 11 && delay < maxCampaignDelay:
-			t.Errorf("after many short terms the campaign is delayed by only %d us", delay)
+			t.Errorf("delay of the campaign after %d short terms: %d us, want at least %d us",
+				i, delay, maxCampaignDelay)
 		case i == 11 && delay > config.Second:
-			t.Errorf("delayed by %d us after a long term", delay)
+			t.Errorf("delay of the campaign after a long term: %d us, want at most 1 s", delay)
 		}
 		campaign := pair.transaction(pair.step(func() { pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: uint64(i + 1)}) }))
 		pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: revision}) })
 		if i == 10 {
-			pair.now += shortTerm // a long term resets the backoff
+			pair.now += shortTermThreshold // a long term resets the backoff
 		}
 		revision += 2
 		pair.step(func() { pair.a.Apply(&wire.Change{Delete: "zone/a", Version: revision - 1}, true) })
 		if pair.a.IsLeader() {
-			t.Fatal("leads though its key was deleted")
+			t.Fatal("the node still leads after its leader key was deleted")
 		}
 	}
 }
@@ -214,8 +220,8 @@
 	return slices.ContainsFunc(effects, func(e msg.Effect) bool { _, ok := e.(msg.GrantLease); return ok })
 }
 
-// The start of another node's term is known only where no change can have been missed: a token that
-// is taken for an earlier leader's must be one.
+// The start of another node's term is set only where no change can have been missed, so that no token
+// of the current leader is mistaken for an earlier leader's.
 func TestTermStartOfOtherNodes(t *testing.T) {
 	pair := newElectorPair(t)
 	encoded := func(node string) []byte {
@@ -240,7 +246,7 @@
 		}
 	}
 	put("n8", 10, true)
-	expect("the first value that was seen", 10, 0)
+	expect("the first value observed", 10, 0)
 	put("n8", 12, true)
 	expect("rewritten", 12, 0)
 	deleted(13)
@@ -252,7 +258,7 @@
 	expect("listed: it may have been rewritten", 20, 0)
 	deleted(21)
 	put("n9", 30, false)
-	expect("listed, after a delete that was seen", 30, 0)
+	expect("listed, after an observed delete", 30, 0)
 	pair.step(func() { pair.a.ApplyListingWithoutHolder(40) })
 	put("n9", 44, true)
 	expect("created after a listing without the key", 44, 44)
@@ -262,7 +268,7 @@
 	expect("rewritten", 52, 44)
 }
 
-// The leader key of an earlier process of this node does not make this process the leader, though it
+// The leader key of an earlier process of this node does not make this process the leader, even if it
 // has a lease: the earlier process's transactions and calls may still be in flight under that token,
 // and the key expires with the earlier process's lease.
 func TestKeyOfEarlierProcessIsNotOwn(t *testing.T) {
@@ -276,6 +282,6 @@
 	}
 	pair.step(func() { pair.a.Apply(&wire.Change{Put: "zone/a", Value: value, Version: 9}, true) })
 	if pair.a.IsLeader() {
-		t.Error("leads by the key of an earlier process")
+		t.Error("the node leads by the leader key of an earlier process")
 	}
 }
--- a/internal/core/election/lease.go
+++ b/internal/core/election/lease.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// shortTerm is the length of a term below which the expiry of its lease counts against the
-	// node that led.
-	shortTerm = 30 * config.Second
-	// baseCampaignDelay is doubled for each short term in a row.
+	// shortTermThreshold is the term length below which a term that ended with the expiry of its
+	// lease counts as short and delays the node's next campaign.
+	shortTermThreshold = 30 * config.Second
+	// baseCampaignDelay is doubled for each consecutive short term.
 	baseCampaignDelay = config.Second / 4
-	// maxCampaignDelay is the longest delay before a node campaigns after short terms in a row.
+	// maxCampaignDelay is the maximum delay before a node campaigns after consecutive short terms.
 	maxCampaignDelay = 4 * config.Second
-	// maxDelayDoublings keeps the shift of baseCampaignDelay far from an overflow.
+	// maxDelayDoublings keeps the left shift of baseCampaignDelay from overflowing.
 	maxDelayDoublings = 8
 )
 
-// LeaseInDoubt reports whether this node's lease may have expired. A leader in doubt goes on
-// answering its workers, but sends no requests to the cloud: a request that is held up by a
-// network partition would arrive late and delete machines that a successor is using.
+// LeaseInDoubt reports whether this node's lease may have expired. A leader whose lease is in doubt
+// continues to answer its workers, but sends no requests to the cloud: a request that is delayed by
+// a network partition would arrive late and delete machines that a successor is using.
 func (e *Elector) LeaseInDoubt() bool { return e.outbox.Now()-e.leaseConfirmedAt > e.ttl }
 
 // LeaseDone handles the outcome of a GrantLease or RenewLease.
@@ -50,7 +50,7 @@
 	case msg.OK:
 		e.leaseConfirmedAt = max(e.leaseConfirmedAt, e.outbox.Now()-done.Age)
 	case msg.Gone:
-		e.dropLease()
+		e.releaseLease()
 		e.noteLeaseExpiry()
 		e.Resign("lease expired")
 	}
@@ -73,35 +73,37 @@
 	e.outbox.Emit(msg.RenewLease{Lease: e.lease, TTL: e.ttl})
 }
 
-// abandonUnusedLease stops renewing the lease while the key has a holder and this node does not
-// lead. If the key was written by this node without its knowing, the key expires with the lease,
-// and an election can follow; otherwise the key would have that value for ever.
-func (e *Elector) abandonUnusedLease() {
+// releaseUnusedLease stops renewing the lease while the key has a holder and this node does not
+// lead. If this node wrote the key without learning of its success, the key expires with the lease,
+// and an election can follow; otherwise the key would keep that value indefinitely.
+func (e *Elector) releaseUnusedLease() {
 	if !e.leading && !e.campaigning && e.holder.Version != 0 {
-		e.dropLease()
+		e.releaseLease()
 	}
 }
 
-// dropLease stops the renewal of the lease.
-func (e *Elector) dropLease() {
+// releaseLease stops the renewal of the lease, so that it expires.
+func (e *Elector) releaseLease() {
 	if e.lease != 0 {
 		e.outbox.Emit(msg.ReleaseLease{Lease: e.lease})
 		e.lease = 0
 	}
 }
 
-// noteLeaseExpiry records that the term ends because the lease has expired.
+// noteLeaseExpiry updates shortTerms when a term ends because the lease has expired. Any other than a
+// short term resets it.
 func (e *Elector) noteLeaseExpiry() {
-	if e.leading && e.outbox.Now()-e.electedAt < shortTerm {
+	if e.leading && e.outbox.Now()-e.electedAt < shortTermThreshold {
 		e.shortTerms++
 	} else {
 		e.shortTerms = 0
 	}
 }
 
-// campaignDelay returns how long a key without a holder is left to other nodes first. A node that
-// cannot keep its lease backs off exponentially: otherwise two nodes that are both too slow would
-// replace each other for ever, as each successor has more to do than its predecessor had.
+// campaignDelay returns how long this node leaves a key without a holder to other nodes before it
+// campaigns, in addition to the jitter. A node that cannot keep its lease backs off exponentially:
+// otherwise two nodes that are both too slow would replace each other indefinitely, since each
+// successor has more work than its predecessor had.
 func (e *Elector) campaignDelay() Micros {
 	if e.shortTerms == 0 {
 		return 0
