--- a/internal/core/completionlog/completionlog.go
+++ b/internal/core/completionlog/completionlog.go
@@ -1,10 +1,11 @@
-// Package completionlog writes completions of tasks into the completion log. A change of the key-value store is
-// expensive, and large arrays complete task by task; so a completion that neither ends its job nor comes with new
-// placements is not written into the job's record but, with those of all other jobs, into a page of this log.
+// Package completionlog writes completions of tasks into the completion log. Changes of the key-value store are
+// expensive, and large arrays complete task by task. A completion that neither finishes its job nor is committed
+// together with new placements is therefore not written into the job's record, but into a page of this log, together
+// with the completions of all other jobs.
 //
-// What a page says of an attempt on a machine stays true whichever version of the record it is compared with, so it
-// can be applied any number of times. The record merges it when it is written next; a page whose entries have all
-// been merged is deleted. Package records reads the pages.
+// An entry records that an attempt is no longer on a machine. This is true for every version of the job's record, so an
+// entry can be applied any number of times. The next write of the record merges the entry, and a page is deleted once
+// all of its entries have been merged. Package records reads the pages.
 package completionlog
 
 import (
@@ -19,38 +20,39 @@
 )
 
 const (
-	// completionShare is the share of all changes that the log may take while any job waits for the capacity or
-	// the part of a limit that a completion frees, and idleCompletionShare the share while none does.
+	// completionShare is the share of the key-value store's write rate that the log may use while any job waits for
+	// the capacity or the part of a limit that a completion frees, and idleCompletionShare the share while none does.
 	completionShare, idleCompletionShare = 0.2, 0.03
-	// maxCompletionDelay is the longest that the log waits for more completions.
+	// maxCompletionDelay limits the time for which completions are collected while no job waits for what they free.
 	maxCompletionDelay = config.Second / 2
-	// pageNumberBits is how many low bits of a page's number count the pages of a term. The
-	// others are the term's first fencing token: a number that was used again after its page was
-	// deleted could be taken for the old page with more entries.
+	// pageNumberBits is the number of low bits of a page number that count the pages of a term. The high bits are
+	// the term's first fencing token: if a number were reused after its page was deleted, the new page could be
+	// mistaken for the old one with more entries.
 	pageNumberBits = 20
-	// maxCompletionLogBytes is how much the pages may hold before the jobs in the oldest page are
-	// written so that it can be deleted.
+	// maxCompletionLogBytes is the size of all pages, each counted as full, above which the records and placement
+	// pages that the oldest page's entries concern are written, so that this page can be deleted.
 	maxCompletionLogBytes = 64 << 10
 )
 
-// Jobs is what the log asks and tells about jobs.
+// Jobs gives the log access to the state of jobs, and is notified of stored entries.
 type Jobs interface {
-	// HoldsOpen reports whether the records still hold an attempt open.
+	// HoldsOpen reports whether the placement of an entry's attempt is still open in the replica.
 	HoldsOpen(e *records.CompletionEntry) bool
-	// EntryStored is called when an entry that was added is stored, or doesn't have to be any more.
+	// EntryStored is called when an entry that was added is stored, or no longer has to be.
 	EntryStored(e *records.CompletionEntry)
-	// IsRecorded reports whether a job is known with its description; if not, none of its entries is needed.
+	// IsRecorded reports whether the replica has the record of a job with its spec. If not, none of the job's
+	// entries is needed.
 	IsRecorded(id string) bool
-	// RequestMerge has the record or the placement page written that holds an entry's task.
+	// RequestMerge requests a write of the record or placement page that holds an entry's task.
 	RequestMerge(c *records.Completion)
-	// CapacityIsShort reports whether a job waits for what completions free.
+	// CapacityIsShort reports whether a job waits, or may wait, for what completions free.
 	CapacityIsShort() bool
-	// ApplyRecord applies a page to the replica, and logs that it is unreadable.
+	// ApplyRecord applies a page to the replica, and logs an error if it cannot be decoded.
 	ApplyRecord(change *wire.Change)
 }
 
-// Log writes completions into the completion log and deletes its merged pages. One page is in flight at a time. It is
-// not safe for concurrent use.
+// Log writes completions into the completion log and deletes its merged pages. At most one write of a page is in flight
+// at a time. It is not safe for concurrent use.
 type Log struct {
 	outbox   *outbox.Outbox
 	encoding *records.Encoding
@@ -58,12 +60,12 @@
 	replica  *records.Replica
 	jobs     Jobs
 
-	pagesStarted  uint64 // pages started in this term
-	currentPage   uint64 // number of the page that this leader fills; 0: none
+	pagesStarted  uint64 // number of pages started in this term
+	currentPage   uint64 // number of the page that this leader fills, 0 if there is none
 	unwritten     []records.CompletionEntry
-	transaction   *wire.Transaction // not settled; nil: none
-	inFlight      bool              // the answer to transaction is still expected
-	deletingPages map[uint64]bool   // pages whose deletion is in flight
+	transaction   *wire.Transaction // write of the current page whose outcome is not final, nil if there is none
+	inFlight      bool              // whether the response to transaction is outstanding
+	deletingPages map[uint64]bool   // numbers of the pages whose deletion is in flight
 	nextWriteAt   config.Micros
 }
 
@@ -74,7 +76,8 @@
 	return l
 }
 
-// Reset has the next term begin new pages. The time of the next write is kept: it saves the key-value store's quota.
+// Reset discards the entries and the state of the term, so that the next term begins new pages. The time of the next
+// write is kept, to stay within the key-value store's quota.
 func (l *Log) Reset() {
 	l.pagesStarted = 0
 	l.currentPage = 0
@@ -84,18 +87,19 @@
 	l.deletingPages = map[uint64]bool{}
 }
 
-// Add has an entry written, together with others.
+// Add queues an entry, to be written together with others.
 func (l *Log) Add(e records.CompletionEntry) { l.unwritten = append(l.unwritten, e) }
 
 // Pending returns the number of entries that are not known to be stored.
 func (l *Log) Pending() int { return len(l.unwritten) }
 
-// Write commits unwritten entries, a page at a time.
+// Write commits unwritten entries, one page at a time. It does nothing while a write is in flight, the next write is
+// not yet due, or the fencing token is being replaced.
 func (l *Log) Write() {
 	if l.elector.TokenChangePending() || l.inFlight || l.outbox.Now() < l.nextWriteAt {
 		return
 	}
-	if l.transaction != nil { // had no answer: it may be applied later, so the same is sent again
+	if l.transaction != nil { // it had no response and may still be applied, so the same one is sent again
 		l.send(l.transaction)
 		return
 	}
@@ -116,7 +120,7 @@
 }
 
 // nextPageValue returns the value of the current page with unwritten entries added, and the version that it replaces.
-// If there is no current page or it is full, it begins another one. nil: no entry fits.
+// If there is no current page or it is full, it begins another one. The value is nil if no entry fits.
 func (l *Log) nextPageValue() (value []byte, version uint64) {
 	var entries []records.CompletionEntry
 	if page := l.replica.CompletionPage(l.currentPage); page != nil {
@@ -134,8 +138,8 @@
 	return l.encode(nil), 0
 }
 
-// writeInterval is the time between two writes. While no job waits for what completions free, they are
-// collected for a moment: each page costs a change, however few entries it holds.
+// writeInterval returns the time between two writes. While no job waits for what completions free, they are collected
+// for longer: each write of a page costs one change, however few entries it adds.
 func (l *Log) writeInterval() config.Micros {
 	shortest := l.encoding.IntervalForShare(completionShare)
 	if l.jobs.CapacityIsShort() {
@@ -144,7 +148,8 @@
 	return max(shortest, min(maxCompletionDelay, l.encoding.IntervalForShare(idleCompletionShare)))
 }
 
-// encode adds unwritten entries to those of a page, about as many as fit; nil: none fits.
+// encode returns the value of a page with the given entries and about as many unwritten ones as fit, or nil if none
+// fits.
 func (l *Log) encode(entries []records.CompletionEntry) []byte {
 	for n := len(l.unwritten); n > 0; n /= 2 {
 		value, err := records.EncodeCompletionPage(append(slices.Clip(entries), l.unwritten[:n]...), l.encoding.Format)
@@ -162,12 +167,12 @@
 			return
 		}
 		l.inFlight = false
-		l.onAnswer(t, &d)
+		l.handleResult(t, &d)
 	})
 }
 
-// onAnswer handles the answer to the transaction on the current page.
-func (l *Log) onAnswer(t *wire.Transaction, d *msg.CommitDone) {
+// handleResult handles the result of the transaction that writes the current page.
+func (l *Log) handleResult(t *wire.Transaction, d *msg.CommitDone) {
 	key := t.Changes[0].Put
 	switch d.Outcome {
 	case msg.Unknown:
@@ -179,34 +184,35 @@
 		if l.elector.DeposedBy(t.Conditions[0].Version, d.Failed) {
 			return
 		}
-		if slices.Contains(d.Failed, key) { // an earlier sending has been applied after all
+		if slices.Contains(d.Failed, key) { // the transaction was applied when it was sent before
 			l.nextWriteAt = l.outbox.Now() + outbox.CommitRetryInterval
 			l.readPage(key)
 		}
 	case msg.Invalid:
-		// An earlier sending may have been applied: the watch will show it. What isn't in
-		// the log by then goes into a new page.
+		// The transaction may have been applied when it was sent before, which the watch will report. Entries
+		// that are not in the log by then are written to a new page.
 		l.currentPage = 0
 		l.nextWriteAt = l.outbox.Now() + config.Second
 	default:
 		l.nextWriteAt = l.outbox.Now() + outbox.CommitRetryInterval
 	}
 	l.transaction = nil
-	l.dropLogged()
+	l.dropStoredEntries()
 }
 
-// readPage updates the replica to what a page of the log holds now.
+// readPage reads a page of the log and applies it to the replica.
 func (l *Log) readPage(key string) {
 	l.outbox.Read(key, func(d msg.ReadDone) {
 		if d.Outcome == msg.OK && d.Item.Version != 0 {
 			l.jobs.ApplyRecord(&wire.Change{Put: key, Value: d.Item.Value, Version: d.Item.Version})
-			l.dropLogged()
+			l.dropStoredEntries()
 		}
 	})
 }
 
-// dropLogged drops the unwritten entries, and the completions they came from, that pages or records hold by now.
-func (l *Log) dropLogged() {
+// dropStoredEntries drops the unwritten entries that pages or records hold by now, and the completions from which they
+// were made.
+func (l *Log) dropStoredEntries() {
 	kept := l.unwritten[:0]
 	for i := range l.unwritten {
 		entry := &l.unwritten[i]
@@ -219,8 +225,8 @@
 	l.unwritten = kept
 }
 
-// DeleteMergedPages deletes the first page that no record needs any more, and has jobs written
-// so that the oldest page can be deleted when there are many.
+// DeleteMergedPages deletes the oldest page that has no entries left to merge, apart from the current page and those
+// being deleted. If the pages exceed maxCompletionLogBytes, it also requests merges of the oldest page's entries.
 func (l *Log) DeleteMergedPages() {
 	pages := l.replica.CompletionPages()
 	tooMany := len(pages)*l.encoding.MaxValueBytes() > maxCompletionLogBytes
@@ -234,11 +240,11 @@
 			continue
 		}
 		l.deletePage(n, page)
-		return // one at a time
+		return // one page per call
 	}
 }
 
-// pageNeeded reports whether a page has entries that are not merged. If merge is set, it has them merged.
+// pageNeeded reports whether a page has entries that still have to be merged. If merge is set, it requests their merge.
 func (l *Log) pageNeeded(page *records.CompletionPage, merge bool) bool {
 	needed := false
 	for _, c := range page.Completions {
@@ -255,7 +261,7 @@
 
 // deletePage deletes a page whose entries are all merged.
 func (l *Log) deletePage(n uint64, page *records.CompletionPage) {
-	deleting := l.deletingPages // of this term: reset replaces it
+	deleting := l.deletingPages // the map of this term: Reset replaces it
 	deleting[n] = true
 	key := records.CompletionPageKey(n)
 	l.outbox.CommitDeferrable(wire.Transaction{
--- a/internal/core/completionlog/completionlog_test.go
+++ b/internal/core/completionlog/completionlog_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Nodes of other versions read and number the same pages.
-func TestNumbersOfPages(t *testing.T) {
+// The division of page numbers must not change: nodes of other versions read and number the same pages.
+func TestPageNumberBits(t *testing.T) {
 	if pageNumberBits != 20 {
-		t.Error("the division of stored values has changed")
+		t.Errorf("pageNumberBits is %d, want 20 as in other versions", pageNumberBits)
 	}
 }
