--- a/internal/core/leader/anti_affinity.go
+++ b/internal/core/leader/anti_affinity.go
@@ -8,56 +8,57 @@
 	"coralhub/wire"
 )
 
-// replicaSpread is the anti-affinity of a service's replicas: bin packing and cached images draw
-// them all to the same machine, and losing it would take down the whole service. No machine gets more
-// than half of the replicas, rounded up, as long as there is free capacity elsewhere.
+// replicaSpread implements the anti-affinity of a service's replicas: bin packing and cached images
+// would place them all on the same machine, and losing it would take down the whole service. No
+// machine gets more than half of the replicas, rounded up, as long as there is free capacity
+// elsewhere.
 type replicaSpread struct {
 	maxPerMachine int
-	on            map[string]int // replicas by machine
+	byMachine     map[string]int // number of replicas
 }
 
-// newReplicaSpread returns where the replicas of a service are; nil: a job whose tasks may run
-// anywhere.
+// newReplicaSpread returns the current distribution of the replicas of a service. It returns nil
+// for a job without anti-affinity, whose tasks may run anywhere.
 func (bd *bidder) newReplicaSpread(j *Job) *replicaSpread {
 	spec := j.Record.Spec
 	if spec.Shape != wire.Service || spec.Tasks < 2 {
 		return nil
 	}
-	rs := &replicaSpread{maxPerMachine: (spec.Tasks + 1) / 2, on: map[string]int{}}
-	j.EachPlacement(func(p job.Placement) { rs.on[p.Machine]++ })
+	rs := &replicaSpread{maxPerMachine: (spec.Tasks + 1) / 2, byMachine: map[string]int{}}
+	j.EachPlacement(func(p job.Placement) { rs.byMachine[p.Machine]++ })
 	return rs
 }
 
 // place counts a replica that is placed on a machine.
 func (rs *replicaSpread) place(machine string) {
 	if rs != nil {
-		rs.on[machine]++
+		rs.byMachine[machine]++
 	}
 }
 
-// bid asks for a bid that avoids the machines with enough of the replicas and, if there is none
-// without victims, for one that may use them.
-func (rs *replicaSpread) bid(q *zone.Request, ask func() *zone.Bid) *zone.Bid {
+// bid requests a bid that avoids the machines with enough of the replicas. If there is none without
+// victims, it requests one that may use these machines.
+func (rs *replicaSpread) bid(q *zone.Request, requestBid func() *zone.Bid) *zone.Bid {
 	if rs == nil {
-		return ask()
+		return requestBid()
 	}
 	avoid := q.Avoid
 	if !rs.avoidFullMachines(q) {
-		return ask()
+		return requestBid()
 	}
-	bid := ask()
+	bid := requestBid()
 	q.Avoid = avoid
 	if bid != nil && len(bid.Victims) == 0 {
 		return bid
 	}
-	return ask()
+	return requestBid()
 }
 
 // avoidFullMachines adds the machines with enough of the replicas to those that a request avoids. It
 // reports whether there are any.
 func (rs *replicaSpread) avoidFullMachines(q *zone.Request) bool {
 	anyFull := false
-	for name, n := range rs.on {
+	for name, n := range rs.byMachine {
 		if n < rs.maxPerMachine {
 			continue
 		}
--- a/internal/core/leader/bidding.go
+++ b/internal/core/leader/bidding.go
@@ -6,7 +6,7 @@
 	"coralhub/wire"
 )
 
-// bidder asks the zones for bids and picks the best.
+// bidder requests bids from the zones and selects the best one.
 type bidder struct {
 	*environment
 	snapshot   *clusterSnapshot
@@ -25,7 +25,8 @@
 	count int
 }
 
-// minTasks is the least number of tasks of which the placement counts as a success.
+// minTasks returns the minimum number of tasks that have to be placed for a request to succeed: all
+// tasks of a gang, otherwise one.
 func minTasks(q *zone.Request) int {
 	if q.AllOrNothing {
 		return q.Count
@@ -33,7 +34,7 @@
 	return 1
 }
 
-// knownToFail looks a request up in the negative cache.
+// knownToFail reports whether a request of a level fails in a zone according to the negative cache.
 func (c *cycle) knownToFail(zoneName string, q *zone.Request, level int) bool {
 	if len(q.ReservedMachines) > 0 {
 		return false
@@ -48,14 +49,15 @@
 	return false
 }
 
-// isOpenTo reports whether a job may be placed in a zone: it asks for no other, and the zone is not
-// reserved.
-func (c *cycle) isOpenTo(spec *wire.Job, zoneName string) bool {
-	wantsOther := spec.Zone != "" && spec.Zone != zoneName
-	return !wantsOther && !c.reservedZones[zoneName]
+// mayUseZone reports whether a job may be placed in a zone: the job requests no other zone, and the
+// zone is not reserved.
+func (c *cycle) mayUseZone(spec *wire.Job, zoneName string) bool {
+	requestsOther := spec.Zone != "" && spec.Zone != zoneName
+	return !requestsOther && !c.reservedZones[zoneName]
 }
 
-// zoneWithMostCapacity returns the zone with the most free capacity of those that a job may use.
+// zoneWithMostCapacity returns the zone with the most free capacity among those that a job may use,
+// or an empty string if there is none.
 func (bd *bidder) zoneWithMostCapacity(c *cycle, spec *wire.Job) string {
 	best, most := "", -1.0
 	for _, z := range c.zones {
@@ -69,11 +71,12 @@
 	return best
 }
 
-// zoneRequest describes to the zones what each task of a job needs and what may be preempted for it.
+// zoneRequest returns the request to the zones for a job: what each of its tasks needs, and what
+// may be preempted for it.
 func (bd *bidder) zoneRequest(c *cycle, j *Job, e *queue.Entry) *zone.Request {
 	spec := j.Record.Spec
 	q := &zone.Request{Job: j.ID, Needs: taskResources(spec), AllOrNothing: spec.Shape == wire.Gang, Spot: spec.Spot,
-		Types: j.types.set, TypeKey: j.types.text, Image: spec.Image, Avoid: j.failedOn, ShareFetches: bd.cfg.Settings.ShareFetches}
+		Types: j.types.set, TypeKey: j.types.key, Image: spec.Image, Avoid: j.failedOn, ShareFetches: bd.cfg.Settings.ShareFetches}
 	if bd.outbox.Now() < j.preemptingUntil {
 		q.ReservedMachines = j.reservedMachines
 		return q
@@ -81,27 +84,28 @@
 	ownLevel := queue.Level(j.Priority(), true)
 	claimsGuarantee := bd.snapshot.withinGuarantee(j) && queue.HasGuarantee(bd.teams[spec.Team]) &&
 		(!j.queuedBehind || bd.startOrder.mayClaimGuarantee(j, c.used))
-	mayPreemptAny := bd.victims.anyRunsBelow(c, ownLevel) || claimsGuarantee && bd.victims.anyTeamBorrows(c, spec.Team)
+	mayPreemptAny := bd.victims.anyPlacedBelow(c, ownLevel) ||
+		claimsGuarantee && bd.victims.anyTeamBorrows(c, spec.Team)
 	if !mayPreemptAny {
-		return q // victims need not be listed
+		return q // without MayPreempt, victims are not listed
 	}
 	q.MayPreempt = func(v *zone.Victim) bool {
 		victim := bd.jobs[v.Job]
 		if claimsGuarantee && victim.Record.Spec.Team != spec.Team && !bd.snapshot.withinGuarantee(victim) {
-			return true // another team's use beyond its guarantee
+			return true // another team's usage beyond its guarantee
 		}
 		return queue.Level(victim.Priority(), true) < ownLevel && v.Level < e.Level
 	}
 	return q
 }
 
-// bestBid asks every zone for a bid on the missing tasks of an attempt and returns the best one;
-// nil: there is none.
+// bestBid requests a bid on the missing tasks of an attempt from every zone and returns the best
+// one, or nil if there is none.
 func (bd *bidder) bestBid(a *placementAttempt) *zone.Bid {
 	spec := a.job.Record.Spec
 	service := spec.Shape == wire.Service
 	var best *zone.Bid
-	fewest := -1 // tasks of the job in the zone of the best bid
+	fewest := -1 // placed tasks of the job in the zone of the best bid
 	for _, z := range a.cycle.zones {
 		bid := bd.zoneBid(a, z)
 		if bid == nil {
@@ -121,11 +125,11 @@
 	return best
 }
 
-// zoneBid asks one zone for a bid; nil: the job may not be placed there, or the zone has no
-// capacity for it.
+// zoneBid requests a bid from one zone. It returns nil if the job may not be placed there, or if
+// the zone has no capacity for it.
 func (bd *bidder) zoneBid(a *placementAttempt, z *zone.Zone) *zone.Bid {
 	spec := a.job.Record.Spec
-	if !a.cycle.isOpenTo(spec, z.Name) {
+	if !a.cycle.mayUseZone(spec, z.Name) {
 		return nil
 	}
 	if spec.OneZone && len(a.inZone) > 0 && a.inZone[z.Name] == 0 {
@@ -144,18 +148,18 @@
 		return nil
 	}
 	bid := z.Plan(bd.outbox.Now(), &q)
-	if bid == nil && len(a.request.Avoid) == 0 { // otherwise the failure says little about other jobs
+	if bid == nil && len(a.request.Avoid) == 0 { // if machines are avoided, the failure need not apply to other jobs
 		a.cycle.failedRequests = append(a.cycle.failedRequests, failedRequest{z.Name, q.Needs, q.Spot, q.TypeKey, a.level, minTasks(&q)})
 	}
 	return bid
 }
 
-// bidAcrossZones places a gang that fits into no single zone but may be split; nil: it doesn't fit
-// into all of them together.
+// bidAcrossZones returns a bid of several zones for a gang that fits into no single zone but may be
+// split. It returns nil if the gang doesn't fit into all zones together.
 func (bd *bidder) bidAcrossZones(a *placementAttempt) *zone.Bid {
 	combined := &zone.Bid{}
 	for _, z := range a.cycle.zones {
-		if !a.cycle.isOpenTo(a.job.Record.Spec, z.Name) {
+		if !a.cycle.mayUseZone(a.job.Record.Spec, z.Name) {
 			continue
 		}
 		count := a.maxInZone(z.Name, len(a.tasks)-len(combined.Offers))
--- a/internal/core/leader/class_statistics.go
+++ b/internal/core/leader/class_statistics.go
@@ -11,23 +11,26 @@
 )
 
 const (
-	// startLeadDivisor is the part of the time that a job has to start which passes between its
-	// placement and its start: its image has to be fetched, too.
+	// startLeadDivisor gives the part of the time that a job has to start (one in startLeadDivisor)
+	// that passes between its placement and its start: its image has to be fetched, too.
 	startLeadDivisor = 8
-	// lateTolerance is the number of jobs of a class that may be late without the class being short of
-	// capacity: a single job may need what no other one needs.
+	// lateTolerance is the number of jobs of a class that may be late without the class being short
+	// of capacity: a single job may need resources that no other job needs.
 	lateTolerance = 2
-	// longQueueDivisor is the part of the time to start in which the queue of a class may be worked
-	// off; when it takes longer, the class is short of capacity before any job is late.
+	// longQueueDivisor gives the part of the time to start (one in longQueueDivisor) in which the
+	// queue of a class has to drain. If it takes longer, the class is short of capacity before any
+	// job is late.
 	longQueueDivisor = 2
-	// shortageMinWaiting and shortageMinAge are the number of jobs that have to wait, and for how long
-	// the first of them, before the queue indicates a shortage: jobs that have just arrived may be
-	// placed at once.
+	// shortageMinWaiting and shortageMinAge are the minimum number of waiting jobs, and the minimum
+	// age of the oldest of them, for which the queue indicates a shortage: jobs that have just
+	// arrived may be placed at once.
 	shortageMinWaiting = 10
 	shortageMinAge     = 10 * config.Second
-	// shortageCooldown is how long a class counts as short of capacity after the last sign of it.
+	// shortageCooldown is how long a class counts as short of capacity after the last indication of
+	// a shortage.
 	shortageCooldown = 30 * config.Second
-	// maxClassStats bounds the number of classes with statistics of their own: users choose the names.
+	// maxClassStats bounds the number of classes with statistics of their own, because users choose
+	// the names of classes.
 	maxClassStats = 1000
 )
 
@@ -38,21 +41,21 @@
 	sizeBands
 )
 
-// classStats is what a leader knows about a class of which jobs wait.
+// classStats holds the statistics of a class that has waiting jobs.
 type classStats struct {
-	name            string
-	short           bool   // of capacity
-	shortageSeenAt  Micros // time of the last sign of a shortage; 0: none yet
-	startRate       startRate
-	waiting         int         // jobs that have not started, as of the current cycle
-	pendingWork     pendingWork // of these
-	oldestArrival   Micros      // when the first of them arrived
-	late            int         // of them, those that can't start in time any more
-	firstLate       *Job        // the late one that has waited longest
-	startsSinceLate int         // jobs that have started since the last late one did
-	lateStartAt     Micros      // when that was
-	largestFrom     int         // size bucket from which on a job is among the largest
-	tiers           [sizeBands]int
+	name                 string
+	short                bool   // the class is short of capacity
+	shortageSeenAt       Micros // time of the last indication of a shortage; 0 if there was none
+	startRate            startRate
+	waiting              int         // jobs that have not started, as of the current cycle
+	pendingWork          pendingWork // work of the waiting jobs
+	oldestArrival        Micros      // arrival time of the oldest waiting job
+	late                 int         // number of waiting jobs that can no longer start in time
+	oldestLate           *Job        // late job that has waited longest
+	startsSinceLateStart int         // number of jobs that have started since the last late start
+	lastLateStartAt      Micros      // time of the last late start
+	largestFrom          int         // size bucket from which on a job is among the largest
+	tiers                [sizeBands]int
 }
 
 // sizeBand returns the size band of a job of the class.
@@ -68,7 +71,7 @@
 	cs.waiting = 0
 	cs.pendingWork = pendingWork{}
 	cs.late = 0
-	cs.firstLate = nil
+	cs.oldestLate = nil
 }
 
 // addWaiting counts a job that has not started.
@@ -82,13 +85,14 @@
 		return
 	}
 	cs.late++
-	if cs.firstLate == nil || j.waitsLonger(cs.firstLate) {
-		cs.firstLate = j
+	if cs.oldestLate == nil || j.arrivedBefore(cs.oldestLate) {
+		cs.oldestLate = j
 	}
 }
 
-// waitsLonger reports whether a job has waited longer than another one.
-func (j *Job) waitsLonger(other *Job) bool {
+// arrivedBefore reports whether a job has waited longer than another one. Jobs that arrived at the
+// same time are ordered by ID.
+func (j *Job) arrivedBefore(other *Job) bool {
 	return cmp.Or(cmp.Compare(j.arrivedAt, other.arrivedAt), cmp.Compare(j.ID, other.ID)) < 0
 }
 
@@ -97,7 +101,7 @@
 	return j.OpenTasks > 0 || j.DoneTasks > 0 || j.Record.LastAttempt > 0 || j.Record.Final()
 }
 
-// noteStarted counts a job whose first placement is committed.
+// noteStarted counts the start of a job once its first placement is committed.
 func (so *startOrder) noteStarted(j *Job) {
 	if j.startCounted || !j.hasStarted() {
 		return
@@ -108,10 +112,10 @@
 	}
 	cs := so.classStatsOf(j)
 	cs.startRate.add(so.outbox.Now())
-	cs.startsSinceLate++
+	cs.startsSinceLateStart++
 	if so.isLate(j) {
-		cs.startsSinceLate = 0
-		cs.lateStartAt = so.outbox.Now()
+		cs.startsSinceLateStart = 0
+		cs.lastLateStartAt = so.outbox.Now()
 	}
 }
 
@@ -137,16 +141,17 @@
 	return cs
 }
 
-// startDeadline is the age from which on a job without a placement can't start in time.
+// startDeadline returns the age from which on a job without a placement can't start in time.
 func (so *startOrder) startDeadline() Micros {
 	within := config.FromSeconds(so.cfg.Settings.StartWithinS)
 	return within - within/startLeadDivisor
 }
 
-// isLate reports whether a job that has no placement yet can't start in time any more.
+// isLate reports whether a job that has no placement yet can no longer start in time.
 func (so *startOrder) isLate(j *Job) bool { return so.outbox.Now()-j.arrivedAt >= so.startDeadline() }
 
-// shortClass returns the class of a job that has not started, if that class is short of capacity.
+// shortClass returns the class of a job that has not started, if that class is short of capacity,
+// and otherwise nil.
 func (so *startOrder) shortClass(j *Job) *classStats {
 	if cs := j.classStats; cs != nil && cs.short && !j.hasStarted() {
 		return cs
@@ -182,7 +187,8 @@
 // countWaiting counts the jobs that have not started, by class. It returns those that wait for their
 // victims to end, whose claims on a guarantee count.
 func (so *startOrder) countWaiting() (claiming []*Job) {
-	for j := range so.snapshot.wanting { // in any order: counted, and the first is chosen by a total order
+	// The map order doesn't matter: jobs are counted, and the oldest is chosen by a total order.
+	for j := range so.snapshot.wanting {
 		if j.hasStarted() {
 			continue
 		}
@@ -194,8 +200,8 @@
 	return claiming
 }
 
-// isShort reports whether a class is short of capacity: jobs are late, or its queue is too long to be
-// worked off in time, or one of these was so a short time ago.
+// isShort reports whether a class is short of capacity: more than lateTolerance jobs are late, or
+// its queue is too long to drain in time, or one of these applied within the last shortageCooldown.
 func (so *startOrder) isShort(cs *classStats) bool {
 	now := so.outbox.Now()
 	queueTime, known := cs.startRate.timeToStart(now, cs.waiting)
@@ -213,9 +219,9 @@
 	return cs.shortageSeenAt != 0 && now-cs.shortageSeenAt <= shortageCooldown
 }
 
-// reorderTeamQueues brings the queues of the teams up to date at once when classes have become short
-// of capacity or are so no longer: with only a part of the new order, running tasks could be preempted
-// needlessly.
+// reorderTeamQueues updates the queues of the teams at once when classes have become short of
+// capacity or have ceased to be: with only a part of the new order applied, running tasks could be
+// preempted needlessly.
 func (so *startOrder) reorderTeamQueues() {
 	for _, name := range slices.Sorted(maps.Keys(so.byClass)) {
 		cs := so.byClass[name]
@@ -231,7 +237,7 @@
 	if !anyMoved {
 		return
 	}
-	// Thousands of jobs may have to move: the queues are built anew, from the front on.
+	// Thousands of jobs may have to move, so the queues are rebuilt, from the front on.
 	clear(so.snapshot.teamQueues)
 	ordered := slices.Clone(so.unfinished)
 	slices.SortFunc(ordered, (*Job).compareQueuePosition)
--- a/internal/core/leader/cycle.go
+++ b/internal/core/leader/cycle.go
@@ -11,7 +11,7 @@
 )
 
 // scheduler runs the scheduling cycles: it ranks the pending jobs, places their tasks, preempts
-// where that is allowed and asks the autoscaler for the machines that are missing.
+// running tasks where that is allowed, and requests missing machines from the autoscaler.
 type scheduler struct {
 	*environment
 	bidder       *bidder
@@ -27,14 +27,15 @@
 	usage       *queue.Usage
 	weights     map[string]float64 // fair-share weight by team
 	cycleDue    bool
-	nextCycleAt Micros // 0: none is planned
+	nextCycleAt Micros // 0 if no cycle is planned
 	lastCycleAt Micros
 }
 
-// requestCycle has the next scheduling cycle run as soon as the least interval allows.
+// requestCycle requests a scheduling cycle, to run as soon as the minimum interval between cycles
+// allows.
 func (sc *scheduler) requestCycle() { sc.cycleDue = true }
 
-// reset forgets the state of a term.
+// reset discards the state of a term.
 func (sc *scheduler) reset() {
 	sc.usage = queue.NewUsage(config.FromSeconds(sc.cfg.Settings.UsageWindowS))
 }
@@ -46,27 +47,27 @@
 	failedRequests []failedRequest
 	demands        []autoscaler.Demand
 	reservedZones  map[string]bool // reserved for a job that is older than the age cap
-	// gangReservedZones are the zones of which free machines are reserved for a gang.
+	// gangReservedZones are the zones in which free machines are reserved for a gang.
 	gangReservedZones map[string]bool
 
 	unschedulable unschedulableCache
 
-	waitingPreemptors []waitingPreemptor        // the highest level first
-	victims           map[string][]*zone.Victim // by zone; nil: not listed yet
-	running           *runningSummary           // nil: not computed yet
-	inZone            map[string]int            // of the current placementAttempt; one map for all of them
+	waitingPreemptors []waitingPreemptor        // sorted by level, highest first
+	victims           map[string][]*zone.Victim // by zone; nil until victims are listed
+	running           *runningSummary           // nil until it is computed
+	inZone            map[string]int            // inZone of the current placementAttempt; all attempts reuse the map
 	quotaLimited      bool                      // a job waits because of its team's limit
 	changeBudget      float64                   // changes that the key-value store still accepts in this cycle
 }
 
-// machineTypes is the set of machine types that suit a job.
+// machineTypes is the set of machine types on which the tasks of a job fit and may run.
 type machineTypes struct {
-	set  map[string]bool
-	text string // the sorted names, for comparison
+	set map[string]bool
+	key string // the sorted names as one string, for comparison
 }
 
-// runCycle ranks the pending jobs and places what it can. A job for which there is no free
-// capacity waits; the next one is tried.
+// runCycle ranks the pending jobs and places as many tasks as it can. A job for which there is no
+// free capacity stays pending, and the next one is tried.
 func (sc *scheduler) runCycle() {
 	sc.cycleDue = false
 	sc.lastCycleAt = sc.outbox.Now()
@@ -117,17 +118,18 @@
 	return c
 }
 
-// pendingJobs returns the queue: the jobs that lack placements and may get some now. It plans a
-// cycle for the time at which the first of those that are in backoff may be tried again.
+// pendingJobs returns the queue, not yet ranked: the jobs that lack placements and may be placed
+// now. For jobs in backoff it plans a cycle at the earliest end of a backoff.
 func (sc *scheduler) pendingJobs(c *cycle) []queue.Entry {
 	entries := make([]queue.Entry, 0, len(sc.snapshot.wanting))
 	shares := sc.usage.Shares(sc.weights)
-	for j := range sc.snapshot.wanting { // in any order: ranking is a total order
+	for j := range sc.snapshot.wanting { // map order doesn't matter: ranking is a total order
 		if j.transaction != nil || len(j.plan) > 0 || len(j.completions) > 0 {
 			continue
 		}
 		if at := max(j.holdUntil, j.retryAt); sc.outbox.Now() < at {
-			// It should not have to wait for an event or a scan on top of its backoff.
+			// Without a planned cycle the job would wait for an event or a scan on top of its
+			// backoff.
 			sc.planCycle(at)
 			continue
 		}
@@ -146,20 +148,20 @@
 	return entries
 }
 
-// planCycle has a cycle run at a time, unless one is planned for earlier.
+// planCycle plans a cycle for the given time, unless one is planned for earlier.
 func (sc *scheduler) planCycle(at Micros) {
 	if sc.nextCycleAt == 0 || at < sc.nextCycleAt {
 		sc.nextCycleAt = at
 	}
 }
 
-// scaleOut asks the autoscaler for the machines that the unplaced tasks need.
+// scaleOut requests the machines that the unplaced tasks need from the autoscaler.
 func (sc *scheduler) scaleOut(c *cycle) {
 	if sc.elector.LeaseInDoubt() || len(c.demands) == 0 {
 		return
 	}
-	sc.estimates.subtractSoonFree(c)
-	for i := range c.demands { // more of the same kind arrives while the machines boot
+	sc.estimates.subtractExpectedFree(c)
+	for i := range c.demands { // more jobs of the same kind arrive while the machines boot
 		d := &c.demands[i]
 		d.Count += int(math.Ceil(float64(d.Count) * sc.cfg.Settings.ScaleOutSurplus))
 	}
@@ -167,21 +169,21 @@
 }
 
 const (
-	// entryTime is about the time in microseconds that a cycle takes for each waiting job on a
-	// whole core (BenchmarkFlood).
-	entryTime = 2
-	// cycleShare is the part of its share of the processor that a node may use for that.
-	cycleShare = 0.4
+	// cycleMicrosPerJob is the approximate time that a cycle takes for each waiting job on a whole
+	// core, in microseconds (BenchmarkFlood).
+	cycleMicrosPerJob = 2
+	// maxCycleCPUShare is the fraction of its CPU limit that a node may use for scheduling cycles.
+	maxCycleCPUShare = 0.4
 )
 
-// cycleInterval is the least time between two cycles. It grows with the length of the queue, so
-// that a flood leaves the leader time for its workers: a node with a fifth of a core goes through a
-// queue of 100,000 jobs every 2.5 s.
+// cycleInterval returns the minimum time between two cycles. It grows with the length of the queue,
+// so that a long queue leaves the leader time to handle its workers: a node limited to a fifth of a
+// core runs a cycle over a queue of 100,000 jobs every 2.5 s.
 func (sc *scheduler) cycleInterval() Micros {
 	least := config.FromMillis(sc.cfg.Settings.CycleIntervalMS)
 	cores := sc.cfg.Cluster.Limits.Cores
 	if cores <= 0 || cores > 1 {
-		cores = 1 // a single event loop uses no more
+		cores = 1 // a single event loop uses no more than one core
 	}
-	return max(least, Micros(float64(len(sc.snapshot.wanting))*entryTime/(cores*cycleShare)))
+	return max(least, Micros(float64(len(sc.snapshot.wanting))*cycleMicrosPerJob/(cores*maxCycleCPUShare)))
 }
--- a/internal/core/leader/deadline_outlook.go
+++ b/internal/core/leader/deadline_outlook.go
@@ -17,28 +17,30 @@
 )
 
 const (
-	// safeChance is the probability of meeting a deadline from which on it counts as safe.
-	safeChance = 0.9
-	// lostChance is the probability up to which it counts as lost.
-	lostChance = 0.05
-	// unknownChance is given in place of a probability that can't be computed.
-	unknownChance = -1
-	// maxDependencyDepth bounds how far back along a chain of dependencies an outlook goes.
+	// safeProbability is the probability of meeting a deadline from which on it counts as safe.
+	safeProbability = 0.9
+	// lostProbability is the probability up to which it counts as lost.
+	lostProbability = 0.05
+	// unknownProbability is returned in place of a probability that can't be computed.
+	unknownProbability = -1
+	// maxDependencyDepth bounds the length of the chains of dependencies that a completion estimate
+	// follows.
 	maxDependencyDepth = 64
-	// maxDeadlinesPerCycle is the number of jobs whose deadlines are judged in a scan period.
-	maxDeadlinesPerCycle = 2000
+	// maxDeadlinesPerScan is the number of jobs whose deadlines are assessed in a scan period.
+	maxDeadlinesPerScan = 2000
 )
 
-// durationOfTasks is how long n tasks of a job take, so many at a time. The tasks of a gang run together.
-func durationOfTasks(perTask *estimate.Answer, n, atATime int, shape string) estimate.Duration {
+// durationOfTasks returns how long n tasks of a job take if a given number of them run
+// concurrently. The tasks of a gang all run concurrently.
+func durationOfTasks(perTask *estimate.Answer, n, concurrent int, shape string) estimate.Duration {
 	if shape == wire.Gang {
 		return perTask.Longest(1)
 	}
-	return perTask.InWaves(n, atATime)
+	return perTask.InWaves(n, concurrent)
 }
 
-// jobDuration is how long a job takes from now on, once its dependencies are done; false: nothing is
-// known of such jobs.
+// jobDuration returns how long a job takes from now on, or from when its dependencies are done. It
+// returns false if there is nothing to estimate from.
 func (es *runTimeEstimates) jobDuration(j *Job) (estimate.Duration, bool) {
 	f := es.features(j, "")
 	perTask := es.model.Estimate(&f)
@@ -51,8 +53,8 @@
 	return es.runningDuration(j, &perTask), true
 }
 
-// waitingDuration is how long a job takes of which nothing is placed: it waits, and then its tasks run
-// as many at a time as its team's limit allows.
+// waitingDuration returns how long a job without placements takes: it waits, and then its tasks
+// run, as many concurrently as its team's limit allows.
 func (es *runTimeEstimates) waitingDuration(j *Job, perTask *estimate.Answer) estimate.Duration {
 	spec := j.Record.Spec
 	var wait estimate.Duration
@@ -60,15 +62,15 @@
 		wait = estimate.Duration{Mean: ws.mean, Variance: ws.mean * ws.mean}
 	}
 	missing := spec.Tasks - j.DoneTasks
-	atATime := missing
+	concurrent := missing
 	if team := es.teams[spec.Team]; team != nil && team.GPUsMax > 0 && spec.GPUs > 0 {
-		atATime = min(atATime, max(1, int(team.GPUsMax/spec.GPUs)))
+		concurrent = min(concurrent, max(1, int(team.GPUsMax/spec.GPUs)))
 	}
-	return wait.Plus(durationOfTasks(perTask, missing, atATime, spec.Shape))
+	return wait.Plus(durationOfTasks(perTask, missing, concurrent, spec.Shape))
 }
 
-// runningDuration is how long a job takes of which tasks are placed: until the longest of these is
-// done, and then the other tasks run on the same capacity.
+// runningDuration returns how long a job with placed tasks takes: until the longest of these is
+// done, and then until its other tasks have run on the same capacity.
 func (es *runTimeEstimates) runningDuration(j *Job, perTask *estimate.Answer) estimate.Duration {
 	spec := j.Record.Spec
 	var longest estimate.Duration
@@ -86,8 +88,8 @@
 	return longest
 }
 
-// completionEstimate is how long a job takes along the longest path through its unfinished
-// dependencies; false: nothing is known of one of these jobs.
+// completionEstimate returns how long a job takes along the longest path through its unfinished
+// dependencies. It returns false if there is nothing to estimate one of these jobs from.
 func (es *runTimeEstimates) completionEstimate(j *Job, depth int) (estimate.Duration, bool) {
 	own, ok := es.jobDuration(j)
 	if !ok || depth >= maxDependencyDepth {
@@ -106,20 +108,21 @@
 	return longest.Plus(own), true
 }
 
-// dueInSeconds is the time until the deadline of a job that has one.
+// dueInSeconds returns the time until the deadline of a job, which must have one.
 func (es *runTimeEstimates) dueInSeconds(j *Job) float64 {
 	return inSeconds(j.Record.CreatedAt-es.wallClockOffset-es.outbox.Now()) + *j.Record.Spec.DeadlineS
 }
 
-// deadlineVerdict returns how likely a job meets its deadline. The verdict is empty for a job without
-// one; a negative chance means that it can't be computed.
-func (es *runTimeEstimates) deadlineVerdict(j *Job) (verdict string, chance float64) {
+// deadlineVerdict returns the verdict on a job's deadline and the probability that the job meets
+// it. The verdict is empty for a job that has no deadline, is over or is being cancelled, and if
+// estimates are disabled. The probability is unknownProbability if it can't be computed.
+func (es *runTimeEstimates) deadlineVerdict(j *Job) (verdict string, probability float64) {
 	spec := j.Record.Spec
 	if es.model == nil || spec == nil || spec.DeadlineS == nil {
-		return "", unknownChance
+		return "", unknownProbability
 	}
 	if j.Record.Final() || j.Record.CancelRequested || j.DependencyCancelled() {
-		return "", unknownChance
+		return "", unknownProbability
 	}
 	due := es.dueInSeconds(j)
 	if due <= 0 {
@@ -127,42 +130,43 @@
 	}
 	duration, ok := es.completionEstimate(j, 0)
 	if !ok {
-		return verdictUnknown, unknownChance
+		return verdictUnknown, unknownProbability
 	}
-	chance = duration.ProbabilityWithin(due)
+	probability = duration.ProbabilityWithin(due)
 	switch {
-	case chance >= safeChance:
-		return verdictSafe, chance
-	case chance <= lostChance:
-		return verdictLost, chance
+	case probability >= safeProbability:
+		return verdictSafe, probability
+	case probability <= lostProbability:
+		return verdictLost, probability
 	}
-	return verdictRisk, chance
+	return verdictRisk, probability
 }
 
-// updateDeadlineVerdicts logs the deadlines that have become at risk, lost or safe again.
+// updateDeadlineVerdicts assesses the deadlines of the unfinished jobs and logs those that have
+// become at risk, lost or safe again.
 func (es *runTimeEstimates) updateDeadlineVerdicts() {
 	if es.model == nil || len(es.unfinished) == 0 {
 		return
 	}
 	for i := range es.unfinished {
-		j := es.unfinished[(es.nextDeadline+i)%len(es.unfinished)]
-		if i >= maxDeadlinesPerCycle {
-			es.nextDeadline = (es.nextDeadline + i) % len(es.unfinished) // the others are judged next time
+		j := es.unfinished[(es.nextDeadlineIndex+i)%len(es.unfinished)]
+		if i >= maxDeadlinesPerScan {
+			es.nextDeadlineIndex = (es.nextDeadlineIndex + i) % len(es.unfinished) // the others are assessed next time
 			return
 		}
 		es.updateDeadlineVerdict(j)
 	}
 }
 
-// updateDeadlineVerdict judges the deadline of a job and logs a change. A deadline that is safe at first
-// is not logged.
+// updateDeadlineVerdict assesses the deadline of a job and logs a change of the verdict. A deadline
+// that is safe at first is not logged.
 func (es *runTimeEstimates) updateDeadlineVerdict(j *Job) {
-	verdict, chance := es.deadlineVerdict(j)
+	verdict, probability := es.deadlineVerdict(j)
 	if verdict == j.verdict || verdict == "" {
 		return
 	}
 	if j.verdict != "" || verdict != verdictSafe {
-		es.outbox.Debug("deadline outlook changed", "job", j.ID, "class", j.Record.Spec.Class, "outlook", verdict, "previous", j.verdict, "probability", math.Round(chance*100)/100)
+		es.outbox.Debug("deadline outlook changed", "job", j.ID, "class", j.Record.Spec.Class, "outlook", verdict, "previous", j.verdict, "probability", math.Round(probability*100)/100)
 	}
 	j.verdict = verdict
 }
--- a/internal/core/leader/defragmentation.go
+++ b/internal/core/leader/defragmentation.go
@@ -17,53 +17,55 @@
 	"coralhub/wire"
 )
 
-// defragmenter clears machines of replicas for gangs that wait for whole machines, at a limited rate.
+// defragmenter clears machines of service replicas, at a limited rate, for gangs that wait for
+// whole machines.
 type defragmenter struct {
 	*environment
 	diagnostics *diagnostics
 	preemptions *preemptionDecisions
 	snapshot    *clusterSnapshot
 
-	moves  *rate.Limiter // uses the time of the node's clock
-	nextAt Micros        // no search before then
+	moveLimiter  *rate.Limiter // limits moved replicas, by the time of the node's clock; nil until it is first used
+	nextSearchAt Micros        // no search for machines to clear before then
 }
 
-// reset forgets the state of a term.
-func (df *defragmenter) reset() { df.moves, df.nextAt = nil, 0 }
+// reset discards the state of a term.
+func (df *defragmenter) reset() { df.moveLimiter, df.nextSearchAt = nil, 0 }
 
 const (
-	// defragAfter is how long a gang waits before machines are cleared for it: tasks that end make
-	// capacity free sooner, and each move leaves a service without a replica for a few seconds.
+	// defragAfter is how long a gang waits before machines are cleared for it: tasks that end free
+	// capacity sooner, and each move leaves a service without a replica for a few seconds.
 	defragAfter = 20 * config.Second
-	// defragInterval is the least time between two searches for machines to clear.
+	// defragInterval is the minimum time between two searches for machines to clear.
 	defragInterval = config.Second
 	// defragReservation is how long cleared machines are reserved for the gang.
 	defragReservation = 10 * config.Second
 	// moveCooldown is how long a replica that was moved is not moved again.
 	moveCooldown = 2 * 60 * config.Second
-	// defragBurstSeconds is the number of seconds whose moves may be made at once: a gang is placed
-	// as a whole or not at all.
+	// defragBurstSeconds is the number of seconds whose allowance of moves may be used at once,
+	// because a gang is placed as a whole or not at all.
 	defragBurstSeconds = 12
 )
 
-// defragment clears machines of replicas for a gang that could not be placed, if it has waited for
-// long, the cloud has no more machines that suit it, and the free capacity would do if it were not
-// fragmented. The replicas are started on other machines of their zone; nothing else is stopped.
+// defragment clears machines of replicas for a gang that could not be placed, if the gang has
+// waited for defragAfter, the cloud has no more machines that suit it, and the free capacity would
+// suffice if it were not fragmented. The replicas are started on other machines of their zone;
+// nothing else is stopped.
 func (df *defragmenter) defragment(c *cycle, j *Job, q *zone.Request, demand *autoscaler.Demand, level int) {
 	if !df.mayDefragment(j, q, demand) {
 		return
 	}
-	df.nextAt = df.outbox.Now() + defragInterval
-	if df.moves == nil {
+	df.nextSearchAt = df.outbox.Now() + defragInterval
+	if df.moveLimiter == nil {
 		perSecond := df.cfg.Settings.DefragMovesPerS
-		df.moves = rate.NewLimiter(rate.Limit(perSecond), int(perSecond*defragBurstSeconds))
+		df.moveLimiter = rate.NewLimiter(rate.Limit(perSecond), int(perSecond*defragBurstSeconds))
 	}
 	now := time.UnixMicro(df.outbox.Now())
-	plan := df.bestDefragPlan(c, j, q, demand, int(df.moves.TokensAt(now)))
+	plan := df.bestDefragPlan(c, j, q, demand, int(df.moveLimiter.TokensAt(now)))
 	if plan == nil {
 		return
 	}
-	df.moves.AllowN(now, plan.MovedReplicas)
+	df.moveLimiter.AllowN(now, plan.MovedReplicas)
 	machines := df.reserveForDefrag(plan)
 	victims := df.moveReplicas(plan)
 	df.preemptions.addDecision(j, preemption.ReasonDefragmentation, level, machines, victims, defragReservation)
@@ -77,16 +79,16 @@
 		return false
 	}
 	now := df.outbox.Now()
-	tooEarly := now < df.nextAt || now-j.arrivedAt < defragAfter || now < j.preemptingUntil
+	tooEarly := now < df.nextSearchAt || now-j.arrivedAt < defragAfter || now < j.preemptingUntil
 	return !tooEarly && df.preemptions.committer.CanAdd() && df.autoscaler.CapacityExhausted(demand)
 }
 
-// bestDefragPlan returns the plan that moves the fewest replicas, and no more than maxMoves; nil:
-// there is none.
+// bestDefragPlan returns the plan that moves the fewest replicas, and no more than maxMoves, or nil
+// if there is none.
 func (df *defragmenter) bestDefragPlan(c *cycle, j *Job, q *zone.Request, demand *autoscaler.Demand, maxMoves int) *defrag.Plan {
 	var best *defrag.Plan
 	for _, z := range c.zones {
-		if !c.isOpenTo(j.Record.Spec, z.Name) {
+		if !c.mayUseZone(j.Record.Spec, z.Name) {
 			continue
 		}
 		plan := defrag.NewPlan(demand.Task, demand.Count, maxMoves, df.defragMachines(z, q, queue.Level(j.Priority(), true)))
@@ -109,7 +111,8 @@
 	return names
 }
 
-// moveReplicas returns the replicas that a plan moves, as victims, and records that they were moved.
+// moveReplicas returns the replicas that a plan moves, as victims, and records the time of their
+// moves.
 func (df *defragmenter) moveReplicas(plan *defrag.Plan) []preemption.Victim {
 	var victims []preemption.Victim
 	for _, m := range plan.Clear {
@@ -119,15 +122,15 @@
 				service.movedAt = map[int]Micros{}
 			}
 			service.movedAt[r.Task] = df.outbox.Now()
-			victims = append(victims, df.preemptions.victimOf(service, r.Task))
+			victims = append(victims, df.preemptions.newVictim(service, r.Task))
 		}
 	}
 	return victims
 }
 
-// defragMachines describes the machines of a zone for the request of a gang of a level. Work that
-// ranks lower could be preempted instead; if it were moved, others might take its new place, or its
-// team's limit, before it has started again.
+// defragMachines describes the machines of a zone for the request of a gang of a level. Work of a
+// lower level is not movable: it could be preempted instead, and if it were moved, other jobs might
+// take its new place, or its team's limit, before it has restarted.
 func (df *defragmenter) defragMachines(z *zone.Zone, q *zone.Request, level int) []*defrag.Machine {
 	var out []*defrag.Machine
 	for _, m := range df.reconciler.Registry().All() {
@@ -151,9 +154,9 @@
 	return out
 }
 
-// mayMoveReplica reports whether a task may be stopped to be started on another machine: a replica of
-// a service that has all of its replicas up, of which none is being moved, and which was not moved
-// lately itself.
+// mayMoveReplica reports whether a task may be stopped to be restarted on another machine. It must
+// be a replica that was not moved within moveCooldown, of a service that has all of its replicas up
+// and none of them being moved.
 func (df *defragmenter) mayMoveReplica(j *Job, task int) bool {
 	spec := j.Record.Spec
 	if spec == nil || spec.Shape != wire.Service || j.Record.CancelRequested || j.Record.Final() {
@@ -161,7 +164,7 @@
 	}
 	allUp := j.OpenTasks >= spec.Tasks && len(j.startedAt) >= spec.Tasks
 	committing := j.transaction != nil || len(j.plan) > 0 || len(j.completions) > 0
-	if !allUp || committing || df.reconciler.IsTerminatingAny(j.ID) || len(df.preemptions.preempted[j.ID]) > 0 {
+	if !allUp || committing || df.reconciler.IsTerminatingAny(j.ID) || len(df.preemptions.pendingVictims[j.ID]) > 0 {
 		return false
 	}
 	if !queue.UnderLimit(df.teams[spec.Team], df.snapshot.used[spec.Team]) {
--- a/internal/core/leader/estimates.go
+++ b/internal/core/leader/estimates.go
@@ -28,26 +28,26 @@
 	diagnostics   *diagnostics
 
 	store *modelstore.Store
-	// The rest is only used by the leader.
-	model *estimate.Model       // nil: estimates are off, or this node doesn't lead
+	// The fields below are used only while this node leads.
+	model *estimate.Model       // nil if estimates are disabled or this node doesn't lead
 	waits map[string]*waitStats // by class: how long jobs wait for their first placement
 
-	nextDeadline int            // index of the unfinished job whose deadline is judged next
-	recentRuns   []history.Line // the last keptRuns ones, a ring buffer
-	runsEnd      uint64         // number of runs recorded so far
+	nextDeadlineIndex int            // index of the unfinished job whose deadline is assessed next
+	recentRuns        []history.Line // ring buffer of the last keptRuns runs
+	runsEnd           uint64         // number of runs recorded so far
 }
 
-// reset forgets the model of this term. Its stored form is kept for the next leader.
+// reset discards the model of this term. The stored model is kept for the next leader.
 func (es *runTimeEstimates) reset() {
 	es.store.Reset()
 	es.model = nil
 	es.waits = nil
-	es.nextDeadline = 0
+	es.nextDeadlineIndex = 0
 	es.recentRuns = nil
 	es.runsEnd = 0
 }
 
-// restoreEstimates restores the model that earlier leaders have stored.
+// restoreEstimates restores the model that earlier leaders have stored, if estimates are enabled.
 func (es *runTimeEstimates) restoreEstimates() {
 	if !es.cfg.Settings.Estimates {
 		return
@@ -57,11 +57,11 @@
 	es.model = es.store.Restore(settings)
 	es.waits = map[string]*waitStats{}
 	for _, j := range es.unfinished {
-		j.inherited = j.Record.LastAttempt > 0
+		j.placedByPredecessor = j.Record.LastAttempt > 0
 	}
 }
 
-// writeEstimates has a part of the model written when no other changes are to be written.
+// writeEstimates writes a part of the model if that is due and no other changes are to be written.
 func (es *runTimeEstimates) writeEstimates() {
 	if es.model == nil || !es.store.WriteDue() {
 		return
@@ -72,10 +72,10 @@
 	}
 }
 
-// maxWaitSamples is the number of placements beyond which each new one has the same weight.
+// maxWaitSamples is the number of samples beyond which each new one has the same weight.
 const maxWaitSamples = 32
 
-// waitStats is a moving average over the last placements, in seconds.
+// waitStats is a moving average of the time that jobs wait for their first placement, in seconds.
 type waitStats struct{ n, mean float64 }
 
 // add adds the time that a job has waited.
@@ -89,21 +89,22 @@
 
 // runHistory is what the leader has observed of a job's runs.
 type runHistory struct {
-	ownAttempts         map[int]uint64 // attempts that this leader has placed, by task: it saw their start
-	savedProgress       map[int]Micros // saved progress by task
-	observedGangAttempt uint64         // last attempt of the gang that was observed
-	inherited           bool           // attempts placed by an earlier leader may have made progress
-	verdict             string         // on its deadline, as last logged
+	ownAttempts         map[int]uint64 // by task: attempt that this leader has placed, and whose start it has observed
+	savedProgress       map[int]Micros // by task: saved progress
+	observedGangAttempt uint64         // last attempt of the gang whose run was observed
+	placedByPredecessor bool           // an earlier leader placed attempts, which may have made progress
+	verdict             string         // last verdict on its deadline
 }
 
-// features returns by what the run time of a job's tasks is estimated. The machine may be empty.
+// features returns the features from which the run time of a job's tasks is estimated. The machine
+// is empty for tasks that are not placed.
 func (es *runTimeEstimates) features(j *Job, machine string) estimate.Features {
 	s := j.Record.Spec
 	return estimate.Features{Image: s.Image, Shape: wire.ShapeName(s.Shape), Class: s.Class, Team: s.Team, Expect: config.FromSeconds(s.EstimateS), Machine: machine}
 }
 
-// remainingTime estimates the remaining run time of a running task; false: nothing is known of such
-// tasks.
+// remainingTime estimates the remaining run time of a running task. It returns false if there is
+// nothing to estimate from.
 func (es *runTimeEstimates) remainingTime(j *Job, p *job.Placement) (estimate.Answer, bool) {
 	if es.model == nil {
 		return estimate.Answer{}, false
@@ -116,8 +117,8 @@
 	return answer.Left(es.workedTime(j, p)), true
 }
 
-// workedTime is how long a placed task, or its gang, has worked: the saved progress of earlier runs
-// and the time of this one.
+// workedTime returns how long a placed task, or its gang, has worked: the saved progress of earlier
+// runs plus the time of this one.
 func (es *runTimeEstimates) workedTime(j *Job, p *job.Placement) Micros {
 	task := p.Task
 	if j.Record.Spec.Shape == wire.Gang {
@@ -130,8 +131,8 @@
 	return worked
 }
 
-// addSlowMachines adds the machines that are known to be slow to those that a gang avoids: the whole
-// gang would run as slowly as its slowest task.
+// addSlowMachines returns the machines that a gang avoids, including those that are known to be
+// slow: the whole gang would run as slowly as its slowest task. It does not change the given map.
 func (es *runTimeEstimates) addSlowMachines(avoid map[string]Micros) map[string]Micros {
 	if es.model == nil {
 		return avoid
@@ -150,8 +151,8 @@
 	return out
 }
 
-// rankCost orders jobs of one level before their credit does, as the settings say; jobs with a
-// smaller cost go first.
+// rankCost returns the cost that orders jobs of one level before their credit does, according to
+// the settings. Jobs with a smaller cost rank first.
 func (es *runTimeEstimates) rankCost(j *Job) float64 {
 	rank := es.cfg.Settings.Rank
 	if es.model == nil || rank == config.RankCredit {
@@ -170,17 +171,17 @@
 	return es.dueInSeconds(j) - duration.Mean
 }
 
-// soonFreeShare is the share of the expected free capacity that is counted on.
-const soonFreeShare = 0.5
+// expectedFreeShare is the share of the capacity expected to become free that is counted on.
+const expectedFreeShare = 0.5
 
-// subtractSoonFree subtracts from the demands of a cycle what can run on the capacity that running
-// tasks are expected to leave before a machine that is requested now has booted. Half of that
-// capacity is counted.
-func (es *runTimeEstimates) subtractSoonFree(c *cycle) {
+// subtractExpectedFree subtracts from the demands of a cycle what can run on the capacity that
+// running tasks are expected to free before a machine that is requested now has booted. Only
+// expectedFreeShare of that capacity is counted.
+func (es *runTimeEstimates) subtractExpectedFree(c *cycle) {
 	if !es.cfg.Settings.ScaleOutAgainstBoot || es.model == nil {
 		return
 	}
-	free := es.soonFreeWeight(config.FromSeconds(es.shortestBootS()))
+	free := es.expectedFreeWeight(config.FromSeconds(es.shortestBootS()))
 	for i := range c.demands {
 		demand := &c.demands[i]
 		fit := min(demand.Count, int(free/max(demand.Task.Weight(), 1e-9)))
@@ -190,7 +191,7 @@
 	c.demands = slices.DeleteFunc(c.demands, func(d autoscaler.Demand) bool { return d.Count == 0 })
 }
 
-// shortestBootS is the shortest boot time of any machine type, in seconds.
+// shortestBootS returns the shortest boot time of any machine type, in seconds.
 func (es *runTimeEstimates) shortestBootS() float64 {
 	shortest := 0.0
 	for _, t := range es.catalog.Types {
@@ -201,9 +202,9 @@
 	return shortest
 }
 
-// soonFreeWeight is the weight of the resources that running tasks are expected to leave within a
-// time.
-func (es *runTimeEstimates) soonFreeWeight(within Micros) float64 {
+// expectedFreeWeight returns the weight of the resources that running tasks are expected to free
+// within a time, scaled by expectedFreeShare.
+func (es *runTimeEstimates) expectedFreeWeight(within Micros) float64 {
 	free := 0.0
 	for _, j := range es.unfinished {
 		if j.Record.Spec.Shape == wire.Service || j.OpenTasks == 0 {
@@ -211,7 +212,7 @@
 		}
 		j.EachPlacement(func(p job.Placement) {
 			if remaining, ok := es.remainingTime(j, &p); ok {
-				free += soonFreeShare * remaining.Within(within) * taskResources(j.Record.Spec).Weight()
+				free += expectedFreeShare * remaining.Within(within) * taskResources(j.Record.Spec).Weight()
 			}
 		})
 	}
--- a/internal/core/leader/gang_reservation.go
+++ b/internal/core/leader/gang_reservation.go
@@ -6,33 +6,34 @@
 	"coralhub/wire"
 )
 
-// reservesFreedMachines reports whether capacity that becomes free is reserved for a job until there
-// is enough of it: for a gang among the largest of a class that is short of capacity, or for the first
-// of the class's late ones. Smaller jobs would otherwise take each machine as it becomes free. The
-// reservation lasts for a bounded time; for as long after it the others are placed as usual.
-func (so *startOrder) reservesFreedMachines(j *Job) bool {
+// mayReserveFreedMachines reports whether capacity that becomes free may be reserved for a job
+// until there is enough of it. The job must be a gang of a class that is short of capacity, and be
+// among the largest jobs or the oldest late job of that class. Smaller jobs would otherwise take
+// each machine as it becomes free. The reservation lasts for a bounded time; for the same time
+// after that other jobs are placed as usual.
+func (so *startOrder) mayReserveFreedMachines(j *Job) bool {
 	duration := config.FromSeconds(so.cfg.Settings.ReserveFreedS)
 	cs := so.shortClass(j)
 	if duration <= 0 || j.Record.Spec.Shape != wire.Gang || cs == nil {
 		return false
 	}
-	if j != cs.firstLate && cs.sizeBand(j) != largestBand {
+	if j != cs.oldestLate && cs.sizeBand(j) != largestBand {
 		return false
 	}
-	return alternate(&j.reservingSince, so.outbox.Now(), duration)
+	return reservationAllowed(&j.reservingSince, so.outbox.Now(), duration)
 }
 
-// reserveFreedMachines reserves free machines of a zone for a gang that could not be placed. There is
-// one such gang at a time in a zone.
+// reserveFreedMachines reserves free machines of a zone for a gang that could not be placed. A zone
+// has one such gang at a time.
 func (so *startOrder) reserveFreedMachines(c *cycle, j *Job, q *zone.Request) {
-	if !so.reservesFreedMachines(j) {
+	if !so.mayReserveFreedMachines(j) {
 		return
 	}
 	now := so.outbox.Now()
 	var best []*zone.Offer
 	bestZone := ""
 	for _, z := range c.zones {
-		if !c.isOpenTo(j.Record.Spec, z.Name) || c.gangReservedZones[z.Name] {
+		if !c.mayUseZone(j.Record.Spec, z.Name) || c.gangReservedZones[z.Name] {
 			continue
 		}
 		whole := *q
--- a/internal/core/leader/guarantee_claims.go
+++ b/internal/core/leader/guarantee_claims.go
@@ -6,8 +6,8 @@
 	"coralhub/internal/core/queue"
 )
 
-// mayClaimGuarantee reports whether a job that has not started, of a class that is short of capacity,
-// fits into its team's guarantee beside what the team uses.
+// mayClaimGuarantee reports whether a job that has not started, of a class that is short of
+// capacity, fits into its team's guarantee in addition to what the team uses and has claimed.
 func (so *startOrder) mayClaimGuarantee(j *Job, used map[string]queue.Amount) bool {
 	if so.outbox.Now() < j.preemptingUntil {
 		return true // its claim is counted already
@@ -21,8 +21,8 @@
 	return queue.UnderGuarantee(team, sum)
 }
 
-// addClaim counts, for the current cycle, what a job needs whose victims are ending: until it is
-// placed nothing else shows that its team has claimed it.
+// addClaim adds what a job needs to start to its team's claims of the current cycle. The job waits
+// for its victims to end; until it is placed, nothing else records that its team has claimed this.
 func (so *startOrder) addClaim(j *Job) {
 	spec := j.Record.Spec
 	so.claimedGuarantee[spec.Team] = so.claimedGuarantee[spec.Team].Plus(startAmount(spec), 1)
@@ -31,7 +31,7 @@
 // sumClaims adds up the claims at the beginning of a cycle.
 func (so *startOrder) sumClaims(claiming []*Job) {
 	clear(so.claimedGuarantee)
-	slices.SortFunc(claiming, compareByID) // sums of amounts depend on their order
+	slices.SortFunc(claiming, compareByID) // floating-point sums depend on the order
 	for _, j := range claiming {
 		so.addClaim(j)
 	}
--- a/internal/core/leader/observed_runs.go
+++ b/internal/core/leader/observed_runs.go
@@ -9,11 +9,12 @@
 	"coralhub/wire"
 )
 
-// keptRuns is the number of runs that are kept for operators who record them.
+// keptRuns is the number of runs that are kept for operators who record histories.
 const keptRuns = 2000
 
-// noteFirstPlacement observes how long a job has waited for its first placement.
-func (es *runTimeEstimates) noteFirstPlacement(j *Job) {
+// observeFirstPlacementWait adds the time that a job has waited for its first placement to the
+// statistics of its class.
+func (es *runTimeEstimates) observeFirstPlacementWait(j *Job) {
 	if es.model == nil || j.Record.Spec == nil {
 		return
 	}
@@ -28,15 +29,15 @@
 	ws.add(es.outbox.Now() - j.arrivedAt)
 }
 
-// noteOwnPlacements remembers the placements that this leader has made itself.
+// noteOwnPlacements records the placements that this leader has made itself.
 func (es *runTimeEstimates) noteOwnPlacements(j *Job, placed []job.Placement) {
 	if es.model == nil || len(placed) == 0 {
 		return
 	}
 	if j.ownAttempts == nil {
 		j.ownAttempts = map[int]uint64{}
-		if !j.inherited {
-			es.noteFirstPlacement(j)
+		if !j.placedByPredecessor {
+			es.observeFirstPlacementWait(j)
 		}
 	}
 	for _, p := range placed {
@@ -44,8 +45,8 @@
 	}
 }
 
-// observeRun adds a run that has ended to the model, whatever the proof of its end. It has to be
-// called before the placement is closed.
+// observeRun adds a run that has ended to the model, however its end was proven. It must be called
+// before the placement is closed.
 func (es *runTimeEstimates) observeRun(j *Job, key job.AttemptKey, machine string, done bool) {
 	spec := j.Record.Spec
 	if es.model == nil || spec == nil || spec.Shape == wire.Service {
@@ -67,17 +68,17 @@
 		}
 	}
 	worked := j.savedProgress[task] + es.outbox.Now() - startedAt
-	sawWholeRun := done && j.ownAttempts[key.Task] == key.Attempt && (!j.inherited || spec.CheckpointS == 0)
-	es.model.Observe(&estimate.Evidence{Features: es.features(j, observedMachine), Ran: worked, Done: sawWholeRun})
+	observedWhole := done && j.ownAttempts[key.Task] == key.Attempt && (!j.placedByPredecessor || spec.CheckpointS == 0)
+	es.model.Observe(&estimate.Evidence{Features: es.features(j, observedMachine), Ran: worked, Done: observedWhole})
 	es.recordRun(j, key, observedMachine, startedAt, done)
 	if !done && spec.CheckpointS != 0 {
-		es.noteSavedProgress(j, key, task, machine, worked)
+		es.recordSavedProgress(j, key, task, machine, worked)
 	}
 }
 
-// noteSavedProgress remembers which part of the work of a task that has not finished is saved: up to
-// the last checkpoint or, if its worker had it save its progress, all of it.
-func (es *runTimeEstimates) noteSavedProgress(j *Job, key job.AttemptKey, task int, machine string, worked Micros) {
+// recordSavedProgress records which part of the work of an unfinished task is saved: up to the last
+// checkpoint or, if its worker had it save its progress, all of it.
+func (es *runTimeEstimates) recordSavedProgress(j *Job, key job.AttemptKey, task int, machine string, worked Micros) {
 	if j.savedProgress == nil {
 		j.savedProgress = map[int]Micros{}
 	}
@@ -114,7 +115,7 @@
 	es.runsEnd++
 }
 
-// runOutcome returns how a run has ended, as histories name it.
+// runOutcome returns how a run has ended, by the names used in histories.
 func (es *runTimeEstimates) runOutcome(j *Job, key job.AttemptKey, machine string, done bool) string {
 	if done {
 		return history.Done
--- a/internal/core/leader/pending_work.go
+++ b/internal/core/leader/pending_work.go
@@ -8,11 +8,11 @@
 	"coralhub/wire"
 )
 
-// maxEstimateS bounds the estimates and times that are added up, in seconds.
+// maxEstimateS bounds the estimates that are added up and the resulting drain time, in seconds.
 const maxEstimateS = 1e6
 
-// pendingWork is the machine time that waiting jobs need by their users' estimates, in thousandths of
-// a resource times seconds. Sums of whole numbers don't depend on the order.
+// pendingWork is the resource time that waiting jobs need by their users' estimates, in thousandths
+// of a resource times seconds. Sums of integers don't depend on the order.
 type pendingWork struct {
 	cpus, gpus, memory int64
 	spot               bool // some of it may use spot instances
@@ -22,7 +22,7 @@
 func (pw *pendingWork) add(spec *wire.Job) {
 	pw.spot = pw.spot || spec.Spot
 	if spec.Shape == wire.Service {
-		return // it is not known for how long it runs
+		return // its run time is unknown
 	}
 	taskSeconds := int64(spec.Tasks) * int64(min(math.Ceil(spec.EstimateS), maxEstimateS))
 	pw.cpus += int64(spec.CPUs*1000) * taskSeconds
@@ -30,7 +30,7 @@
 	pw.memory += int64(spec.MemoryGB*1000) * taskSeconds
 }
 
-// drainTime is how long the work takes if it has all of a capacity for itself.
+// drainTime returns how long the work takes if a capacity is used for nothing else.
 func (pw *pendingWork) drainTime(capacity zone.Resources) Micros {
 	longest := 0.0
 	for _, resource := range [...]struct {
--- a/internal/core/leader/placement_attempt.go
+++ b/internal/core/leader/placement_attempt.go
@@ -16,18 +16,18 @@
 	job     *Job
 	level   int
 	request *zone.Request
-	tasks   []int          // those that still lack a machine
-	attempt uint64         // number of the attempt under which they are started
+	tasks   []int          // tasks that still lack a machine
+	attempt uint64         // attempt number under which the tasks are started
 	inZone  map[string]int // placed tasks of the job by zone
 	spread  *replicaSpread
-	// commit is false when the key-value store accepts no more changes for now: the jobs that rank
-	// highest have been committed. The others only take their capacity for this cycle, so that
-	// nothing that ranks lower gets it and machines are requested for what is missing then.
+	// commit is false when the key-value store accepts no more changes for now, because the jobs
+	// that rank highest have been committed. The others only take their capacity for this cycle, so
+	// that no lower-ranking job gets it and machines are requested for what is missing then.
 	commit bool
 }
 
-// maxInZone bounds the number of tasks that a zone may get of those that are wanted: no more than
-// half of the tasks, rounded up, of a job that is to be spread.
+// maxInZone returns how many of the wanted tasks a zone may get: no more than half of the tasks,
+// rounded up, of a job that is to be spread.
 func (a *placementAttempt) maxInZone(zoneName string, wanted int) int {
 	spec := a.job.Record.Spec
 	if !spec.Spread {
@@ -41,14 +41,14 @@
 	j := sc.jobs[e.ID]
 	if sc.quotaExhausted(c, j) {
 		c.quotaLimited = true
-		j.stopWaitingForVictims()
-		return // as most of a long queue may
+		j.clearReservation()
+		return // checked first because it may apply to most jobs of a long queue
 	}
 	sc.snapshot.classify(j)
-	if sc.knownUnschedulable(c, j, e.Level) {
+	if sc.skipIfUnschedulable(c, j, e.Level) {
 		return
 	}
-	ordinary := sc.isOrdinary(j)
+	classOnly := sc.dependsOnClassOnly(j)
 	missing := sc.startOrder.initialTasks(j, sc.missingTasks(j))
 	attempt, ok := sc.nextAttempt(j)
 	if !ok {
@@ -76,28 +76,28 @@
 		return
 	}
 	if len(a.tasks) == 0 {
-		j.stopWaitingForVictims()
+		j.clearReservation()
 		return
 	}
-	sc.recordUnplaced(&a, ordinary)
+	sc.recordUnplaced(&a, classOnly)
 }
 
-// stopWaitingForVictims ends the reservation of the machines that victims leave for a job.
-func (j *Job) stopWaitingForVictims() {
+// clearReservation ends the reservation of the machines that victims free for a job.
+func (j *Job) clearReservation() {
 	j.preemptingUntil = 0
 	j.reservedMachines = nil
 }
 
-// quotaExhausted reports whether a job's team may not use one more of its tasks. Gangs are checked
-// as a whole, see tasksWithinQuota.
+// quotaExhausted reports whether the team's limit leaves no capacity for one more task of a job.
+// Gangs are checked as a whole, see tasksWithinQuota.
 func (sc *scheduler) quotaExhausted(c *cycle, j *Job) bool {
 	spec := j.Record.Spec
 	return spec.Shape != wire.Gang && !queue.UnderLimit(sc.teams[spec.Team], c.used[spec.Team].Plus(taskAmount(spec), 1))
 }
 
 // missingTasks lists the tasks that have no placement, at most as many as one transaction can hold.
-// A gang needs capacity for all of them: what its transaction can't hold is placed in the next
-// cycle, under the same attempt.
+// For a gang it lists all of them, because it needs capacity for all: tasks that its transaction
+// can't hold are placed in the next cycle, under the same attempt.
 func (sc *scheduler) missingTasks(j *Job) []int {
 	most := sc.maxTasksAtOnce(j)
 	tasks := j.Record.Spec.Tasks
@@ -114,23 +114,23 @@
 	return out
 }
 
-// nextAttempt returns the number of the attempt under which the missing tasks of a job are started;
-// false: they can't be started now.
+// nextAttempt returns the number of the attempt under which the missing tasks of a job are started.
+// It returns false if they can't be started now.
 func (sc *scheduler) nextAttempt(j *Job) (uint64, bool) {
 	last := j.Record.LastAttempt
 	if j.Record.Spec.Shape != wire.Gang || j.OpenTasks == 0 {
 		return last + 1, true
 	}
-	// A gang that hasn't started takes a replacement under the same number; one that has started, or
-	// that is terminating, starts again once all of its tasks have ended.
+	// A gang that has not started gets a replacement under the same number. One that has started,
+	// or that is terminating, is started again once all of its tasks have ended.
 	if last <= j.failedGangAttempt || last <= j.ranGangAttempt || sc.reconciler.IsTerminatingAny(j.ID) {
 		return 0, false
 	}
 	return last, true
 }
 
-// tasksWithinQuota returns the tasks for which the team's limit has capacity; false: a gang doesn't
-// fit as a whole and waits.
+// tasksWithinQuota returns the tasks for which the team's limit has capacity. It returns false for
+// a gang that doesn't fit as a whole and has to wait.
 func (sc *scheduler) tasksWithinQuota(c *cycle, j *Job, tasks []int) ([]int, bool) {
 	spec := j.Record.Spec
 	team := sc.teams[spec.Team]
@@ -142,7 +142,7 @@
 		if spec.Shape != wire.Gang {
 			return tasks[:n], true
 		}
-		if sc.startOrder.reservesFreedMachines(j) {
+		if sc.startOrder.mayReserveFreedMachines(j) {
 			c.used[spec.Team] = c.used[spec.Team].Plus(taskAmount(spec), float64(len(tasks)))
 		}
 		return nil, false
@@ -162,8 +162,8 @@
 	if j.OpenTasks == 0 {
 		return
 	}
-	// An attempt must not return to a machine that it has left: the worker's messages about the
-	// former task could not be told from those about the new one.
+	// An attempt must not return to a machine that it has left: messages of the worker about the
+	// former task could not be distinguished from those about the new one.
 	q.Avoid = maps.Clone(q.Avoid)
 	if q.Avoid == nil {
 		q.Avoid = map[string]Micros{}
@@ -175,8 +175,8 @@
 	}
 }
 
-// placeTasks accepts bids until all tasks are placed or no zone bids. It reports whether it stopped
-// because the best bid has victims: the tasks are placed when these have ended.
+// placeTasks accepts bids until all tasks are placed or no zone makes a bid. It reports whether it
+// stopped because the best bid has victims: the tasks are placed once these have ended.
 func (sc *scheduler) placeTasks(a *placementAttempt) (preempts bool) {
 	for len(a.tasks) > 0 {
 		bid := a.spread.bid(a.request, func() *zone.Bid { return sc.bidder.bestBid(a) })
@@ -198,7 +198,7 @@
 func (sc *scheduler) acceptBid(a *placementAttempt, bid *zone.Bid) {
 	j, spec := a.job, a.job.Record.Spec
 	if a.commit && len(j.plan) == 0 {
-		a.cycle.changeBudget -= sc.commits.placementCost(j) // its record is written, or a part of a page
+		a.cycle.changeBudget -= sc.commits.placementCost(j) // cost of writing its record, or a part of a placement page
 	}
 	for i, offer := range bid.Offers {
 		sc.allocate(a, offer)
@@ -230,24 +230,24 @@
 	a.spread.place(offer.Machine.Name)
 }
 
-// planPlacement plans the placement of a task, which is then committed.
+// planPlacement plans the placement of a task, which is committed afterwards.
 func (sc *scheduler) planPlacement(a *placementAttempt, task int, m *zone.Machine) {
 	j := a.job
 	if task >= job.TasksPerShard && task%job.TasksPerShard == 0 {
-		a.cycle.changeBudget -= sc.commits.placementCost(j) // another value is written
+		a.cycle.changeBudget -= sc.commits.placementCost(j) // first task of another shard: one more value
 	}
 	sc.snapshot.addPlan(j, job.Placement{Task: task, Attempt: a.attempt, Machine: m.Name, Incarnation: m.Incarnation, Zone: m.Zone,
 		PlacedAt: job.EncodeTime(j.Record.CreatedAt, sc.wallClock()), Spot: m.Spot})
 }
 
-// recordUnplaced records that there is no free capacity for the remaining tasks of a job: in the
-// cache of unschedulable classes if the job is ordinary, and as a demand for machines. It tries to
-// make or keep capacity for it.
-func (sc *scheduler) recordUnplaced(a *placementAttempt, ordinary bool) {
+// recordUnplaced records that there is no free capacity for the remaining tasks of a job: as a
+// demand for machines and, if classOnly is set, in the cache of unschedulable classes. It also
+// tries to free capacity for the job by defragmentation, or to reserve capacity that becomes free.
+func (sc *scheduler) recordUnplaced(a *placementAttempt, classOnly bool) {
 	c, j := a.cycle, a.job
 	spec := j.Record.Spec
 	boundByPlaced := len(a.inZone) > 0 && (spec.OneZone || spec.Spread)
-	if ordinary && !boundByPlaced {
+	if classOnly && !boundByPlaced {
 		c.unschedulable.add(j.equivalenceClass, a.level)
 	}
 	demand := sc.demandOf(j, len(a.tasks))
--- a/internal/core/leader/preempting.go
+++ b/internal/core/leader/preempting.go
@@ -12,19 +12,21 @@
 )
 
 const (
-	// minPreemptionWait is the least time for which machines are reserved while victims leave them.
+	// minPreemptionWait is the minimum time for which machines are reserved while victims on them
+	// end.
 	minPreemptionWait = 5 * config.Second
-	// stopAllowance is what the end of a victim takes beside saving its progress.
+	// stopAllowance is the time that the end of a victim takes in addition to saving its progress.
 	stopAllowance = 6 * config.Second
 )
 
-// waitingPreemptor is a job for which others were preempted: it gets the machines that they leave.
+// waitingPreemptor is a job for which others were preempted, and which gets the machines that they
+// free.
 type waitingPreemptor struct {
 	level int
 	job   *Job
 }
 
-// sortWaitingPreemptors puts the highest level first.
+// sortWaitingPreemptors sorts by level, highest first.
 func sortWaitingPreemptors(waiting []waitingPreemptor) {
 	slices.SortFunc(waiting, func(a, b waitingPreemptor) int {
 		return cmp.Or(cmp.Compare(b.level, a.level), compareByID(a.job, b.job))
@@ -32,7 +34,8 @@
 }
 
 // reserveForPreemptors reserves machines for the preemptors of a level and above, before any job
-// that ranks no higher is placed: that job would otherwise count on capacity that is taken.
+// that ranks no higher is placed: that job would otherwise be placed on capacity that is already
+// taken.
 func (sc *scheduler) reserveForPreemptors(c *cycle, level int) {
 	for len(c.waitingPreemptors) > 0 && c.waitingPreemptors[0].level >= level {
 		for name := range c.waitingPreemptors[0].job.reservedMachines {
@@ -45,7 +48,7 @@
 	}
 }
 
-// preempt decides to stop the victims of a bid and reserves their machines for the job.
+// preempt decides to stop the victims of a bid and reserves the machines of the bid for the job.
 func (sc *scheduler) preempt(j *Job, bid *zone.Bid, level int) {
 	if !sc.preemptions.committer.CanAdd() {
 		return
@@ -61,7 +64,7 @@
 	for _, v := range bid.Victims {
 		v.Preempted = true
 		victim := sc.jobs[v.Job]
-		victims = append(victims, sc.preemptions.victimOf(victim, v.Task))
+		victims = append(victims, sc.preemptions.newVictim(victim, v.Task))
 		wait = max(wait, config.FromSeconds(victim.Record.Spec.SaveS)+stopAllowance)
 		if queue.Level(victim.Priority(), true) < queue.Level(j.Priority(), true) {
 			reason = preemption.ReasonPriority
--- a/internal/core/leader/preemption.go
+++ b/internal/core/leader/preemption.go
@@ -7,26 +7,27 @@
 	"coralhub/wire"
 )
 
-// Preemption is decided and committed before any task is stopped for it (package preemption). If the leader
-// dies in the middle, its successor reads which machines are reserved for whom: they stay reserved for
-// the preemptor, and no second set of victims is stopped for it. Decisions of several scheduling cycles
-// share a change, and none is needed to end one: it is over when its preemptor wants
-// no more placements, or its time is over.
+// A preemption decision is committed before any task is stopped for it (package preemption). If the
+// leader fails in between, its successor reads which machines are reserved for which job: they stay
+// reserved for the preemptor, and no second set of victims is stopped for it. Decisions of several
+// scheduling cycles share a change. Ending a decision needs no change: it ends when its preemptor
+// needs no more placements, or when its time is over.
 
 const (
-	// decisionSlack is added to the time that machines are reserved, for the commit.
-	decisionSlack = 2 * config.Second
-	// resumedReservation is the least time for which a successor reserves the machines of a decision that it resumes.
-	resumedReservation = 6 * config.Second
-	// resumeGrace is how long after the end of a decision a successor still resumes it: while there was
-	// no leader nobody could use what it reserved.
+	// commitAllowance is added to the time for which machines are reserved, to cover the commit.
+	commitAllowance = 2 * config.Second
+	// minResumedReservation is the minimum time for which a successor reserves the machines of a
+	// decision that it resumes.
+	minResumedReservation = 6 * config.Second
+	// resumeGrace is how long after the end of a decision a successor still resumes it: while there
+	// was no leader, the machines that it reserved could not be used.
 	resumeGrace = 15 * config.Second
 )
 
-// preemptionState is what is reserved for a job for which others are preempted.
+// preemptionState is the reservation for a job for which others are preempted.
 type preemptionState struct {
-	preemptingUntil  Micros          // the reservation lasts until then
-	reservedMachines map[string]bool // machines that its victims leave
+	preemptingUntil  Micros          // end of the reservation
+	reservedMachines map[string]bool // machines that its victims free
 }
 
 // preemptionDecisions makes preemption decisions, has them committed and carries them out.
@@ -35,52 +36,53 @@
 	scheduler *scheduler
 	committer *preemption.Committer
 
-	preempted map[string]map[int]bool // by job and task: victims of decisions that are not committed yet
-	resumed   bool                    // the decisions of predecessors are resumed
+	pendingVictims map[string]map[int]bool // by job and task: victims of decisions that are not committed yet
+	resumed        bool                    // the decisions of earlier leaders were resumed
 }
 
-// reset drops what was decided in a term that is over. What is committed is kept.
+// reset discards the decisions of a term that is over. Those that are known to be committed are
+// kept.
 func (pd *preemptionDecisions) reset() {
 	pd.committer.Reset()
-	pd.preempted = map[string]map[int]bool{}
+	pd.pendingVictims = map[string]map[int]bool{}
 	pd.resumed = false
 }
 
-// WallClock returns the time of day; 0: not known yet.
+// WallClock returns the time of day, or 0 if it is not known yet.
 func (pd *preemptionDecisions) WallClock() Micros { return pd.wallClock() }
 
-// IsNeeded reports whether the preemptor of a decision still wants placements.
+// IsNeeded reports whether the preemptor of a decision still needs placements.
 func (pd *preemptionDecisions) IsNeeded(d *preemption.Decision) bool {
 	j := pd.jobs[d.Preemptor]
-	return j != nil && j.wantsPlacements()
+	return j != nil && j.needsPlacements()
 }
 
-// isPreempted reports whether a task is a victim of a decision that isn't committed yet.
-func (pd *preemptionDecisions) isPreempted(id string, task int) bool {
-	tasks := pd.preempted[id]
+// isPendingVictim reports whether a task is a victim of a decision that isn't committed yet.
+func (pd *preemptionDecisions) isPendingVictim(id string, task int) bool {
+	tasks := pd.pendingVictims[id]
 	return tasks[task] || tasks[preemption.WholeGang]
 }
 
-func (pd *preemptionDecisions) mark(v *preemption.Victim) {
-	if pd.preempted[v.Job] == nil {
-		pd.preempted[v.Job] = map[int]bool{}
+func (pd *preemptionDecisions) addPendingVictim(v *preemption.Victim) {
+	if pd.pendingVictims[v.Job] == nil {
+		pd.pendingVictims[v.Job] = map[int]bool{}
 	}
-	pd.preempted[v.Job][v.Task] = true
+	pd.pendingVictims[v.Job][v.Task] = true
 }
 
-func (pd *preemptionDecisions) unmark(decisions []preemption.Decision) {
+func (pd *preemptionDecisions) removePendingVictims(decisions []preemption.Decision) {
 	for i := range decisions {
 		for _, v := range decisions[i].Victims {
-			delete(pd.preempted[v.Job], v.Task)
-			if len(pd.preempted[v.Job]) == 0 {
-				delete(pd.preempted, v.Job)
+			delete(pd.pendingVictims[v.Job], v.Task)
+			if len(pd.pendingVictims[v.Job]) == 0 {
+				delete(pd.pendingVictims, v.Job)
 			}
 		}
 	}
 }
 
-// addDecision reserves machines for a job, for the time wait, and has victims stopped there. They are stopped once the
-// decision is committed; where decisions can't be stored, at once.
+// addDecision reserves machines for a job, for the time wait, and has victims stopped to free them:
+// once the decision is committed or, if decisions can't be stored, at once.
 func (pd *preemptionDecisions) addDecision(j *Job, why preemption.Reason, level int, machines []string, victims []preemption.Victim, wait Micros) {
 	j.reservedMachines = make(map[string]bool, len(machines))
 	for _, name := range machines {
@@ -92,24 +94,24 @@
 		pd.executeDecision(&decision)
 		return
 	}
-	j.preemptingUntil += decisionSlack
-	decision.Until = pd.wallClock() + wait + decisionSlack
+	j.preemptingUntil += commitAllowance
+	decision.Until = pd.wallClock() + wait + commitAllowance
 	for i := range victims {
-		pd.mark(&victims[i])
+		pd.addPendingVictim(&victims[i])
 	}
 	pd.committer.Add(decision)
 }
 
-// wantsPlacements reports whether a job still lacks placements.
-func (j *Job) wantsPlacements() bool {
+// needsPlacements reports whether a job still lacks placements.
+func (j *Job) needsPlacements() bool {
 	if j.Record.Spec == nil || j.Record.Final() || j.Record.CancelRequested || j.DependencyCancelled() {
 		return false
 	}
 	return j.DoneTasks+j.OpenTasks < j.Record.Spec.Tasks
 }
 
-// victimOf describes a task that a job is to lose, or all tasks of a gang.
-func (pd *preemptionDecisions) victimOf(j *Job, task int) preemption.Victim {
+// newVictim returns a task of a job as a victim, or the whole gang if the job is one.
+func (pd *preemptionDecisions) newVictim(j *Job, task int) preemption.Victim {
 	v := preemption.Victim{Job: j.ID, Task: task}
 	j.EachPlacement(func(p job.Placement) {
 		if p.Task == task || j.Record.Spec.Shape == wire.Gang {
@@ -122,9 +124,10 @@
 	return v
 }
 
-// DecisionsCommitted carries out decisions that are committed, unless their preemptors want no more placements.
+// DecisionsCommitted carries out decisions that are committed, unless their preemptors need no more
+// placements.
 func (pd *preemptionDecisions) DecisionsCommitted(decisions []preemption.Decision) {
-	pd.unmark(decisions)
+	pd.removePendingVictims(decisions)
 	for i := range decisions {
 		if pd.IsNeeded(&decisions[i]) {
 			pd.executeDecision(&decisions[i])
@@ -132,9 +135,9 @@
 	}
 }
 
-// DecisionsDropped gives up decisions that are not committed and never will be.
+// DecisionsDropped cancels the reservations of decisions that are not committed and never will be.
 func (pd *preemptionDecisions) DecisionsDropped(decisions []preemption.Decision) {
-	pd.unmark(decisions)
+	pd.removePendingVictims(decisions)
 	for i := range decisions {
 		if j := pd.jobs[decisions[i].Preemptor]; j != nil {
 			j.preemptingUntil = 0
@@ -144,7 +147,7 @@
 	pd.scheduler.requestCycle()
 }
 
-// executeDecision stops the victims of a decision, as far as they are still where they were.
+// executeDecision stops those victims of a decision whose attempts are still placed.
 func (pd *preemptionDecisions) executeDecision(d *preemption.Decision) {
 	preemptor := pd.jobs[d.Preemptor]
 	for i := range d.Victims {
@@ -164,7 +167,8 @@
 	}
 }
 
-// runningAttempts returns the attempts of a job that a victim describes and that are not being terminated.
+// runningAttempts returns the open attempts of a job that a victim describes and that are not being
+// terminated.
 func (pd *preemptionDecisions) runningAttempts(j *Job, v *preemption.Victim) map[job.AttemptKey]bool {
 	attempts := map[job.AttemptKey]bool{}
 	j.EachPlacement(func(p job.Placement) {
@@ -178,7 +182,7 @@
 	return attempts
 }
 
-// resumeDecisions resumes the decisions of predecessors, once in a term.
+// resumeDecisions resumes the decisions of earlier leaders, once in a term.
 func (pd *preemptionDecisions) resumeDecisions() {
 	if pd.resumed || pd.wallClock() == 0 {
 		return
@@ -189,7 +193,7 @@
 	count := 0
 	for i := range decisions {
 		j := pd.jobs[decisions[i].Preemptor]
-		if j == nil || !j.wantsPlacements() {
+		if j == nil || !j.needsPlacements() {
 			continue
 		}
 		if j.reservedMachines == nil {
@@ -198,7 +202,7 @@
 		for _, name := range decisions[i].ReservedMachines {
 			j.reservedMachines[name] = true
 		}
-		j.preemptingUntil = max(j.preemptingUntil, pd.outbox.Now()+max(decisions[i].Until-now, resumedReservation))
+		j.preemptingUntil = max(j.preemptingUntil, pd.outbox.Now()+max(decisions[i].Until-now, minResumedReservation))
 		count++
 		pd.executeDecision(&decisions[i])
 	}
--- a/internal/core/leader/snapshot.go
+++ b/internal/core/leader/snapshot.go
@@ -7,42 +7,43 @@
 	"coralhub/internal/core/zone"
 )
 
-// clusterSnapshot is what scheduling cycles work on, kept between them: what each machine offers,
-// what each team uses and is guaranteed, which jobs lack placements. Whatever changes a machine or a
-// job marks it stale, and the next cycle examines only what is stale. A cycle examines everything
-// once per scan period, as the paper's does, so that a change which nothing marked has no longer
-// effect than that.
+// clusterSnapshot is the state that scheduling cycles work on, kept between cycles: the offer of
+// each machine, the usage and the guarantee of each team, and the jobs that lack placements. Every
+// change to a machine or a job marks it stale, and the next cycle updates only what is stale. Once
+// per scan period, as in the paper, a cycle rebuilds everything, so that a change that was not
+// marked goes unnoticed for no longer than that.
 type clusterSnapshot struct {
 	*environment
 	scheduler  *scheduler
 	startOrder *startOrder
 
-	zones  []*zone.Zone // in the order of the settings
+	zones  []*zone.Zone // in the order of the configuration
 	byName map[string]*zone.Zone
 
-	staleMachines []*zone.Machine // to be examined again
+	staleMachines []*zone.Machine // to be updated
 	staleJobs     []*Job
-	rebuildDue    bool // everything is to be examined
+	rebuildDue    bool // the whole snapshot is to be rebuilt
 	rebuiltAt     Micros
-	deadlinesDue  bool // everything was examined: deadlines are to be judged again
+	deadlinesDue  bool // deadlines are to be assessed again, after a rebuild
 
 	used       map[string]queue.Amount     // by team: open placements and planned ones
-	teamQueues map[string]*queue.TeamQueue // of teams that have a guarantee
+	teamQueues map[string]*queue.TeamQueue // by team, for the teams that have a guarantee
 	wanting    map[*Job]bool               // jobs that lack placements
-	planned    map[string]map[*Job]int     // planned tasks by machine
+	planned    map[string]map[*Job]int     // by machine: number of planned tasks of each job
 	classes    equivalenceClasses
 
-	demandUnmet   bool   // some job could not be placed in the last cycle
-	capacityShort bool   // so, or because of its team's limit
-	reservedSince Micros // when zones were last reserved for jobs past the age cap, see alternate
+	demandUnmet       bool   // some job could not be placed in the last cycle
+	capacityShort     bool   // some job could not be placed in the last cycle, or was held back by its team's limit
+	zoneReservedSince Micros // when zones were last reserved for jobs past the age cap, see reservationAllowed
 
 	statistics query.CycleStatistics
 }
 
-// cycleStatistics returns the counts of this node.
+// cycleStatistics returns the number of cycles that this process has run, and of the jobs and
+// machines that these have updated.
 func (ss *clusterSnapshot) cycleStatistics() query.CycleStatistics { return ss.statistics }
 
-// reset empties the snapshot: the next cycle examines everything.
+// reset empties the snapshot, so that the next cycle rebuilds it.
 func (ss *clusterSnapshot) reset() {
 	ss.zones = nil
 	ss.byName = map[string]*zone.Zone{}
@@ -58,7 +59,7 @@
 	ss.classes = equivalenceClasses{}
 	ss.demandUnmet = false
 	ss.capacityShort = false
-	ss.reservedSince = 0
+	ss.zoneReservedSince = 0
 	for _, name := range ss.cfg.Cluster.Zones {
 		z := &zone.Zone{Name: name}
 		ss.zones = append(ss.zones, z)
@@ -66,7 +67,8 @@
 	}
 }
 
-// refreshSnapshot examines what has changed since the last cycle.
+// refreshSnapshot updates what has changed since the last cycle. It rebuilds the snapshot first if
+// that is due.
 func (ss *clusterSnapshot) refreshSnapshot() {
 	if ss.outbox.Now()-ss.rebuiltAt >= config.FromSeconds(ss.cfg.Settings.ScanPeriodS) {
 		ss.rebuildDue = true
@@ -91,7 +93,7 @@
 	ss.rebuiltAt = ss.outbox.Now()
 	ss.deadlinesDue = true
 	for _, m := range ss.reconciler.Registry().All() {
-		ss.tryQuarantined(m)
+		ss.updateProbation(m)
 		ss.markMachineStale(m)
 	}
 	if len(ss.classes) > maxEquivalenceClasses {
--- a/internal/core/leader/snapshot_jobs.go
+++ b/internal/core/leader/snapshot_jobs.go
@@ -9,14 +9,14 @@
 
 // cachedJobState is what the snapshot holds about one job.
 type cachedJobState struct {
-	stale     bool         // to be examined again
-	team      string       // to whose use it adds
-	allocated queue.Amount // what it adds
-	queueTeam string       // the team in whose queue it is
+	stale     bool         // to be updated by the next cycle
+	team      string       // team to whose usage the job is added; empty if to none
+	allocated queue.Amount // what the job adds to the team's usage
+	queueTeam string       // team to whose queue the job was last added
 	queued    queue.QueuedJob
 }
 
-// markJobStale has a job examined again.
+// markJobStale marks a job to be updated by the next cycle.
 func (ss *clusterSnapshot) markJobStale(j *Job) {
 	if ss.ready && !j.stale {
 		j.stale = true
@@ -24,7 +24,7 @@
 	}
 }
 
-// setPlan replaces the planned placements of a job. They count as placed from now on.
+// setPlan replaces the planned placements of a job. The new ones count as placed from now on.
 func (ss *clusterSnapshot) setPlan(j *Job, plan []job.Placement) {
 	if len(j.plan) == 0 && len(plan) == 0 {
 		return
@@ -64,7 +64,7 @@
 	}
 }
 
-// refreshJob computes anew what a job adds to its team's use, its position in the team's queue and
+// refreshJob recomputes what a job adds to its team's usage, its position in the team's queue and
 // whether it lacks placements.
 func (ss *clusterSnapshot) refreshJob(j *Job) {
 	j.stale = false
@@ -92,18 +92,18 @@
 	}
 }
 
-// lacksPlacements reports whether tasks of an unfinished job are to be placed.
+// lacksPlacements reports whether an unfinished job has tasks that are to be placed.
 func (ss *clusterSnapshot) lacksPlacements(j *Job) bool {
 	spec := j.Record.Spec
 	runnable := !j.Blocked() && !j.Record.Final() && !j.Record.CancelRequested
 	return runnable && j.DoneTasks+j.OpenTasks < spec.Tasks && ss.teams[spec.Team] != nil
 }
 
-// refreshTeamQueue updates a job's position in the queue of its team, by which the guarantee is
-// given out.
+// refreshTeamQueue updates a job's position in its team's queue, which is the order in which the
+// team's guarantee is allotted.
 func (ss *clusterSnapshot) refreshTeamQueue(j *Job) {
 	spec := j.Record.Spec
-	if spec == nil { // it leaves its team's queue, if it hasn't before
+	if spec == nil { // a job without a spec is removed from its team's queue, if it is still there
 		if teamQueue := ss.teamQueues[j.queueTeam]; teamQueue != nil {
 			teamQueue.Remove(&j.queued)
 		}
@@ -145,7 +145,8 @@
 	return !queue.HasGuarantee(team) || j.queued.WithinGuarantee
 }
 
-// queuePosition orders a job in its team's queue: by its age, or behind all others.
+// queuePosition returns the sort key of a job in its team's queue: its creation time, with an
+// offset if the job is queued behind all others.
 func (j *Job) queuePosition() Micros {
 	if j.queuedBehind {
 		return j.orderedBy + queueBehindOffset
@@ -153,12 +154,13 @@
 	return j.orderedBy
 }
 
-// taskResources is what one task of a job needs of a machine.
+// taskResources returns the resources that one task of a job needs on a machine.
 func taskResources(s *wire.Job) zone.Resources {
 	return zone.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB}
 }
 
-// startAmount is the part of its team's quota that a job needs to start: one task, or a whole gang.
+// startAmount returns the part of its team's quota that a job needs to start: that of one task, or
+// of a whole gang.
 func startAmount(s *wire.Job) queue.Amount {
 	if s.Shape == wire.Gang {
 		return queue.Amount{}.Plus(taskAmount(s), float64(s.Tasks))
@@ -166,5 +168,5 @@
 	return taskAmount(s)
 }
 
-// taskAmount is what one task of a job counts for against its team's quota.
+// taskAmount returns what one task of a job counts against its team's quota.
 func taskAmount(s *wire.Job) queue.Amount { return queue.Amount{CPUs: s.CPUs, GPUs: s.GPUs} }
--- a/internal/core/leader/snapshot_machines.go
+++ b/internal/core/leader/snapshot_machines.go
@@ -10,13 +10,15 @@
 	"coralhub/wire"
 )
 
-// joinDelay is how long a cycle waits for more machines when one becomes schedulable again.
+// joinDelay is the delay of the cycle that is planned when a machine becomes schedulable, so that
+// more machines become schedulable before it.
 const joinDelay = config.Second
 
-// markMachineStale has a machine examined again.
+// markMachineStale marks a machine to be updated, and reports to the autoscaler whether it is in
+// use.
 func (ss *clusterSnapshot) markMachineStale(m *zone.Machine) {
 	if !ss.ready {
-		return // a new leader examines everything
+		return // a new leader rebuilds the whole snapshot
 	}
 	if !m.Stale {
 		m.Stale = true
@@ -25,16 +27,16 @@
 	ss.watchMachine(m)
 }
 
-// checkAvailability has a machine examined again if it has become schedulable or is no longer.
+// checkAvailability marks a machine stale if it has become schedulable or has ceased to be.
 func (ss *clusterSnapshot) checkAvailability(m *zone.Machine) {
-	offers := ss.schedulable(m)
-	if offers == (m.Offer != nil) {
+	schedulable := ss.schedulable(m)
+	if schedulable == (m.Offer != nil) {
 		return
 	}
 	ss.markMachineStale(m)
-	if offers {
-		// A worker that has accepted a new leader is capacity for waiting jobs; with most of the
-		// workers fewer tasks are preempted for these than with the first one.
+	if schedulable {
+		// A worker that has accepted a new leader is capacity for waiting jobs. Once most of the
+		// workers have done so, fewer tasks are preempted for these jobs than after the first one.
 		ss.scheduler.planCycle(ss.outbox.Now() + joinDelay)
 	}
 }
@@ -53,26 +55,29 @@
 	return reachable && ss.outbox.Now()-m.LastContactAt <= ss.heartbeatTimeout()
 }
 
-// tryQuarantined decides whether tasks are placed on a quarantined machine on probation. It is
-// released once it is idle, which it never is when its tasks don't end. So it is tried when a job
-// could not be placed and nothing has failed on it for a while. Another failure ends the probation, a
-// success ends the quarantine.
-func (ss *clusterSnapshot) tryQuarantined(m *zone.Machine) {
+// updateProbation determines whether a quarantined machine is on probation, in which tasks are
+// placed on it. A quarantined machine is released once it is idle, which it never is if its tasks
+// don't end. Therefore it is put on probation when a job could not be placed and nothing has failed
+// on the machine for failureBackoff. Another failure ends the probation, a success ends the
+// quarantine.
+func (ss *clusterSnapshot) updateProbation(m *zone.Machine) {
 	m.OnProbation = m.Quarantined() && (m.OnProbation || ss.demandUnmet && ss.outbox.Now()-m.LastFailureAt() > failureBackoff)
 }
 
-// heartbeatTimeout is how long a worker may send nothing before no more tasks are placed on it.
+// heartbeatTimeout returns the time without contact to a worker after which no more tasks are
+// placed on it.
 func (e *environment) heartbeatTimeout() Micros {
 	return config.FromSeconds(e.cfg.Cluster.Workers.ReportS*1.25) + 2*config.Second
 }
 
-// watchMachine tells the autoscaler whether a machine is in use: one that is not may be released.
+// watchMachine reports to the autoscaler whether a machine is in use. A machine that is not may be
+// released.
 func (ss *clusterSnapshot) watchMachine(m *zone.Machine) {
 	ss.autoscaler.WatchMachine(m, len(ss.replica.PlacementsOn(m.Name)) > 0 || len(ss.planned[m.Name]) > 0)
 }
 
-// refreshMachines examines the stale machines. It is called after every input, when their data is
-// in the processor's cache, and not only in the cycle that follows.
+// refreshMachines updates the stale machines. It is called after every input, while their data is
+// still in the CPU cache, and not only in the next cycle.
 func (ss *clusterSnapshot) refreshMachines() {
 	ss.statistics.Machines += len(ss.staleMachines)
 	for _, m := range ss.staleMachines {
@@ -81,7 +86,7 @@
 	ss.staleMachines = ss.staleMachines[:0]
 }
 
-// refreshMachine computes anew what a machine offers.
+// refreshMachine recomputes the offer of a machine.
 func (ss *clusterSnapshot) refreshMachine(m *zone.Machine) {
 	m.Stale = false
 	if m.Offer != nil {
@@ -126,9 +131,9 @@
 	return out
 }
 
-// sumAllocated adds up the open and the planned placements of a machine. Every open placement
-// counts, whatever the worker last reported. Sums of whole millionths don't depend on the order, so
-// nothing has to be sorted.
+// sumAllocated sets the allocated resources of a machine to the sum over its open and planned
+// placements. Every open placement counts, whatever the worker last reported. Amounts are added as
+// integer millionths: their sum doesn't depend on the order, so nothing has to be sorted.
 func (ss *clusterSnapshot) sumAllocated(m *zone.Machine, open map[job.AttemptKey]job.Placement, plans map[*Job]int) {
 	var cpus, gpus, memory int64
 	add := func(s *wire.Job, n int) {
--- a/internal/core/leader/start_order.go
+++ b/internal/core/leader/start_order.go
@@ -11,36 +11,39 @@
 	"coralhub/wire"
 )
 
-// When more jobs arrive than there is capacity for, first come, first served makes nearly all of them
-// late: once the queue is longer than the time that a job has to start, each job that starts is late
-// already. So, for a class while it is short of capacity, among jobs of one level those that can still
-// start in time go first, until enough of them have: of the largest jobs of the class as of the
-// others. Late ones keep their order behind these, and every now and then the first of them goes before
-// all others, so that none waits for ever. Priority is decided before that, and within a tier credit
-// decides as always.
+// When more jobs arrive than there is capacity for, first come, first served makes nearly all of
+// them late: once the queue is longer than the time that a job has to start, each job that starts
+// is late already. Therefore, while a class is short of capacity, its jobs of one level that can
+// still start in time rank first, until a sufficient share of them has started, both of the largest
+// jobs of the class and of the others. Late jobs rank behind these in unchanged order. At intervals
+// the oldest late job ranks before all others, so that none waits forever. Priority takes
+// precedence over this order, and jobs of one tier are ordered by credit as usual.
 
 const (
-	// tierInterval is the time between two computations of which share of each size band has started.
+	// tierInterval is the minimum time between two assignments of tiers, which are based on the
+	// share of each size band that has started.
 	tierInterval = config.Second
-	// sufficientRatio is the share of a class's largest jobs, and of its others, that is to start in
-	// time before the class goes back to its usual order.
+	// sufficientRatio is the share of the largest jobs of a class, and of its other jobs, that has
+	// to start in time before they return to the usual order.
 	sufficientRatio = 0.65
-	// startsPerLateStart and lateStartInterval give late jobs their share: the first of them goes before
-	// all others once so many jobs have started since the last late one, or after so long.
+	// startsPerLateStart and lateStartInterval guarantee starts to late jobs: the oldest late job
+	// of a class ranks before all others once this many jobs have started, or this much time has
+	// passed, since the last late start.
 	startsPerLateStart = 8
 	lateStartInterval  = 30 * config.Second
-	// initialTasksDivisor is the part of its tasks that an array or a service gets at its start.
+	// initialTasksDivisor limits the tasks of an array or a service that are placed at its start to
+	// one in initialTasksDivisor, rounded up; see initialTasks.
 	initialTasksDivisor = 8
 )
 
-// Tiers of the jobs of a level, the first ones first. Jobs of classes that are not short of capacity
-// are in the first one.
+// Tiers of the jobs of a level; lower tiers rank first. Jobs of classes that are not short of
+// capacity are in firstTier.
 const (
 	firstTier         = 0
-	bandTier          = 1 // and those that follow: size bands of which not enough has started
+	bandTier          = 1 // first of the tiers of size bands of which not enough has started
 	normalTier        = 1 << 19
-	lateTierOffset    = 1 << 20         // added to the tier of the job's size band
-	queueBehindOffset = Micros(1) << 55 // in the queue for a team's guarantee: behind all jobs that have started
+	lateTierOffset    = 1 << 20         // added to the tier of a late job's size band
+	queueBehindOffset = Micros(1) << 55 // added to the position in a team's queue: behind all jobs that have started
 )
 
 // startOrder decides the order in which jobs start while there is less capacity than they need.
@@ -51,19 +54,19 @@
 
 	byClass          map[string]*classStats
 	tiersAssignedAt  Micros
-	claimedGuarantee map[string]queue.Amount // by team: of jobs that wait for their victims to end
+	claimedGuarantee map[string]queue.Amount // by team: claims of jobs that wait for their victims to end
 }
 
-// reset forgets the state of a term.
+// reset discards the state of a term.
 func (so *startOrder) reset() {
 	so.byClass = map[string]*classStats{}
 	so.claimedGuarantee = map[string]queue.Amount{}
 	so.tiersAssignedAt = 0
 }
 
-// assignTiers assigns tiers to the largest jobs and to the others of the classes that are short of
-// capacity: the bands of which the smallest share has started in time go first, as long as that share
-// isn't sufficient.
+// assignTiers assigns a tier to each size band of the classes that are short of capacity. Bands of
+// which an insufficient share has started in time rank first, those with the smallest share before
+// the others.
 func (so *startOrder) assignTiers() {
 	if so.tiersAssignedAt != 0 && so.outbox.Now()-so.tiersAssignedAt < tierInterval {
 		return
@@ -94,12 +97,12 @@
 	}
 }
 
-// startTier returns the tier of a waiting job within its level. The cost, if it isn't 0, orders jobs
-// of a tier before credit does.
+// startTier returns the tier of a waiting job within its level. A nonzero cost orders the jobs of a
+// tier before credit does.
 func (so *startOrder) startTier(j *Job) (tier int, cost float64) {
 	cs := so.shortClass(j)
-	// A job that has not started claims its team's guarantee when it is its tier's turn, and not by its
-	// age.
+	// While its class is short of capacity, a job that has not started claims its team's guarantee
+	// when its tier's turn comes, and not by its age.
 	if behind := cs != nil; behind != j.queuedBehind {
 		j.queuedBehind = behind
 		so.snapshot.markJobStale(j)
@@ -111,28 +114,30 @@
 		return firstTier, 0
 	}
 	late := so.isLate(j)
-	if late && j == cs.firstLate && so.lateStartDue(cs) {
+	if late && j == cs.oldestLate && so.lateStartDue(cs) {
 		return firstTier, 0
 	}
 	spec := j.Record.Spec
 	band := cs.sizeBand(j)
 	tier = cs.tiers[band]
 	if tier < normalTier && band == otherBand && spec.Shape == wire.Gang {
-		cost = float64(spec.Tasks) * taskResources(spec).Weight() // all or nothing: the smaller, the more start
+		// A gang starts as a whole: with smaller ones first, more of them start.
+		cost = float64(spec.Tasks) * taskResources(spec).Weight()
 	}
 	if late {
-		tier += lateTierOffset // in the same order: they can still complete in time
+		tier += lateTierOffset // in unchanged order: late jobs can still complete in time
 	}
 	return tier, cost
 }
 
-// lateStartDue reports whether the first late job of a class goes before all others.
+// lateStartDue reports whether the oldest late job of a class is due to rank before all others.
 func (so *startOrder) lateStartDue(cs *classStats) bool {
-	return cs.startsSinceLate >= startsPerLateStart || so.outbox.Now()-cs.lateStartAt >= lateStartInterval
+	return cs.startsSinceLateStart >= startsPerLateStart || so.outbox.Now()-cs.lastLateStartAt >= lateStartInterval
 }
 
-// initialTasks returns the first part of the tasks of a job that is to start while others should start
-// as well, and otherwise all of them.
+// initialTasks returns the tasks of a job that are to be placed now: only the first part of them if
+// the job is in a tier for bands of which not enough has started, so that other jobs can start as
+// well, and otherwise all of them.
 func (so *startOrder) initialTasks(j *Job, tasks []int) []int {
 	cs := so.shortClass(j)
 	if cs == nil || j.Record.Spec.Shape == wire.Gang || so.isLate(j) || cs.tiers[cs.sizeBand(j)] >= normalTier {
--- a/internal/core/leader/victims.go
+++ b/internal/core/leader/victims.go
@@ -18,8 +18,8 @@
 	snapshot    *clusterSnapshot
 }
 
-// inZone returns the running work of a zone that could be preempted. Most cycles find free
-// capacity without preemption, so it is listed only when a job asks.
+// inZone returns the placed work of a zone that could be preempted. It is listed only when a job
+// first requires it, because most cycles find free capacity without preemption.
 func (vf *victimFinder) inZone(c *cycle, zoneName string) []*zone.Victim {
 	if c.victims == nil {
 		c.victims = map[string][]*zone.Victim{}
@@ -35,16 +35,17 @@
 	return c.victims[zoneName]
 }
 
-// addVictims lists what could be preempted of a job: each task, or a gang as a whole.
+// addVictims adds what could be preempted of a job to the victims of a cycle: each task, or a gang
+// as a whole.
 func (vf *victimFinder) addVictims(c *cycle, j *Job) {
 	spec := j.Record.Spec
 	needs := taskResources(spec)
 	level := queue.Level(j.Priority(), vf.snapshot.withinGuarantee(j))
-	var gang *zone.Victim // the same one in each of its zones
+	var gang *zone.Victim // the same victim in each zone of the gang
 	listed := map[string]bool{}
 	j.EachPlacement(func(p job.Placement) {
 		m := vf.reconciler.Registry().Get(p.Machine)
-		if vf.reconciler.IsTerminating(p.AttemptKey(j.ID)) || vf.preemptions.isPreempted(j.ID, p.Task) || m == nil || m.Offer == nil {
+		if vf.reconciler.IsTerminating(p.AttemptKey(j.ID)) || vf.preemptions.isPendingVictim(j.ID, p.Task) || m == nil || m.Offer == nil {
 			return
 		}
 		reclaim := zone.Reclaim{Offer: m.Offer, Resources: needs}
@@ -68,8 +69,8 @@
 	})
 }
 
-// describeVictim returns what preempting a placed task would cost, without the resources that it
-// would free.
+// describeVictim returns a victim with the cost of preempting a placed task, but without the
+// resources that this would free.
 func (vf *victimFinder) describeVictim(j *Job, p *job.Placement, level int) zone.Victim {
 	spec := j.Record.Spec
 	v := zone.Victim{Job: j.ID, Task: p.Task, Level: level}
@@ -89,16 +90,15 @@
 	return v
 }
 
-// runningSummary is a short description of what is placed during a cycle. Listing all of it in
-// the order in which it would be preempted costs more than the rest of a cycle; in a flood of a
-// class below which nothing runs, every cycle would do so only to find that nothing may be
-// preempted.
+// runningSummary summarizes what is placed during a cycle. Listing all of it in preemption order
+// costs more than the rest of a cycle. If many jobs wait and nothing runs below their priority,
+// every cycle would list it only to find that nothing may be preempted.
 type runningSummary struct {
-	lowestLevel    int             // by priority alone
+	lowestLevel    int             // by priority alone, as if within the guarantee
 	borrowingTeams map[string]bool // teams that use more than their guarantee
 }
 
-// summarizeRunning returns the summary of a cycle. It is computed when it is first asked for.
+// summarizeRunning returns the summary of a cycle, which is computed on first use.
 func (vf *victimFinder) summarizeRunning(c *cycle) *runningSummary {
 	if c.running == nil {
 		c.running = &runningSummary{lowestLevel: math.MaxInt, borrowingTeams: map[string]bool{}}
@@ -115,12 +115,12 @@
 	return c.running
 }
 
-// anyRunsBelow reports whether anything of a priority below a level is placed.
-func (vf *victimFinder) anyRunsBelow(c *cycle, level int) bool {
+// anyPlacedBelow reports whether any work of a priority below a level is placed.
+func (vf *victimFinder) anyPlacedBelow(c *cycle, level int) bool {
 	return level > queue.Level(wire.Low, true) && vf.summarizeRunning(c).lowestLevel < level
 }
 
-// anyTeamBorrows reports whether any other team uses more than its guarantee.
+// anyTeamBorrows reports whether any team other than the given one uses more than its guarantee.
 func (vf *victimFinder) anyTeamBorrows(c *cycle, team string) bool {
 	for other := range vf.summarizeRunning(c).borrowingTeams {
 		if other != team {
--- a/internal/core/leader/wait_reasons.go
+++ b/internal/core/leader/wait_reasons.go
@@ -7,10 +7,10 @@
 	"coralhub/internal/core/queue"
 )
 
-// maxAhead is the number of jobs ranked before a job that are named.
-const maxAhead = 20
+// maxJobsAhead is the maximum number of jobs listed that are ranked before a job.
+const maxJobsAhead = 20
 
-// waitReasonText says in a few words why a job lacks placements.
+// waitReasonText returns a short text on why a job lacks placements.
 func (oq *operatorQueries) waitReasonText(j *Job) string {
 	spec := j.Record.Spec
 	now := oq.outbox.Now()
@@ -36,7 +36,8 @@
 	return "no machine has room, or others go before it"
 }
 
-// waitReason returns why a job waits.
+// waitReason returns why a job waits, with its rank in the queue and the preemption decisions in
+// force for it.
 func (oq *operatorQueries) waitReason(j *Job) query.WaitReason {
 	out := query.WaitReason{Job: oq.stateOfJob(j), Reason: oq.waitReasonText(j), Ahead: []string{}, ReservedMachines: []string{}, PreemptedJobs: []string{}}
 	if j.Record.Spec == nil {
@@ -52,7 +53,7 @@
 	rank := slices.IndexFunc(entries, func(e queue.Entry) bool { return e.ID == j.ID })
 	if rank >= 0 {
 		out.Rank = rank + 1
-		for i := rank - 1; i >= 0 && len(out.Ahead) < maxAhead; i-- {
+		for i := rank - 1; i >= 0 && len(out.Ahead) < maxJobsAhead; i-- {
 			out.Ahead = append(out.Ahead, entries[i].ID)
 		}
 	}
