--- a/internal/core/leader/admin.go
+++ b/internal/core/leader/admin.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	maxListed  = 500 // rows of an answer
-	maxClasses = 100 // classes, or teams, that are listed by name
+	maxListed  = 500 // rows in one response
+	maxClasses = 100 // classes or teams listed by name
 )
 
-// operatorQueries answers the queries of operators. It only reads; ranking the queue for an answer may bring
-// queue positions and the time of the next cycle up to date, as a cycle does.
+// operatorQueries answers operators' queries. It is read-only, except that ranking the queue for a response may update
+// queue positions and the time of the next cycle, as a scheduling cycle does.
 type operatorQueries struct {
 	*environment
 	commits       *jobCommitter
@@ -34,7 +34,7 @@
 	usageAccounts *usageAccounts
 }
 
-// answerQuery answers a query. Gauges and accounts are answered by any node, the rest by the leader.
+// answerQuery answers a query. Any node answers queries for gauges and accounts; only the leader answers the others.
 func (oq *operatorQueries) answerQuery(x msg.AdminIn) {
 	limit := maxListed
 	if x.Limit > 0 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// answerFromEstimates answers the queries that need the model of run times.
+// answerFromEstimates answers the queries that need the run-time model.
 func (oq *operatorQueries) answerFromEstimates(x msg.AdminIn, limit int) {
 	if oq.estimates.model == nil {
 		oq.outbox.Respond(x.RequestID, http.StatusNotFound, query.Error{Error: "run times are not learnt: see the setting estimates"})
@@ -82,7 +82,7 @@
 	}
 }
 
-// findJob returns the job that a query names. If there is none it answers so and returns nil.
+// findJob returns the job that a query names. If there is no such job, it responds with "not found" and returns nil.
 func (oq *operatorQueries) findJob(x msg.AdminIn) *Job {
 	j := oq.jobs[x.JobID]
 	if j == nil || j.Version == 0 {
@@ -92,7 +92,7 @@
 	return j
 }
 
-// listEstimates lists the estimates of at most limit kinds of jobs, and as many slow machines.
+// listEstimates lists the estimates of at most limit kinds of jobs, and at most limit slow machines.
 func (oq *operatorQueries) listEstimates(limit int) query.Estimates {
 	m := oq.estimates.model
 	out := query.Estimates{Runs: m.Observed(), Changes: m.Changes(), Kinds: []query.EstimateRow{}, Machines: []query.SlowMachine{}}
@@ -101,7 +101,7 @@
 			return false
 		}
 		a := m.Estimate(&f)
-		row := rowOf(&a)
+		row := estimateRowOf(&a)
 		row.Class = f.Class
 		row.Shape = f.Shape
 		row.Image = f.Image
@@ -116,14 +116,14 @@
 	return out
 }
 
-// round rounds to thousandths.
+// round rounds v to three decimal places.
 func round(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// roundedSeconds converts a time in microseconds to seconds, rounded to thousandths.
+// roundedSeconds converts microseconds to seconds, rounded to three decimal places.
 func roundedSeconds(micros Micros) float64 { return round(inSeconds(micros)) }
 
-// rowOf returns an estimate as an operator reads it.
-func rowOf(a *estimate.Answer) query.EstimateRow {
+// estimateRowOf converts an estimate to the form in which operators read it.
+func estimateRowOf(a *estimate.Answer) query.EstimateRow {
 	row := query.EstimateRow{Level: a.Level.String(), Samples: round(a.Samples), MedianS: roundedSeconds(a.Median)}
 	for i := range estimate.Intervals {
 		row.Intervals = append(row.Intervals, []float64{roundedSeconds(a.Low[i]), roundedSeconds(a.High[i])})
@@ -137,12 +137,13 @@
 	return row
 }
 
-// listRuns lists at most limit runs from a number on.
+// listRuns lists at most limit recent runs, starting with the run numbered from. If that run is no longer kept, it
+// starts with the oldest one kept and sets Missed to the number of runs skipped.
 func (oq *operatorQueries) listRuns(from uint64, limit int) query.Runs {
 	es := oq.estimates
 	oldest := es.runsEnd - uint64(len(es.recentRuns))
 	out := query.Runs{Runs: []history.Line{}}
-	if from > es.runsEnd { // a number of another leader
+	if from > es.runsEnd { // the number was assigned by another leader
 		from = 0
 	}
 	if from < oldest {
@@ -156,13 +157,13 @@
 	return out
 }
 
-// stateOfJob returns the state of a job as users see it.
+// stateOfJob returns the state of a job as reported to users.
 func (oq *operatorQueries) stateOfJob(j *Job) query.JobState {
 	status := frontend.Status(j.Job)
 	return query.JobState{ID: status.ID, Status: status.Status, Done: *status.Done, Running: *status.Running}
 }
 
-// jobOutlook returns what can be said of the end of a job.
+// jobOutlook returns what the estimates predict about the completion of a job.
 func (oq *operatorQueries) jobOutlook(j *Job) query.JobOutlook {
 	out := query.JobOutlook{Job: oq.stateOfJob(j)}
 	spec := j.Record.Spec
@@ -176,7 +177,7 @@
 	f := oq.estimates.features(j, "")
 	perTask := oq.estimates.model.Estimate(&f)
 	if perTask.Level != estimate.Unknown {
-		row := rowOf(&perTask)
+		row := estimateRowOf(&perTask)
 		out.Estimate = &row
 	}
 	if duration, ok := oq.estimates.completionEstimate(j, 0); ok && !j.Record.Final() {
--- a/internal/core/leader/admin_lists.go
+++ b/internal/core/leader/admin_lists.go
@@ -7,7 +7,7 @@
 	"coralhub/internal/core/query"
 )
 
-// listUsage lists at most limit accounts. Any node can.
+// listUsage lists at most limit accounts. It works on any node, not only the leader.
 func (oq *operatorQueries) listUsage(limit int) []query.UsageRow {
 	out := []query.UsageRow{}
 	oq.usageAccounts.ledger.Each(func(k accounting.Key, u job.ResourceUsage) {
@@ -33,7 +33,7 @@
 	return out
 }
 
-// listPreemptions lists at most limit decisions in force and as many counts.
+// listPreemptions lists at most limit decisions in force, and at most limit counts.
 func (oq *operatorQueries) listPreemptions(limit int) query.Preemptions {
 	out := query.Preemptions{Decisions: []query.DecisionRow{}, Counts: []query.PreemptionRow{}}
 	wall := oq.wallClock()
--- a/internal/core/leader/audit.go
+++ b/internal/core/leader/audit.go
@@ -12,18 +12,18 @@
 	"coralhub/internal/core/zone"
 )
 
-// auditTolerance absorbs the rounding of sums of amounts.
+// auditTolerance allows for rounding errors in sums of resource amounts.
 const auditTolerance = 1e-6
 
-// auditor compares the state that the leader keeps between cycles with the records. It is for tests.
+// auditor compares the state that the leader keeps between cycles with the records. It is used by tests only.
 type auditor struct {
 	*environment
 	snapshot      *clusterSnapshot
 	usageAccounts *usageAccounts
 }
 
-// audit compares the snapshot with what the records add up to and returns the first difference. What is
-// marked stale is left out: a change that has marked nothing shows here.
+// audit compares the snapshot with a recomputation from the records and returns the first difference. It skips
+// machines and jobs that are marked stale, so it detects changes that failed to mark what they affect.
 func (au *auditor) audit() error {
 	if err := au.auditAccounts(); err != nil {
 		return err
@@ -31,7 +31,7 @@
 	if !au.ready || au.snapshot.rebuildDue || au.elector.TokenChangePending() {
 		return nil
 	}
-	if err := au.auditWanting(); err != nil {
+	if err := au.auditJobsLackingPlacements(); err != nil {
 		return err
 	}
 	if len(au.snapshot.staleJobs) == 0 {
@@ -48,36 +48,36 @@
 	return au.auditPlacements()
 }
 
-// auditAccounts adds up the accounts anew.
+// auditAccounts recomputes the accounts.
 func (au *auditor) auditAccounts() error {
 	var fromRecords accounting.Ledger
 	for _, j := range au.jobs {
 		key, use := j.accountUsage()
 		if key == (accounting.Key{}) && j.charged != (job.ResourceUsage{}) {
-			return nil // a part was charged under an earlier storage format
+			return nil // part of the usage was charged under an earlier storage format
 		}
 		fromRecords.Add(key, use)
 	}
 	if !fromRecords.Equal(&au.usageAccounts.ledger) {
-		return errors.New("accounts differ from what the records add up to")
+		return errors.New("usage accounts differ from the sums over the records")
 	}
 	return nil
 }
 
-// auditWanting determines anew which jobs lack placements.
-func (au *auditor) auditWanting() error {
+// auditJobsLackingPlacements recomputes which jobs lack placements.
+func (au *auditor) auditJobsLackingPlacements() error {
 	for _, j := range au.unfinished {
 		spec := j.Record.Spec
 		runnable := !j.Blocked() && !j.Record.Final() && !j.Record.CancelRequested
-		wants := runnable && j.DoneTasks+j.OpenTasks < spec.Tasks && au.teams[spec.Team] != nil
-		if !j.stale && wants != au.snapshot.wanting[j] {
-			return fmt.Errorf("%s wants placements: %v", j.ID, wants)
+		lacking := runnable && j.DoneTasks+j.OpenTasks < spec.Tasks && au.teams[spec.Team] != nil
+		if !j.stale && lacking != au.snapshot.wanting[j] {
+			return fmt.Errorf("job %s lacks placements: %v by its record, %v in the snapshot", j.ID, lacking, !lacking)
 		}
 	}
 	return nil
 }
 
-// auditTeamUse adds up anew what each team uses.
+// auditTeamUse recomputes what each team uses.
 func (au *auditor) auditTeamUse() error {
 	used := map[string]queue.Amount{}
 	for _, j := range au.unfinished {
@@ -88,14 +88,13 @@
 		fromRecords, inSnapshot := used[team.Name], au.snapshot.used[team.Name]
 		difference := fromRecords.Plus(inSnapshot, -1)
 		if math.Abs(difference.GPUs)+math.Abs(difference.CPUs) > auditTolerance {
-			return fmt.Errorf("team %s uses %v, in the snapshot %v", team.Name, fromRecords, inSnapshot)
+			return fmt.Errorf("team %s uses %v by the records, %v in the snapshot", team.Name, fromRecords, inSnapshot)
 		}
 	}
 	return nil
 }
 
-// auditGuarantees adds up anew, from the front of each team's queue, which jobs are within the
-// guarantee.
+// auditGuarantees recomputes, from the front of each team's queue, which jobs are within the team's guarantee.
 func (au *auditor) auditGuarantees() error {
 	ordered := slices.SortedFunc(slices.Values(au.unfinished), (*Job).compareQueuePosition)
 	sums := map[string]queue.Amount{}
@@ -108,13 +107,14 @@
 		sum := sums[spec.Team].Plus(taskAmount(spec), float64(spec.Tasks-j.DoneTasks))
 		sums[spec.Team] = sum
 		if queue.UnderGuarantee(team, sum) != au.snapshot.withinGuarantee(j) {
-			return fmt.Errorf("%s is within its guarantee: %v", j.ID, !au.snapshot.withinGuarantee(j))
+			return fmt.Errorf("job %s is within its team's guarantee: %v by the records, %v in the snapshot",
+				j.ID, !au.snapshot.withinGuarantee(j), au.snapshot.withinGuarantee(j))
 		}
 	}
 	return nil
 }
 
-// auditMachines adds up anew what is placed on each machine or planned for it.
+// auditMachines recomputes the resources that are allocated on each machine to placed and planned tasks.
 func (au *auditor) auditMachines() error {
 	planned := au.plannedResources()
 	for _, m := range au.reconciler.Registry().All() {
@@ -123,7 +123,7 @@
 		}
 		if m.Offer == nil {
 			if au.snapshot.schedulable(m) {
-				return fmt.Errorf("machine %s is schedulable and offers nothing", m.Name)
+				return fmt.Errorf("machine %s is schedulable without an offer", m.Name)
 			}
 			continue
 		}
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// plannedResources adds up by machine what is planned and not yet committed.
+// plannedResources sums up, by machine, the resources of planned placements that are not committed yet.
 func (au *auditor) plannedResources() map[string]zone.Resources {
 	planned := map[string]zone.Resources{}
 	for _, j := range au.unfinished {
@@ -156,16 +156,16 @@
 	}
 	difference := allocated.Plus(m.Allocated, -1)
 	if math.Abs(difference.GPUs)+math.Abs(difference.CPUs)+math.Abs(difference.MemoryGB) > auditTolerance {
-		return fmt.Errorf("machine %s has %v allocated, in the snapshot %v", m.Name, allocated, m.Allocated)
+		return fmt.Errorf("machine %s has %v allocated by the records, %v in the snapshot", m.Name, allocated, m.Allocated)
 	}
 	idle := len(open) == 0 && planned == (zone.Resources{})
 	if idle != (m.IdleSince != 0) {
-		return fmt.Errorf("machine %s is idle: %v", m.Name, idle)
+		return fmt.Errorf("machine %s is idle: %v by its placements, %v in the snapshot", m.Name, idle, !idle)
 	}
 	return nil
 }
 
-// auditPlacements compares the open placements by machine with those by job.
+// auditPlacements compares the replica's index of open placements by machine with the placements of all jobs.
 func (au *auditor) auditPlacements() error {
 	open := 0
 	var err error
@@ -173,7 +173,7 @@
 		j.EachPlacement(func(p job.Placement) {
 			open++
 			if _, ok := au.replica.PlacementsOn(p.Machine)[p.AttemptKey(j.ID)]; !ok {
-				err = fmt.Errorf("%s/%d is not known to be on %s", j.ID, p.Task, p.Machine)
+				err = fmt.Errorf("open placement of task %s/%d is missing from the index of machine %s", j.ID, p.Task, p.Machine)
 			}
 		})
 	}
@@ -181,7 +181,7 @@
 		open -= len(au.replica.PlacementsOn(machine))
 	}
 	if err == nil && open != 0 {
-		err = fmt.Errorf("%d placements more by job than by machine", open)
+		err = fmt.Errorf("open placements by job minus open placements by machine: expected 0, found %d", open)
 	}
 	return err
 }
--- a/internal/core/leader/cancellations.go
+++ b/internal/core/leader/cancellations.go
@@ -5,35 +5,36 @@
 	"coralhub/internal/core/job"
 )
 
-// cancellations decides when cancellations may be confirmed to users.
+// cancellations determines when the cancellation of a job may be confirmed to its user.
 type cancellations struct {
 	*environment
 	delegations *delegation.Delegations
 }
 
-// confirm decides whether the cancellation of a job may be confirmed to the user. If so, nodes get
-// no further delegation before they know of it.
-func (cn *cancellations) confirm(j *Job) {
+// evaluate updates whether the cancellation of a job may be confirmed to its user. If it may while tasks are still
+// open, a node gets no further delegation until its replica contains the cancellation.
+func (cn *cancellations) evaluate(j *Job) {
 	if !j.Record.CancelRequested || j.Record.Final() {
-		j.cancelling = false
+		j.cancelConfirmable = false
 		return
 	}
-	if !cn.isCertain(j) {
+	if !cn.stopIsCertain(j) {
 		return
 	}
-	j.cancelling = true
+	j.cancelConfirmable = true
 	if j.OpenTasks > 0 {
 		cn.delegations.AcknowledgeCancel(j.Version)
 	}
 }
 
-// isCertain reports whether a cancelled job is certain to stop: every
-// open placement must be on a worker that follows this leader, so that the leader will stop the
-// task or the worker's lease ends, and no start may still be in flight that
-// could take effect after that. Where a lease may outlast the time allowed for a cancellation, or a delegate that
-// doesn't know of the cancellation could keep a task alive, only proof that all of the job is over
-// will do: a worker that receives nothing keeps its tasks until its lease ends.
-func (cn *cancellations) isCertain(j *Job) bool {
+// stopIsCertain reports whether a cancelled job is certain to stop. Two conditions have to hold for every open
+// placement. First, its worker has reported a fencing token of this term, so that either the leader stops the task or
+// the worker's lease expires. Second, no start command that could take effect after that is still in flight.
+//
+// If a lease may outlast the time allowed for a cancellation, or if a delegate whose replica lacks the cancellation
+// could keep a task alive, the job is certain to stop only once all of its placements are closed: a worker that
+// receives nothing keeps its tasks until its lease expires.
+func (cn *cancellations) stopIsCertain(j *Job) bool {
 	stopsWithLease := cn.cfg.Cluster.Workers.LeaseEndsInTime() && cn.delegations.CancelKnown(j.Version)
 	certain := j.OpenTasks == 0 || stopsWithLease
 	j.EachPlacement(func(p job.Placement) {
--- a/internal/core/leader/commit_answers.go
+++ b/internal/core/leader/commit_answers.go
@@ -11,7 +11,7 @@
 	"coralhub/wire"
 )
 
-// resendIfDue resends a job's transaction that had no answer once its backoff is over.
+// resendIfDue resends a job's transaction that received no response, once its backoff has elapsed.
 func (jc *jobCommitter) resendIfDue(j *Job) {
 	t := j.transaction
 	if t == nil || t.resendAt == 0 || jc.outbox.Now() < t.resendAt {
@@ -32,20 +32,19 @@
 			return
 		}
 		jc.requestCommit(j.ID)
-		jc.onAnswer(j, t, &d)
+		jc.onCommitDone(j, t, &d)
 	})
 }
 
-// onAnswer handles the answer to a job's transaction.
-func (jc *jobCommitter) onAnswer(j *Job, t *jobTransaction, d *msg.CommitDone) {
+// onCommitDone handles the outcome of a job's transaction.
+func (jc *jobCommitter) onCommitDone(j *Job, t *jobTransaction, d *msg.CommitDone) {
 	switch d.Outcome {
 	case msg.OK:
 		jc.settle(j)
 		jc.applyCommitted(j, t, d.Revision)
 	case msg.Unknown:
-		// It may be applied later. The same transaction is sent again: either it
-		// or the late one fails by its conditions, and until then what it
-		// places is counted.
+		// The transaction may still be applied. The same transaction is sent again: the conditions make one of
+		// the two copies fail. Until the outcome is known, its placements count as used capacity.
 		t.outcomeUnknown = true
 		t.resendAt = jc.outbox.Now() + outbox.CommitRetryInterval
 	case msg.Conflict:
@@ -55,7 +54,7 @@
 	case msg.Invalid:
 		jc.onRejected(j, t, t.jobKeys())
 	default:
-		if t.outcomeUnknown { // this sending was refused; an earlier one may still be applied
+		if t.outcomeUnknown { // this send was refused, but an earlier one may still be applied
 			t.resendAt = jc.outbox.Now() + outbox.CommitRetryInterval
 			return
 		}
@@ -64,16 +63,16 @@
 	}
 }
 
-// settle ends a job's transaction: no sending of it takes effect from now on.
+// settle discards a job's transaction and plan, once no copy of the transaction can take effect any more.
 func (jc *jobCommitter) settle(j *Job) {
 	j.transaction = nil
 	jc.snapshot.setPlan(j, nil)
 	jc.scheduler.requestCycle()
 }
 
-// onRejected handles a transaction that can't be applied any more, by the keys to be read again. If an earlier
-// sending had no answer, this one may have conflicted with it. Until the records have been
-// read what it places stays counted, or the team's limit would be given away twice.
+// onRejected handles a transaction that can't be applied any more; failed are the keys to read again. If an earlier
+// send received no response, this one may have conflicted with it. In that case the placements stay counted until the
+// records have been read; otherwise the team's limit could be used twice.
 func (jc *jobCommitter) onRejected(j *Job, t *jobTransaction, failed []string) {
 	if t.outcomeUnknown {
 		jc.readAfterConflict(j, t, func() { jc.settle(j) })
@@ -83,12 +82,12 @@
 	jc.onConflict(j, failed)
 }
 
-// applyCommitted applies what a transaction has written to this node's replica.
+// applyCommitted applies the writes of a committed transaction to this node's replica.
 func (jc *jobCommitter) applyCommitted(j *Job, t *jobTransaction, revision uint64) {
 	j.dropCompletions(t.completions)
 	j.mergeRequested = false
 	j.movingToShards = false
-	if t.record != nil && j.Version < revision { // first: tasks may have moved out of it
+	if t.record != nil && j.Version < revision { // before the shards: tasks may have moved from the record to a shard
 		jc.replica.SetRecord(j.ID, *t.record, revision)
 	}
 	for _, n := range slices.Sorted(maps.Keys(t.shards)) {
@@ -104,13 +103,13 @@
 	jc.estimates.noteOwnPlacements(j, t.placed)
 }
 
-// onConflict reads the keys of a job that have changed concurrently, and has it retried after that.
+// onConflict reads the keys of a job that have changed concurrently, and schedules a retry after they have been read.
 func (jc *jobCommitter) onConflict(j *Job, failed []string) {
 	for _, key := range failed {
 		if _, _, ok := job.ParseKey(key); !ok {
-			continue // the leader key
+			continue // the leader key, which is not a job's
 		}
-		j.retryAt = jc.outbox.Now() + config.Second // unless the answer arrives sooner
+		j.retryAt = jc.outbox.Now() + config.Second // or as soon as the key has been read
 		jc.readKey(j, key, func(ok bool) {
 			if ok {
 				j.retryAt = jc.outbox.Now()
@@ -119,9 +118,9 @@
 	}
 }
 
-// readAfterConflict reads all of the job's keys that a transaction depends on, and calls then once all of them have
-// been read. If any can't be read, the transaction is resent.
-func (jc *jobCommitter) readAfterConflict(j *Job, t *jobTransaction, then func()) {
+// readAfterConflict reads all of the job's keys that a transaction depends on, and calls onRead once all of them have
+// been read. If any of them can't be read, the transaction is resent after a backoff.
+func (jc *jobCommitter) readAfterConflict(j *Job, t *jobTransaction, onRead func()) {
 	keys := t.jobKeys()
 	unanswered := len(keys)
 	failed := false
@@ -134,15 +133,15 @@
 			case failed:
 				t.resendAt = jc.outbox.Now() + outbox.CommitRetryInterval
 			default:
-				then()
+				onRead()
 			}
 		})
 	}
 }
 
-// readKey updates the replica to what a key of a job holds now, and reports to then whether it could be read.
-// The answer is ignored if this node doesn't lead any more.
-func (jc *jobCommitter) readKey(j *Job, key string, then func(ok bool)) {
+// readKey reads a key of a job from the key-value store, updates the replica and calls onRead, whose argument is false
+// if the read failed. If this node is no longer the leader by then, the response is ignored and onRead is not called.
+func (jc *jobCommitter) readKey(j *Job, key string, onRead func(ok bool)) {
 	jc.outbox.Read(key, func(d msg.ReadDone) {
 		if !jc.elector.IsLeader() {
 			return
@@ -155,6 +154,6 @@
 			}
 		}
 		jc.requestCommit(j.ID)
-		then(d.Outcome == msg.OK)
+		onRead(d.Outcome == msg.OK)
 	})
 }
--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -11,8 +11,8 @@
 	"coralhub/wire"
 )
 
-// jobCommitter writes what is known or decided about jobs into their records. It has one transaction in
-// flight for a job at a time, and resends it until its outcome is known.
+// jobCommitter writes completions, plans and cancellations to the records of jobs. It has at most one transaction in
+// flight for each job, and resends it until its outcome is known.
 type jobCommitter struct {
 	*environment
 	completionLog *completionlog.Log
@@ -22,9 +22,9 @@
 	scheduler     *scheduler
 	snapshot      *clusterSnapshot
 
-	pendingCommits  map[string]bool // by job: to be committed in this step
-	deferredCommits map[string]bool // by job: could not be committed, to be retried by the next tick
-	inFlightChanges int             // changes to jobs and placement pages without an answer
+	pendingCommits  map[string]bool // by job ID: to be committed in this step
+	deferredCommits map[string]bool // by job ID: could not be committed, to be retried at the next tick
+	inFlightChanges int             // changes to jobs and placement pages that were sent and have no response yet
 }
 
 func (jc *jobCommitter) reset() {
@@ -33,21 +33,21 @@
 	jc.inFlightChanges = 0
 }
 
-// commitState is what is known or decided about a job and is still to be committed. The committer owns
-// it; other components add to it through the committer or the snapshot.
+// commitState is the part of a job's state that is not committed yet. The jobCommitter owns it; other components change
+// it through the jobCommitter or the clusterSnapshot.
 type commitState struct {
-	completions    []completion    // ended attempts that its records still hold open
-	plan           []job.Placement // planned placements that are not committed
-	transaction    *jobTransaction // in flight; nil: none
-	retryAt        Micros          // backoff: nothing is committed before
-	mergeRequested bool            // its record is to be written so that a page of the completion log can be deleted
-	cancelling     bool            // its cancellation may be confirmed to the user
-	tooLarge       bool            // its record was found too large once; this is logged only the first time
-	movingToShards bool            // its tasks are to be moved from its record into shards
-	ownRecordOnly  bool            // placed by its own record: one transaction on placement pages can't hold its whole plan
-}
-
-// resetCommits drops what is valid for one term only.
+	completions       []completion    // ended attempts that are still open in the records
+	plan              []job.Placement // planned placements that are not committed yet
+	transaction       *jobTransaction // the transaction in flight, or nil
+	retryAt           Micros          // end of the backoff before which nothing is committed
+	mergeRequested    bool            // the record has to be written so that a page of the completion log can be deleted
+	cancelConfirmable bool            // the cancellation may be confirmed to the user
+	tooLargeLogged    bool            // a value too large to be written was logged; later ones are not
+	movingToShards    bool            // the tasks have to be moved from the record into shards
+	ownRecordOnly     bool            // placed by its record: the plan exceeds one transaction on placement pages
+}
+
+// resetCommits clears the state that is valid for one term only.
 func (s *commitState) resetCommits() {
 	s.completions = nil
 	s.plan = nil
@@ -57,17 +57,17 @@
 }
 
 const (
-	// shardDeletionInterval spreads the deletion of a large job's shards, which is never
-	// urgent but counts against the quota of changes.
+	// shardDeletionInterval is the time between two transactions that delete shards of a large job. Deletions are
+	// never urgent but count against the quota of changes.
 	shardDeletionInterval = config.Second
-	// tooLargeBackoff is how long a job is left alone whose next state doesn't fit a value.
+	// tooLargeBackoff is how long to wait before retrying a job whose next state exceeds the size limit of a value.
 	tooLargeBackoff = 10 * config.Second
 )
 
-// requestCommit has a job committed in this step, or as soon as it can be.
+// requestCommit marks a job to be committed in this step or, if that is not possible, as soon as it is.
 func (jc *jobCommitter) requestCommit(id string) { jc.pendingCommits[id] = true }
 
-// commitPendingJobs commits what is known or decided about the pending jobs, in the order of their IDs.
+// commitPendingJobs commits the next states of the pending jobs, in the order of their IDs.
 func (jc *jobCommitter) commitPendingJobs() {
 	if len(jc.pendingCommits) == 0 {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// retryDeferredCommits makes the jobs pending that could not be committed before.
+// retryDeferredCommits marks the jobs that could not be committed before as pending again.
 func (jc *jobCommitter) retryDeferredCommits() {
 	for id := range jc.deferredCommits {
 		jc.pendingCommits[id] = true
@@ -89,17 +89,17 @@
 	clear(jc.deferredCommits)
 }
 
-// commitJob commits a job's next state. It returns false if there is more to do
-// after the transaction in flight, or later.
+// commitJob commits a job's next state. It returns false if it has to be called again: after the transaction in flight,
+// or later.
 func (jc *jobCommitter) commitJob(j *Job) bool {
 	jc.resendIfDue(j)
 	if j.Version == 0 {
-		return true // its record has not arrived yet
+		return true // the record has not been received yet
 	}
 	if j.transaction != nil || jc.outbox.Now() < j.retryAt || jc.elector.TokenChangePending() {
 		return false
 	}
-	jc.cancellations.confirm(j)
+	jc.cancellations.evaluate(j)
 	t, more := jc.fittingTransaction(j)
 	if t == nil || t.completionsOnly {
 		return jc.commitByPages(j, t, more)
@@ -115,25 +115,25 @@
 	return !more
 }
 
-// commitByPages commits a job's plan by placement pages and its completions by the completion log,
-// where no transaction on its own record is needed. It returns as commitJob does.
+// commitByPages commits a job that needs no transaction on its own record: its plan goes into placement pages and its
+// completions into the completion log. The result has the same meaning as that of commitJob.
 func (jc *jobCommitter) commitByPages(j *Job, t *jobTransaction, more bool) bool {
 	if len(j.plan) > 0 && jc.placedInPages(j) {
 		jc.placements.queuePlacement(j)
 	}
-	if t == nil { // a cancellation waits for workers to report: try again
+	if t == nil { // a cancellation depends on reports from workers: try again later
 		return !j.Record.CancelRequested || j.Record.Final()
 	}
 	jc.logCompletions(j, t.completions)
 	return !more
 }
 
-// commitIsUrgent reports whether a transaction on the job's record is not to wait until fewer changes are in flight.
+// commitIsUrgent reports whether a transaction on the job's record is sent however many changes are in flight.
 func (j *Job) commitIsUrgent() bool {
 	return len(j.plan) > 0 || j.Record.CancelRequested || j.DependencyCancelled() || j.DependentCount() > 0
 }
 
-// markForReview has the next scheduling cycle and, if this node leads, the next commit consider a job.
+// markForReview requests a scheduling cycle and, if this node leads and has read the records, a commit of a job.
 func (jc *jobCommitter) markForReview(j *Job) {
 	jc.scheduler.requestCycle()
 	if jc.ready {
@@ -141,12 +141,12 @@
 	}
 }
 
-// placedInPages reports whether a job's placements go into pages with those of other jobs.
+// placedInPages reports whether a job's placements are stored in placement pages, together with those of other jobs.
 func (jc *jobCommitter) placedInPages(j *Job) bool {
 	return jc.usesPlacementPages() && !j.ownRecordOnly
 }
 
-// placementCost is what placing a job, or 32 more tasks of it, takes from the change budget of a scheduling cycle.
+// placementCost is what placing a job, or 32 more of its tasks, consumes of the change budget of a scheduling cycle.
 func (jc *jobCommitter) placementCost(j *Job) float64 {
 	if jc.placedInPages(j) {
 		return pagePlacementCost
@@ -154,16 +154,15 @@
 	return 1
 }
 
-// maxInFlightChanges is how many changes to jobs may be in flight: what the key-value
-// store takes in about half a second. More would wait in a queue that
-// knows no priorities.
+// maxInFlightChanges is the maximum number of changes to jobs in flight: as many as the key-value store accepts in
+// about half a second. Further changes would wait in a queue without priorities.
 func (jc *jobCommitter) maxInFlightChanges() int {
 	return max(jc.encoding.MaxOps(), int(jc.cfg.Cluster.State.LeastWriteRPS()/2))
 }
 
-// maxInFlightCompletions is how many changes may be in flight for another one to be sent for the end of a
-// job. Where a placement page is one change for many jobs, half is left to pages: queued completions
-// would delay the starts of all other jobs.
+// maxInFlightCompletions is the number of changes in flight at which no further change is sent that is not urgent, such
+// as the end of a job. If placement pages are in use, half of maxInFlightChanges is reserved for them: a page is one
+// change for many jobs, and queued completions would delay the starts of all other jobs.
 func (jc *jobCommitter) maxInFlightCompletions() int {
 	if jc.usesPlacementPages() {
 		return max(1, jc.maxInFlightChanges()/2)
@@ -171,17 +170,17 @@
 	return jc.maxInFlightChanges()
 }
 
-// fittingTransaction returns a job's next transaction, made so small that every value of it
-// fits: a plan is cut down, and completions go by the log. It also reports whether there is more to commit.
+// fittingTransaction returns a job's next transaction, reduced until every value in it fits the size limit: the plan is
+// shortened, and completions go into the completion log. It also reports whether there is more to commit.
 func (jc *jobCommitter) fittingTransaction(j *Job) (*jobTransaction, bool) {
 	for {
 		t, more := jc.buildTransaction(j)
 		if t == nil || t.completionsOnly || jc.valuesFit(&t.transaction) {
 			return t, more
 		}
-		if !j.tooLarge {
-			j.tooLarge = true
-			jc.outbox.Log("record too large to be written whole", "job", j.ID, "limit", jc.encoding.MaxValueBytes())
+		if !j.tooLargeLogged {
+			j.tooLargeLogged = true
+			jc.outbox.Log("record exceeds value size limit", "job", j.ID, "limit", jc.encoding.MaxValueBytes())
 		}
 		switch {
 		case j.Record.Spec != nil && jc.replica.ShortenSpec(j.Job, jc.catalog.Slim(j.Record.Spec)):
@@ -203,8 +202,8 @@
 	}
 }
 
-// canMoveToShards reports whether the tasks can be moved out of a job's record in one
-// transaction: if they are all in it.
+// canMoveToShards reports whether the tasks can be moved out of a job's record in one transaction, which requires that
+// all of them are still in the record.
 func (jc *jobCommitter) canMoveToShards(j *Job) bool {
 	if j.movingToShards || j.Record.ShardsOnly || jc.encoding.Format < job.FormatGrouped {
 		return false
@@ -212,7 +211,7 @@
 	return !slices.ContainsFunc(j.Shards, func(s records.Shard) bool { return s.Version != 0 })
 }
 
-// valuesFit reports whether every value of a transaction is small enough to be put.
+// valuesFit reports whether every value that a transaction puts is within the size limit.
 func (jc *jobCommitter) valuesFit(t *wire.Transaction) bool {
 	for i := range t.Changes {
 		if t.Changes[i].Put != "" && !jc.encoding.Fits(t.Changes[i].Value) {
--- a/internal/core/leader/completions.go
+++ b/internal/core/leader/completions.go
@@ -7,7 +7,7 @@
 	"coralhub/wire"
 )
 
-// completion is an attempt that is proven to have ended on a machine.
+// completion is an attempt whose end on a machine is proven.
 type completion struct {
 	key       job.AttemptKey
 	machine   string
@@ -16,19 +16,20 @@
 	logged    bool // handed to the completion log
 }
 
-// isClosing reports whether a placement's end is known and not committed yet.
+// isClosing reports whether a placement's end is proven but not committed yet.
 func (j *Job) isClosing(key job.AttemptKey, machine string) bool {
 	return slices.ContainsFunc(j.completions, func(c completion) bool { return c.key == key && c.machine == machine })
 }
 
-// dropCompletions drops the given completions, which are committed or stored already.
+// dropCompletions removes the given completions, which have been committed or were stored already.
 func (j *Job) dropCompletions(dropped []completion) {
 	j.completions = slices.DeleteFunc(j.completions, func(c completion) bool {
 		return slices.ContainsFunc(dropped, func(d completion) bool { return d.key == c.key && d.machine == c.machine })
 	})
 }
 
-// countWithCompletions counts a job's done tasks and open placements with its completions that are not committed yet.
+// countWithCompletions counts a job's done tasks and open placements, including the effect of completions that are not
+// committed yet.
 func (j *Job) countWithCompletions() (done, open int) {
 	done, open = j.DoneTasks, j.OpenTasks
 	for _, c := range j.completions {
@@ -42,19 +43,19 @@
 	return done, open
 }
 
-// completionCollector collects the proofs that placements are over, for the jobs' records.
+// completionCollector collects the placements that are proven to have ended, to be committed to the records.
 type completionCollector struct {
 	*environment
 	commits   *jobCommitter
 	estimates *runTimeEstimates
 }
 
-// closePlacement records the proof that a placement is over.
+// closePlacement records that a placement is proven to have ended. done is true if the task succeeded.
 func (cc *completionCollector) closePlacement(key job.AttemptKey, machine string, done bool) {
 	cc.closeWithProgress(key, machine, done, false)
 }
 
-// closeWithProgress does so for a task that may have saved a checkpoint.
+// closeWithProgress is like closePlacement for a task that may have saved a checkpoint; saved is true if it did.
 func (cc *completionCollector) closeWithProgress(key job.AttemptKey, machine string, done, saved bool) {
 	j := cc.jobs[key.Job]
 	if j == nil || j.isClosing(key, machine) {
@@ -68,14 +69,14 @@
 		occupancy: cc.occupancyOf(j, key, machine, done || saved),
 	})
 	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang {
-		j.noteLeft(machine, key.Attempt)
+		j.recordDeparture(machine, key.Attempt)
 	}
 	cc.reconciler.TerminationDone(key)
 	cc.commits.requestCommit(key.Job)
 }
 
-// occupancyOf returns the end of a placement as it is charged. Unless its work is kept, the time since the
-// last checkpoint is lost.
+// occupancyOf returns the end of a placement for charging its usage. Unless its work is kept, the time since the last
+// checkpoint counts as lost.
 func (cc *completionCollector) occupancyOf(j *Job, key job.AttemptKey, machine string, kept bool) job.Occupancy {
 	spec := j.Record.Spec
 	if cc.encoding.Format < job.FormatPreemption || spec == nil {
--- a/internal/core/leader/counters.go
+++ b/internal/core/leader/counters.go
@@ -6,7 +6,7 @@
 	"coralhub/internal/core/zone"
 )
 
-// diagnostics counts what the leader does and what it lacks, for the debug log and the metrics.
+// diagnostics counts the leader's decisions, its backlog and the states of machines, for the debug log and the metrics.
 type diagnostics struct {
 	*environment
 	commits       *jobCommitter
@@ -15,22 +15,22 @@
 	counters counters
 }
 
-// statisticsInterval is the time between two lines of the debug log.
+// statisticsInterval is the time between two "leader statistics" lines in the debug log.
 const statisticsInterval = 5 * config.Second
 
-// counters tell, in one line of the debug log, what a leader is short of: its log then explains a
-// day that goes badly although no invariant is violated.
+// counters are the values of one "leader statistics" line in the debug log. They show what limits the leader's work,
+// so that the log explains poor performance even when no invariant is violated.
 type counters struct {
-	at       Micros
-	cycles   int
-	placed   int // tasks
-	pending  int // jobs in the queue of the last cycle
-	unplaced int // of them, jobs that could not be placed as a whole
-	deferred int // of them, jobs that wait for the key-value store
-	moved    int // replicas that were moved by defragmentation
+	startedAt Micros // time of the last line
+	cycles    int
+	placed    int // tasks
+	pending   int // jobs in the queue of the last cycle
+	unplaced  int // pending jobs that could not be placed completely
+	deferred  int // pending jobs that wait for the key-value store
+	moved     int // replicas moved by defragmentation
 }
 
-// startCycle begins the count of a cycle.
+// startCycle counts a scheduling cycle and resets the counts that apply to the last cycle only.
 func (n *counters) startCycle(pending int) {
 	n.cycles++
 	n.pending = pending
@@ -38,8 +38,7 @@
 	n.deferred = 0
 }
 
-// States of machines: the labels of the metric coralhub_machines. Labels stay as they were first
-// released.
+// States of machines: label values of the metric coralhub_machines. Values that have been released must not change.
 const (
 	stateUsable              = "usable"
 	stateLate                = "quiet"
@@ -51,7 +50,7 @@
 	stateLeaving             = "leaving"
 )
 
-// stateKeys are the states in the order of the log line, with their keys there.
+// stateKeys lists the states with their log keys, in the order in which they are logged.
 var stateKeys = []struct{ state, key string }{
 	{stateUsable, "usable"},
 	{stateLate, "late"},
@@ -63,8 +62,8 @@
 	{stateLeaving, "leaving"},
 }
 
-// stateOf returns the state of a machine. The first one that applies counts.
-func (dx *diagnostics) stateOf(m *zone.Machine) string {
+// machineState returns the first state that applies to a machine.
+func (dx *diagnostics) machineState(m *zone.Machine) string {
 	switch {
 	case m.Releasing || m.Failed || m.ReclaimedAt != 0:
 		return stateLeaving
@@ -84,18 +83,17 @@
 	return stateUsable
 }
 
-// states counts the machines by state.
-func (dx *diagnostics) states() map[string]int {
+func (dx *diagnostics) countMachinesByState() map[string]int {
 	out := map[string]int{}
 	for _, m := range dx.reconciler.Registry().All() {
-		out[dx.stateOf(m)]++
+		out[dx.machineState(m)]++
 	}
 	return out
 }
 
-// logStatistics writes the line of the debug log when it is due.
+// logStatistics writes the counters to the debug log, at most once per statisticsInterval, and resets them.
 func (dx *diagnostics) logStatistics() {
-	if dx.outbox.Now()-dx.counters.at < statisticsInterval {
+	if dx.outbox.Now()-dx.counters.startedAt < statisticsInterval {
 		return
 	}
 	completions := 0
@@ -106,10 +104,10 @@
 	fields := []any{"cycles", n.cycles, "placed", n.placed, "pending", n.pending, "unplaced", n.unplaced, "deferred", n.deferred, "moved", n.moved,
 		"changes_in_flight", dx.commits.inFlightChanges, "commits_waiting", len(dx.commits.pendingCommits) + len(dx.commits.deferredCommits),
 		"completions_pending", completions, "completion_log_pending", dx.completionLog.Pending()}
-	states := dx.states()
+	states := dx.countMachinesByState()
 	for _, k := range stateKeys {
 		fields = append(fields, k.key, states[k.state])
 	}
 	dx.outbox.Debug("leader statistics", fields...)
-	dx.counters = counters{at: dx.outbox.Now()}
+	dx.counters = counters{startedAt: dx.outbox.Now()}
 }
--- a/internal/core/leader/events.go
+++ b/internal/core/leader/events.go
@@ -5,11 +5,11 @@
 	"coralhub/internal/core/zone"
 )
 
-// EventHandler receives the events of the reconciler and the autoscaler about machines and tasks, and
-// passes them to the components that they concern.
+// EventHandler receives events about machines and tasks from the reconciler and the autoscaler, and passes them to the
+// components that handle them.
 type EventHandler struct{ leader *Leader }
 
-// EventHandler returns the handler to which the reconciler and the autoscaler report their events.
+// EventHandler returns the handler for events of the reconciler and the autoscaler.
 func (l *Leader) EventHandler() EventHandler { return EventHandler{l} }
 
 // WorkerJoined is called for the first message of a machine's worker.
@@ -22,10 +22,10 @@
 // MachineChanged is called for any change of a machine.
 func (h EventHandler) MachineChanged(m *zone.Machine) { h.leader.snapshot.markMachineStale(m) }
 
-// AvailabilityChanged is called for a change that may decide whether a machine gets tasks at all.
+// AvailabilityChanged is called when it may have changed whether any tasks can be placed on a machine.
 func (h EventHandler) AvailabilityChanged(m *zone.Machine) { h.leader.snapshot.checkAvailability(m) }
 
-// CacheGB returns the size of a machine's image cache in GB; 0 if it is not known.
+// CacheGB returns the size of a machine's image cache in GB, or 0 if it is not known.
 func (h EventHandler) CacheGB(m *zone.Machine) float64 {
 	if t := h.leader.catalog.Types[m.Type]; t != nil {
 		return t.CacheGB
@@ -33,13 +33,13 @@
 	return 0
 }
 
-// ImagesChanged is called when the images change that a machine is believed to have.
+// ImagesChanged is called when the set of images changes that are assumed to be in a machine's cache.
 func (h EventHandler) ImagesChanged(m *zone.Machine) {
 	h.leader.machineCache.MarkStale(m.Name)
 	h.leader.snapshot.markMachineStale(m) // its zone indexes machines by their images
 }
 
-// TaskRunning is called when a worker reports that a task runs.
+// TaskRunning is called when a worker reports that a task is running.
 func (h EventHandler) TaskRunning(key job.AttemptKey) {
 	h.leader.taskEvents.onTaskRunning(h.leader.jobs[key.Job], key)
 }
@@ -49,7 +49,8 @@
 	h.leader.taskEvents.onTaskExited(m, h.leader.jobs[key.Job], key, t)
 }
 
-// ClosePlacement is called when a task's attempt is proven not to be on a machine any more; done: it succeeded.
+// ClosePlacement is called when it is proven that a task's attempt is no longer on a machine. done is true if the
+// task succeeded.
 func (h EventHandler) ClosePlacement(key job.AttemptKey, machine string, done bool) {
 	h.leader.completions.closePlacement(key, machine, done)
 }
--- a/internal/core/leader/gauges.go
+++ b/internal/core/leader/gauges.go
@@ -2,7 +2,8 @@
 
 import "coralhub/internal/core/query"
 
-// gauges counts.
+// gauges returns the values of the gauge metrics. Those that need the leader's state are empty unless this node is the
+// leader and ready.
 func (oq *operatorQueries) gauges() query.Gauges {
 	g := query.Gauges{
 		Leading:         oq.ready,
@@ -23,11 +24,11 @@
 	for j := range oq.snapshot.wanting {
 		class := j.Record.Spec.Class
 		if _, listed := g.Waiting[class]; !listed && len(g.Waiting) >= maxClasses {
-			class = "" // users choose the names: the number of time series has to be bounded
+			class = "" // users choose class names, so the number of time series has to be bounded
 		}
 		g.Waiting[class]++
 	}
-	g.Machines = oq.diagnostics.states()
+	g.Machines = oq.diagnostics.countMachinesByState()
 	g.Usage = oq.listUsage(maxClasses)
 	g.CompletedInTime = oq.slo.Tracker().CompletedInTime(oq.wallClock())
 	g.StartedInTime = oq.slo.Tracker().StartedInTime(oq.wallClock())
--- a/internal/core/leader/job_state.go
+++ b/internal/core/leader/job_state.go
@@ -8,9 +8,8 @@
 	"coralhub/wire"
 )
 
-// Job is a job as the scheduler of this node knows it: its records, and what the components of the
-// leader keep about it. Each part is declared beside the component that owns it, or here if several
-// components share it.
+// Job is a job in the scheduler of this node: its records and the state that the leader's components keep for it. Each
+// part of that state is declared beside the component that owns it, or here if several components share it.
 type Job struct {
 	*records.Job
 
@@ -26,41 +25,41 @@
 	accountingState
 }
 
-// unfinishedState is the place of a job in environment.unfinished.
+// unfinishedState is the position of a job in environment.unfinished.
 type unfinishedState struct {
 	unfinished bool   // the job is in the list
-	orderedBy  Micros // creation time by which it was inserted
+	orderedBy  Micros // creation time at insertion, by which the list is sorted
 }
 
-// schedulingState is what scheduling cycles and the start order keep about a job between cycles.
+// schedulingState is the state that scheduling cycles and the start order keep for a job between cycles.
 type schedulingState struct {
 	types            machineTypes
-	equivalenceClass int    // number of its equivalence class; 0: not determined yet
+	equivalenceClass int    // number of its equivalence class, 0 if not determined yet
 	classifiedAs     string // priority for which equivalenceClass was determined
 
-	reservingSince Micros      // since when freed machines are reserved for it
-	queuedBehind   bool        // queued for its team's guarantee, whatever its age
+	reservingSince Micros      // time since which freed machines are reserved for it
+	queuedBehind   bool        // queued behind started jobs for its team's guarantee, whatever its age
 	startCounted   bool        // counted as started by the start order
-	classStats     *classStats // statistics of its class; nil: not looked up yet
+	classStats     *classStats // statistics of its class, nil if not looked up yet
 
-	movedAt map[int]Micros // by task: replicas that defragmentation moved lately
+	movedAt map[int]Micros // by task: when defragmentation last moved the replica, if recently
 }
 
-// runState is when a job arrived and when its tasks started, as this node saw it.
+// runState holds the arrival time of a job and the start times of its tasks, as observed by this node.
 type runState struct {
-	arrivedAt Micros         // when this node first saw the job, or when its dependencies were met
+	arrivedAt Micros         // submission time or, if not known, when this node received the job; see DependenciesMet
 	startedAt map[int]Micros // by task: when its open attempt was first reported as running
 }
 
-// accountingState is what the usage accounts and the SLO recorder keep about a job.
+// accountingState is the state that the usage accounts and the SLO recorder keep for a job.
 type accountingState struct {
 	account accounting.Key    // team and class to which its usage is charged
 	charged job.ResourceUsage // usage charged to account so far
 
-	tracked *slo.Job // what the SLO recorder knows of it; nil: not tracked, or not any more
+	tracked *slo.Job // state of the SLO recorder, nil if the job is not or no longer tracked
 }
 
-// resetTerm drops what is valid for one term only.
+// resetTerm clears the state that is valid for one term only.
 func (j *Job) resetTerm() {
 	j.resetCommits()
 	j.resetScheduling()
@@ -69,8 +68,8 @@
 	j.reservedMachines = nil
 }
 
-// resetScheduling drops what scheduling cycles keep for one term. The machine types that suit the job
-// and whether its start was counted remain valid.
+// resetScheduling clears the scheduling state that is valid for one term only. The machine types that suit the job and
+// whether its start was counted remain valid.
 func (s *schedulingState) resetScheduling() {
 	s.equivalenceClass = 0
 	s.reservingSince = 0
@@ -79,7 +78,7 @@
 	s.movedAt = nil
 }
 
-// meetsObjective reports whether a job is done or, for a service, has all its replicas placed.
+// meetsObjective reports whether a job is done or, if it is a service, has all of its replicas placed.
 func (j *Job) meetsObjective() bool {
 	rec := &j.Record
 	if rec.Phase == job.Done {
--- a/internal/core/leader/job_transaction.go
+++ b/internal/core/leader/job_transaction.go
@@ -13,18 +13,18 @@
 type jobTransaction struct {
 	transaction     wire.Transaction
 	fencingToken    uint64
-	completions     []completion      // that it commits
-	record          *job.Record       // that it puts; nil: unchanged
-	writesRecord    bool              // the record says something new
-	shards          map[int]job.Shard // that it puts, by number
-	placed          []job.Placement   // that it commits
-	completionsOnly bool              // it would only commit completions of a job that goes on
+	completions     []completion      // committed by it
+	record          *job.Record       // put by it, nil if the record is not written
+	writesRecord    bool              // the next record differs from the stored one
+	shards          map[int]job.Shard // put by it, by number
+	placed          []job.Placement   // committed by it
+	completionsOnly bool              // it contains only completions of a job that does not end
 
-	resendAt       Micros // 0: no answer is missing
-	outcomeUnknown bool   // an earlier sending of it had no answer
+	resendAt       Micros // when to send it again, 0 if no retry is scheduled
+	outcomeUnknown bool   // an earlier send received no response
 }
 
-// purpose is what the changes of the transaction are counted as.
+// purpose is the purpose under which the transaction's changes are counted.
 func (t *jobTransaction) purpose() msg.Purpose {
 	switch {
 	case t.record != nil && t.record.Final():
@@ -37,8 +37,8 @@
 	return msg.PurposeCleanup
 }
 
-// priority is the write priority of a transaction on a job. The end of a job that others depend on is
-// not deferred, nor is a cancellation that came by a dependency.
+// priority is the write priority of a transaction on a job. The end of a job is not deferred if other jobs depend on it
+// or if one of its dependencies was cancelled.
 func (t *jobTransaction) priority(j *Job) msg.WritePriority {
 	if t.record != nil && t.record.Final() && (j.DependentCount() > 0 || j.DependencyCancelled()) {
 		return msg.Critical
@@ -46,7 +46,7 @@
 	return msg.Deferrable
 }
 
-// jobKeys are the keys of jobs among the transaction's conditions.
+// jobKeys returns the keys of records and shards among the transaction's conditions.
 func (t *jobTransaction) jobKeys() []string {
 	var keys []string
 	for _, condition := range t.transaction.Conditions {
@@ -57,8 +57,8 @@
 	return keys
 }
 
-// countAfter counts the done tasks and the open placements that a job would have with a transaction
-// applied: by its record and shards as they would be, and by placement pages.
+// countAfter counts the done tasks and the open placements that a job would have after the transaction, in its record,
+// its shards and the placement pages.
 func (t *jobTransaction) countAfter(j *Job, record *job.Record) (done, open int) {
 	last := max(len(j.Shards), j.LastPageShard(record))
 	for n := range t.shards {
@@ -77,10 +77,10 @@
 	return done, open + j.PageOpenTasks()
 }
 
-// finishJob returns the transaction that ends a job, if what is known completes it
-// and nothing of it stays open; nil: it goes on. The record shrinks at once, however many shards
-// its tasks are in. The shards are void from then on and deleted later. With
-// the first format, whose readers trust a shard without its record, they are deleted before.
+// finishJob returns the transaction that ends a job, if its phase, its completions or a cancellation end it and no
+// placement stays open. Otherwise it returns nil. The record shrinks at once, however many shards the job has; the
+// shards are void from then on and are deleted later. With the first format it always returns nil: readers of that
+// format accept a shard regardless of its record, so the shards are deleted first (see transactionBuilder.cleanUp).
 func (jc *jobCommitter) finishJob(j *Job) *jobTransaction {
 	if jc.encoding.Format < job.FormatGrouped {
 		return nil
@@ -95,7 +95,7 @@
 	case done >= spec.Tasks || spec.Shape == wire.Gang && done > 0:
 		record.Phase = job.Done
 		record.DoneTasks = spec.Tasks
-	case j.cancelling || j.DependencyCancelled():
+	case j.cancelConfirmable || j.DependencyCancelled():
 		record.Phase = job.Cancelled
 	default:
 		return nil
@@ -111,9 +111,9 @@
 	return t
 }
 
-// deleteLeftovers returns the deletion of the shards that are left of a job that is over; nil: none are. It also
-// reports whether there may be more to delete.
-func (jc *jobCommitter) deleteLeftovers(j *Job) (*jobTransaction, bool) {
+// deleteRemainingShards returns a transaction that deletes the remaining shards of an archived job, or nil if there are
+// none. It also reports whether there may be more to delete.
+func (jc *jobCommitter) deleteRemainingShards(j *Job) (*jobTransaction, bool) {
 	t := &jobTransaction{fencingToken: jc.elector.FencingToken()}
 	if !j.Archived() || jc.deleteShards(j, t, jc.encoding.MaxOps()) == 0 {
 		return nil, false
@@ -123,8 +123,8 @@
 	return t, true
 }
 
-// deleteShards makes t delete shards, at most limit, in place of any that it would put.
-// It returns 0 if the job has none stored.
+// deleteShards adds the deletion of at most limit shards to t, replacing the shards that t would put. It returns 0 if
+// the job has no stored shards.
 func (jc *jobCommitter) deleteShards(j *Job, t *jobTransaction, limit int) int {
 	found := 0
 	t.shards = map[int]job.Shard{}
@@ -143,8 +143,8 @@
 	return found
 }
 
-// encodeTransaction turns the next record and shards into conditions and changes. A record that says
-// nothing new is only a condition, but in the first format it is always written.
+// encodeTransaction encodes the next record and shards as conditions and changes. An unchanged record is only a
+// condition, except in the first format, in which it is always written.
 func (jc *jobCommitter) encodeTransaction(j *Job, t *jobTransaction, record *job.Record) error {
 	key := job.RecordKey(j.ID)
 	t.transaction.Conditions = append(t.transaction.Conditions, jc.elector.Condition(), wire.Condition{Key: key, Version: j.Version})
--- a/internal/core/leader/job_usage.go
+++ b/internal/core/leader/job_usage.go
@@ -5,8 +5,8 @@
 	"coralhub/internal/core/job"
 )
 
-// usage adds up what a job's tasks have used by the records and, if withUncommitted, by the proven ends of
-// tasks that are not committed yet.
+// usage sums up the usage of a job's tasks according to the records. If withUncommitted is set, it includes completions
+// that are not committed yet.
 func (j *Job) usage(withUncommitted bool) *job.Usage {
 	sum := j.Record.Usage
 	for i := range j.Shards {
@@ -28,7 +28,8 @@
 	return sum
 }
 
-// accountUsage returns what a job has used by the records, and the account to which it is charged.
+// accountUsage returns the account to which a job is charged, and its usage according to the records. Both are zero if
+// the record has neither a spec nor a usage account.
 func (j *Job) accountUsage() (accounting.Key, job.ResourceUsage) {
 	switch rec := &j.Record; {
 	case rec.Account != nil:
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -1,7 +1,7 @@
-// Package leader is the part of a node that schedules while the node is the elected leader: it orders the
-// queue, places and preempts jobs in scheduling cycles, commits its decisions to the records in the
-// key-value store, and draws the conclusions from what workers report. The records are the truth: a task is started
-// only after its placement is committed, and a placement is closed only on proof that the task has ended.
+// Package leader schedules jobs while its node is the elected leader: it orders the queue, places and preempts jobs in
+// scheduling cycles, commits its decisions to the records in the key-value store, and handles the task states that
+// workers report. The records are authoritative: a task is started only after its placement is committed, and a
+// placement is closed only on proof that the task has ended.
 //
 // The components of the package run in the node's single event loop and are not safe for concurrent use.
 package leader
@@ -36,9 +36,9 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
-// Leader coordinates scheduling on a node: it follows the election and the records,
-// and has its components act in the order that a step needs. What it knows of jobs is kept up to date while
-// another node leads, so that a failover starts from it.
+// Leader coordinates scheduling on a node: it follows the election and the records, and calls its components in the
+// order that each step requires. Its jobs are kept up to date while another node leads, so that a failover starts from
+// current state.
 type Leader struct {
 	*environment
 
@@ -67,7 +67,7 @@
 	auditor       *auditor
 }
 
-// New returns a leader component whose node may be elected. Attach completes it.
+// New returns a Leader for a node that may be elected. Attach must be called before it is used.
 func New(cfg *config.Config, out *outbox.Outbox, encoding *records.Encoding, catalog *zone.Catalog, elector *election.Elector) *Leader {
 	return &Leader{environment: &environment{
 		cfg:      cfg,
@@ -80,7 +80,7 @@
 	}}
 }
 
-// Attach gives the leader the replica of the records, the reconciler and the autoscaler, and creates its components. It
+// Attach sets the replica of the records, the reconciler and the autoscaler, and creates the leader's components. It
 // must be called once, before the node handles its first input.
 func (l *Leader) Attach(replica *records.Replica, reconciler *reconciler.Reconciler, autoscaler *autoscaler.Autoscaler) {
 	l.replica = replica
@@ -93,8 +93,8 @@
 	l.reset()
 }
 
-// createComponents creates the components. Those in packages of their own get all they need at once; the others call
-// each other and are connected afterwards.
+// createComponents creates the components. Those in other packages receive their dependencies here; those of this
+// package call each other and are connected afterwards.
 func (l *Leader) createComponents() {
 	env := l.environment
 	l.commits = &jobCommitter{environment: env}
@@ -127,7 +127,7 @@
 	l.completions = &completionCollector{environment: env, commits: l.commits, estimates: l.estimates}
 }
 
-// connectCommits gives the components that write records and follow workers those that they call.
+// connectCommits sets the dependencies of the components that write records and of the one that handles task states.
 func (l *Leader) connectCommits() {
 	l.commits.completionLog = l.completionLog
 	l.commits.cancellations = l.cancellations
@@ -146,7 +146,7 @@
 	l.taskEvents.availability = l.snapshot
 }
 
-// connectScheduling gives the components that schedule those that they call.
+// connectScheduling sets the dependencies of the scheduling components.
 func (l *Leader) connectScheduling() {
 	l.scheduler.bidder = l.bidder
 	l.scheduler.victims = l.victims
@@ -185,7 +185,7 @@
 	l.usageAccounts.scheduler = l.scheduler
 }
 
-// connectQueries gives the components that answer and audit those that they read.
+// connectQueries sets the dependencies of the components that answer queries, count and audit.
 func (l *Leader) connectQueries() {
 	l.queries.commits = l.commits
 	l.queries.diagnostics = l.diagnostics
@@ -211,18 +211,18 @@
 func (l *Leader) SetWallClock(wall Micros) {
 	known := l.wallClockOffset != 0
 	l.wallClockOffset = wall - l.outbox.Now()
-	if !known { // the age of jobs that were read before is known only now
+	if !known { // the age of jobs that were read earlier could not be computed before
 		for _, j := range l.unfinished {
 			l.setArrival(j)
 		}
 	}
 	if l.replica.Revision() > 0 {
-		l.slo.StartCounting(wall) // jobs that arrive from now on are tracked from their beginning
+		l.slo.StartCounting(wall) // jobs that arrive from now on are tracked from their arrival
 	}
 }
 
-// OnElected begins a term. Workers get no commands before the records have been read
-// after the election: only then are all placements of predecessors known.
+// OnElected begins a term. No commands are sent to workers until the records have been read after the election, because
+// only then are all placements of earlier leaders known.
 func (l *Leader) OnElected() {
 	l.reset()
 	l.electedAt = l.outbox.Now()
@@ -231,18 +231,18 @@
 	l.outbox.Emit(msg.Relist{})
 }
 
-// OnDeposed ends a term, for the given reason. What is valid for one term only is dropped; a later
-// term starts from the records.
+// OnDeposed ends a term and clears the state that is valid for one term only; a later term starts from the records. The
+// reason is logged.
 func (l *Leader) OnDeposed(reason string, token uint64) {
 	l.outbox.Log("deposed", "reason", reason, "fencing_token", token)
 	l.reset()
 	l.outbox.Emit(msg.Relist{})
 }
 
-// RequestCycle has a scheduling cycle run soon.
+// RequestCycle requests a scheduling cycle, which runs as soon as the minimum interval between cycles allows.
 func (l *Leader) RequestCycle() { l.scheduler.requestCycle() }
 
-// CatalogChanged rebuilds what depends on the machine types, which have changed.
+// CatalogChanged must be called when the machine types have changed. It has everything that depends on them rebuilt.
 func (l *Leader) CatalogChanged() {
 	l.snapshot.rebuildDue = true
 	for _, j := range l.unfinished {
@@ -251,7 +251,7 @@
 	l.scheduler.requestCycle()
 }
 
-// Apply applies a change of a key that only leaders read, or of the records.
+// Apply applies a change of the records or of a key that only leaders read.
 func (l *Leader) Apply(key string, change *wire.Change) {
 	if page, ok := strings.CutPrefix(key, machinecache.KeyPrefix); ok {
 		if !l.ready {
@@ -276,7 +276,7 @@
 	l.applyRecord(change)
 }
 
-// Tick does what is due by time alone. It is called periodically while this node leads and is ready.
+// Tick performs periodic and timed work. It is called periodically while this node leads and is ready.
 func (l *Leader) Tick() {
 	l.commits.retryDeferredCommits()
 	l.placements.resendPlacements()
@@ -298,7 +298,8 @@
 	}
 }
 
-// AfterStep does what follows from a step of the node: it commits, runs a scheduling cycle and sends commands to workers.
+// AfterStep completes a step of the node: it commits changes, runs a scheduling cycle if one is due, and sends urgent
+// commands to workers.
 func (l *Leader) AfterStep() {
 	l.commits.commitPendingJobs()
 	l.completionLog.Write()
@@ -312,8 +313,8 @@
 	l.reconciler.SendUrgent()
 }
 
-// OnRecordsRead completes a failover: all records as of a revision have been read. Reads that were
-// started before the election are ignored.
+// OnRecordsRead completes a failover after all records as of a revision have been read. Reads that were started before
+// the election are ignored.
 func (l *Leader) OnRecordsRead(revision uint64) {
 	if !l.elector.IsLeader() || l.ready || revision < l.elector.FencingToken() {
 		return
@@ -336,7 +337,7 @@
 	l.outbox.Log("records read", "open_placements", open, "machines", l.reconciler.Registry().Len(), "after_ms", (l.outbox.Now()-l.electedAt)/1000)
 }
 
-// takeOverJob begins a term for a job from its records.
+// takeOverJob initializes the state of a job for a new term from its records.
 func (l *Leader) takeOverJob(j *Job) {
 	j.completions = nil
 	j.plan = nil
@@ -345,8 +346,8 @@
 	j.EachPlacement(func(p job.Placement) { placements = append(placements, p) })
 	l.RecordHandler().updatePlacements(j, nil, placements)
 	if j.Record.Spec != nil && j.Record.Spec.Shape == wire.Gang && j.OpenTasks > 0 && j.OpenTasks < j.Record.Spec.Tasks {
-		// Where the missing tasks were is not known any more, and an attempt
-		// must not run on the same machine twice: the gang starts a new attempt.
+		// The machines of the missing tasks are no longer known, and an attempt must not run on the same machine
+		// twice. So the gang starts a new attempt.
 		j.failedGangAttempt = max(j.failedGangAttempt, j.Record.LastAttempt)
 	}
 	if !j.Archived() || len(j.Shards) > 0 {
@@ -354,7 +355,7 @@
 	}
 }
 
-// reset drops what is valid for one term only, at the beginning and at the end of a term.
+// reset clears the state that is valid for one term only. It is called at the beginning and at the end of a term.
 func (l *Leader) reset() {
 	for _, j := range l.jobs {
 		j.resetTerm()
@@ -375,7 +376,8 @@
 	l.estimates.reset()
 }
 
-// HeartbeatBatchIn applies and answers a batch of heartbeats that a relay has acknowledged for this leader.
+// HeartbeatBatchIn applies a batch of heartbeats that a relay has acknowledged on behalf of this leader, and responds
+// to the relay.
 func (l *Leader) HeartbeatBatchIn(x msg.HeartbeatBatchIn) {
 	if !l.ready {
 		l.outbox.RetryLater(x.RequestID, "not the leader")
@@ -384,15 +386,15 @@
 	l.delegations.OnHeartbeatBatch(x)
 }
 
-// AnswerQuery answers an operator's query, through the outbox.
+// AnswerQuery responds to an operator's query through the outbox.
 func (l *Leader) AnswerQuery(x msg.AdminIn) { l.queries.answerQuery(x) }
 
-// CycleStatistics returns what the scheduling cycles of this process have examined.
+// CycleStatistics returns the counts of what the scheduling cycles of this process have examined.
 func (l *Leader) CycleStatistics() query.CycleStatistics { return l.snapshot.cycleStatistics() }
 
 // UsageLedger returns the resource usage by team and class that the records account for.
 func (l *Leader) UsageLedger() *accounting.Ledger { return l.usageAccounts.usageLedger() }
 
-// Audit compares the scheduler's snapshot with the records and returns the first difference; nil: there is none. It is
-// for tests.
+// Audit compares the scheduler's snapshot with the records and returns the first difference, or nil if there is none.
+// It is used by tests only.
 func (l *Leader) Audit() error { return l.auditor.audit() }
--- a/internal/core/leader/logged_completions.go
+++ b/internal/core/leader/logged_completions.go
@@ -7,7 +7,7 @@
 	"coralhub/wire"
 )
 
-// loggedCompletions answers what the completion log asks about jobs.
+// loggedCompletions gives the completion log access to jobs. It implements completionlog.Jobs.
 type loggedCompletions struct {
 	*environment
 	commits    *jobCommitter
@@ -16,13 +16,13 @@
 	snapshot   *clusterSnapshot
 }
 
-// HoldsOpen reports whether the records still hold an attempt open.
+// HoldsOpen reports whether an attempt is still open in the records.
 func (lc *loggedCompletions) HoldsOpen(e *records.CompletionEntry) bool {
 	j := lc.jobs[e.Job]
 	return j != nil && j.Record.Spec != nil && j.IsOpen(e.Task, e.Attempt, e.Machine)
 }
 
-// EntryStored drops the completion that an entry came from: pages or records hold it by now.
+// EntryStored removes the completion that an entry was created from, which is now stored in a page or a record.
 func (lc *loggedCompletions) EntryStored(e *records.CompletionEntry) {
 	j := lc.jobs[e.Job]
 	if j == nil {
@@ -35,13 +35,13 @@
 	lc.scheduler.requestCycle()
 }
 
-// IsRecorded reports whether a job is known and its record has not been shrunk.
+// IsRecorded reports whether the replica has a job and its record has not been shrunk.
 func (lc *loggedCompletions) IsRecorded(id string) bool {
 	j := lc.jobs[id]
 	return j != nil && j.Record.Spec != nil
 }
 
-// RequestMerge has the record or the placement page written that holds an entry's task.
+// RequestMerge requests a write of the record or the placement page that contains an entry's task.
 func (lc *loggedCompletions) RequestMerge(c *records.Completion) {
 	if page, ok := c.PlacementPage(); ok {
 		lc.placements.requestCompaction(page)
@@ -54,15 +54,16 @@
 	}
 }
 
-// CapacityIsShort reports whether a job waits for what completions free. Without placement pages it is not known.
+// CapacityIsShort reports whether a job waits for capacity, or for a part of its team's limit, that completions free.
+// Without placement pages this is not known, and it returns true.
 func (lc *loggedCompletions) CapacityIsShort() bool {
 	return !lc.usesPlacementPages() || lc.snapshot.capacityShort
 }
 
-// ApplyRecord applies a page of the log to the replica.
+// ApplyRecord applies a page of the completion log to the replica.
 func (lc *loggedCompletions) ApplyRecord(change *wire.Change) { lc.applyRecord(change) }
 
-// logCompletions hands completions of a job to the log, unless it has them already.
+// logCompletions adds those completions of a job to the completion log that have not been added yet.
 func (jc *jobCommitter) logCompletions(j *Job, completions []completion) {
 	for _, c := range completions {
 		for i := range j.completions {
--- a/internal/core/leader/page_builder.go
+++ b/internal/core/leader/page_builder.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	// emptyPageSize bounds the bytes that a page takes without entries.
-	emptyPageSize = 16
-	// entryOverhead estimates the bytes that an entry takes without placements.
-	entryOverhead = 60
-	// placementSize estimates the bytes that a placement takes in an entry.
-	placementSize = 30
+	// emptyPageBytes is an upper bound of the size of a page without entries.
+	emptyPageBytes = 16
+	// entryOverheadBytes is the estimated size of an entry without placements.
+	entryOverheadBytes = 60
+	// placementBytes is the estimated size of a placement in an entry.
+	placementBytes = 30
 )
 
-// pageBuilder is a placement page as it is to be written, while a transaction is put together.
+// pageBuilder is the next value of a placement page while a transaction is being built.
 type pageBuilder struct {
 	number  uint64
-	version uint64 // that it replaces; 0: the page is new
+	version uint64 // version that it replaces, 0 if the page is new
 	entries []records.PlacementEntry
-	size    int // upper bound of its value's size in bytes
+	size    int // upper bound of the size of the encoded value in bytes
 }
 
-// add adds an entry of the given size to the page. Entries of the same tasks are merged when the page is encoded.
+// add adds an entry of the given size in bytes. Entries of the same tasks are merged when the page is encoded.
 func (b *pageBuilder) add(entry records.PlacementEntry, size int) {
 	b.size += size
 	b.entries = append(b.entries, entry)
 }
 
-// truncate drops the entries after the first ones, whose size was the given one.
+// truncate keeps the given number of entries at the front and removes the others. size is the size of the page in bytes
+// with the remaining entries.
 func (b *pageBuilder) truncate(entries, size int) {
 	b.entries = b.entries[:entries]
 	b.size = size
 }
 
-// newPageBuilder begins to rewrite a page of the replica.
+// newPageBuilder returns a builder that rewrites an existing page, with its entries compacted.
 func (pc *placementCommits) newPageBuilder(n uint64) *pageBuilder {
 	b := &pageBuilder{number: n, version: pc.replica.PlacementPage(n).Version, entries: pc.replica.Compacted(n)}
 	b.size = encodedSize(b.entries)
 	return b
 }
 
-// addToPages adds a job's plan to pages, and begins further ones for it as long as there are at most limit. It
-// returns the pages, or false, with the given pages unchanged, if the transaction can't hold the whole plan.
+// addToPages adds a job's plan to the given pages and to further pages, up to a total of limit pages. It returns all of
+// the pages. If the transaction can't hold the whole plan, it leaves the given pages unchanged and returns false.
 func (pc *placementCommits) addToPages(j *Job, pages []*pageBuilder, limit int) ([]*pageBuilder, bool) {
 	type savedPage struct {
 		page    *pageBuilder
@@ -79,8 +80,8 @@
 	return extended, true
 }
 
-// beginPage begins another page besides the given ones: the one of the replica with the most free space, or a new one;
-// nil: the transaction can't have more.
+// beginPage returns a builder for a page that is not among the given ones: the existing page with the most free space,
+// or a new page. It returns nil if the transaction can't have another page.
 func (pc *placementCommits) beginPage(others []*pageBuilder, limit int) *pageBuilder {
 	if len(others) >= min(limit, pc.encoding.MaxOps()) {
 		return nil
@@ -88,8 +89,8 @@
 	if page := pc.rewriteEmptiestPage(others); page != nil {
 		return page
 	}
-	// Pages are begun in the order of their numbers, and by one transaction at a time: whoever has
-	// all existing pages and the next one as conditions has a condition against any placement.
+	// Pages are created in the order of their numbers and by one transaction at a time. Therefore a transaction whose
+	// conditions cover all existing pages and the next one fails if any placement is committed concurrently.
 	number := pc.replica.NextPlacementPage()
 	if _, busy := pc.busyPages[number]; busy {
 		return nil
@@ -99,10 +100,11 @@
 			number = page.number + 1
 		}
 	}
-	return &pageBuilder{number: number, size: emptyPageSize}
+	return &pageBuilder{number: number, size: emptyPageBytes}
 }
 
-// rewriteEmptiestPage begins to rewrite the idle page of the replica with the most free space; nil: none has enough.
+// rewriteEmptiestPage returns a builder for the existing page with the most free space among those that no transaction
+// is writing, or nil if none has enough.
 func (pc *placementCommits) rewriteEmptiestPage(others []*pageBuilder) *pageBuilder {
 	maxSize := int(maxPageFill * float64(pc.encoding.MaxValueBytes()))
 	emptiest, smallest := uint64(0), maxSize
@@ -123,13 +125,13 @@
 	return nil
 }
 
-// estimateLiveSize estimates the size in bytes that a page would have without the jobs that are over.
+// estimateLiveSize estimates the size in bytes that a page would have without the archived jobs.
 func (pc *placementCommits) estimateLiveSize(n uint64) int {
-	size := emptyPageSize
+	size := emptyPageBytes
 	page := pc.replica.PlacementPage(n)
 	for i := range page.Entries {
 		if j := pc.jobs[page.Entries[i].Job]; j == nil || !j.Archived() {
-			size += entryOverhead + placementSize*min(len(page.Entries[i].Open), job.TasksPerShard)
+			size += entryOverheadBytes + placementBytes*min(len(page.Entries[i].Open), job.TasksPerShard)
 		}
 	}
 	return size
@@ -151,17 +153,18 @@
 	return entries
 }
 
-// encodedSize returns the size in bytes of a page with the given entries. For one entry it bounds what the
-// entry adds to a page.
+// encodedSize returns the size in bytes of a page with the given entries. For a single entry this is an upper bound of
+// the size by which the entry increases a page.
 func encodedSize(entries []records.PlacementEntry) int {
 	value, err := records.EncodePlacementPage(entries)
 	if err != nil {
-		panic(err) // a struct of numbers and text always encodes
+		panic(err) // numbers and strings can always be encoded
 	}
 	return wire.JSONSize(value)
 }
 
-// mergeEntries merges the entries of a page that are of the same tasks, in the order of their first ones.
+// mergeEntries merges the entries of a page that are for the same range of tasks. The ranges keep the order of their
+// first entries.
 func mergeEntries(entries []records.PlacementEntry) []records.PlacementEntry {
 	type taskRange struct {
 		job   string
--- a/internal/core/leader/placement_answers.go
+++ b/internal/core/leader/placement_answers.go
@@ -24,7 +24,7 @@
 	pc.submitPlacement(t)
 }
 
-// submitPlacement sends a transaction, for the first time or again.
+// submitPlacement sends or resends a transaction.
 func (pc *placementCommits) submitPlacement(t *placementTransaction) {
 	term := pc.term
 	pc.commits.inFlightChanges += len(t.transaction.Changes)
@@ -33,12 +33,12 @@
 			pc.commits.inFlightChanges -= len(t.transaction.Changes)
 		}
 		if pc.elector.IsLeader() && slices.Contains(pc.inFlight, t) {
-			pc.onPlacementAnswer(t, &d)
+			pc.onPlacementCommitDone(t, &d)
 		}
 	})
 }
 
-// resendPlacements resends the transactions that had no answer and whose backoff is over.
+// resendPlacements resends the transactions that received no response and whose backoff has elapsed.
 func (pc *placementCommits) resendPlacements() {
 	if pc.elector.TokenChangePending() {
 		return
@@ -51,23 +51,24 @@
 	}
 }
 
-// onPlacementAnswer handles the answer to a transaction.
-func (pc *placementCommits) onPlacementAnswer(t *placementTransaction, d *msg.CommitDone) {
+// onPlacementCommitDone handles the outcome of a transaction.
+func (pc *placementCommits) onPlacementCommitDone(t *placementTransaction, d *msg.CommitDone) {
 	switch d.Outcome {
 	case msg.OK:
 		pc.onPlacementCommitted(t, d.Revision)
 	case msg.Unknown:
-		// It may be applied later. The same is sent again: either it or the late one fails by its conditions,
-		// and until then what it places is counted, and placed nowhere else.
+		// The transaction may still be applied. The same transaction is sent again: the conditions make one of
+		// the two copies fail. Until the outcome is known, its placements count as used capacity, and its tasks
+		// are not placed elsewhere.
 		pc.resendPlacementLater(t)
 	case msg.Conflict:
 		if !pc.elector.DeposedBy(t.fencingToken, d.Failed) {
 			pc.onPlacementConflict(t, d.Failed)
 		}
-	case msg.Invalid: // smaller values are planned
+	case msg.Invalid: // the jobs are planned again, with smaller values
 		pc.retryPlacementLater(t, config.Second)
 	default:
-		if t.outcomeUnknown { // this sending was refused; an earlier one may still be applied
+		if t.outcomeUnknown { // this send was refused, but an earlier one may still be applied
 			t.resendAt = pc.outbox.Now() + outbox.CommitRetryInterval
 			return
 		}
@@ -86,13 +87,13 @@
 	}
 }
 
-// resendPlacementLater has a transaction sent again whose outcome is unknown, after a backoff.
+// resendPlacementLater schedules a transaction whose outcome is unknown to be sent again after a backoff.
 func (pc *placementCommits) resendPlacementLater(t *placementTransaction) {
 	t.outcomeUnknown = true
 	t.resendAt = pc.outbox.Now() + outbox.CommitRetryInterval
 }
 
-// retryPlacementLater has the jobs of a transaction that was not applied planned anew, after a backoff.
+// retryPlacementLater discards a transaction that was not applied, and lets its jobs be planned again after a backoff.
 func (pc *placementCommits) retryPlacementLater(t *placementTransaction, backoff Micros) {
 	pc.settlePlacement(t)
 	for _, j := range t.jobs {
@@ -100,7 +101,8 @@
 	}
 }
 
-// settlePlacement ends a transaction: what it has placed is in the records, or will never be by it.
+// settlePlacement discards a transaction. Its placements are in the records by now, or no copy of it can put them there
+// any more.
 func (pc *placementCommits) settlePlacement(t *placementTransaction) {
 	pc.inFlight = slices.DeleteFunc(pc.inFlight, func(o *placementTransaction) bool { return o == t })
 	for _, n := range t.pages {
@@ -113,9 +115,10 @@
 	pc.scheduler.requestCycle()
 }
 
-// onPlacementConflict handles a conflict. If an earlier sending had no answer, this one may have conflicted
-// with it: until the pages have been read what it places stays counted. Otherwise the jobs whose
-// records have changed are read, and the others are queued again at once.
+// onPlacementConflict handles a transaction that failed because of the given keys. If these include pages, the pages
+// are read and the placements stay counted until then. The same holds for all of the transaction's pages if an earlier
+// send received no response, because this one may have conflicted with it. Otherwise the records that have changed are
+// read, and the other jobs are queued again at once.
 func (pc *placementCommits) onPlacementConflict(t *placementTransaction, failed []string) {
 	pages := t.pagesAmong(failed)
 	if t.outcomeUnknown {
@@ -138,7 +141,7 @@
 	}
 }
 
-// settleConflict ends a transaction that met a conflict and has the records read that have changed.
+// settleConflict discards a transaction that failed with a conflict, and reads the records that have changed.
 func (pc *placementCommits) settleConflict(t *placementTransaction, failed []string) {
 	pc.settlePlacement(t)
 	for _, j := range t.jobs {
@@ -148,9 +151,9 @@
 	}
 }
 
-// readPages reads pages and calls then once all have been read. If any can't be read, the transaction is
-// resent.
-func (pc *placementCommits) readPages(t *placementTransaction, pages []uint64, then func()) {
+// readPages reads pages and calls onRead once all of them have been read. If any of them can't be read, the transaction
+// is resent after a backoff.
+func (pc *placementCommits) readPages(t *placementTransaction, pages []uint64, onRead func()) {
 	unanswered := len(pages)
 	failed := false
 	for _, n := range pages {
@@ -169,7 +172,7 @@
 			case failed:
 				pc.resendPlacementLater(t)
 			default:
-				then()
+				onRead()
 			}
 		})
 	}
--- a/internal/core/leader/placement_commits.go
+++ b/internal/core/leader/placement_commits.go
@@ -11,20 +11,21 @@
 	"coralhub/wire"
 )
 
-// Group commit of placements. Changes of the key-value store are scarce, and a job's record is
-// one change for each job that is placed. From job.FormatPlacementPages on, what a scheduling cycle has planned goes
-// into placement pages instead (package records): a transaction rewrites a page or a few, and with
-// them places tasks of as many jobs as it may have conditions for. Each job's record is a condition and not
-// written: a cancellation that was committed before makes the whole transaction fail, and the rest
-// is sent again without that job. While a transaction is in flight, plans wait for
-// its answer, so that an idle leader commits at once and a busy one many jobs at a time.
+// Group commit of placements. The key-value store limits the rate of changes, and placing jobs by their records takes
+// one change for each job. From job.FormatPlacementPages on, the plans of a scheduling cycle are written to placement
+// pages instead (package records): a transaction rewrites one or a few pages, and thereby places tasks of as many jobs
+// as its number of conditions allows. The record of each job is a condition and is not written. A cancellation that was
+// committed earlier makes the whole transaction fail, and the transaction is sent again without that job. While a
+// transaction is in flight, new plans are queued until its response arrives, so an idle leader commits at once and a
+// busy leader commits many jobs at a time.
 
 const (
-	// maxPageFill is how full of open placements a page may be, as a part of a value's size, for more to be added.
+	// maxPageFill is the fraction of the maximum value size up to which an existing page may be filled with open
+	// placements for more to be added.
 	maxPageFill = 0.75
-	// criticalJobs is how many jobs a transaction must place not to be deferred in favour of other writes.
-	criticalJobs = 8
-	// pagePlacementCost is what placing a job by pages takes from the change budget of a scheduling cycle.
+	// minCriticalJobs is the number of jobs from which on a transaction is not deferred in favor of other writes.
+	minCriticalJobs = 8
+	// pagePlacementCost is what placing a job in pages consumes of the change budget of a scheduling cycle.
 	pagePlacementCost = 0.1
 )
 
@@ -36,10 +37,10 @@
 	scheduler *scheduler
 	snapshot  *clusterSnapshot
 
-	waiting        []*Job                           // whose plans are to be committed, in the order of scheduling cycles
-	queued         map[*Job]bool                    // the jobs in waiting
-	inFlight       []*placementTransaction          // that have not been settled
-	busyPages      map[uint64]*placementTransaction // pages that are being written
+	waiting        []*Job                           // jobs with plans to be committed, in planning order
+	queued         map[*Job]bool                    // the set of jobs in waiting
+	inFlight       []*placementTransaction          // transactions that have not been settled
+	busyPages      map[uint64]*placementTransaction // by page number: the transaction in flight that writes the page
 	pagesToCompact map[uint64]bool                  // pages to be rewritten so that the completion log can be shortened
 }
 
@@ -57,21 +58,21 @@
 	fencingToken   uint64
 	jobs           []*Job
 	pages          []uint64
-	resendAt       Micros // 0: no answer is missing
-	outcomeUnknown bool   // an earlier sending of it had no answer
+	resendAt       Micros // when to send it again, 0 if no retry is scheduled
+	outcomeUnknown bool   // an earlier send received no response
 }
 
-// priority is the write priority of the transaction. One that starts urgent work, or the work of many jobs, isn't
-// deferred behind the ends of jobs, each of which is a change of its own.
+// priority is the write priority of the transaction. A transaction that places a production job or many jobs is not
+// deferred behind the ends of jobs, each of which is a separate change.
 func (t *placementTransaction) priority() msg.WritePriority {
 	urgent := slices.ContainsFunc(t.jobs, func(j *Job) bool { return j.Record.Spec != nil && j.Priority() == wire.Production })
-	if urgent || len(t.jobs) >= criticalJobs {
+	if urgent || len(t.jobs) >= minCriticalJobs {
 		return msg.Critical
 	}
 	return msg.Deferrable
 }
 
-// purpose is what the changes of the transaction are counted as.
+// purpose is the purpose under which the transaction's changes are counted.
 func (t *placementTransaction) purpose() msg.Purpose {
 	if len(t.jobs) == 0 {
 		return msg.PurposeCleanup
@@ -79,7 +80,7 @@
 	return msg.PurposePlacement
 }
 
-// pagesAmong returns those of the transaction's pages whose keys are among the given ones.
+// pagesAmong returns the transaction's pages whose keys are among the given keys.
 func (t *placementTransaction) pagesAmong(keys []string) []uint64 {
 	var pages []uint64
 	for _, n := range t.pages {
@@ -90,12 +91,12 @@
 	return pages
 }
 
-// usesPlacementPages reports whether placements go into placement pages.
+// usesPlacementPages reports whether placement pages are enabled by the settings and the storage format.
 func (e *environment) usesPlacementPages() bool {
 	return e.cfg.Settings.PlacementPages && e.encoding.Format >= job.FormatPlacementPages
 }
 
-// queuePlacement has a job's plan committed with those of other jobs.
+// queuePlacement queues a job's plan to be committed together with the plans of other jobs.
 func (pc *placementCommits) queuePlacement(j *Job) {
 	if !pc.queued[j] {
 		pc.queued[j] = true
@@ -103,13 +104,13 @@
 	}
 }
 
-// writePlacements commits waiting plans and compacts pages, as much as may be in flight.
+// writePlacements commits waiting plans and compacts pages, up to the maximum number of changes in flight.
 func (pc *placementCommits) writePlacements() {
 	for len(pc.waiting) > 0 || len(pc.pagesToCompact) > 0 {
 		if pc.elector.TokenChangePending() || pc.commits.inFlightChanges >= pc.commits.maxInFlightChanges() {
 			return
 		}
-		if pc.answersExpected() > 0 && len(pc.waiting) < pc.maxJobsPerTransaction() {
+		if pc.countAwaitingResponse() > 0 && len(pc.waiting) < pc.maxJobsPerTransaction() {
 			return
 		}
 		t := pc.nextPlacementTransaction()
@@ -120,8 +121,9 @@
 	}
 }
 
-// answersExpected counts the transactions whose answer is still expected soon.
-func (pc *placementCommits) answersExpected() int {
+// countAwaitingResponse counts the transactions whose response is still expected soon, which excludes those that have
+// been sent with an unknown outcome before.
+func (pc *placementCommits) countAwaitingResponse() int {
 	n := 0
 	for _, t := range pc.inFlight {
 		if !t.outcomeUnknown {
@@ -131,13 +133,13 @@
 	return n
 }
 
-// maxJobsPerTransaction is how many jobs a transaction on one page may place: each takes a condition, and so do the
-// leader key and the page.
+// maxJobsPerTransaction is the maximum number of jobs that a transaction on one page can place: each job needs one
+// condition, and so do the leader key and the page.
 func (pc *placementCommits) maxJobsPerTransaction() int {
 	return wire.ConditionsPerChange*pc.encoding.MaxOps() - 2
 }
 
-// nextPlacementTransaction returns the next transaction; nil: there is nothing that could be written now.
+// nextPlacementTransaction returns the next transaction, or nil if nothing can be written now.
 func (pc *placementCommits) nextPlacementTransaction() *placementTransaction {
 	t := &placementTransaction{
 		fencingToken: pc.elector.FencingToken(),
@@ -154,7 +156,7 @@
 		}
 		extended, ok := pc.addToPages(j, pages, maxConditions-len(t.transaction.Conditions)-1)
 		if !ok && (len(t.jobs) > 0 || len(pc.busyPages) > 0) {
-			break // it goes with the next transaction
+			break // the next transaction places it
 		}
 		taken++
 		delete(pc.queued, j)
@@ -173,7 +175,7 @@
 	return t
 }
 
-// planCommittable reports whether the job's plan still applies to its record and nothing else of it is in flight.
+// planCommittable reports whether the job has a plan that still applies to its record, and no transaction in flight.
 func (j *Job) planCommittable() bool {
 	if j.transaction != nil || len(j.plan) == 0 {
 		return false
@@ -181,7 +183,8 @@
 	return j.Version != 0 && !j.Record.Final() && !j.Record.CancelRequested
 }
 
-// compactOnePage begins to rewrite one of the pages to be compacted, if any can be now.
+// compactOnePage returns a builder for one of the pages to be compacted, or no builder if none of them can be written
+// now.
 func (pc *placementCommits) compactOnePage() []*pageBuilder {
 	for _, n := range slices.Sorted(maps.Keys(pc.pagesToCompact)) {
 		if pc.pageIdle(n) && pc.replica.PlacementPage(n) != nil {
@@ -191,17 +194,17 @@
 	return nil
 }
 
-// pageIdle reports whether no transaction in flight writes a page.
+// pageIdle reports whether a page is not being written by a transaction in flight.
 func (pc *placementCommits) pageIdle(n uint64) bool {
 	_, busy := pc.busyPages[n]
 	return !busy
 }
 
-// requestCompaction has a page rewritten without what is over, with the next transaction.
+// requestCompaction has the next possible transaction rewrite a page without closed placements and archived jobs.
 func (pc *placementCommits) requestCompaction(n uint64) { pc.pagesToCompact[n] = true }
 
-// reducePlan has less of a job planned because one transaction can't hold all of it. A gang needs
-// all of its placements, and gets them by its own record, in several transactions.
+// reducePlan halves a job's plan because one transaction can't hold all of it. A gang needs all of its placements, so
+// they are written to its own record instead, in several transactions.
 func (pc *placementCommits) reducePlan(j *Job) {
 	if j.Record.Spec.Shape == wire.Gang {
 		j.ownRecordOnly = true
@@ -214,8 +217,8 @@
 	}
 }
 
-// encodePages turns pages into conditions and changes. It returns false if a value has become too
-// large after all: then the jobs are planned anew.
+// encodePages encodes pages as conditions and changes of a transaction. If a value exceeds the size limit in spite of
+// the estimates, it drops the plans of the transaction's jobs, so that they are planned again, and returns false.
 func (pc *placementCommits) encodePages(t *placementTransaction, pages []*pageBuilder) bool {
 	for _, page := range pages {
 		value, err := records.EncodePlacementPage(mergeEntries(page.entries))
--- a/internal/core/leader/record_events.go
+++ b/internal/core/leader/record_events.go
@@ -8,27 +8,28 @@
 	"coralhub/internal/core/slo"
 )
 
-// RecordHandler receives the changes of the replica of the records, and passes them to the components that
-// they concern. It is a part of the replica's listener (package records).
+// RecordHandler receives changes of the replica of the records and passes them to the components that handle them. It
+// is a part of the node's implementation of records.Listener.
 type RecordHandler struct{ leader *Leader }
 
-// RecordHandler returns the handler to which the replica is to report its changes.
+// RecordHandler returns the handler for changes of the replica.
 func (l *Leader) RecordHandler() RecordHandler { return RecordHandler{l} }
 
-// JobAdded is called for a job that the replica did not hold.
+// JobAdded is called when a job is added to the replica.
 func (h RecordHandler) JobAdded(r *records.Job) {
 	h.leader.jobs[r.ID] = &Job{Job: r, runState: runState{arrivedAt: h.leader.outbox.Now()}}
 }
 
-// PlacementsChanged is called with the open placements of one shard of a job, before and after a change.
+// PlacementsChanged is called with the open placements of one shard or placement page entry of a job, before and after
+// a change.
 func (h RecordHandler) PlacementsChanged(r *records.Job, old, now []job.Placement) {
 	h.updatePlacements(h.leader.jobs[r.ID], old, now)
 }
 
-// PlanOutdated is called when plans for a job are out of date.
+// PlanOutdated is called when a newer value has been applied than the one that a job's plan was based on.
 func (h RecordHandler) PlanOutdated(r *records.Job) { h.dropOutdatedPlan(h.leader.jobs[r.ID]) }
 
-// RecordChanged is called for a newer record of a job.
+// RecordChanged is called when a newer record of a job has been applied.
 func (h RecordHandler) RecordChanged(r *records.Job) {
 	j := h.leader.jobs[r.ID]
 	h.leader.setUnfinished(j, r.Record.Spec != nil)
@@ -47,7 +48,7 @@
 	j.reservedMachines = nil
 	j.runHistory = runHistory{}
 	h.leader.reconciler.JobTerminated(r.ID)
-	h.leader.snapshot.setPlan(j, nil) // what is in flight fails by the record's version: its capacity is free
+	h.leader.snapshot.setPlan(j, nil) // a transaction in flight fails by the record's version, so its capacity is free
 }
 
 // JobChanged is called when anything about a job has changed.
@@ -61,15 +62,16 @@
 	h.leader.commits.markForReview(j)
 }
 
-// DependenciesMet is called when a job waits for no other any more.
+// DependenciesMet is called when the last of a job's dependencies is done.
 func (h RecordHandler) DependenciesMet(r *records.Job) {
 	j := h.leader.jobs[r.ID]
-	j.arrivedAt = h.leader.outbox.Now() // its waiting time counts from now on
+	j.arrivedAt = h.leader.outbox.Now() // the waiting time is measured from now on
 	h.leader.snapshot.markJobStale(j)
 	h.leader.scheduler.requestCycle()
 }
 
-// DependencyCancelled is called when a job is to be cancelled because one that it depends on was.
+// DependencyCancelled is called when a direct or indirect dependency of a job is cancelled, so that the job has to be
+// cancelled as well.
 func (h RecordHandler) DependencyCancelled(r *records.Job) {
 	h.leader.snapshot.markJobStale(h.leader.jobs[r.ID])
 	if h.leader.ready {
@@ -77,17 +79,17 @@
 	}
 }
 
-// dropOutdatedPlan drops a plan that was made for an older record. A transaction
-// that had no answer may have placed the same tasks after all: placed once more
-// they would run twice. A transaction in flight keeps its plan, because its placements count.
+// dropOutdatedPlan drops a plan that was based on an older record. A transaction without a response may have placed the
+// same tasks; if they were placed again, they would run twice. A plan with a transaction in flight is kept, because its
+// placements count as used capacity.
 func (h RecordHandler) dropOutdatedPlan(j *Job) {
 	if j.transaction == nil {
 		h.leader.snapshot.setPlan(j, nil)
 	}
 }
 
-// updatePlacements marks the machines stale on which something was placed or closed, and has the reconciler
-// act on new placements if this node leads.
+// updatePlacements marks the machines of old and new placements as stale. If this node leads and has read the records,
+// it also starts new placements.
 func (h RecordHandler) updatePlacements(j *Job, old, now []job.Placement) {
 	for _, p := range old {
 		if !slices.Contains(now, p) {
@@ -110,7 +112,7 @@
 	}
 }
 
-// startPlacements has the machines of new placements contacted at once.
+// startPlacements has the reconciler contact the machines of new placements at once.
 func (h RecordHandler) startPlacements(j *Job, old, now []job.Placement) {
 	known := make(map[job.AttemptKey]bool, len(old))
 	for _, p := range old {
@@ -123,8 +125,8 @@
 		if m := h.leader.reconciler.Registry().Get(p.Machine); m != nil {
 			h.leader.reconciler.MarkUrgent(m)
 		} else if h.leader.autoscaler.IsDeleted(p.Machine) {
-			// Deleted while the transaction was in flight: nothing else would
-			// ever close the placement.
+			// The machine was deleted while the transaction was in flight, and nothing else would ever close the
+			// placement.
 			h.leader.completions.closePlacement(p.AttemptKey(j.ID), p.Machine, false)
 		}
 	}
--- a/internal/core/leader/task_events.go
+++ b/internal/core/leader/task_events.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// failureBackoff is how long a job avoids a machine on which a task of it failed. The machine may be sound again
+	// failureBackoff is how long a job avoids a machine on which one of its tasks failed. The machine may have recovered
 	// and have the only free capacity, which must not be idle for 90 s while the job waits.
 	failureBackoff = 60 * config.Second
-	// noCapacityBackoff is how long a machine gets no more tasks after it refused one for lack of capacity.
+	// noCapacityBackoff is how long no tasks are placed on a machine after it refused one for lack of capacity.
 	noCapacityBackoff = config.Second
-	// retryBackoff is how long a job is held after a worker could not say what became of a start, or was busy.
+	// retryBackoff is how long no tasks of a job are placed after a worker was busy or reported an unknown result of a
+	// start.
 	retryBackoff = 2 * config.Second
-	// maxMachineFailures is how many consecutive failures of a job count against machines.
+	// maxMachineFailures is the number of consecutive failures of a job that are attributed to machines.
 	maxMachineFailures = 3
-	// maxHoldShift bounds the exponential backoff of a job that keeps failing: 1 s shifted left by it.
+	// maxHoldShift limits the exponential backoff of a job that fails repeatedly to 1 s << maxHoldShift.
 	maxHoldShift = 6
 )
 
-// availabilityChecker updates whether a machine gets tasks.
+// availabilityChecker updates whether tasks can be placed on a machine.
 type availabilityChecker interface {
 	checkAvailability(m *zone.Machine)
 }
 
-// taskEvents draws the conclusions from the states of tasks that workers report.
+// taskEvents handles the task states that workers report.
 type taskEvents struct {
 	*environment
 	completions  *completionCollector
@@ -34,29 +35,29 @@
 	availability availabilityChecker
 }
 
-// failureState is how a job's tasks have failed lately, and the backoff that follows.
+// failureState holds the recent failures of a job's tasks and the resulting backoff.
 type failureState struct {
-	failures  int               // consecutive failures that are not blamed on a machine
-	failedOn  map[string]Micros // by machine: the job avoids it until then
-	holdUntil Micros            // backoff: nothing of the job is placed before
+	failures  int               // consecutive failures that are not attributed to a quarantined machine
+	failedOn  map[string]Micros // by machine: time until which the job avoids it
+	holdUntil Micros            // end of the backoff before which no tasks of the job are placed
 }
 
-// gangState is what is known of a gang's attempts.
+// gangState holds the state of a gang's attempts.
 type gangState struct {
-	leftMachines      map[string]uint64 // by machine: the attempt that left it last; it must not return there
-	failedGangAttempt uint64            // attempts up to this one can't be completed
-	ranGangAttempt    uint64            // highest attempt that ran
+	leftMachines      map[string]uint64 // by machine: last attempt that ended there and must not be placed there again
+	failedGangAttempt uint64            // this attempt and all earlier ones can't complete any more
+	ranGangAttempt    uint64            // highest attempt with a running task reported
 }
 
-// noteLeft notes that an attempt of the gang has left a machine, to which it must not return.
-func (g *gangState) noteLeft(machine string, attempt uint64) {
+// recordDeparture records that an attempt of the gang has ended on a machine, on which it must not be placed again.
+func (g *gangState) recordDeparture(machine string, attempt uint64) {
 	if g.leftMachines == nil {
 		g.leftMachines = map[string]uint64{}
 	}
 	g.leftMachines[machine] = attempt
 }
 
-// onTaskRunning notes when a task was first reported as running, and the attempt of a gang.
+// onTaskRunning records the time at which a task was first reported as running and, for a gang, the attempt.
 func (te *taskEvents) onTaskRunning(j *Job, key job.AttemptKey) {
 	if j.startedAt == nil {
 		j.startedAt = map[int]Micros{}
@@ -72,7 +73,7 @@
 	}
 }
 
-// onTaskExited closes a placement whose task has ended according to the worker.
+// onTaskExited closes the placement of a task that its worker has reported as ended.
 func (te *taskEvents) onTaskExited(m *zone.Machine, j *Job, key job.AttemptKey, t *zone.Task) {
 	if j.isClosing(key, m.Name) {
 		return
@@ -99,12 +100,12 @@
 	te.completions.closeWithProgress(key, m.Name, t.Cause == wire.Done, t.Saved)
 }
 
-// onTaskFailed distinguishes machines that fail every job from jobs that fail on every machine.
-// The task is tried on other machines first; a job that keeps failing is held with exponential
-// backoff, and a machine on which different jobs fail is quarantined.
+// onTaskFailed distinguishes machines on which every job fails from jobs that fail on every machine. The task is first
+// retried on other machines. A job that fails repeatedly is delayed with exponential backoff, and a machine on which
+// different jobs fail is quarantined.
 func (te *taskEvents) onTaskFailed(m *zone.Machine, j *Job) {
 	wasQuarantined := m.Quarantined()
-	if j.failures < maxMachineFailures { // a job that fails everywhere says nothing about machines
+	if j.failures < maxMachineFailures { // failures of a job that fails everywhere don't indicate a faulty machine
 		m.FailedJobs[j.ID] = te.outbox.Now()
 		m.OnProbation = false
 		te.availability.checkAvailability(m)
--- a/internal/core/leader/transaction_builder.go
+++ b/internal/core/leader/transaction_builder.go
@@ -5,11 +5,11 @@
 	"coralhub/wire"
 )
 
-// buildTransaction builds the transaction that brings a job's record up to what is known and planned; nil:
-// there is nothing to write. It also reports whether there will be more to commit after it.
+// buildTransaction returns the transaction that updates a job's record with its completions, its cancellation and its
+// plan, or nil if there is nothing to write. It also reports whether more has to be committed afterwards.
 func (jc *jobCommitter) buildTransaction(j *Job) (*jobTransaction, bool) {
 	if j.Record.Spec == nil {
-		return jc.deleteLeftovers(j)
+		return jc.deleteRemainingShards(j)
 	}
 	if t := jc.finishJob(j); t != nil {
 		return t, true
@@ -31,9 +31,9 @@
 	job         *Job
 	transaction *jobTransaction
 	record      *job.Record // the next record
-	maxShards   int         // that fit the transaction besides the record
-	changed     bool        // something differs from what is stored
-	incomplete  bool        // not everything fitted: another transaction is to follow
+	maxShards   int         // number of shards that fit in the transaction besides the record
+	changed     bool        // the next state differs from the stored one
+	incomplete  bool        // not everything fits: another transaction has to follow
 }
 
 func (jc *jobCommitter) newTransactionBuilder(j *Job) transactionBuilder {
@@ -47,8 +47,8 @@
 	}
 }
 
-// shardOf returns the next state of the shard that holds a task, to be changed and passed to keepShard;
-// nil: the transaction can't hold another shard.
+// shardOf returns the next state of the shard that contains a task, or nil if the transaction can't have another shard.
+// A caller that modifies the shard has to pass it to putShard.
 func (b *transactionBuilder) shardOf(task int) *job.Shard {
 	n := b.record.ShardOf(task)
 	if n == 0 {
@@ -67,8 +67,8 @@
 	return &shard
 }
 
-// keepShard has the transaction write the shard that holds a task.
-func (b *transactionBuilder) keepShard(task int, shard *job.Shard) {
+// putShard adds the next state of the shard that contains a task to the transaction.
+func (b *transactionBuilder) putShard(task int, shard *job.Shard) {
 	if n := b.record.ShardOf(task); n > 0 {
 		b.transaction.shards[n] = *shard
 	} else {
@@ -77,7 +77,7 @@
 	b.changed = true
 }
 
-// moveToShards moves the first tasks out of the record into a shard if that was decided.
+// moveToShards moves the first tasks from the record to a shard if movingToShards is set.
 func (b *transactionBuilder) moveToShards() {
 	if !b.job.movingToShards || b.record.ShardsOnly {
 		return
@@ -89,8 +89,8 @@
 	b.record.Shard = job.Shard{}
 }
 
-// addCompletions closes the placements that are proven to be over. Those that a placement page holds
-// go into the completion log, which closes them there: the record doesn't hold them.
+// addCompletions closes the placements that are proven to have ended. Placements in placement pages are closed by
+// entries in the completion log instead, because they are not part of the record.
 func (b *transactionBuilder) addCompletions() {
 	var inPages []completion
 	for _, c := range b.job.completions {
@@ -111,16 +111,17 @@
 	}
 	b.transaction.completions = append(b.transaction.completions, c)
 	if shard.Close(c.key.Task, c.key.Attempt, c.machine, c.occupancy) {
-		b.keepShard(c.key.Task, shard)
+		b.putShard(c.key.Task, shard)
 	}
 	if c.done && !shard.IsDone(c.key.Task%job.TasksPerShard) {
 		shard.SetDone(c.key.Task % job.TasksPerShard)
-		b.keepShard(c.key.Task, shard)
+		b.putShard(c.key.Task, shard)
 	}
 }
 
-// canUseCompletionLog reports whether completions of the job may go into the completion log instead of its
-// record. A service needs its replicas replaced at once, and the log is written with a delay.
+// canUseCompletionLog reports whether completions of the job may be written to the completion log instead of its
+// record. Those of a running service may not: its replicas have to be replaced at once, and the log is written with a
+// delay.
 func (b *transactionBuilder) canUseCompletionLog() bool {
 	j := b.job
 	if j.movingToShards || j.mergeRequested {
@@ -131,7 +132,8 @@
 	return !writesPlan && !runningService
 }
 
-// mergePages has the record and shards written that a page of the completion log still waits for.
+// mergePages adds to the transaction the record and shards that still have to be written for the job's completions in
+// the completion log, if this was requested.
 func (b *transactionBuilder) mergePages() {
 	if !b.job.mergeRequested {
 		return
@@ -139,12 +141,12 @@
 	b.changed = true
 	b.job.EachUnmerged(func(task int) {
 		if shard := b.shardOf(task); shard != nil {
-			b.keepShard(task, shard)
+			b.putShard(task, shard)
 		}
 	})
 }
 
-// addPlan adds the planned placements, as many as fit, unless they go into placement pages.
+// addPlan adds as many of the planned placements as fit, unless they are stored in placement pages.
 func (b *transactionBuilder) addPlan() {
 	if b.record.CancelRequested || b.record.Final() || b.placedInPages(b.job) {
 		return
@@ -157,21 +159,21 @@
 		shard.Open = append(shard.Open, placement)
 		b.transaction.writesRecord = b.transaction.writesRecord || placement.Attempt > b.record.LastAttempt
 		b.record.LastAttempt = max(b.record.LastAttempt, placement.Attempt)
-		b.keepShard(placement.Task, shard)
+		b.putShard(placement.Task, shard)
 	}
 }
 
-// updatePhase ends the job if its done tasks or a cancellation end it.
+// updatePhase sets the final phase of a job if enough of its tasks are done or its cancellation may be confirmed.
 func (b *transactionBuilder) updatePhase(done int) {
 	spec := b.record.Spec
 	switch {
 	case b.record.Final():
 	case spec.Shape == wire.Gang && done > 0:
-		// A gang completes together: if one task is done, so are all.
+		// The tasks of a gang complete together: if one is done, all are done.
 		b.endJob(job.Done, spec.Tasks)
 	case done >= spec.Tasks:
 		b.endJob(job.Done, done)
-	case b.job.cancelling:
+	case b.job.cancelConfirmable:
 		b.endJob(job.Cancelled, done)
 	}
 }
@@ -184,8 +186,8 @@
 	b.transaction.writesRecord = true
 }
 
-// cleanUp deletes the shards of a job that is over and shrinks its record once none is left. It comes
-// to that with the first format only: finishJob does it otherwise.
+// cleanUp deletes the shards of a finished job without open placements, and shrinks its record once no shards are left.
+// This is needed only with the first format; with later formats finishJob shrinks the record.
 func (b *transactionBuilder) cleanUp(open int) {
 	if !b.record.Final() || open > 0 {
 		return
@@ -201,10 +203,11 @@
 	b.job.retryAt = b.outbox.Now() + shardDeletionInterval
 }
 
-// finish encodes the transaction; nil: there is nothing to write. It also reports whether another is to follow.
+// finish encodes the transaction and returns it, or nil if there is nothing to write. It also reports whether another
+// transaction has to follow.
 func (b *transactionBuilder) finish(done int) (*jobTransaction, bool) {
 	if !b.changed {
-		b.job.dropCompletions(b.transaction.completions) // stored already; those that didn't fit are kept
+		b.job.dropCompletions(b.transaction.completions) // these are stored already; those that didn't fit are kept
 		return nil, b.incomplete
 	}
 	if b.transaction.completionsOnly {
--- a/internal/core/leader/usage.go
+++ b/internal/core/leader/usage.go
@@ -13,10 +13,10 @@
 	"coralhub/internal/core/queue"
 )
 
-// usageLogInterval is the time between two log lines on the resource usage of the teams.
+// usageLogInterval is the time between two "resource usage" log lines.
 const usageLogInterval = 60 * config.Second
 
-// usageAccounts adds up what jobs have used, by team and class, from the records. Every node does.
+// usageAccounts sums up the resource usage of jobs, by team and class, from the records. It runs on every node.
 type usageAccounts struct {
 	*environment
 	scheduler *scheduler
@@ -25,11 +25,11 @@
 	usageLoggedAt Micros
 }
 
-// chargeUsage charges what a job has used since it was last charged, by its record.
+// chargeUsage charges a job's usage since it was last charged, according to its record.
 func (ua *usageAccounts) chargeUsage(j *Job) {
 	key, use := j.accountUsage()
 	if use == j.charged && key == j.account || key == (accounting.Key{}) {
-		return // a job that ended under an earlier storage format has no account: what was charged stays
+		return // a job that ended under an earlier storage format has no account, and its earlier charges remain
 	}
 	ua.ledger.Add(j.account, job.ResourceUsage{}.Plus(j.charged, -1))
 	ua.ledger.Add(key, use)
@@ -37,8 +37,9 @@
 	j.charged = use
 }
 
-// restoreUsage gives a new leader the average use of the teams before its term, by the accounts: what
-// has ended and what runs, decayed as if it had led all the time. Sums depend on the order of the ids.
+// restoreUsage gives a new leader the average usage of the teams before its term. It sums up the accounts of finished
+// and running tasks, decayed as if this node had been the leader all the time. The order of the IDs affects the
+// rounding of the sums.
 func (ua *usageAccounts) restoreUsage(ids []string) {
 	wall := ua.wallClock()
 	if wall == 0 || ua.encoding.Format < job.FormatPreemption {
@@ -70,7 +71,7 @@
 	}
 }
 
-// logUsage logs when it is due what each team has used and its recent share of all use, beside its fair
+// logUsage logs, once per usageLogInterval, the usage of each team, its recent share of the total usage and its fair
 // share.
 func (ua *usageAccounts) logUsage() {
 	if ua.outbox.Now()-ua.usageLoggedAt < usageLogInterval {
@@ -94,7 +95,7 @@
 	ua.outbox.Log("resource usage", "gpu_s/cpu_s/repeated_task_s", strings.Join(out, " "))
 }
 
-// fairShare is the part of all use, 0 to 1, that a team is entitled to.
+// fairShare returns the fraction of the total usage, 0 to 1, that a team is entitled to.
 func (ua *usageAccounts) fairShare(team string) float64 {
 	share := 1 / float64(max(len(ua.cfg.Cluster.Teams), 1))
 	if w := ua.scheduler.weights[team]; w > 0 {
@@ -103,5 +104,4 @@
 	return share
 }
 
-// usageLedger returns the accounts.
 func (ua *usageAccounts) usageLedger() *accounting.Ledger { return &ua.ledger }
--- a/internal/core/leader/wire_names_test.go
+++ b/internal/core/leader/wire_names_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// What operators' programs read.
-func TestNamesOfVerdicts(t *testing.T) {
+// The verdicts are part of the JSON responses that operators' programs read, so their values must not change.
+func TestVerdictValues(t *testing.T) {
 	if g := verdictSafe + verdictRisk + verdictLost + verdictUnknown; g != "safe"+"at risk"+"lost"+"unknown" {
-		t.Error(g)
+		t.Errorf("verdicts: found %q, expected \"safe\", \"at risk\", \"lost\" and \"unknown\"", g)
 	}
 }
