--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -180,7 +180,7 @@
 		}
 		if !j.tooLargeLogged {
 			j.tooLargeLogged = true
-			jc.outbox.Log("record exceeds value size limit", "job", j.ID, "limit", jc.encoding.MaxValueBytes())
+			jc.outbox.Log("record too large to be written whole", "job", j.ID, "limit", jc.encoding.MaxValueBytes())
 		}
 		switch {
 		case j.Record.Spec != nil && jc.replica.ShortenSpec(j.Job, jc.catalog.Slim(j.Record.Spec)):
