--- a/internal/core/accounting/ledger.go
+++ b/internal/core/accounting/ledger.go
@@ -1,7 +1,7 @@
-// Package accounting adds up what the tasks of each team and class have used of the machines. What a job
-// has used is part of its record: the time of a placement is charged by the same change that closes it, once
-// and only once, whatever is lost, repeated or late. So the sums are a function of the committed records, and
-// every node computes the same ones.
+// Package accounting sums the machine resources used by the tasks of each team and class. The usage of a job
+// is part of its record: the change that closes a placement also charges its time, so that it is charged exactly
+// once even if messages are lost, duplicated or delayed. The sums are therefore a function of the committed
+// records, and every node computes the same ones.
 package accounting
 
 import (
@@ -18,8 +18,8 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
-// maxKeys bounds the number of accounts: users choose the names of classes.
-const maxKeys = 1000
+// maxAccounts bounds the number of accounts, because users choose the names of classes.
+const maxAccounts = 1000
 
 // Key names an account: the use of a team's class, as batch jobs or as services.
 type Key struct {
@@ -33,8 +33,8 @@
 // Ledger holds all accounts. Its zero value is empty.
 type Ledger struct{ sums map[Key]job.ResourceUsage }
 
-// Add charges an account. When there are too many accounts, the use of further classes is charged to one
-// without a class.
+// Add charges an account. Once there are maxAccounts accounts, the use of further classes is charged to the team's
+// account without a class.
 func (l *Ledger) Add(k Key, u job.ResourceUsage) {
 	if u == (job.ResourceUsage{}) {
 		return
@@ -42,7 +42,7 @@
 	if l.sums == nil {
 		l.sums = map[Key]job.ResourceUsage{}
 	}
-	if _, exists := l.sums[k]; !exists && len(l.sums) >= maxKeys {
+	if _, exists := l.sums[k]; !exists && len(l.sums) >= maxAccounts {
 		k.Class = ""
 	}
 	l.sums[k] = l.sums[k].Plus(u, 1)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Each calls f for each account, ordered by team, class and kind.
+// Each calls f for each account, ordered by team, then class, then batch jobs before services.
 func (l *Ledger) Each(f func(Key, job.ResourceUsage)) {
 	keys := slices.SortedFunc(maps.Keys(l.sums), func(a, b Key) int {
 		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class), compareBool(a.Service, b.Service))
@@ -75,13 +75,13 @@
 // Equal reports whether two ledgers hold the same accounts.
 func (l *Ledger) Equal(other *Ledger) bool { return maps.Equal(l.sums, other.sums) }
 
-// RecentUse is what a charge still contributes to an exponentially decaying average over a window, some
-// time after it was made: fair share is decided by the average use, not by the sum of all times.
+// RecentUse returns the contribution of a charge, made some time ago, to an exponentially decaying average over a
+// window. Fair share is based on the average use, not on the total of all time.
 func RecentUse(charge float64, ago, window Micros) float64 {
 	return charge / float64(window) * math.Exp(-float64(max(ago, 0))/float64(window))
 }
 
-// RunningUse is what a task contributes to that average that has used an amount for some time and still does.
-func RunningUse(amount float64, since, window Micros) float64 {
-	return amount * (1 - math.Exp(-float64(max(since, 0))/float64(window)))
+// RunningUse returns the contribution to that average of a running task that has used an amount for the given duration.
+func RunningUse(amount float64, duration, window Micros) float64 {
+	return amount * (1 - math.Exp(-float64(max(duration, 0))/float64(window)))
 }
--- a/internal/core/defrag/plan.go
+++ b/internal/core/defrag/plan.go
@@ -1,7 +1,7 @@
 // Package defrag plans the defragmentation of a zone: which machines to clear of long-running replicas so
-// that a gang fits which finds no free capacity although there is enough in sum. Bin packing spreads
-// replicas over all machines; once most replicas of a flood have been cancelled, a few are left on each
-// machine, and as they never end no machine becomes free by itself.
+// that a gang fits for which the free capacity is sufficient in sum but fragmented. Bin packing spreads
+// replicas over all machines. Once most replicas of a burst have been cancelled, a few remain on each
+// machine, and as these never end, no machine becomes free without moving them.
 package defrag
 
 import (
@@ -17,29 +17,30 @@
 	Task  int
 	Needs zone.Resources
 	Types map[string]bool // machine types on which it may run
-	Spot  bool            // it may run on spot instances
+	Spot  bool            // whether it may run on spot instances
 }
 
-// Machine is a machine of the zone.
+// Machine is the state of one machine of the zone that is relevant to a plan.
 type Machine struct {
 	Name, Type string
 	Spot       bool
 	Free       zone.Resources
-	Suitable   bool      // the gang may use it
-	Movable    bool      // nothing is placed on it but Replicas
+	Suitable   bool      // whether the gang may use it
+	Movable    bool      // whether nothing but Replicas is placed on it
 	Replicas   []Replica // those that may be moved now
 }
 
-// Plan is which machines to clear for a gang, and which have free capacity for the rest of it already.
+// Plan lists the machines to clear for a gang (Clear), and those that already have free capacity for the rest of its
+// tasks (Whole).
 type Plan struct {
 	Clear, Whole  []*Machine
 	MovedReplicas int
 }
 
-// NewPlan plans free capacity for count tasks of a gang on the machines of one zone, with as few moves as
-// it finds and no more than maxMoves. It returns nil if it finds no plan, or if the gang fits without
-// one. The replicas that are moved fit on other machines of the zone that have no free capacity for a task
-// of the gang, and no two replicas of one job are moved at a time.
+// NewPlan plans free capacity for count tasks of a gang on the machines of one zone. It clears machines greedily,
+// those with the fewest moves per task first, and moves no more than maxMoves replicas. It returns nil if it finds
+// no plan, or if the gang fits without one. The moved replicas fit on other machines of the zone that have no free
+// capacity for a task of the gang, and no plan moves two replicas of one job.
 func NewPlan(needs zone.Resources, count, maxMoves int, machines []*Machine) *Plan {
 	p := &Plan{}
 	var candidates []candidate
@@ -59,7 +60,7 @@
 		}
 	}
 	if count <= 0 {
-		return nil // it fits: fragmentation is not why it waits
+		return nil // the gang fits, so it does not wait because of fragmentation
 	}
 	slices.SortFunc(candidates, candidate.compare)
 	to := targets(machines, needs)
@@ -81,7 +82,7 @@
 	return p
 }
 
-// gainOf is the number of the gang's tasks that fit on a machine without its replicas.
+// gainOf returns the number of the gang's tasks that fit on a machine without its replicas.
 func gainOf(m *Machine, needs zone.Resources) int {
 	free := m.Free
 	for _, r := range m.Replicas {
@@ -93,10 +94,10 @@
 // candidate is a machine that could be cleared.
 type candidate struct {
 	*Machine
-	gain int // tasks of the gang that fit on it then
+	gain int // tasks of the gang that fit on it once it is cleared
 }
 
-// compare orders candidates by their number of moves for each task, by cross product.
+// compare orders candidates by the number of moves per task, which it compares by cross-multiplication.
 func (c candidate) compare(other candidate) int {
 	return cmp.Or(cmp.Compare(len(c.Replicas)*other.gain, len(other.Replicas)*c.gain), cmp.Compare(c.Name, other.Name))
 }
@@ -104,15 +105,15 @@
 // target is a machine to which replicas may be moved.
 type target struct {
 	*Machine
-	free    zone.Resources // without the replicas that are moved to it
-	taken   int            // replicas that are moved to it
+	free    zone.Resources // after the moves to it
+	taken   int            // number of replicas that are moved to it
 	cleared bool
 }
 
-// targetList is the targets, the fullest first: a machine that is nearly full is not worth clearing.
+// targetList holds the targets, the fullest first: a machine that is nearly full is not worth clearing.
 type targetList []*target
 
-// targets returns the machines without free capacity for a task of the gang: the others are left to the gang.
+// targets returns the machines without free capacity for a task of the gang. The others are kept free for the gang.
 func targets(machines []*Machine, needs zone.Resources) targetList {
 	var out targetList
 	for _, m := range machines {
@@ -126,14 +127,14 @@
 	return out
 }
 
-// move is a replica's resources on the target that it is moved to.
+// move is the allocation of a replica's resources on a target.
 type move struct {
 	to    *target
 	needs zone.Resources
 }
 
-// place moves all replicas of a machine to targets, and adds their jobs to moved. It reports false and
-// changes nothing if they don't all fit, or if replicas are to be moved to the machine itself.
+// place moves all replicas of a machine to targets, and adds their jobs to moved. It returns false and changes nothing
+// if they do not all fit, if two replicas of one job would be moved, or if the machine is itself the target of a move.
 func (tl targetList) place(m *Machine, moved map[string]bool) bool {
 	own := tl[slices.IndexFunc(tl, func(t *target) bool { return t.Machine == m })]
 	if own.taken > 0 {
@@ -163,7 +164,7 @@
 	return true
 }
 
-// find returns the first target other than its own machine on which a replica fits; nil: there is none.
+// find returns the first target other than its own machine on which a replica fits, or nil if there is none.
 func (tl targetList) find(r *Replica, own *target) *target {
 	i := slices.IndexFunc(tl, func(t *target) bool {
 		return t != own && !t.cleared && r.Types[t.Type] && (r.Spot || !t.Spot) && r.Needs.Fits(t.free)
@@ -174,7 +175,7 @@
 	return tl[i]
 }
 
-// undo takes moves back.
+// undo reverts moves.
 func undo(moves []move) {
 	for _, m := range moves {
 		m.to.free = m.to.free.Plus(m.needs, 1)
--- a/internal/core/defrag/plan_test.go
+++ b/internal/core/defrag/plan_test.go
@@ -10,7 +10,7 @@
 	"coralhub/internal/core/zone"
 )
 
-// Each run checks the same cases; -rapid.seed draws others.
+// Every run checks the same cases; -rapid.seed selects others.
 var _ = flag.Set("rapid.seed", "1")
 
 var (
@@ -19,7 +19,7 @@
 	one   = zone.Resources{CPUs: 5, GPUs: 1}
 )
 
-// machine returns a machine with a number of replicas, each of a job of its own.
+// machine returns a machine with a number of replicas, each of a different job.
 func machine(name string, replicas int) *Machine {
 	m := &Machine{Name: name, Type: "g8", Suitable: true, Movable: true, Free: zone.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}.Plus(one, -float64(replicas))}
 	for i := range replicas {
@@ -38,10 +38,10 @@
 		t.Fatalf("%+v", p)
 	}
 	if p := NewPlan(whole, 2, 4, ms); p != nil {
-		t.Errorf("more moves than allowed: %+v", p)
+		t.Errorf("plan with more moves than allowed: %+v", p)
 	}
 	if p := NewPlan(whole, 3, 99, ms); p != nil {
-		t.Errorf("twelve replicas on one machine: %+v", p)
+		t.Errorf("plan that moves twelve replicas to one machine: %+v", p)
 	}
 	ms[1].Movable = false
 	if p := NewPlan(whole, 1, 10, ms); p == nil || p.Clear[0].Name != "c" {
@@ -49,16 +49,16 @@
 	}
 	ms = append(ms, machine("e", 0))
 	if p := NewPlan(whole, 2, 10, ms); p == nil || len(p.Whole) != 1 || p.Whole[0].Name != "e" || len(p.Clear) != 1 {
-		t.Errorf("a machine that is whole: %+v", p)
+		t.Errorf("machine e is free, want it in Whole: %+v", p)
 	}
 	if p := NewPlan(whole, 1, 10, ms); p != nil {
-		t.Errorf("nothing needs to be cleared: %+v", p)
+		t.Errorf("plan though the gang fits without one: %+v", p)
 	}
 }
 
-// For any zone, the moved replicas fit on other machines, there are no more of them than allowed and no two
-// of a job, and the cleared machines and the whole ones have capacity for the gang.
-func TestPlansKeepTheirInvariants(t *testing.T) {
+// For any zone, the moved replicas fit on other machines, their number is within the limit, no two are of the same
+// job, and the cleared machines and those with free capacity have enough capacity for the gang.
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ms []*Machine
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
@@ -80,19 +80,20 @@
 		for _, m := range p.Clear {
 			cleared[m] = true
 			if !m.Suitable || !m.Movable {
-				t.Fatalf("%s can't be cleared", m.Name)
+				t.Fatalf("plan clears %s: Suitable = %v, Movable = %v", m.Name, m.Suitable, m.Movable)
 			}
 			usable++
 			for _, r := range m.Replicas {
 				moves++
 				if jobs[r.Job] {
-					t.Fatalf("two of %s at a time", r.Job)
+					t.Fatalf("plan moves two replicas of job %s", r.Job)
 				}
 				jobs[r.Job] = true
 			}
 		}
 		if usable < count || moves != p.MovedReplicas || moves > maxMoves || len(p.Clear) == 0 {
-			t.Fatalf("%d machines for %d, %d moves of %d", usable, count, moves, maxMoves)
+			t.Fatalf("%d machines for %d tasks, %d moves (MovedReplicas %d) with a limit of %d",
+				usable, count, moves, p.MovedReplicas, maxMoves)
 		}
 		free := 0
 		for _, m := range ms {
@@ -101,7 +102,7 @@
 			}
 		}
 		if free < moves {
-			t.Fatalf("%d moved, free capacity for %d", moves, free)
+			t.Fatalf("%d replicas moved, free capacity for %d", moves, free)
 		}
 	})
 }
--- a/internal/core/outbox/outbox.go
+++ b/internal/core/outbox/outbox.go
@@ -13,7 +13,7 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
-// CommitRetryInterval is the backoff before a transaction without an answer is resent, in microseconds.
+// CommitRetryInterval is the delay before a transaction without a response is resent, in microseconds.
 const CommitRetryInterval = 300 * 1000
 
 // retryAfterSeconds is the Retry-After of a response that asks the client to try again.
@@ -39,7 +39,7 @@
 	}
 }
 
-// Begin begins a step at the given time.
+// Begin starts a step at the given time and discards the effects of the previous step.
 func (o *Outbox) Begin(now Micros) {
 	o.now = now
 	o.effects = nil
@@ -51,13 +51,13 @@
 // Now returns the time of the step.
 func (o *Outbox) Now() Micros { return o.now }
 
-// Emit requests an effect whose result, if it has one, does not come back through the outbox.
+// Emit requests an effect whose result, if it has one, is not routed through the outbox.
 func (o *Outbox) Emit(effect msg.Effect) { o.effects = append(o.effects, effect) }
 
-// Log writes a log line for the operators.
+// Log requests a log line for the operators. args are alternating keys and values.
 func (o *Outbox) Log(message string, args ...any) { o.Emit(msg.Log{Message: message, Args: args}) }
 
-// Debug writes a log line at debug level.
+// Debug requests a log line at debug level. args are alternating keys and values.
 func (o *Outbox) Debug(message string, args ...any) {
 	o.Emit(msg.Log{Debug: true, Message: message, Args: args})
 }
@@ -67,12 +67,12 @@
 	o.Emit(msg.Respond{RequestID: requestID, Status: status, Body: body})
 }
 
-// RetryLater answers a request that cannot be served now.
-func (o *Outbox) RetryLater(requestID uint64, why string) {
-	o.RetryLaterWith(requestID, wire.Error{Error: why})
+// RetryLater answers a request that cannot be served now with status 503, a Retry-After header and the reason.
+func (o *Outbox) RetryLater(requestID uint64, reason string) {
+	o.RetryLaterWith(requestID, wire.Error{Error: reason})
 }
 
-// RetryLaterWith is RetryLater with a body that says more than the reason.
+// RetryLaterWith is like RetryLater, but with a body that contains more than the reason.
 func (o *Outbox) RetryLaterWith(requestID uint64, body any) {
 	o.Emit(msg.Respond{
 		RequestID:  requestID,
@@ -82,57 +82,57 @@
 	})
 }
 
-// NextID returns a new ID for an effect.
+// NextID returns a new ID for an effect, unique within this outbox.
 func (o *Outbox) NextID() uint64 {
 	o.nextID++
 	return o.nextID
 }
 
-// Commit requests a transaction that should not wait, because a response or the leadership depends
+// Commit requests a transaction that should not be delayed, because a response or the leadership depends
 // on it.
-func (o *Outbox) Commit(transaction wire.Transaction, purpose msg.Purpose, then func(msg.CommitDone)) {
-	o.CommitWithPriority(transaction, msg.Critical, purpose, then)
+func (o *Outbox) Commit(transaction wire.Transaction, purpose msg.Purpose, callback func(msg.CommitDone)) {
+	o.CommitWithPriority(transaction, msg.Critical, purpose, callback)
 }
 
-// CommitDeferrable requests a transaction that gives way to those of Commit when the write rate of
-// the key-value store is short.
-func (o *Outbox) CommitDeferrable(transaction wire.Transaction, purpose msg.Purpose, then func(msg.CommitDone)) {
-	o.CommitWithPriority(transaction, msg.Deferrable, purpose, then)
+// CommitDeferrable requests a transaction that yields to those of Commit when the write rate of the
+// key-value store does not suffice for all.
+func (o *Outbox) CommitDeferrable(transaction wire.Transaction, purpose msg.Purpose, callback func(msg.CommitDone)) {
+	o.CommitWithPriority(transaction, msg.Deferrable, purpose, callback)
 }
 
 // CommitWithPriority requests a transaction of the given priority.
 func (o *Outbox) CommitWithPriority(
-	transaction wire.Transaction, priority msg.WritePriority, purpose msg.Purpose, then func(msg.CommitDone),
+	transaction wire.Transaction, priority msg.WritePriority, purpose msg.Purpose, callback func(msg.CommitDone),
 ) {
 	id := o.NextID()
 	o.commits[id] = func(done msg.CommitDone) {
 		if done.Outcome == msg.Invalid {
 			o.onInvalid(&transaction)
 		}
-		then(done)
+		callback(done)
 	}
 	o.Emit(msg.Commit{ID: id, Transaction: transaction, Priority: priority, Purpose: purpose})
 }
 
 // Read requests the value of a key.
-func (o *Outbox) Read(key string, then func(msg.ReadDone)) {
+func (o *Outbox) Read(key string, callback func(msg.ReadDone)) {
 	id := o.NextID()
-	o.reads[id] = then
+	o.reads[id] = callback
 	o.Emit(msg.Read{ID: id, Key: key})
 }
 
-// CommitDone calls the callback of a transaction. A result that comes again is ignored.
+// CommitDone calls the callback of a transaction. Duplicate results are ignored.
 func (o *Outbox) CommitDone(done msg.CommitDone) {
-	if then := o.commits[done.ID]; then != nil {
+	if callback := o.commits[done.ID]; callback != nil {
 		delete(o.commits, done.ID)
-		then(done)
+		callback(done)
 	}
 }
 
-// ReadDone calls the callback of a read. A result that comes again is ignored.
+// ReadDone calls the callback of a read. Duplicate results are ignored.
 func (o *Outbox) ReadDone(done msg.ReadDone) {
-	if then := o.reads[done.ID]; then != nil {
+	if callback := o.reads[done.ID]; callback != nil {
 		delete(o.reads, done.ID)
-		then(done)
+		callback(done)
 	}
 }
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -21,7 +21,7 @@
 // tolerance absorbs the rounding of sums of amounts.
 const tolerance = 1e-6
 
-// within reports whether an amount is within a limit; 0: there is none.
+// within reports whether an amount is within a limit. A limit of 0 means that there is none.
 func within(a, limit float64) bool { return limit <= 0 || a <= limit+tolerance }
 
 // UnderLimit reports whether a team's limit allows it to use an amount.
@@ -29,22 +29,22 @@
 	return within(a.CPUs, t.CPUsMax) && within(a.GPUs, t.GPUsMax)
 }
 
-// HasGuarantee reports whether a team is guaranteed anything. A team that is not can't be beyond its
-// guarantee: its jobs are ranked by their own priority.
+// HasGuarantee reports whether a team has a guarantee. The jobs of a team without one are never beyond the
+// guarantee: they are ranked by their own priority.
 func HasGuarantee(t *config.Team) bool { return t.CPUs > 0 || t.GPUs > 0 }
 
-// UnderGuarantee reports whether an amount is within what a team is guaranteed.
+// UnderGuarantee reports whether an amount is within a team's guarantee. A resource without a guarantee is not bounded.
 func UnderGuarantee(t *config.Team, a Amount) bool {
 	return within(a.CPUs, t.CPUs) && within(a.GPUs, t.GPUs)
 }
 
-// beyondGuarantee is by how many levels jobs beyond their team's guarantee rank lower: below every job that
-// is within one, whatever their priorities.
-const beyondGuarantee = 4
+// guaranteeLevelOffset is the number of levels by which jobs beyond their team's guarantee rank lower. It is the number
+// of priorities, so that they rank below every job within a guarantee, regardless of priority.
+const guaranteeLevelOffset = 4
 
-// Level returns the level of a job, 1 to 8; higher levels go first. Jobs within their team's guarantee are
+// Level returns the level of a job, 1 to 8; higher levels rank first. Jobs within their team's guarantee are
 // ordered by priority, and so are those beyond it, which rank below them.
-func Level(priority string, within bool) int {
+func Level(priority string, withinGuarantee bool) int {
 	level := 1
 	switch priority {
 	case wire.Production:
@@ -54,8 +54,8 @@
 	case wire.Normal:
 		level = 2
 	}
-	if within {
-		level += beyondGuarantee
+	if withinGuarantee {
+		level += guaranteeLevelOffset
 	}
 	return level
 }
@@ -64,15 +64,15 @@
 type Usage struct {
 	window  float64 // microseconds
 	at      config.Micros
-	average map[string]float64 // by team, as Weigh computes it
+	average map[string]float64 // by team, in GPUs, see Weigh
 }
 
-// NewUsage returns an empty Usage over a window.
+// NewUsage returns an empty Usage over a window in microseconds.
 func NewUsage(window config.Micros) *Usage {
 	return &Usage{window: float64(window), average: map[string]float64{}}
 }
 
-// Observe adds the current use of every team, which is assumed since the last call.
+// Observe adds the current use of every team, which is assumed to have been constant since the previous call.
 func (u *Usage) Observe(now config.Micros, used map[string]Amount) {
 	decay := math.Exp(-float64(now-u.at) / u.window)
 	u.at = now
@@ -84,20 +84,20 @@
 	}
 }
 
-// cpusPerGPU is the number of CPUs that weigh as much as a GPU.
+// cpusPerGPU is the number of CPUs that have the weight of one GPU.
 const cpusPerGPU = 64
 
-// Weigh makes one number of an amount, in GPUs.
+// Weigh returns the weight of an amount, in GPUs.
 func Weigh(a Amount) float64 { return a.GPUs + a.CPUs/cpusPerGPU }
 
-// Restore sets the average use of a team, as the accounts have it, from before the first Observe.
+// Restore sets the average use of a team before the first Observe, as computed from the accounts.
 func (u *Usage) Restore(now config.Micros, team string, used float64) {
 	u.at = now
 	u.average[team] = used
 }
 
-// Shares returns the share of each team in all use, 0 to 1, after dividing its use by its weight; a weight
-// that isn't given is 1.
+// Shares returns the share of each team in the total use, 0 to 1, where the use of a team is divided by its weight.
+// A team that is not in weights has weight 1.
 func (u *Usage) Shares(weights map[string]float64) map[string]float64 {
 	weighted := func(team string) float64 {
 		if w := weights[team]; w > 0 {
@@ -118,8 +118,8 @@
 	return out
 }
 
-// Weights returns the fair-share weights of the teams, 1 on average: their guarantees, if every team has one.
-// Otherwise it returns nil: all weigh the same.
+// Weights returns the fair-share weights of the teams, which are proportional to their guarantees and 1 on average.
+// It returns nil, which gives all teams the same weight, unless every team has a guarantee.
 func Weights(teams []config.Team) map[string]float64 {
 	out, sum := make(map[string]float64, len(teams)), 0.0
 	for i := range teams {
@@ -136,8 +136,8 @@
 	return out
 }
 
-// Credit is the paper's credit of a job: its age up to a cap, and the part of its share that its team
-// leaves unused.
+// Credit returns the credit of a job as the paper defines it: the weighted sum of its age, up to a cap, and of the
+// part of the total use that is not its team's. share is its team's part, 0 to 1.
 func Credit(s *config.Settings, age config.Micros, share float64) float64 {
 	seconds := math.Min(float64(age)/1e6, s.AgeCapS)
 	return s.AgeWeight*math.Max(seconds, 0) + s.ShareWeight*(1-share)
@@ -147,14 +147,14 @@
 type Entry struct {
 	ID      string
 	Level   int
-	Tier    int     // orders the jobs of a level while capacity is short; 0 goes first
-	Cost    float64 // orders the jobs of a tier before their credit does; smaller goes first, 0: credit alone decides
+	Tier    int     // orders the jobs of a level while capacity is short; lower tiers rank first, from 0
+	Cost    float64 // orders the jobs of a tier, ahead of Credit; lower ranks first, 0 if only Credit orders the job
 	Credit  float64
 	Created config.Micros
 }
 
-// compare orders entries by level, tier, cost, credit, age and id. It is negative if the entry ranks before the
-// other one. A switch in place of cmp.Or compares no more than it has to: every cycle ranks the whole queue.
+// compare orders entries by level, tier, cost, credit, age and id. The result is negative if the entry ranks before
+// the other one. Every cycle ranks the whole queue, so a switch replaces cmp.Or, which evaluates all comparisons.
 func (e *Entry) compare(other *Entry) int {
 	switch {
 	case e.Level != other.Level:
@@ -171,24 +171,26 @@
 	return cmp.Compare(e.ID, other.ID)
 }
 
-// Rank sorts entries in the order in which they are to be placed.
+// Rank sorts entries into the order of placement.
 func Rank(entries []Entry) {
 	slices.SortFunc(entries, func(a, b Entry) int { return a.compare(&b) })
 }
 
-// DemoteBeyondGuarantee gives an entry the level that it has beyond its team's guarantee.
+// DemoteBeyondGuarantee lowers an entry to the level of its priority beyond its team's guarantee.
 func (e *Entry) DemoteBeyondGuarantee() {
-	if e.Level > beyondGuarantee {
-		e.Level -= beyondGuarantee
+	if e.Level > guaranteeLevelOffset {
+		e.Level -= guaranteeLevelOffset
 	}
 }
 
-// EachRanked calls place with each of the ranked entries, in order. An entry within its team's guarantee for which
-// mayUseGuarantee does not hold when its turn comes is demoted beyond the guarantee, and placed where it ranks then.
+// EachRanked calls place with each of the ranked entries, in order. mayUseGuarantee is called with each entry within
+// its team's guarantee right before it would be placed. If it returns false, the entry is demoted beyond the guarantee
+// and placed at its new rank.
 func EachRanked(entries []Entry, mayUseGuarantee func(*Entry) bool, place func(*Entry)) {
-	var demoted [beyondGuarantee + 1][]Entry // by level, each in order
-	placeDemoted := func(before *Entry) {    // those that rank before an entry; nil: all
-		for level := beyondGuarantee; level > 0; level-- {
+	var demoted [guaranteeLevelOffset + 1][]Entry // by level, each in order
+	// placeDemoted places the demoted entries that rank before an entry, or all if it is nil.
+	placeDemoted := func(before *Entry) {
+		for level := guaranteeLevelOffset; level > 0; level-- {
 			for len(demoted[level]) > 0 && (before == nil || demoted[level][0].compare(before) < 0) {
 				first := demoted[level][0]
 				demoted[level] = demoted[level][1:]
@@ -199,7 +201,7 @@
 	for i := range entries {
 		e := &entries[i]
 		placeDemoted(e)
-		if e.Level > beyondGuarantee && !mayUseGuarantee(e) {
+		if e.Level > guaranteeLevelOffset && !mayUseGuarantee(e) {
 			e.DemoteBeyondGuarantee()
 			demoted[e.Level] = append(demoted[e.Level], *e)
 			continue
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -28,13 +28,13 @@
 		rnd.Shuffle(len(got), func(i, j int) { got[i], got[j] = got[j], got[i] })
 		Rank(got)
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("ranked %v", got)
+			t.Fatalf("ranked %v, want %v", got, want)
 		}
 	}
 }
 
-// An entry that no longer fits into its team's guarantee, once others of the team were placed, is placed
-// where it ranks beyond the guarantee, and none is left out or placed twice.
+// An entry that no longer fits into its team's guarantee after others of the team were placed is placed at its rank
+// beyond the guarantee. No entry is omitted or placed twice.
 func TestEachRankedDemotesBeyondGuarantee(t *testing.T) {
 	entries := []Entry{
 		{ID: "a", Level: Level(wire.High, true), Tier: 1}, {ID: "b", Level: Level(wire.High, true), Tier: 2},
@@ -50,7 +50,7 @@
 	}
 	EachRanked(entries, mayUseGuarantee, func(e *Entry) { order = append(order, e.ID) })
 	if got := strings.Join(order, " "); got != "a e f b c d g" {
-		t.Errorf("placed %s", got)
+		t.Errorf("order of placement %q, want \"a e f b c d g\"", got)
 	}
 }
 
@@ -58,10 +58,10 @@
 	s := config.Defaults()
 	old, older := Credit(&s, 300*config.Second, 0.5), Credit(&s, 900*config.Second, 0.5)
 	if old != older {
-		t.Errorf("age beyond the cap counts: %v %v", old, older)
+		t.Errorf("credit depends on age beyond the cap: %v and %v", old, older)
 	}
 	if Credit(&s, config.Second, 0.2) <= Credit(&s, config.Second, 0.8) {
-		t.Error("a team that used more is not behind")
+		t.Error("credit does not decrease with the share of the team")
 	}
 }
 
@@ -71,22 +71,22 @@
 		u.Observe((i+1)*config.Second, map[string]Amount{"a": {GPUs: 3}, "b": {GPUs: 1}})
 	}
 	if s := u.Shares(nil)["a"]; s < 0.74 || s > 0.76 {
-		t.Errorf("share %v", s)
+		t.Errorf("share of a = %v, want 0.75", s)
 	}
 	if s := u.Shares(nil)["c"]; s != 0 {
-		t.Errorf("share %v of a team without use", s)
+		t.Errorf("share of a team without use = %v, want 0", s)
 	}
 }
 
 func TestLimitsAndGuarantees(t *testing.T) {
 	team := &config.Team{GPUs: 4, GPUsMax: 8}
 	if !UnderLimit(team, Amount{CPUs: 1e6, GPUs: 8}) || UnderLimit(team, Amount{GPUs: 8.1}) {
-		t.Error("limit: 0 is none, the rest holds")
+		t.Error("want a limit on GPUs, and none on CPUs, whose limit is 0")
 	}
 	if !UnderGuarantee(team, Amount{GPUs: 4}) || UnderGuarantee(team, Amount{GPUs: 4.5}) {
-		t.Error("guarantee")
+		t.Error("want a guarantee of exactly 4 GPUs")
 	}
 	if HasGuarantee(&config.Team{GPUsMax: 8}) {
-		t.Error("a team without a guarantee has one")
+		t.Error("HasGuarantee() = true for a team with only a limit")
 	}
 }
--- a/internal/core/queue/team_queue.go
+++ b/internal/core/queue/team_queue.go
@@ -9,37 +9,37 @@
 
 // QueuedJob is a job in its team's queue.
 type QueuedJob struct {
-	Created         config.Micros // the queue is ordered by it; must not change while the job is in a queue
+	Created         config.Micros // sort key of the queue; must not change while the job is queued
 	ID              string
-	WithinGuarantee bool // it fits into the guarantee together with the jobs before it
+	WithinGuarantee bool // whether it fits into the guarantee together with the jobs before it
 
 	amount Amount
 	queued bool
 }
 
 // TeamQueue holds a team's unfinished jobs, the oldest first, and how many of them fit into the team's
-// guarantee. The amounts only add up, so the jobs within the guarantee are the first ones of the queue; a
-// change moves the end of these instead of adding up all amounts anew.
+// guarantee. Amounts are not negative, so the jobs within the guarantee are a prefix of the queue. An update moves the
+// end of this prefix instead of adding up all amounts again.
 type TeamQueue struct {
 	team    *config.Team
 	members []*QueuedJob
-	within  int    // number of members within the guarantee: the first ones
-	sum     Amount // of these
+	within  int    // length of the prefix of members within the guarantee
+	sum     Amount // needs of these members
 }
 
 // NewTeamQueue returns an empty queue of a team that has a guarantee.
 func NewTeamQueue(t *config.Team) *TeamQueue { return &TeamQueue{team: t} }
 
-// order is the order of the queue: by age, then by id.
-func order(a, b *QueuedJob) int {
+// compareByAge compares jobs by creation time, then by id.
+func compareByAge(a, b *QueuedJob) int {
 	return cmp.Or(cmp.Compare(a.Created, b.Created), cmp.Compare(a.ID, b.ID))
 }
 
-// Update sets what a job needs now. It adds the job if it is not in the queue.
+// Update sets the amount that a job needs. It adds the job if it is not in the queue.
 func (tq *TeamQueue) Update(m *QueuedJob, a Amount) {
 	switch {
 	case !m.queued:
-		i, _ := slices.BinarySearchFunc(tq.members, m, order)
+		i, _ := slices.BinarySearchFunc(tq.members, m, compareByAge)
 		tq.members = slices.Insert(tq.members, i, m)
 		m.queued = true
 		m.WithinGuarantee = i < tq.within
@@ -54,12 +54,12 @@
 	tq.recompute()
 }
 
-// Remove takes a job out of the queue, if it is there.
+// Remove removes a job from the queue. It does nothing if the job is not queued.
 func (tq *TeamQueue) Remove(m *QueuedJob) {
 	if !m.queued {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(tq.members, m, order)
+	i, _ := slices.BinarySearchFunc(tq.members, m, compareByAge)
 	tq.members = slices.Delete(tq.members, i, i+1)
 	if m.WithinGuarantee {
 		tq.within--
@@ -69,7 +69,7 @@
 	tq.recompute()
 }
 
-// recompute moves the end of the jobs within the guarantee to where the guarantee is used up.
+// recompute moves the end of the prefix of jobs within the guarantee to the last job that still fits.
 func (tq *TeamQueue) recompute() {
 	for tq.within > 0 && !UnderGuarantee(tq.team, tq.sum) {
 		tq.within--
--- a/internal/core/queue/team_queue_test.go
+++ b/internal/core/queue/team_queue_test.go
@@ -10,12 +10,12 @@
 	"coralhub/internal/config"
 )
 
-// Each run checks the same cases; -rapid.seed draws others.
+// Every run checks the same cases; -rapid.seed selects others.
 var _ = flag.Set("rapid.seed", "1")
 
-// Whatever jobs are added, changed and removed in any order, those within the guarantee are the ones that
-// adding up from the oldest on finds.
-func TestTeamQueueAgreesWithAddingUp(t *testing.T) {
+// After any sequence of additions, updates and removals, the jobs within the guarantee are those that adding up all
+// amounts, the oldest job first, finds.
+func TestTeamQueueMatchesFullSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		team := &config.Team{GPUs: float64(rapid.IntRange(0, 20).Draw(t, "gpus")), CPUs: 8}
 		teamQueue := NewTeamQueue(team)
@@ -39,13 +39,13 @@
 			for _, m := range all {
 				sum := Amount{}
 				for o, a := range need {
-					if order(o, m) <= 0 {
+					if compareByAge(o, m) <= 0 {
 						sum = sum.Plus(a, 1)
 					}
 				}
 				_, in := need[m]
 				if want := in && UnderGuarantee(team, sum); m.WithinGuarantee != want {
-					t.Fatalf("%s within: %v, should be %v", m.ID, m.WithinGuarantee, want)
+					t.Fatalf("job %s: WithinGuarantee = %v, want %v", m.ID, m.WithinGuarantee, want)
 				}
 			}
 		}
