--- a/internal/core/defrag/plan_test.go
+++ b/internal/core/defrag/plan_test.go
@@ -21,7 +21,8 @@
 
 // machine returns a machine with a number of replicas, each of a different job.
 func machine(name string, replicas int) *Machine {
-	m := &Machine{Name: name, Type: "g8", Suitable: true, Movable: true, Free: zone.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}.Plus(one, -float64(replicas))}
+	m := &Machine{Name: name, Type: "g8", Suitable: true, Movable: true,
+		Free: zone.Resources{CPUs: 64, GPUs: 8, MemoryGB: 256}.Plus(one, -float64(replicas))}
 	for i := range replicas {
 		m.Replicas = append(m.Replicas, Replica{Job: fmt.Sprint(name, "-", i), Needs: one, Types: any8})
 	}
@@ -63,14 +64,14 @@
 		var ms []*Machine
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 			m := machine(fmt.Sprint("m", i), rapid.IntRange(0, 8).Draw(t, "replicas"))
-			m.Suitable, m.Movable = rapid.IntRange(0, 4).Draw(t, "suits") > 0, rapid.IntRange(0, 4).Draw(t, "movable") > 0
+			m.Suitable, m.Movable = rapid.IntRange(0, 4).Draw(t, "suitable") > 0, rapid.IntRange(0, 4).Draw(t, "movable") > 0
 			m.Spot = rapid.IntRange(0, 4).Draw(t, "spot") == 0
 			for k := range m.Replicas {
 				m.Replicas[k].Job = fmt.Sprint("j-", rapid.IntRange(0, 40).Draw(t, "job"))
 			}
 			ms = append(ms, m)
 		}
-		count, maxMoves := rapid.IntRange(1, 4).Draw(t, "count"), rapid.IntRange(0, 20).Draw(t, "most")
+		count, maxMoves := rapid.IntRange(1, 4).Draw(t, "count"), rapid.IntRange(0, 20).Draw(t, "max moves")
 		p := NewPlan(whole, count, maxMoves, ms)
 		if p == nil {
 			return
--- a/internal/core/queue/team_queue_test.go
+++ b/internal/core/queue/team_queue_test.go
@@ -29,11 +29,12 @@
 			} else {
 				m = rapid.SampledFrom(all).Draw(t, "member")
 			}
-			if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "action") == 0 {
 				teamQueue.Remove(m)
 				delete(need, m)
 			} else {
-				need[m] = Amount{GPUs: float64(rapid.IntRange(0, 9).Draw(t, "need")), CPUs: float64(rapid.IntRange(0, 3).Draw(t, "cpus"))}
+				need[m] = Amount{GPUs: float64(rapid.IntRange(0, 9).Draw(t, "need")),
+					CPUs: float64(rapid.IntRange(0, 3).Draw(t, "cpus"))}
 				teamQueue.Update(m, need[m])
 			}
 			for _, m := range all {
--- a/internal/core/zone/bench_test.go
+++ b/internal/core/zone/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// randomZone returns a zone of machines with eight GPUs each. A part of them is idle, the others hold
+// randomZone returns a zone of machines with eight GPUs each. The given fraction of them is idle, the others hold
 // victims of one to four GPUs.
 func randomZone(machines int, idle float64) (*Zone, []*Victim) {
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -18,8 +18,8 @@
 		for rnd.Float64() >= idle && o.Free.GPUs > 0 {
 			take := Resources{CPUs: 8, GPUs: min(float64(1+rnd.IntN(4)), o.Free.GPUs), MemoryGB: 32}
 			o.Free, o.Idle = o.Free.Plus(take, -1), false
-			victims = append(victims, &Victim{Job: fmt.Sprintf("j-%d", len(victims)/4), Task: len(victims) % 4, Level: rnd.IntN(3),
-				Since: Micros(rnd.IntN(1e9)), Loss: Micros(rnd.IntN(1e9)), Reclaims: []Reclaim{{o, take}}})
+			victims = append(victims, &Victim{Job: fmt.Sprintf("j-%d", len(victims)/4), Task: len(victims) % 4,
+				Level: rnd.IntN(3), Since: Micros(rnd.IntN(1e9)), Loss: Micros(rnd.IntN(1e9)), Reclaims: []Reclaim{{o, take}}})
 		}
 		z.Add(o)
 	}
@@ -28,7 +28,7 @@
 	return z, victims
 }
 
-// BenchmarkBid measures a plan for one job, of one task and of sixteen.
+// BenchmarkBid measures Zone.Plan for a gang of one task and of sixteen tasks.
 func BenchmarkBid(b *testing.B) {
 	for _, machines := range []int{1000, 5000, 20000} {
 		for _, load := range []struct {
@@ -39,7 +39,8 @@
 			z, _ := randomZone(machines, load.idle)
 			for _, tasks := range []int{1, 16} {
 				b.Run(fmt.Sprintf("%s/machines=%d/tasks=%d", load.name, machines, tasks), func(b *testing.B) {
-					q := &Request{Job: "new", Needs: Resources{CPUs: 32, GPUs: 4, MemoryGB: 128}, Count: tasks, AllOrNothing: true, Spot: true, Types: map[string]bool{"g8": true}, TypeKey: "g8"}
+					q := &Request{Job: "new", Needs: Resources{CPUs: 32, GPUs: 4, MemoryGB: 128}, Count: tasks,
+						AllOrNothing: true, Spot: true, Types: map[string]bool{"g8": true}, TypeKey: "g8"}
 					if load.preempts {
 						q.MayPreempt = func(v *Victim) bool { return v.Level < 3 }
 					}
--- a/internal/core/zone/bid_test.go
+++ b/internal/core/zone/bid_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases in every run; -rapid.seed draws others.
+// Every run checks the same cases; -rapid.seed selects others.
 var _ = flag.Set("rapid.seed", "1")
 
 // newOffer returns an offer of a machine with free GPUs and cached images.
@@ -42,7 +42,7 @@
 	return out
 }
 
-// newRequest returns a request for a number of tasks with some GPUs each; allOrNothing for a gang.
+// newRequest returns a request for count tasks with the given number of GPUs each. allOrNothing is set for a gang.
 func newRequest(gpus float64, count int, allOrNothing bool) *Request {
 	return &Request{
 		Job:          "j-9",
@@ -64,7 +64,7 @@
 		t.Fatal("part of a gang was placed")
 	}
 	if bid := z.Plan(1, newRequest(1, 20, false)); len(bid.Offers) != 9 {
-		t.Fatalf("%d tasks placed on 9 GPUs", len(bid.Offers))
+		t.Fatalf("%d tasks placed on 9 GPUs, want 9", len(bid.Offers))
 	}
 }
 
@@ -75,7 +75,8 @@
 	}
 }
 
-// planExhaustively is a reference for a Plan without preemption that examines every offer for every task.
+// planExhaustively is a reference implementation of Zone.Plan without preemption that examines every offer for every
+// task.
 func planExhaustively(offers map[string]*Offer, q *Request) *Bid {
 	bid := &Bid{}
 	used := map[*Offer]Resources{}
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// A zone that is updated from cycle to cycle makes the bid that examining every offer finds, however its
-// offers were added, changed, allocated and removed.
+// A zone that persists between cycles makes the same bid as an examination of every offer, in whatever order
+// its offers were added, replaced, allocated and removed.
 func TestUpdatedZoneAgreesWithExhaustivePlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zone := &Zone{Name: "a"}
@@ -116,7 +117,8 @@
 			action := rapid.IntRange(0, 6).Draw(t, "action")
 			old := offers[name]
 			if old != nil && action > 4 {
-				zone.Allocate(old, Resources{CPUs: 1, GPUs: float64(rapid.IntRange(0, 2).Draw(t, "used")) / 2}, []string{"", "i1", "i2"}[i%3])
+				zone.Allocate(old, Resources{CPUs: 1, GPUs: float64(rapid.IntRange(0, 2).Draw(t, "used")) / 2},
+					[]string{"", "i1", "i2"}[i%3])
 				continue
 			}
 			if old != nil {
@@ -133,20 +135,22 @@
 				zone.Add(o)
 			}
 		}
-		q := newRequest(float64(rapid.IntRange(0, 6).Draw(t, "needs"))/2, rapid.IntRange(1, 9).Draw(t, "count"), rapid.Bool().Draw(t, "gang"))
+		q := newRequest(float64(rapid.IntRange(0, 6).Draw(t, "needs"))/2,
+			rapid.IntRange(1, 9).Draw(t, "count"), rapid.Bool().Draw(t, "gang"))
 		q.Image, q.Spot = "i1", rapid.Bool().Draw(t, "spot")
 		q.ShareFetches = rapid.Bool().Draw(t, "share fetches")
 		q.Avoid, q.ReservedMachines = map[string]Micros{"m3": 9}, map[string]bool{"m4": true}
 		a, b := zone.Plan(1, q), planExhaustively(offers, q)
-		if (a == nil) != (b == nil) || a != nil && (a.CachedImages != b.CachedImages || !slices.Equal(machineNames(a), machineNames(b))) {
-			t.Fatalf("%+v and %+v", a, b)
+		if (a == nil) != (b == nil) ||
+			a != nil && (a.CachedImages != b.CachedImages || !slices.Equal(machineNames(a), machineNames(b))) {
+			t.Fatalf("bid %+v, want %+v", a, b)
 		}
 		sum := 0.0
 		for _, o := range offers {
 			sum += o.Free.Weight()
 		}
 		if math.Abs(sum-zone.FreeCapacity()) > 1e-6 {
-			t.Fatalf("%v free, %v by its buckets", sum, zone.FreeCapacity())
+			t.Fatalf("FreeCapacity() = %v, want %v", zone.FreeCapacity(), sum)
 		}
 	})
 }
--- a/internal/core/zone/candidate.go
+++ b/internal/core/zone/candidate.go
@@ -12,12 +12,12 @@
 	imageState imageState
 }
 
-// imageState is how near a machine is to having an image; more is better.
+// imageState is the availability of an image on a machine; higher values are better.
 type imageState int
 
 const (
 	imageMissing imageState = iota
-	imagePending            // it is being fetched, once for all tasks that use it
+	imagePending            // being fetched, once for all tasks that use it
 	imageCached
 )
 
@@ -32,15 +32,15 @@
 	return imageMissing
 }
 
-// better is the order in which candidates are used. No two candidates of a plan are equal.
+// better reports whether c is used before o. No two candidates of a plan compare equal.
 func (c *candidate) better(o *candidate) bool {
-	if c.Machine.Spot != o.Machine.Spot { // jobs that may use spot instances leave the others free
+	if c.Machine.Spot != o.Machine.Spot { // jobs that may use spot instances leave other machines free
 		return c.Machine.Spot
 	}
 	if c.imageState != o.imageState {
 		return c.imageState > o.imageState
 	}
-	if c.Idle != o.Idle { // idle machines are kept for jobs that need whole ones, or given back
+	if c.Idle != o.Idle { // idle machines are kept for jobs that need whole machines, or released
 		return o.Idle
 	}
 	if c.free.GPUs != o.free.GPUs {
@@ -52,7 +52,7 @@
 	return c.Machine.Name < o.Machine.Name
 }
 
-// candidateHeap is a heap of candidates with the best first. It implements heap.Interface.
+// candidateHeap is a heap of candidates, the best first. It implements heap.Interface.
 type candidateHeap []candidate
 
 func (h candidateHeap) Len() int           { return len(h) }
@@ -70,7 +70,7 @@
 	return x
 }
 
-// fill sets the bid's offers to places for as many tasks as fit on the candidates.
+// fill sets the bid's offers to the best candidates, one for each task, for as many tasks as fit.
 func (b *Bid) fill(candidates candidateHeap, q *Request) {
 	b.Offers = nil
 	b.CachedImages = 0
@@ -92,21 +92,21 @@
 	}
 }
 
-// candidates returns the machines that a request may be placed on: the ones with most free capacity
-// in each bucket, as many as there are tasks, and those that have its image. Any other machine would
-// only be used after one of these.
+// candidates returns the machines on which a request may be placed: in each bucket, those with the most
+// free capacity, as many as the request has tasks, and all that have its image. Any other machine would
+// be used only after one of these.
 func (z *Zone) candidates(now Micros, q *Request) candidateHeap {
 	var out candidateHeap
 	add := func(o *Offer) bool {
-		if o.inPlan || !q.Needs.Fits(o.Free) || !q.mayUse(now, o) {
+		if o.isCandidate || !q.Needs.Fits(o.Free) || !q.mayUse(now, o) {
 			return false
 		}
-		o.inPlan = true
+		o.isCandidate = true
 		out = append(out, candidate{o, o.Free, o.imageStateFor(q)})
 		return true
 	}
 	var current *bucket
-	left := 0 // candidates still to be found in the current bucket
+	left := 0 // number of candidates still to be found in the current bucket
 	z.eachFit(q, func(o *Offer) bool {
 		if o.bucket != current {
 			current = o.bucket
@@ -117,13 +117,13 @@
 		}
 		return left > 0
 	})
-	for o := range z.byImage[q.Image] { // in any order: candidate.better has no ties
+	for o := range z.byImage[q.Image] { // the order does not matter: candidate.better has no ties
 		if o.bucket.suits(q) {
 			add(o)
 		}
 	}
 	for i := range out {
-		out[i].inPlan = false
+		out[i].isCandidate = false
 	}
 	return out
 }
--- a/internal/core/zone/capacity_index.go
+++ b/internal/core/zone/capacity_index.go
@@ -11,17 +11,17 @@
 // btreeDegree is about half the number of offers in a node of a tree.
 const btreeDegree = 16
 
-// weightScale is the scale of the sums of weights, which are kept as integers to stay exact.
+// weightScale is the factor by which weights are scaled in sums, which are integers to avoid rounding errors.
 const weightScale = 1e6
 
-// bucketKey is what the offers of a bucket have in common: what a request asks for or prefers before
-// it compares free capacity.
+// bucketKey is the key shared by the offers of a bucket: the properties that a request requires, or
+// prefers before it compares free capacity.
 type bucketKey struct {
 	machineType string
 	spot, idle  bool
 }
 
-// compare orders keys by type, then spot instances last, then idle machines last.
+// compare orders keys by type, then spot instances after others, then idle machines after others.
 func (k bucketKey) compare(o bucketKey) int {
 	return cmp.Or(cmp.Compare(k.machineType, o.machineType), compareBools(k.spot, o.spot), compareBools(k.idle, o.idle))
 }
@@ -37,15 +37,15 @@
 	return -1
 }
 
-// bucket holds the offers with a key, those with most free capacity first. A bid examines as many
-// as it has tasks, however many there are.
+// bucket holds the offers with a key, those with the most free capacity first. A bid examines as many of them
+// as it has tasks, regardless of the size of the bucket.
 type bucket struct {
 	bucketKey
 	offers     *btree.BTreeG[*Offer]
-	freeByGPUs []int64 // scaled weight of what is free, by whole free GPUs of a machine
+	freeByGPUs []int64 // sums of the scaled weights of free capacity, by whole free GPUs of a machine
 }
 
-// moreFree orders the offers of a bucket. It uses nothing that changes while an offer is in there.
+// moreFree orders the offers of a bucket. It compares only values that do not change while an offer is in a bucket.
 func moreFree(a, b *Offer) bool {
 	return cmp.Or(
 		cmp.Compare(b.Free.GPUs, a.Free.GPUs),
@@ -54,10 +54,10 @@
 	) < 0
 }
 
-// suits reports whether a request may use machines of the bucket's type.
+// suits reports whether a request allows the machine type of the bucket and, if it holds spot instances, these.
 func (b *bucket) suits(q *Request) bool { return q.Types[b.machineType] && (q.Spot || !b.spot) }
 
-// addFree adds what is free in an offer to the sums n times: 1 to add it, -1 to remove it.
+// addFree adds the free capacity of an offer to the sums n times: 1 to add it, -1 to remove it.
 func (b *bucket) addFree(o *Offer, n int64) {
 	gpus := o.wholeGPUs()
 	for len(b.freeByGPUs) <= gpus {
@@ -68,7 +68,7 @@
 
 func (o *Offer) wholeGPUs() int { return max(0, int(o.Free.GPUs+tolerance)) }
 
-// insert puts an offer into its bucket, which is made if need be.
+// insert inserts an offer into its bucket, and creates the bucket if it does not exist.
 func (z *Zone) insert(o *Offer) {
 	key := bucketKey{o.Machine.Type, o.Machine.Spot, o.Idle}
 	i, ok := slices.BinarySearchFunc(z.buckets, key, func(b *bucket, key bucketKey) int { return b.compare(key) })
@@ -80,7 +80,7 @@
 	o.bucket.addFree(o, 1)
 }
 
-// remove takes an offer out of its bucket.
+// remove removes an offer from its bucket.
 func (o *Offer) remove() {
 	o.bucket.offers.Delete(o)
 	o.bucket.addFree(o, -1)
@@ -116,7 +116,8 @@
 	}
 }
 
-// Allocate takes what a task with an image needs from an offer that is in the zone.
+// Allocate subtracts the needs of a task from an offer that is in the zone, and adds the image of the task, if not
+// empty, to the pending images of the offer.
 func (z *Zone) Allocate(o *Offer, needs Resources, image string) {
 	o.remove()
 	o.Free = o.Free.Plus(needs, -1)
@@ -129,23 +130,23 @@
 	}
 }
 
-// FreeCapacity returns the weight of all that is free in the zone.
+// FreeCapacity returns the weight of all free capacity in the zone.
 func (z *Zone) FreeCapacity() float64 {
 	return z.freeWeight(0, func(*bucket) bool { return true })
 }
 
-// freeFor returns the weight of what is free on the machines that suit a request and have enough
+// freeFor returns the weight of the free capacity on the machines that suit a request and have enough
 // whole GPUs free for one of its tasks.
 func (z *Zone) freeFor(q *Request) float64 {
 	return z.freeWeight(int(q.Needs.GPUs), func(b *bucket) bool { return b.suits(q) })
 }
 
-// freeWeight returns the weight of what is free on the machines with a number of whole free GPUs or
-// more, in the buckets that count.
-func (z *Zone) freeWeight(gpus int, counts func(*bucket) bool) float64 {
+// freeWeight returns the weight of the free capacity on the machines with at least the given number of whole
+// free GPUs, in the buckets for which include returns true.
+func (z *Zone) freeWeight(gpus int, include func(*bucket) bool) float64 {
 	sum := int64(0)
 	for _, b := range z.buckets {
-		if !counts(b) {
+		if !include(b) {
 			continue
 		}
 		for _, free := range b.freeByGPUs[min(gpus, len(b.freeByGPUs)):] {
@@ -155,15 +156,15 @@
 	return float64(sum) / weightScale
 }
 
-// eachFit calls f for the offers that suit a request and have its GPUs free, bucket by bucket, those
-// with most free capacity first. When f returns false, it goes on with the next bucket.
+// eachFit calls f for the offers that suit a request and have enough free GPUs for one of its tasks, bucket by
+// bucket, those with the most free capacity first. When f returns false, it continues with the next bucket.
 func (z *Zone) eachFit(q *Request, f func(*Offer) bool) {
 	for _, b := range z.buckets {
 		if !b.suits(q) {
 			continue
 		}
 		b.offers.Ascend(func(o *Offer) bool {
-			return o.Free.GPUs+tolerance >= q.Needs.GPUs && f(o) // those that follow have no more GPUs
+			return o.Free.GPUs+tolerance >= q.Needs.GPUs && f(o) // sorted by GPUs, so later ones do not fit either
 		})
 	}
 }
--- a/internal/core/zone/catalog.go
+++ b/internal/core/zone/catalog.go
@@ -9,9 +9,9 @@
 // specTolerance absorbs rounding errors when a job's needs are compared with a machine type.
 const specTolerance = 1e-9
 
-// Catalog is the machine types that the cloud offers, as far as a node knows them.
+// Catalog holds the machine types offered by the cloud that are known to a node.
 type Catalog struct {
-	Types map[string]*wire.MachineType // by name; nil: not known yet
+	Types map[string]*wire.MachineType // by name, nil before the first Set
 }
 
 // Set replaces the machine types.
@@ -22,10 +22,11 @@
 	}
 }
 
-// Known reports whether the machine types are known yet.
+// Known reports whether the machine types have been set.
 func (c *Catalog) Known() bool { return c.Types != nil }
 
-// Allows reports whether a task of a job fits on machines of a type and may run on them.
+// Allows reports whether a task of a job fits on machines of a type, and whether the job allows the type and one of
+// its zones.
 func Allows(spec *wire.Job, t *wire.MachineType) bool {
 	fits := spec.CPUs <= t.CPUs+specTolerance &&
 		spec.GPUs <= t.GPUs+specTolerance &&
@@ -33,12 +34,12 @@
 	return fits && allowsType(spec, t) && allowsZone(spec, t)
 }
 
-// allowsType reports whether a job allows a machine type; without a list it allows any.
+// allowsType reports whether a job allows a machine type. A job without a list of types allows any.
 func allowsType(spec *wire.Job, t *wire.MachineType) bool {
 	return len(spec.Types) == 0 || slices.Contains(spec.Types, t.Name)
 }
 
-// allowsZone reports whether a machine type is offered in the job's zone; without a zone, in any.
+// allowsZone reports whether a machine type is offered in the job's zone. A job without a zone allows any.
 func allowsZone(spec *wire.Job, t *wire.MachineType) bool {
 	return spec.Zone == "" || slices.Contains(t.Zones, spec.Zone)
 }
@@ -69,8 +70,8 @@
 	return len(zones)
 }
 
-// Slim returns a copy of a job without the machine types that the cloud does not offer, which no
-// longer decide anything. It returns nil if there are none to remove, or if none would be left.
+// Slim returns a copy of a job without the machine types that the cloud does not offer, which no longer have any
+// effect on placement. It returns nil if there are none to remove, or if none would be left.
 func (c *Catalog) Slim(spec *wire.Job) *wire.Job {
 	var known []string
 	for _, name := range spec.Types {
--- a/internal/core/zone/image_cache.go
+++ b/internal/core/zone/image_cache.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// ImageCache is the images that a machine is believed to have cached: the most recently used ones
-// that fit into its cache. A machine fetches the images that it lacks and evicts the least recently
-// used ones. No worker reports its cache, so it is derived from the tasks that ran there.
+// ImageCache models the images that a machine has cached: the most recently used ones that fit into
+// its cache. A machine fetches missing images and evicts the least recently used ones. Workers do not
+// report their caches, so the contents are derived from the tasks that ran on the machine.
 type ImageCache struct{ images []cachedImage } // least recently used first
 
 type cachedImage struct {
 	name   string
-	sizeGB float64 // 0: not known
+	sizeGB float64 // 0 if unknown
 }
 
-// Has reports whether an image is believed to be cached.
+// Has reports whether an image is assumed to be cached.
 func (c *ImageCache) Has(image string) bool { return c.find(image) >= 0 }
 
 func (c *ImageCache) find(image string) int {
@@ -23,10 +23,10 @@
 }
 
 // Update records that images, given with their sizes in GB, are in use on a machine with a cache of
-// limitGB; 0: unlimited. Images in use are cached whatever their size. It returns whether any image
-// was added or evicted.
+// limitGB, which is unlimited if 0. Images in use are cached regardless of their size. It returns
+// whether any image was added or evicted.
 func (c *ImageCache) Update(limitGB float64, inUse map[string]float64) bool {
-	added := c.use(inUse)
+	added := c.touch(inUse)
 	if limitGB <= 0 {
 		return added
 	}
@@ -34,9 +34,9 @@
 	return added || evicted
 }
 
-// use makes images the most recently used ones, in the order of their names. It returns whether any
+// touch marks images as the most recently used ones, in the order of their names. It returns whether any
 // was added.
-func (c *ImageCache) use(images map[string]float64) bool {
+func (c *ImageCache) touch(images map[string]float64) bool {
 	added := false
 	for _, name := range slices.Sorted(maps.Keys(images)) {
 		image := cachedImage{name, images[name]}
@@ -51,8 +51,8 @@
 	return added
 }
 
-// evict removes the least recently used images until the others fit into the cache, but keeps a
-// number of the most recently used. It returns whether any was removed.
+// evict removes the least recently used images until the others fit into the cache, but keeps at least
+// the given number of the most recently used ones. It returns whether any was removed.
 func (c *ImageCache) evict(limitGB float64, keep int) bool {
 	sum := 0.0
 	for _, image := range c.images {
@@ -67,8 +67,8 @@
 	return evicted
 }
 
-// Restore adds images that an earlier leader has stored, as the least recently used ones, until the
-// machine's tasks show more.
+// Restore adds images stored by an earlier leader, as the least recently used ones. They keep this rank until
+// tasks on the machine use them.
 func (c *ImageCache) Restore(images []string) {
 	for _, name := range images {
 		if !c.Has(name) {
--- a/internal/core/zone/image_cache_test.go
+++ b/internal/core/zone/image_cache_test.go
@@ -15,26 +15,26 @@
 	c.Update(20, map[string]float64{"b": 8})
 	c.Update(20, map[string]float64{"a": 8})
 	if !c.Update(20, map[string]float64{"c": 8}) {
-		t.Error("nothing was added")
+		t.Error("Update() = false, want true: c was added")
 	}
 	if got := c.Names(); !slices.Equal(got, []string{"a", "c"}) {
-		t.Errorf("%v: b is the least recently used one but for those that were restored", got)
+		t.Errorf("cached %v, want [a c]: the restored image and b are the least recently used ones", got)
 	}
 	if c.Update(20, map[string]float64{"a": 8, "c": 8}) {
-		t.Error("something was added or evicted")
+		t.Error("Update() = true, want false: all images are cached already")
 	}
-	// Images in use are cached, whatever their size.
+	// Images in use are cached, regardless of their size.
 	c.Update(20, map[string]float64{"d": 15, "e": 15})
 	if got := c.Names(); !slices.Equal(got, []string{"d", "e"}) {
-		t.Errorf("%v", got)
+		t.Errorf("cached %v, want [d e]", got)
 	}
 	c.Update(0, map[string]float64{"f": 500})
 	if got := c.Names(); len(got) != 3 {
-		t.Errorf("%v of a machine without a limit", got)
+		t.Errorf("cached %v without a limit, want 3 images", got)
 	}
 }
 
-// The images fit into the cache unless those in use alone do not, and those in use are always cached.
+// The images fit into the cache, unless those in use alone exceed its size. Images in use are always cached.
 func TestCacheRespectsItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c ImageCache
@@ -58,11 +58,11 @@
 				sum += sizes[name]
 			}
 			if sum > max(20, inUseGB) {
-				t.Fatalf("%v take %v", c.Names(), sum)
+				t.Fatalf("images %v take %v GB, want at most %v GB", c.Names(), sum, max(20, inUseGB))
 			}
 			for name := range inUse {
 				if !c.Has(name) {
-					t.Fatalf("%s is in use", name)
+					t.Fatalf("image %s is in use but not cached", name)
 				}
 			}
 		}
--- a/internal/core/zone/machine.go
+++ b/internal/core/zone/machine.go
@@ -1,5 +1,5 @@
-// Package zone holds the leader's view of the machines and plans placements on them, zone by zone.
-// For each machine it keeps what its worker last reported, and which commands in flight to the
+// Package zone holds the leader's state of the machines and plans placements on them, zone by zone.
+// For each machine it stores the last report of its worker, and which commands in flight to the
 // worker may still take effect.
 package zone
 
@@ -23,7 +23,7 @@
 	Since Micros // when this state was first reported
 }
 
-// Machine is a machine with its worker, as one node knows it.
+// Machine is one node's state of a machine and its worker.
 type Machine struct {
 	Instance
 	Report
@@ -33,97 +33,97 @@
 	Lifecycle
 	Faults
 
-	registered     bool          // in a Registry
-	silenceElement *list.Element // in the Registry's order of silence; nil: not tracked
+	registered     bool          // whether it is in a Registry
+	contactElement *list.Element // in Registry.byLastContact, nil if contact is not tracked
 }
 
-// Instance is what kind of machine it is. The cloud says so first, then the worker itself.
+// Instance identifies and describes the machine. The cloud supplies the description until the worker reports it.
 type Instance struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
-	RentedAt               Micros // when this node first knew of the machine
+	RentedAt               Micros // by its age in the cloud's list, or when this node first registered the machine
 }
 
-// Report is the content of the worker's newest message, by incarnation and sequence.
+// Report is the content of the worker's newest message, in the order of incarnation and sequence.
 type Report struct {
 	Incarnation, Sequence, FencingToken uint64
 	Tasks                               map[job.AttemptKey]Task
-	ReclaimedAt                         Micros // when the cloud takes the spot instance back; 0: no notice
+	ReclaimedAt                         Micros // when the cloud reclaims the spot instance, 0 without a notice
 }
 
-// Contact is when and how messages from and to the worker came through.
+// Contact records when and by which path messages from and to the worker were delivered.
 type Contact struct {
-	LastMessageAt      Micros // when the newest message came, by any way
+	LastMessageAt      Micros // when the newest message arrived, by any path
 	LastContactAt      Micros // when the worker was last in direct contact, see Registry.NoteContact
-	Relayed            bool   // the newest message came through the state service
-	WantsFullHeartbeat bool   // the next heartbeat is to come directly to the leader
-	// SilentSince is since when the worker is known to reach nobody; 0: it reaches someone. Calls to
-	// it are answered, but its lease has expired and no heartbeat of the later incarnation has come
-	// by any way: what runs there ends with each lease, whatever is called.
+	Relayed            bool   // the newest message arrived through the state service
+	WantsFullHeartbeat bool   // the next heartbeat has to be sent directly to the leader
+	// SilentSince is the time since when the worker's heartbeats are known to reach no node, 0 if they
+	// reach one. Calls to the worker are answered, but its lease has expired, and no heartbeat of the
+	// later incarnation has arrived by any path. Its tasks end with each lease, regardless of calls.
 	SilentSince  Micros
 	Reachability Reachability
 }
 
-// InFlight is what may be in flight to the worker. A start in a direct call without an answer may
-// be executed as long as the worker has seen no fencing token above AmbiguousToken. A start in the
-// response to a heartbeat is executed before the worker's next heartbeat, or never.
+// InFlight tracks commands that may be in flight to the worker. A start in a direct call without an
+// answer may be executed as long as the worker has seen no fencing token above AmbiguousToken. A start
+// in the response to a heartbeat is executed before the worker's next heartbeat, or never.
 type InFlight struct {
-	CallInFlight   bool // there is a direct call without an answer yet
-	StartInFlight  bool // and it contains a start
+	CallInFlight   bool // a direct call is waiting for its answer
+	StartInFlight  bool // that call contains a start
 	AmbiguousToken uint64
-	ReplySequence  uint64            // the last heartbeat whose response contained a start
-	StartsInReply  map[string]uint64 // the starts in that response: attempts by task
+	ReplySequence  uint64            // sequence of the last heartbeat whose response contained a start
+	StartsInReply  map[string]uint64 // the starts in that response, as attempts by task
 	Urgent         bool              // there are commands that should not wait for the next heartbeat
 	NextCallAt     Micros
 
-	replyAt   Micros // when that heartbeat came, until the next one; 0: none is expected
-	callToken uint64 // of the newest direct call
+	replyAt   Micros // when that heartbeat arrived, 0 after the next heartbeat or in a new incarnation
+	callToken uint64 // fencing token of the newest direct call
 	callID    uint64
 	settled   bool // as of the newest message, see Machine.Settled
 }
 
-// Capacity is what the machine can take.
+// Capacity describes the capacity of the machine that is in use or available.
 type Capacity struct {
-	Allocated Resources  // by what is placed or planned here
-	Images    ImageCache // images that it is believed to have
-	FullUntil Micros     // it has rejected a task for lack of capacity: no placements before then
+	Allocated Resources  // needs of the tasks placed or planned on it
+	Images    ImageCache // images that are assumed to be cached
+	FullUntil Micros     // no placements before then, as it has rejected a task for lack of capacity
 	Stale     bool       // it has changed since the cluster snapshot was updated
-	Offer     *Offer     // its offer in the cluster snapshot; nil: none
+	Offer     *Offer     // its offer in the cluster snapshot, nil if it has none
 }
 
-// Lifecycle is how the machine relates to scaling: whether it stopped, is idle or is being deleted.
+// Lifecycle is the state of the machine that matters for scaling: whether it has stopped, is idle or is being deleted.
 type Lifecycle struct {
-	Failed            bool   // the cloud says that it has stopped by itself
-	UnlistedSince     Micros // since when the cloud's lists lack it; 0: they contain it
-	IdleSince         Micros // 0: it is not idle
+	Failed            bool   // the cloud reports that it has stopped without a request to do so
+	UnlistedSince     Micros // since when it is missing from the cloud's lists, 0 if they contain it
+	IdleSince         Micros // 0 if it is not idle
 	Releasing         bool   // its deletion was requested
 	ReleaseSentAt     Micros
 	DeletionUncertain bool // a deletion without an answer may still be executed
 }
 
-// Faults is what speaks against placing tasks on the machine.
+// Faults holds the reasons against placing tasks on the machine.
 type Faults struct {
-	FailedJobs       map[string]Micros // when jobs failed here since the last success
-	OnProbation      bool              // it gets tasks though it is quarantined, to see whether it still fails
-	IncarnationReset bool              // its worker has lost its incarnation number: it can't be known what is over there
+	FailedJobs       map[string]Micros // times of failures since the last success, by job
+	OnProbation      bool              // tasks are placed on it despite its quarantine, to test whether it still fails
+	IncarnationReset bool              // its worker has lost its incarnation number: which tasks ended is unknown
 }
 
-// New returns a machine whose worker has sent nothing yet.
-func New(name, addr, typ, zone string, spot bool, rented Micros) *Machine {
+// New returns a machine whose worker has not sent a message.
+func New(name, addr, machineType, zone string, spot bool, rentedAt Micros) *Machine {
 	return &Machine{
-		Instance: Instance{Name: name, Addr: addr, Type: typ, Zone: zone, Spot: spot, RentedAt: rented},
+		Instance: Instance{Name: name, Addr: addr, Type: machineType, Zone: zone, Spot: spot, RentedAt: rentedAt},
 		Report:   Report{Tasks: map[job.AttemptKey]Task{}},
 		Faults:   Faults{FailedJobs: map[string]Micros{}},
 	}
 }
 
-// Describe sets what others than its worker say of a machine; an empty address is ignored. It does
-// nothing and returns false once the worker itself has reported.
-func (m *Machine) Describe(addr, typ, zone string, spot bool) bool {
+// Describe sets the description of a machine from a source other than its worker. An empty address is
+// ignored. It does nothing and returns false once the worker has reported.
+func (m *Machine) Describe(addr, machineType, zone string, spot bool) bool {
 	if m.Incarnation != 0 {
 		return false
 	}
-	m.Type, m.Zone, m.Spot = typ, zone, spot
+	m.Type, m.Zone, m.Spot = machineType, zone, spot
 	if addr != "" {
 		m.Addr = addr
 	}
@@ -131,8 +131,8 @@
 }
 
 // ApplyHeartbeat applies a message of the worker: a heartbeat, or the answer to a direct call, which
-// has the same content. It does nothing and returns false if an equally new or newer one was applied
-// before.
+// has the same content. It does nothing and returns false if an equally new or newer message was
+// already applied.
 func (m *Machine) ApplyHeartbeat(now Micros, h *wire.Heartbeat, isHeartbeat bool) bool {
 	if h.Incarnation < m.Incarnation || h.Incarnation == m.Incarnation && h.Sequence <= m.Sequence {
 		return false
@@ -144,8 +144,8 @@
 	return true
 }
 
-// updateContact records that a message came, before it is applied. A later incarnation that only
-// shows in the answer to a call means that the worker's heartbeats have reached nobody.
+// updateContact records that a message arrived, and is called before the message is applied. If a later
+// incarnation first appears in the answer to a call, the worker's heartbeats have not reached any node.
 func (m *Machine) updateContact(now Micros, h *wire.Heartbeat, isHeartbeat bool) {
 	switch {
 	case isHeartbeat:
@@ -157,9 +157,9 @@
 	m.WantsFullHeartbeat = m.WantsFullHeartbeat && !isHeartbeat
 }
 
-// updateExpectedReply forgets the start in an earlier response that can't be executed any more,
-// before the message is applied. There is one heartbeat at a time: by the next one the worker has
-// received the response to the one before, or never will.
+// updateExpectedReply discards the record of a start in an earlier response that can no longer be executed.
+// It is called before the message is applied. A worker has only one heartbeat in flight: when it sends the
+// next one, it has received the response to the previous one, or never will.
 func (m *Machine) updateExpectedReply(h *wire.Heartbeat, isHeartbeat bool) {
 	if h.Incarnation > m.Incarnation {
 		m.ReplySequence = 0
@@ -170,7 +170,7 @@
 	}
 }
 
-// applyReport applies the content of a message.
+// applyReport replaces the state reported by the worker by the content of a message.
 func (m *Machine) applyReport(now Micros, h *wire.Heartbeat) {
 	m.Incarnation = h.Incarnation
 	m.Sequence = h.Sequence
@@ -183,7 +183,7 @@
 	m.Tasks = m.reportedTasks(now, h.Tasks)
 }
 
-// reportedTasks converts reported tasks, and keeps the time of those whose state has not changed.
+// reportedTasks converts reported tasks, and keeps Since of those whose state has not changed.
 func (m *Machine) reportedTasks(now Micros, reported []wire.TaskStatus) map[job.AttemptKey]Task {
 	tasks := make(map[job.AttemptKey]Task, len(reported))
 	for _, t := range reported {
@@ -201,8 +201,9 @@
 	return tasks
 }
 
-// ApplyAck records that the worker's relay has answered a heartbeat with the content of the newest
-// message. It does nothing and returns false if an equally new or newer message was applied before.
+// ApplyAck records that the worker's relay has answered a heartbeat with the same content as the newest
+// message. It does nothing and returns false if the incarnation differs, or if an equally new or newer
+// message was already applied.
 func (m *Machine) ApplyAck(now Micros, incarnation, seq uint64) bool {
 	if incarnation != m.Incarnation || seq <= m.Sequence {
 		return false
@@ -218,7 +219,7 @@
 // newest message showing its attempt.
 func (m *Machine) Settled() bool { return m.settled && !m.StartInFlight }
 
-// NoteReply records that the response to the newest heartbeat contains a start.
+// NoteReply records the commands of the response to the newest heartbeat. It is called if they contain a start.
 func (m *Machine) NoteReply(commands []wire.Command) {
 	m.ReplySequence = m.Sequence
 	m.replyAt = m.LastMessageAt
@@ -231,22 +232,22 @@
 	}
 }
 
-// StartUncertain reports whether a start in a call without an answer may still arrive. A higher
-// fencing token voids it.
+// StartUncertain reports whether a start in a call without an answer may still arrive. The worker
+// rejects it once it has seen a higher fencing token.
 func (m *Machine) StartUncertain() bool { return m.FencingToken <= m.AmbiguousToken }
 
-// replyClockTolerance is the inverse of the rate by which a worker's clock may be slow.
+// replyClockTolerance is the inverse of the fraction by which a worker's clock may run slow.
 const replyClockTolerance = 100
 
-// StartMayArrive reports whether a start that was sent may still take effect. One in the response to
-// a heartbeat does before the next heartbeat, and no later than a worker waits for responses.
+// StartMayArrive reports whether a start that was sent may still take effect. A start in the response to
+// a heartbeat takes effect before the next heartbeat and within replyTimeout by the worker's clock, or never.
 func (m *Machine) StartMayArrive(now Micros) bool {
 	replyMayArrive := m.replyAt != 0 && now-m.replyAt <= replyTimeout+replyTimeout/replyClockTolerance
 	return m.StartInFlight || m.StartUncertain() || replyMayArrive
 }
 
-// NoteCall records that a direct call was sent under a fencing token. start says that it contains a
-// start.
+// NoteCall records that a direct call was sent under a fencing token. start is true if the call contains
+// a start.
 func (m *Machine) NoteCall(now Micros, id, token uint64, start bool) {
 	m.CallInFlight = true
 	m.StartInFlight = start
@@ -258,8 +259,8 @@
 	}
 }
 
-// NoteCallDone records the end of a direct call. One of an earlier term says nothing about the call
-// that is in flight now.
+// NoteCallDone records the end of a direct call. Calls of an earlier term are ignored, as their results do
+// not apply to the call that is in flight now.
 func (m *Machine) NoteCallDone(id uint64, unanswered bool) {
 	if id != m.callID {
 		return
@@ -271,15 +272,15 @@
 	m.StartInFlight = false
 }
 
-// quarantineFailures is the number of different jobs that have to fail in a row on a machine for the
-// machine to be considered the cause.
+// quarantineFailures is the number of different jobs that have to fail on a machine, without a success in
+// between, for the machine to be considered the cause.
 const quarantineFailures = 2
 
 // Quarantined reports whether the machine is considered the cause of the failures on it.
 func (m *Machine) Quarantined() bool { return len(m.FailedJobs) >= quarantineFailures }
 
-// ClearedBySuccess reports whether the success of a task that started to run at a time shows that
-// the machine is sound. One that ran before others failed shows nothing.
+// ClearedBySuccess reports whether the success of a task that started to run at startedAt shows that the
+// machine is healthy. A task that started before the last failure is no evidence.
 func (m *Machine) ClearedBySuccess(startedAt Micros) bool {
 	for _, failedAt := range m.FailedJobs {
 		if startedAt <= failedAt {
@@ -289,7 +290,7 @@
 	return true
 }
 
-// LastFailureAt returns when a task last failed on the machine since the last success, 0 for never.
+// LastFailureAt returns when a task last failed on the machine since the last success, or 0 if none has.
 func (m *Machine) LastFailureAt() Micros {
 	last := Micros(0)
 	for _, failedAt := range m.FailedJobs {
--- a/internal/core/zone/machine_test.go
+++ b/internal/core/zone/machine_test.go
@@ -7,15 +7,17 @@
 	"coralhub/wire"
 )
 
-// A late heartbeat changes nothing, and a start in a call without an answer keeps its worker unsettled
-// until it has seen a higher fencing token.
+// A heartbeat that arrives out of order changes nothing. A start in a call without an answer keeps the machine
+// unsettled until its worker has seen a higher fencing token.
 func TestApplyHeartbeatSettlesStarts(t *testing.T) {
 	m := New("m1", "", "t", "a", false, 0)
 	heartbeat := func(incarnation, seq, token uint64) *wire.Heartbeat {
-		return &wire.Heartbeat{Machine: "m1", Type: "t", Zone: "a", Incarnation: incarnation, Sequence: seq, FencingToken: token}
+		return &wire.Heartbeat{Machine: "m1", Type: "t", Zone: "a",
+			Incarnation: incarnation, Sequence: seq, FencingToken: token}
 	}
-	if !m.ApplyHeartbeat(1, heartbeat(2, 5, 10), true) || m.ApplyHeartbeat(2, heartbeat(2, 5, 10), true) || m.ApplyHeartbeat(2, heartbeat(1, 9, 10), true) {
-		t.Fatal("order of heartbeats")
+	if !m.ApplyHeartbeat(1, heartbeat(2, 5, 10), true) || m.ApplyHeartbeat(2, heartbeat(2, 5, 10), true) ||
+		m.ApplyHeartbeat(2, heartbeat(1, 9, 10), true) {
+		t.Fatal("want only heartbeats with a higher incarnation or sequence applied")
 	}
 	if !m.Settled() {
 		t.Fatal("not settled with nothing in flight")
@@ -24,19 +26,19 @@
 	m.NoteCallDone(1, true)
 	m.ApplyHeartbeat(4, heartbeat(2, 6, 10), true)
 	if m.Settled() {
-		t.Fatal("settled though a start may still arrive")
+		t.Fatal("settled although a start may still arrive")
 	}
 	m.ApplyHeartbeat(5, heartbeat(2, 7, 11), true)
 	if !m.Settled() {
-		t.Fatal("not settled though the start is void")
+		t.Fatal("not settled although the worker rejects the start")
 	}
 	m.NoteReply(nil)
 	m.ApplyHeartbeat(6, heartbeat(2, 8, 11), false)
 	if m.Settled() || !m.StartMayArrive(6) {
-		t.Fatal("the answer to a direct call shows nothing about the response to a heartbeat")
+		t.Fatal("settled by the answer to a direct call, while a response to a heartbeat may be in flight")
 	}
 	if m.StartMayArrive(5+replyTimeout+config.Second) || m.Settled() {
-		t.Fatal("a worker accepts no response so late, but has not reported what became of it")
+		t.Fatal("want no start to arrive after replyTimeout, and the machine unsettled until the next heartbeat")
 	}
 	m.ApplyHeartbeat(7, heartbeat(2, 9, 11), true)
 	if !m.Settled() || m.StartMayArrive(7) {
--- a/internal/core/zone/model_test.go
+++ b/internal/core/zone/model_test.go
@@ -7,31 +7,31 @@
 	"coralhub/wire"
 )
 
-// The model: one worker, the leader that has placed an attempt of a task on it, and a successor that
-// knows nothing of what was sent before its election. Every message may be lost or delayed.
-// Heartbeats may be duplicated, any number of times, at either node. Responses and commands may not
-// reach the worker for as long as it likes (an unreachable machine). At some time the task is cancelled,
-// and once a node closes its placement it starts elsewhere. From then on the worker must not run it,
-// nor ever receive it again.
+// The model consists of one worker, the leader that has placed an attempt of a task on it, and a successor
+// without information on what was sent before its election. Every message may be lost or delayed.
+// Heartbeats may be duplicated, any number of times, at either node. Responses and commands may fail to
+// reach the worker for any length of time (an unreachable machine). At some time the task is cancelled.
+// Once a node closes the placement, the task starts on another machine. From then on the worker must not
+// run it, nor receive a start of it.
 //
-// What the nodes know of the worker is the real Machine. Every state within the bounds is explored.
-// Then each guard is taken away in turn: without it, a violation has to be found.
+// The nodes' state of the worker is an actual Machine. Every state within the bounds is explored. Then each
+// guard is removed in turn: without it, a violation must be found.
 
 const (
 	maxReports = 3
 	maxCalls   = 1
 )
 
-// The two nodes of the model.
+// Indexes of the two nodes in modelState.
 const (
 	firstLeader = 0
 	successor   = 1
 )
 
-// modelReport is a message of the worker; its sequence is its index in modelState.
+// modelReport is a message of the worker. Its sequence is its index in modelState.reports.
 type modelReport struct {
 	sent, runs         bool
-	answersCall        bool // it is the answer to a call, which only the caller receives
+	answersCall        bool // whether it is the answer to a call, which only the caller receives
 	incarnation, token uint8
 }
 
@@ -40,8 +40,8 @@
 
 const (
 	callUnused    callState = iota
-	callInFlight            // its sender waits
-	callAbandoned           // in flight, but its sender has given up
+	callInFlight            // its sender waits for the answer
+	callAbandoned           // in flight, but its sender no longer waits
 	callAnswered            // the answer is in flight
 )
 
@@ -50,7 +50,7 @@
 	node               uint8
 	start              bool
 	incarnation, token uint8
-	answer             uint8 // sequence of the report that answers it
+	answer             uint8 // sequence of the report that is the answer
 }
 
 // modelResponse is the response to a heartbeat.
@@ -61,7 +61,7 @@
 
 // modelNode is a node and the state of its Machine.
 type modelNode struct {
-	alive, raised                            bool // raised: it has raised its fencing token
+	alive, raised                            bool // raised: whether it has raised its fencing token
 	termStart, token                         uint8
 	incarnation, sequence, seenToken         uint8
 	runs, settled                            bool
@@ -73,15 +73,15 @@
 type modelState struct {
 	incarnation, sequence, token uint8 // of the worker
 	runs                         bool
-	awaits                       uint8 // the heartbeat whose response the worker waits for
+	awaits                       uint8 // sequence of the heartbeat whose response the worker waits for
 	reports                      [maxReports + 1]modelReport
 	calls                        [maxCalls]modelCall
 	response                     modelResponse
 	nodes                        [2]modelNode
-	cancelled, closed            bool // the task, its placement
+	cancelled, closed            bool // of the task and of its placement
 }
 
-// guard is a guard of the protocol that can be taken away.
+// guard describes a guard of the protocol that can be removed.
 type guard string
 
 const (
@@ -96,11 +96,12 @@
 	onlyLaterIncarnation guard = "only a later incarnation ends all of an earlier one"
 )
 
-var guards = []guard{reportOrder, ambiguousStart, predecessorsStart, startInResponse, startInCall, proofByHeartbeat, deposedLeader, onlyLaterIncarnation}
+var guards = []guard{reportOrder, ambiguousStart, predecessorsStart, startInResponse,
+	startInCall, proofByHeartbeat, deposedLeader, onlyLaterIncarnation}
 
 var modelKey = job.AttemptKey{Job: "j-1", Task: 0, Attempt: 1}
 
-// machine returns the node's Machine.
+// machine returns a Machine with the stored state.
 func (n *modelNode) machine() *Machine {
 	m := New("m", "a", "t", "z", false, 0)
 	m.Incarnation, m.Sequence, m.FencingToken = uint64(n.incarnation), uint64(n.sequence), uint64(n.seenToken)
@@ -122,21 +123,21 @@
 	n.callToken, n.callID, n.settled = uint8(m.callToken), uint8(m.callID), m.settled
 }
 
-// elected reports whether the successor was elected.
+// elected reports whether the successor has been elected.
 func (s *modelState) elected() bool { return s.nodes[successor].termStart != 0 }
 
-// leads reports whether a node was not followed by another.
+// leads reports whether no successor of a node has been elected.
 func (s *modelState) leads(node int) bool { return node == successor || !s.elected() }
 
-// receive has a node apply a report, as a leader does, and act on it. It returns the response; false
-// if there is none.
+// receive makes a node apply a report and reconcile the placement with it, as a leader does. It returns the
+// response, and false if there is none.
 func (s *modelState) receive(g guard, node int, sequence uint8, isHeartbeat bool) (modelResponse, bool) {
 	n, r := &s.nodes[node], s.reports[sequence]
 	if !n.alive {
 		return modelResponse{}, false
 	}
 	if r.token > n.token {
-		n.alive = false // another node leads: it steps down
+		n.alive = false // another node has been elected, so it resigns
 		return modelResponse{}, false
 	}
 	m := n.machine()
@@ -149,9 +150,11 @@
 	if g == startInCall {
 		m.StartInFlight = false
 	}
-	heartbeat := wire.Heartbeat{Incarnation: uint64(r.incarnation), Sequence: uint64(sequence), FencingToken: uint64(r.token)}
+	heartbeat := wire.Heartbeat{Incarnation: uint64(r.incarnation), Sequence: uint64(sequence),
+		FencingToken: uint64(r.token)}
 	if r.runs {
-		heartbeat.Tasks = []wire.TaskStatus{{Task: wire.TaskName(modelKey.Job, modelKey.Task), Attempt: modelKey.Attempt, State: wire.Running}}
+		heartbeat.Tasks = []wire.TaskStatus{{Task: wire.TaskName(modelKey.Job, modelKey.Task),
+			Attempt: modelKey.Attempt, State: wire.Running}}
 	}
 	if !m.ApplyHeartbeat(0, &heartbeat, isHeartbeat || g == proofByHeartbeat) {
 		return modelResponse{}, false
@@ -166,8 +169,8 @@
 	return response, isHeartbeat
 }
 
-// reconcile compares what a worker has reported with the placement, and closes the placement if the
-// report proves that it is over.
+// reconcile compares the report of a worker with the placement, and closes the placement if the report proves
+// that it has ended.
 func (s *modelState) reconcile(g guard, node int, m *Machine, sequence uint8) modelResponse {
 	n := &s.nodes[node]
 	response := modelResponse{sent: true, sequence: sequence, token: n.token}
@@ -191,7 +194,7 @@
 	return response
 }
 
-// next returns the states that one event leads to.
+// next returns the states that can follow after one event.
 func (s modelState) next(g guard) []modelState {
 	var out []modelState
 	add := func(t modelState) { out = append(out, t) }
@@ -208,7 +211,7 @@
 	return out
 }
 
-// heartbeatSent: the worker sends a heartbeat, and waits for no earlier response any more.
+// heartbeatSent adds the state after the worker sends a heartbeat and stops waiting for an earlier response.
 func (s modelState) heartbeatSent(add func(modelState)) {
 	if s.sequence == maxReports {
 		return
@@ -219,7 +222,7 @@
 	add(s)
 }
 
-// heartbeatReceived: a node receives a heartbeat, for the first time or again.
+// heartbeatReceived adds the states after a node receives a heartbeat, for the first time or as a duplicate.
 func (s modelState) heartbeatReceived(g guard, add func(modelState)) {
 	for sequence := uint8(1); sequence <= s.sequence; sequence++ {
 		if s.reports[sequence].answersCall {
@@ -228,7 +231,7 @@
 		for node := range s.nodes {
 			t := s
 			response, ok := t.receive(g, node, sequence, true)
-			add(t) // as a duplicate, or the response is lost
+			add(t) // duplicate heartbeat, or lost response
 			if ok && sequence == t.awaits {
 				t.response = response
 				add(t)
@@ -237,7 +240,7 @@
 	}
 }
 
-// responseReceived: the worker receives the response to its newest heartbeat.
+// responseReceived adds the state after the worker receives the response to its newest heartbeat.
 func (s modelState) responseReceived(add func(modelState)) {
 	response := s.response
 	if !response.sent || response.sequence != s.awaits {
@@ -251,7 +254,8 @@
 	add(s)
 }
 
-// placementReexamined: a node examines again what it knows, once the task is cancelled.
+// placementReexamined adds the states after a node closes the placement of the cancelled task, based on an earlier
+// report.
 func (s modelState) placementReexamined(add func(modelState)) {
 	for node := range s.nodes {
 		n := &s.nodes[node]
@@ -264,7 +268,7 @@
 	}
 }
 
-// callSent: a node sends a direct call, with a start or only to show its fencing token.
+// callSent adds the states after a node sends a direct call, with a start or only to announce its fencing token.
 func (s modelState) callSent(add func(modelState)) {
 	for node := range s.nodes {
 		n := s.nodes[node]
@@ -284,7 +288,8 @@
 				m := n.machine()
 				m.NoteCall(0, uint64(i+1), uint64(n.token), start)
 				t.nodes[node].save(m)
-				t.calls[i] = modelCall{state: callInFlight, node: uint8(node), start: start, incarnation: n.incarnation, token: n.token}
+				t.calls[i] = modelCall{state: callInFlight, node: uint8(node), start: start,
+					incarnation: n.incarnation, token: n.token}
 				add(t)
 			}
 			break
@@ -292,12 +297,13 @@
 	}
 }
 
-// callAdvanced: something happens to a call that was sent.
+// callAdvanced adds the states after a call is abandoned, discarded or received, or after its answer is received or
+// lost.
 func (s modelState) callAdvanced(g guard, add func(modelState)) {
 	for i, call := range s.calls {
 		switch call.state {
 		case callInFlight:
-			t := s // its sender gives up; it may arrive later
+			t := s // its sender stops waiting, and it may arrive later
 			t.callDone(i, true)
 			t.calls[i].state = callAbandoned
 			add(t)
@@ -322,7 +328,7 @@
 			t.receive(g, int(call.node), call.answer, false)
 			t.calls[i] = modelCall{}
 			add(t)
-			t = s // or is lost
+			t = s // its answer is lost
 			t.callDone(i, true)
 			t.calls[i] = modelCall{}
 			add(t)
@@ -338,7 +344,7 @@
 	n.save(m)
 }
 
-// leaseExpired: the worker's lease expires, and it begins another incarnation.
+// leaseExpired adds the state after the worker's lease expires and it begins another incarnation.
 func (s modelState) leaseExpired(add func(modelState)) {
 	if s.incarnation != 1 {
 		return
@@ -350,7 +356,7 @@
 	add(s)
 }
 
-// successorElected: the successor wins an election under a higher token.
+// successorElected adds the state after the successor wins an election under a higher token.
 func (s modelState) successorElected(add func(modelState)) {
 	if s.elected() {
 		return
@@ -360,7 +366,7 @@
 	add(s)
 }
 
-// tokenRaised: a leader raises its fencing token. It happens once in a run.
+// tokenRaised adds the states after a leader raises its fencing token, which happens at most once in a run.
 func (s modelState) tokenRaised(add func(modelState)) {
 	for node := range s.nodes {
 		n := s.nodes[node]
@@ -373,7 +379,7 @@
 	}
 }
 
-// taskCancelled: the task is cancelled.
+// taskCancelled adds the state after the task is cancelled.
 func (s modelState) taskCancelled(add func(modelState)) {
 	if !s.cancelled {
 		s.cancelled = true
@@ -381,13 +387,13 @@
 	}
 }
 
-// report has the worker send what it runs.
+// report makes the worker send a report of its task.
 func (s *modelState) report() {
 	s.sequence++
 	s.reports[s.sequence] = modelReport{sent: true, runs: s.runs, incarnation: s.incarnation, token: s.token}
 }
 
-// receiveCall has the worker receive a call, which it answers with a report.
+// receiveCall makes the worker receive a call and answer it with a report.
 func (s *modelState) receiveCall(call *modelCall) {
 	s.token = max(s.token, call.token)
 	if call.token == s.token && call.incarnation == s.incarnation {
@@ -399,7 +405,7 @@
 	}
 }
 
-// execute has the worker execute commands.
+// execute makes the worker execute commands.
 func (s *modelState) execute(start, stop bool) {
 	switch {
 	case stop:
@@ -409,8 +415,8 @@
 	}
 }
 
-// explore visits every state without a guard. It returns how many there are, and the first in which the
-// task may run twice.
+// explore visits every state of the protocol without the given guard. It returns the number of visited states, and
+// the first state found in which the task may run twice, or nil if there is none.
 func explore(without guard) (int, *modelState) {
 	first := modelState{incarnation: 1}
 	first.nodes[firstLeader] = modelNode{alive: true, termStart: 1, token: 1}
@@ -431,16 +437,16 @@
 	return len(seen), nil
 }
 
-func TestModel(t *testing.T) {
+func TestClosedPlacementNeverRuns(t *testing.T) {
 	t.Parallel()
 	n, violation := explore(noGuard)
 	if violation != nil {
-		t.Fatalf("the task runs twice: %+v", *violation)
+		t.Fatalf("task may run twice in state %+v", *violation)
 	}
-	t.Logf("%d states", n)
+	t.Logf("explored %d states", n)
 	for _, g := range guards {
 		if n, violation := explore(g); violation == nil {
-			t.Errorf("without %q nothing is found in %d states", g, n)
+			t.Errorf("no violation found without guard %q in %d states", g, n)
 		}
 	}
 }
--- a/internal/core/zone/preemption.go
+++ b/internal/core/zone/preemption.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// Reclaim is what preempting a victim frees on a machine.
+// Reclaim is the capacity that preempting a victim frees on a machine.
 type Reclaim struct {
 	Offer *Offer
 	Resources
 }
 
-// Victim is work that could be preempted. A gang is one victim for all of its tasks, with all
-// machines that it is on.
+// Victim is work that could be preempted. A gang is one victim for all of its tasks, on all of its
+// machines.
 type Victim struct {
 	Job       string
-	Task      int    // -1: the whole gang
+	Task      int    // -1 for a whole gang
 	Level     int    // priority level
 	Since     Micros // when it started
-	Loss      Micros // work since its last checkpoint, which would have to be done again
-	Left      Micros // expected remaining duration; 0 where it does not matter
+	Loss      Micros // work since its last checkpoint, which would have to be repeated
+	Left      Micros // expected remaining duration, 0 where it does not matter
 	Reclaims  []Reclaim
 	Preempted bool // by an earlier placement of the scheduling cycle
 }
 
-// weight returns the weight of what a victim holds on all machines.
+// weight returns the weight of the resources that a victim holds on all machines.
 func (v *Victim) weight() float64 {
 	sum := 0.0
 	for i := range v.Reclaims {
@@ -33,7 +33,7 @@
 	return sum
 }
 
-// highestLevel returns the highest priority level of victims, -1 without any.
+// highestLevel returns the highest priority level of victims, or -1 if there are none.
 func highestLevel(victims []*Victim) int {
 	highest := -1
 	for _, v := range victims {
@@ -42,9 +42,9 @@
 	return highest
 }
 
-// SortByLoss sorts victims in the order of preemption: lowest priority first, then the least loss,
-// then the longest remaining duration, then the longest running. To go by the last alone would
-// assume that everything can be saved in a checkpoint.
+// SortByLoss sorts victims into the order of preemption: lowest priority first, then the least loss,
+// then the longest remaining duration, then the longest running. To sort by running time alone would
+// assume that all work can be saved in a checkpoint.
 func SortByLoss(victims []*Victim) {
 	slices.SortFunc(victims, func(a, b *Victim) int {
 		switch {
@@ -63,8 +63,8 @@
 	})
 }
 
-// preemption is the state of the search for victims for one request. How many tasks fit is counted
-// by machine, so that a victim costs no more time than the machines that it is on.
+// preemption is the state of the search for victims for one request. The number of tasks that fit is
+// updated per machine, so that the time for a victim depends only on the number of its machines.
 type preemption struct {
 	zone    *Zone
 	id      uint64
@@ -74,8 +74,8 @@
 	fit     int // tasks that fit into free capacity and what the chosen victims free
 }
 
-// preempt completes a bid by choosing victims until the request fits, of which it then keeps only
-// the largest that are needed. It returns nil if all victims together do not suffice.
+// preempt completes a bid by choosing victims until the request fits, and then drops those that are not
+// needed, smallest first. It returns nil if all victims together do not suffice.
 func (z *Zone) preempt(now Micros, bid *Bid, q *Request) *Bid {
 	z.preemptions++
 	p := &preemption{zone: z, id: z.preemptions, now: now, request: q, wanted: q.Count}
@@ -94,8 +94,8 @@
 	return bid
 }
 
-// usable reports whether the request may use an offer. It is found out once per preemption, and only
-// for offers that are asked for.
+// usable reports whether the request may use an offer. The result is computed on demand and cached for
+// the preemption.
 func (p *preemption) usable(o *Offer) bool {
 	if o.reclaim.preemption != p.id {
 		o.reclaim = reclaimState{preemption: p.id, usable: o.bucket.suits(p.request) && p.request.mayUse(p.now, o)}
@@ -103,8 +103,8 @@
 	return o.reclaim.usable
 }
 
-// here reports whether an offer is in the zone and the request may use it.
-func (p *preemption) here(o *Offer) bool { return o.Machine.Zone == p.zone.Name && p.usable(o) }
+// usableInZone reports whether an offer is in the zone and the request may use it.
+func (p *preemption) usableInZone(o *Offer) bool { return o.Machine.Zone == p.zone.Name && p.usable(o) }
 
 // countFree counts the tasks that fit into free capacity.
 func (p *preemption) countFree() {
@@ -116,14 +116,14 @@
 	})
 }
 
-// reclaim adds what a victim holds to the gains of its machines n times: 1 to take it, -1 to give it
-// back. It reports whether the victim holds anything that the request may use.
+// reclaim adds the resources of a victim to the gains of its machines n times: 1 to choose the victim,
+// -1 to drop it. It reports whether the request may use any machine of the victim.
 func (p *preemption) reclaim(v *Victim, n float64) bool {
 	needs := p.request.Needs
 	held := false
 	for i := range v.Reclaims {
 		o := v.Reclaims[i].Offer
-		if !p.here(o) {
+		if !p.usableInZone(o) {
 			continue
 		}
 		held = true
@@ -134,7 +134,7 @@
 	return held
 }
 
-// chooseVictims takes victims in their order until enough tasks fit, or there are no more.
+// chooseVictims chooses victims in the order of SortByLoss until enough tasks fit or no victim is left.
 func (p *preemption) chooseVictims() []*Victim {
 	var chosen []*Victim
 	for _, v := range p.zone.Victims() {
@@ -149,7 +149,7 @@
 	return chosen
 }
 
-// dropUnneeded gives back, smallest first, the victims without which enough tasks fit, and returns
+// dropUnneeded drops, smallest first, the victims without which enough tasks still fit, and returns
 // the others, largest first.
 func (p *preemption) dropUnneeded(victims []*Victim) []*Victim {
 	slices.SortStableFunc(victims, func(a, b *Victim) int { return cmp.Compare(b.weight(), a.weight()) })
@@ -164,7 +164,7 @@
 	return victims
 }
 
-// candidates returns the machines that the request may be placed on once the victims are gone.
+// candidates returns the machines on which the request may be placed once the victims are preempted.
 func (p *preemption) candidates(victims []*Victim) candidateHeap {
 	out := slices.DeleteFunc(p.zone.candidates(p.now, p.request), func(c candidate) bool {
 		return c.reclaim.preemption == p.id && c.reclaim.gain != Resources{}
@@ -173,7 +173,7 @@
 	for _, v := range victims {
 		for i := range v.Reclaims {
 			o := v.Reclaims[i].Offer
-			if added[o] || !p.here(o) {
+			if added[o] || !p.usableInZone(o) {
 				continue
 			}
 			added[o] = true
--- a/internal/core/zone/preemption_test.go
+++ b/internal/core/zone/preemption_test.go
@@ -10,13 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-// The example of the paper: among victims with 4, 5 and 12 GPUs, a need for 10 is met by preempting the
-// largest alone.
+// The example from the paper: of victims with 4, 5 and 12 GPUs, only the largest is preempted for a request of
+// 10 GPUs.
 func TestPreemptionKeepsTheLargest(t *testing.T) {
 	o := newOffer("m1", 0)
 	var victims []*Victim
 	for i, gpus := range []float64{4, 5, 12} {
-		victims = append(victims, &Victim{Job: string(rune('a' + i)), Level: 1, Since: Micros(i), Reclaims: []Reclaim{{o, Resources{GPUs: gpus}}}})
+		victims = append(victims, &Victim{Job: string(rune('a' + i)), Level: 1, Since: Micros(i),
+			Reclaims: []Reclaim{{o, Resources{GPUs: gpus}}}})
 	}
 	q := newRequest(10, 1, true)
 	q.MayPreempt = func(*Victim) bool { return true }
@@ -41,11 +42,11 @@
 		t.Fatalf("%+v", bid)
 	}
 	if b := (&Bid{Offers: []*Offer{o}, Victims: bid.Victims}); b.Better(&Bid{Offers: []*Offer{o}}) {
-		t.Error("a bid with victims is better than one without")
+		t.Error("Better() = true for a bid with victims compared with one without")
 	}
 }
 
-// A gang on two machines is one victim; a gang placed instead gets both machines.
+// A gang on two machines is one victim, and the gang that preempts it gets both machines.
 func TestPreemptionOfGangs(t *testing.T) {
 	a, b, c := newOffer("m1", 0), newOffer("m2", 0), newOffer("m3", 0)
 	victims := []*Victim{
@@ -55,21 +56,23 @@
 	q := newRequest(4, 2, true)
 	q.MayPreempt = func(*Victim) bool { return true }
 	bid := newZone(victims, a, b, c).Plan(9, q)
-	if bid == nil || len(bid.Victims) != 1 || bid.Victims[0].Job != "gang" || !reflect.DeepEqual(machineNames(bid), []string{"m1", "m2"}) {
+	if bid == nil || len(bid.Victims) != 1 || bid.Victims[0].Job != "gang" ||
+		!reflect.DeepEqual(machineNames(bid), []string{"m1", "m2"}) {
 		t.Fatalf("%+v", bid)
 	}
 	q.Count = 4
 	if bid := newZone(victims, a, b, c).Plan(9, q); bid != nil {
-		t.Fatalf("more than there is: %+v", bid)
+		t.Fatalf("bid beyond the capacity of the zone: %+v", bid)
 	}
 }
 
-// Work without a recent checkpoint is preempted last, and among the rest what loses least: the paper's
-// longest running first assumes cheap checkpoints.
+// The work with the least loss is preempted first, and work without a recent checkpoint last. The order in the paper,
+// longest running first, assumes cheap checkpoints.
 func TestPreemptionTakesLeastLossFirst(t *testing.T) {
 	o := newOffer("m1", 0)
 	one := []Reclaim{{o, Resources{GPUs: 1}}}
-	victims := []*Victim{{Job: "long", Level: 1, Since: 1, Loss: 90, Reclaims: one}, {Job: "short", Level: 1, Since: 80, Loss: 11, Reclaims: one}}
+	victims := []*Victim{{Job: "long", Level: 1, Since: 1, Loss: 90, Reclaims: one},
+		{Job: "short", Level: 1, Since: 80, Loss: 11, Reclaims: one}}
 	q := newRequest(1, 1, false)
 	q.MayPreempt = func(*Victim) bool { return true }
 	if bid := newZone(victims, o).Plan(91, q); bid == nil || len(bid.Victims) != 1 || bid.Victims[0].Job != "short" {
@@ -81,8 +84,8 @@
 	}
 }
 
-// victimsExhaustively is a reference for the victims of a Plan that counts the free capacity of every
-// machine anew for each victim.
+// victimsExhaustively is a reference implementation of the choice of victims that recounts the free capacity of every
+// machine for each victim.
 func victimsExhaustively(z *Zone, offers map[string]*Offer, q *Request) (victims []*Victim) {
 	want := 1
 	if q.AllOrNothing {
@@ -109,8 +112,10 @@
 		if fit(victims) >= want {
 			break
 		}
-		here := slices.ContainsFunc(v.Reclaims, func(t Reclaim) bool { return (q.Spot || !t.Offer.Machine.Spot) && q.mayUse(1, t.Offer) })
-		if here && !v.Preempted && q.MayPreempt(v) {
+		suitable := slices.ContainsFunc(v.Reclaims, func(t Reclaim) bool {
+			return (q.Spot || !t.Offer.Machine.Spot) && q.mayUse(1, t.Offer)
+		})
+		if suitable && !v.Preempted && q.MayPreempt(v) {
 			victims = append(victims, v)
 		}
 	}
@@ -126,8 +131,8 @@
 	return victims
 }
 
-// Examining only the machines that victims are on, and those with free capacity, finds the victims that
-// examining every machine does.
+// Examining only the machines of victims and those with free capacity finds the same victims as examining every
+// machine.
 func TestVictimsAgreeWithExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := &Zone{Name: "a"}
@@ -143,7 +148,8 @@
 					o.Free.GPUs += float64(gpus)
 					continue
 				}
-				v := &Victim{Job: fmt.Sprint("j", len(victims)), Level: rapid.IntRange(0, 3).Draw(t, "level"), Since: Micros(len(victims)),
+				v := &Victim{Job: fmt.Sprint("j", len(victims)), Level: rapid.IntRange(0, 3).Draw(t, "level"),
+					Since:    Micros(len(victims)),
 					Reclaims: []Reclaim{{o, Resources{GPUs: float64(gpus)}}}}
 				if n := len(victims); n > 0 && rapid.IntRange(0, 4).Draw(t, "gang") == 0 {
 					victims[n-1].Reclaims = append(victims[n-1].Reclaims, v.Reclaims...)
@@ -156,22 +162,23 @@
 		}
 		SortByLoss(victims)
 		z.Victims = func() []*Victim { return victims }
-		q := newRequest(float64(rapid.IntRange(1, 4).Draw(t, "needs")), rapid.IntRange(1, 6).Draw(t, "count"), rapid.Bool().Draw(t, "gang"))
+		q := newRequest(float64(rapid.IntRange(1, 4).Draw(t, "needs")),
+			rapid.IntRange(1, 6).Draw(t, "count"), rapid.Bool().Draw(t, "gang"))
 		q.Spot, q.Avoid = rapid.Bool().Draw(t, "spot"), map[string]Micros{"m4": 9}
 		q.MayPreempt = func(v *Victim) bool { return v.Level < 3 }
 		bid, want := z.Plan(1, q), victimsExhaustively(z, offers, q)
 		switch {
 		case bid == nil:
 			if want != nil {
-				t.Fatalf("no bid, %d victims would do", len(want))
+				t.Fatalf("no bid, want one with %d victims", len(want))
 			}
 		case !slices.Equal(bid.Victims, want) && len(bid.Victims)+len(want) > 0:
-			t.Fatalf("%d victims, %d", len(bid.Victims), len(want))
+			t.Fatalf("%d victims, want %d: %+v, want %+v", len(bid.Victims), len(want), bid.Victims, want)
 		case q.AllOrNothing && len(bid.Offers) != q.Count:
 			t.Fatalf("%+v", bid)
 		}
 		if again := z.Plan(1, q); !reflect.DeepEqual(bid, again) {
-			t.Fatalf("%+v and then %+v", bid, again)
+			t.Fatalf("repeated plan differs: %+v and then %+v", bid, again)
 		}
 	})
 }
--- a/internal/core/zone/reachability_test.go
+++ b/internal/core/zone/reachability_test.go
@@ -10,20 +10,20 @@
 	const lease = 26 * config.Second
 	s := func(n float64) Micros { return config.FromSeconds(n) }
 	var r Reachability
-	// A lease that expires when no heartbeat was answered, or long after, shows nothing.
+	// A lease that expires without an answered heartbeat, or long after one, is no evidence.
 	if r.NoteLeaseExpired(s(100), lease) {
-		t.Error("unreachable though nothing was answered")
+		t.Error("unreachable although no heartbeat was answered")
 	}
 	r.NoteAnswered(s(110))
 	if r.NoteLeaseExpired(s(133), lease) || r.Unreachable() {
-		t.Error("unreachable though its lease may have expired after the last response")
+		t.Error("unreachable although the lease may have expired after the last response")
 	}
-	// One that expires while heartbeats are answered shows that the worker is unreachable.
+	// A lease that expires while heartbeats are answered shows that the worker is unreachable.
 	r.NoteAnswered(s(150))
 	if !r.NoteLeaseExpired(s(155), lease) || !r.Unreachable() || r.Episodes != 1 {
 		t.Errorf("%+v", r)
 	}
-	// It is probed at once, and then less and less often.
+	// It is probed immediately, then with exponential backoff.
 	var probes []Micros
 	for now := s(155); now < s(255); now += config.Second / 2 {
 		if r.ProbeDue(now) {
@@ -36,7 +36,7 @@
 	if r.NoteReceived(s(255)) != true || r.Unreachable() || r.Episodes != 1 || r.ProbeDue(s(300)) {
 		t.Errorf("%+v", r)
 	}
-	// Starts that are not carried out, several times in a row.
+	// Starts that are not executed after several consecutive responses.
 	for i, all := range []bool{false, false, true, false, false} {
 		if r.NoteCarriedOut(s(300+float64(i)), all) {
 			t.Errorf("unreachable after response %d", i)
@@ -45,7 +45,7 @@
 	if !r.NoteCarriedOut(s(310), false) || r.NoteCarriedOut(s(311), false) || r.Episodes != 2 {
 		t.Errorf("%+v", r)
 	}
-	// An episode that is disproved at once does not count.
+	// An episode that ends within replyTimeout is not counted.
 	if !r.NoteReceived(s(311)) || r.Episodes != 1 {
 		t.Errorf("%+v", r)
 	}
--- a/internal/core/zone/registry.go
+++ b/internal/core/zone/registry.go
@@ -7,17 +7,19 @@
 )
 
 // Registry holds machines by name, in the order of their names, and in the order of the last direct
-// contact with their workers: the silent ones are found without examining the others.
+// contact with their workers, so that those without recent contact are found without examining the others.
 type Registry struct {
-	byName  map[string]*Machine
-	sorted  []*Machine
-	silence *list.List // of *Machine, the longest silent first
+	byName        map[string]*Machine
+	sorted        []*Machine
+	byLastContact *list.List // of *Machine, the least recent contact first
 }
 
 // NewRegistry returns an empty Registry.
-func NewRegistry() *Registry { return &Registry{byName: map[string]*Machine{}, silence: list.New()} }
+func NewRegistry() *Registry {
+	return &Registry{byName: map[string]*Machine{}, byLastContact: list.New()}
+}
 
-// Get returns the machine with a name, nil if it is unknown.
+// Get returns the machine with a name, or nil if it is not registered.
 func (r *Registry) Get(name string) *Machine { return r.byName[name] }
 
 // Registered reports whether a machine is still in a registry.
@@ -45,25 +47,25 @@
 // NoteContact records that this node is in direct contact with a machine's worker.
 func (r *Registry) NoteContact(m *Machine, now Micros) {
 	m.LastContactAt = now
-	if m.silenceElement == nil {
-		m.silenceElement = r.silence.PushBack(m)
+	if m.contactElement == nil {
+		m.contactElement = r.byLastContact.PushBack(m)
 		return
 	}
-	r.silence.MoveToBack(m.silenceElement)
+	r.byLastContact.MoveToBack(m.contactElement)
 }
 
 // TrackContact starts to track the contact with a machine whose worker is known but was never in
-// direct contact with this node: it counts as the longest silent one.
+// direct contact with this node. Its contact is considered the least recent one.
 func (r *Registry) TrackContact(m *Machine) {
-	if m.silenceElement == nil {
-		m.silenceElement = r.silence.PushFront(m)
+	if m.contactElement == nil {
+		m.contactElement = r.byLastContact.PushFront(m)
 	}
 }
 
-// EachSilent calls f for the tracked machines without direct contact since a time, the longest
-// silent first. f may remove the machine.
+// EachSilent calls f for the tracked machines without direct contact since a time, the least recent
+// contact first. f may remove the machine.
 func (r *Registry) EachSilent(since Micros, f func(*Machine)) {
-	for e := r.silence.Front(); e != nil; {
+	for e := r.byLastContact.Front(); e != nil; {
 		m, next := e.Value.(*Machine), e.Next()
 		if m.LastContactAt >= since {
 			return
@@ -76,9 +78,9 @@
 // Remove removes the machine with a name, if there is one.
 func (r *Registry) Remove(name string) {
 	if m := r.byName[name]; m != nil {
-		if m.silenceElement != nil {
-			r.silence.Remove(m.silenceElement)
-			m.silenceElement = nil
+		if m.contactElement != nil {
+			r.byLastContact.Remove(m.contactElement)
+			m.contactElement = nil
 		}
 		m.registered = false
 	}
--- a/internal/core/zone/resources.go
+++ b/internal/core/zone/resources.go
@@ -6,13 +6,13 @@
 	"coralhub/wire"
 )
 
-// Resources is what a task takes, or what a machine has free. The numbers may be fractional.
+// Resources are the resources that a task needs or that a machine has free. The numbers may be fractional.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 const (
 	// tolerance absorbs rounding errors of sums of resources.
 	tolerance = 1e-6
-	// gpuWeight is how many CPUs a GPU weighs.
+	// gpuWeight is the number of CPUs that have the weight of one GPU.
 	gpuWeight = 64
 )
 
@@ -21,12 +21,12 @@
 	return Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
-// Fits reports whether a task that takes r fits into what is free.
+// Fits reports whether a task that needs r fits into the free resources.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPUs <= free.CPUs+tolerance && r.GPUs <= free.GPUs+tolerance && r.MemoryGB <= free.MemoryGB+tolerance
 }
 
-// Count returns how many tasks that take r fit into what is free.
+// Count returns how many tasks that need r each fit into the free resources.
 func (r Resources) Count(free Resources) int {
 	n := math.MaxInt32
 	quantities := [...]struct{ needed, free float64 }{
