--- a/internal/core/reconciler/calls.go
+++ b/internal/core/reconciler/calls.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// callRetryInterval is the least time between direct calls to a machine when one was not answered.
+	// callRetryInterval is the minimum time before the next direct call to a machine after one was not answered.
 	callRetryInterval = config.Second
 	// announceInterval is the time between calls that announce the fencing token to a machine.
 	announceInterval = 2 * config.Second
 )
 
-// MarkUrgent has commands sent to a machine by a direct call at the end of the step.
+// MarkUrgent schedules a direct call that sends a machine its commands at the end of the step.
 func (r *Reconciler) MarkUrgent(m *zone.Machine) {
 	if !m.Urgent {
 		m.Urgent = true
@@ -25,7 +25,8 @@
 	}
 }
 
-// SendUrgent makes the direct calls that should not wait for a heartbeat.
+// SendUrgent makes the direct calls scheduled by MarkUrgent, whose commands should not wait for a heartbeat. A machine
+// that cannot be called yet stays scheduled.
 func (r *Reconciler) SendUrgent() {
 	if r.elector.TokenChangePending() || len(r.urgent) == 0 {
 		return
@@ -51,7 +52,7 @@
 	}
 }
 
-// call makes a direct call to a machine that has none in flight.
+// call makes a direct call to a machine. No other call to it may be in flight.
 func (r *Reconciler) call(m *zone.Machine, commands []wire.Command) {
 	id := r.outbox.NextID()
 	token := r.elector.FencingToken()
@@ -60,7 +61,7 @@
 	r.outbox.Emit(msg.Command{ID: id, Machine: m.Name, Addr: m.Addr, Commands: request})
 }
 
-// CommandDone takes the result of a direct call.
+// CommandDone handles the result of a direct call.
 func (r *Reconciler) CommandDone(x msg.CommandDone) {
 	m := r.registry.Get(x.Machine)
 	if !r.active || m == nil {
@@ -69,7 +70,7 @@
 	m.NoteCallDone(x.ID, x.Outcome == msg.Unknown)
 	if x.Outcome != msg.OK {
 		m.NextCallAt = r.outbox.Now() + callRetryInterval
-		m.WantsFullHeartbeat = true // the commands have to go by the response to a heartbeat
+		m.WantsFullHeartbeat = true // the commands have to be sent in a heartbeat response
 	}
 	h := x.Heartbeat
 	if h == nil || h.Machine != m.Name {
@@ -86,8 +87,8 @@
 // canCall reports whether a direct call to a machine is possible now.
 func canCall(m *zone.Machine) bool { return m.Addr != "" && !m.CallInFlight && !m.Releasing }
 
-// AnnounceToken sends the fencing token to machines that have not reported it yet. That frees workers that an earlier
-// leader, cut off from the other nodes, still answers.
+// AnnounceToken sends the fencing token to machines that have not reported one of this term yet. It makes workers drop
+// an earlier leader that still answers them although it is cut off from the other nodes.
 func (r *Reconciler) AnnounceToken() {
 	for _, m := range slices.SortedFunc(maps.Keys(r.unfenced), zone.ByName) {
 		if m.FencingToken >= r.elector.TermStart() || !m.Registered() {
@@ -101,7 +102,8 @@
 	}
 }
 
-// ProbeSilent calls workers whose heartbeats have not come for a while: it may be only these that are lost.
+// ProbeSilent calls workers without direct contact for at least half the silence limit. Possibly only their heartbeats
+// are lost, and calls still reach them.
 func (r *Reconciler) ProbeSilent() {
 	r.registry.EachSilent(r.outbox.Now()-r.cfg.SilenceLimit()/2+1, func(m *zone.Machine) {
 		if m.Incarnation != 0 && canCall(m) && r.outbox.Now() >= m.NextCallAt {
--- a/internal/core/reconciler/commands.go
+++ b/internal/core/reconciler/commands.go
@@ -9,8 +9,8 @@
 	"coralhub/wire"
 )
 
-// commands returns everything that a worker should do by its newest message and the records. Forgetting is left to
-// responses to heartbeats (inResponse): it is never urgent.
+// commands returns the commands for a worker that follow from its newest message and the records. inResponse is set if
+// they are sent in the response to a heartbeat. Only such responses contain forget commands, which are never urgent.
 func (r *Reconciler) commands(m *zone.Machine, inResponse bool) []wire.Command {
 	commands := []wire.Command{}
 	expected := r.replica.PlacementsOn(m.Name)
@@ -18,8 +18,8 @@
 		t := m.Tasks[key]
 		_, open := expected[key]
 		if t.State == wire.Exited {
-			// Once forgotten, a repeated start takes effect again: so only when the end is committed and
-			// no start can still be in flight.
+			// After a forget command, a repeated start of the attempt would take effect again. So the attempt is
+			// forgotten only once its end is committed and no start can be in flight.
 			if !open && inResponse && m.Settled() {
 				commands = append(commands, newCommand(wire.CommandForget, key, nil))
 			}
@@ -27,7 +27,7 @@
 		}
 		graceS, stop := r.shouldStop(key, &t)
 		if !open {
-			graceS, stop = 0, true // closed by mistake or never placed: it must not run
+			graceS, stop = 0, true // its placement was closed by mistake or never existed: it must not run
 		}
 		if stop {
 			commands = append(commands, newCommand(wire.CommandStop, key, &graceS))
@@ -48,26 +48,26 @@
 	return wire.Command{Verb: verb, Task: wire.TaskName(key.Job, key.Task), Attempt: key.Attempt, GraceS: graceS}
 }
 
-// shouldStart reports whether an attempt that is placed on a machine and not reported by its worker is to be started.
-// One that is not wanted any more is closed once no start of it can be in flight.
+// shouldStart reports whether an attempt that is placed on a machine but not reported by its worker is to be started.
+// If the attempt is to be stopped instead, its placement is closed once no start of it can be in flight.
 func (r *Reconciler) shouldStart(m *zone.Machine, key job.AttemptKey, inResponse bool) bool {
 	if j := r.replica.Job(key.Job); j != nil && r.listener.IsClosing(key, m.Name) {
-		// Its end is proven and only not committed yet: a start now would run beside the next attempt.
+		// Its end is proven but not committed yet: if started now, it would run concurrently with the next attempt.
 		return false
 	}
-	if _, unwanted := r.shouldStop(key, nil); !unwanted {
+	if _, stop := r.shouldStop(key, nil); !stop {
 		return true
 	}
 	if m.Settled() {
-		r.listener.ClosePlacement(key, m.Name, false) // never started, and nothing can start it any more
+		r.listener.ClosePlacement(key, m.Name, false) // it was never started, and no start of it can be in flight
 	} else if inResponse && !m.StartInFlight && m.StartUncertain() {
 		r.elector.RequestNewToken() // voids the start that may be in flight
 	}
 	return false
 }
 
-// shouldStop reports whether an attempt is to be stopped, and with how many seconds of grace. t is nil if the worker
-// does not report it.
+// shouldStop reports whether an attempt is to be stopped, and returns the grace period in seconds. t is nil if the
+// worker does not report the attempt.
 func (r *Reconciler) shouldStop(key job.AttemptKey, t *zone.Task) (graceS float64, stop bool) {
 	j := r.replica.Job(key.Job)
 	if j == nil || j.Record.CancelRequested || j.Record.Phase == job.Cancelled {
@@ -75,7 +75,7 @@
 	}
 	if pending, ok := r.terminations[j.ID][key]; ok {
 		allowed := config.FromSeconds(pending.graceS + r.cfg.Cluster.Workers.GangPeerS)
-		if t != nil && r.outbox.Now() > pending.since+allowed+terminationMargin {
+		if t != nil && r.outbox.Now() > pending.requestedAt+allowed+terminationMargin {
 			return 0, true
 		}
 		return pending.graceS, true
--- a/internal/core/reconciler/heartbeats.go
+++ b/internal/core/reconciler/heartbeats.go
@@ -10,7 +10,7 @@
 	"coralhub/wire"
 )
 
-// HandleHeartbeat takes a worker's heartbeat and responds with the commands for it.
+// HandleHeartbeat handles a worker's heartbeat and responds with the commands for the worker.
 func (r *Reconciler) HandleHeartbeat(x msg.HeartbeatIn) {
 	m := r.EnsureMachine(x.Heartbeat.Machine)
 	if !r.receive(m, &x.Heartbeat, true) {
@@ -18,7 +18,7 @@
 		return
 	}
 	commands := r.commands(m, true)
-	r.checkCarriedOut(m, commands)
+	r.checkStartsExecuted(m, commands)
 	if containsStart(commands) {
 		m.NoteReply(commands)
 	}
@@ -27,7 +27,8 @@
 	r.outbox.Respond(x.RequestID, http.StatusOK, response)
 }
 
-// receive takes a message that a worker has sent to this node itself. It returns false for one that is not the newest.
+// receive applies a message that a worker has sent directly to this node. It returns false if an equally new or newer
+// one was applied before.
 func (r *Reconciler) receive(m *zone.Machine, h *wire.Heartbeat, isHeartbeat bool) bool {
 	if !r.Observe(m, h, isHeartbeat) {
 		return false
@@ -38,15 +39,15 @@
 	return true
 }
 
-// workerState is what a worker had last reported before a message of it was applied.
+// workerState is the state of a worker before a message from it is applied.
 type workerState struct {
-	incarnation  uint64 // 0 if this is its first message
+	incarnation  uint64 // 0 if the message is its first one
 	fencingToken uint64
-	silent       bool // it was known to reach nobody
+	silent       bool // its heartbeats were known to reach no node
 	tasks        map[job.AttemptKey]zone.Task
 }
 
-// stateOf returns the state of a machine's worker. Its tasks are not copied: a message replaces the map as a whole.
+// stateOf returns the state of a machine's worker. The map of tasks is not copied, since each message replaces it.
 func stateOf(m *zone.Machine) workerState {
 	return workerState{
 		incarnation:  m.Incarnation,
@@ -56,8 +57,9 @@
 	}
 }
 
-// Observe takes a worker's message, whichever way it came, and reconciles the records with it. It returns false for one
-// that is not the newest. isHeartbeat tells heartbeats from answers to direct calls.
+// Observe applies a worker's message, whether it was received directly or through a relay, and reconciles the records
+// with it. It returns false if an equally new or newer one was applied before. isHeartbeat is set for a heartbeat that
+// the worker has sent directly to this node, but not for answers to direct calls and for relayed heartbeats.
 func (r *Reconciler) Observe(m *zone.Machine, h *wire.Heartbeat, isHeartbeat bool) bool {
 	before := stateOf(m)
 	if !m.ApplyHeartbeat(r.outbox.Now(), h, isHeartbeat) {
@@ -85,29 +87,29 @@
 	return true
 }
 
-// checkLeaseExpiry looks for a lease that has expired though the worker's heartbeats were answered in time.
+// checkLeaseExpiry marks a machine unreachable if its lease has expired although its heartbeats were answered in time.
 func (r *Reconciler) checkLeaseExpiry(m *zone.Machine, previousIncarnation uint64) {
 	if m.Incarnation == previousIncarnation {
 		return
 	}
 	lease := config.FromSeconds(r.cfg.Cluster.Workers.LeaseS)
 	if m.Reachability.NoteLeaseExpired(r.outbox.Now(), lease) {
-		r.markUnreachable(m, "its lease expired though its heartbeats were answered")
+		r.markUnreachable(m, "lease expired although heartbeats were answered")
 	}
 }
 
-// reconcileIncarnation closes the placements of earlier incarnations, and notes a worker that counts them anew.
+// reconcileIncarnation closes the placements of earlier incarnations, and detects a worker whose incarnation was reset.
 func (r *Reconciler) reconcileIncarnation(m *zone.Machine) {
 	expected := r.replica.PlacementsOn(m.Name)
 	for _, key := range job.SortedAttemptKeys(expected) {
 		placedIn := expected[key].Incarnation
 		switch {
 		case placedIn < m.Incarnation:
-			r.listener.ClosePlacement(key, m.Name, false) // with the lease, everything of that incarnation is gone
+			r.listener.ClosePlacement(key, m.Name, false) // all its tasks ended when its lease expired
 		case placedIn > m.Incarnation && m.FencingToken >= r.elector.TermStart() && !m.IncarnationReset:
-			// Whoever placed it had a message of that incarnation, and this message was sent after this
-			// node's election. A worker that counts from the start again may be about to carry out older
-			// commands: only the machine's deletion proves anything.
+			// The leader that placed it had received a message of that incarnation, and this message was sent
+			// after this node's election: the worker has restarted its count of incarnations. It may still
+			// carry out older commands, so only the machine's deletion proves that an attempt is over.
 			m.IncarnationReset = true
 			r.outbox.Log("worker incarnation reset", "machine", m.Name, "incarnation", m.Incarnation, "placed_in", placedIn)
 			r.listener.MachineChanged(m)
@@ -115,7 +117,7 @@
 	}
 }
 
-// reconcileTasks notifies the listener of the tasks that run or have exited, and of the images that the worker has.
+// reconcileTasks notifies the listener of tasks that run or have exited, and of changes to the images on the machine.
 func (r *Reconciler) reconcileTasks(m *zone.Machine, before workerState) {
 	sameIncarnation := before.incarnation != 0 && m.Incarnation == before.incarnation
 	expected := r.replica.PlacementsOn(m.Name)
@@ -131,7 +133,7 @@
 			continue
 		}
 		if _, known := before.tasks[key]; !known && sameIncarnation {
-			r.markReachable(m) // it has carried out a start
+			r.markReachable(m) // the worker has carried out a start, so commands reach it
 		}
 		switch t.State {
 		case wire.Running:
--- a/internal/core/reconciler/reachability.go
+++ b/internal/core/reconciler/reachability.go
@@ -8,9 +8,9 @@
 	"coralhub/wire"
 )
 
-// checkCarriedOut compares the commands for a worker with those in the response before: a start that is still to be
-// made has not been carried out.
-func (r *Reconciler) checkCarriedOut(m *zone.Machine, commands []wire.Command) {
+// checkStartsExecuted compares the commands for a worker with those in the previous response: a start that is in both
+// was not carried out. The machine is marked unreachable after several such responses in a row.
+func (r *Reconciler) checkStartsExecuted(m *zone.Machine, commands []wire.Command) {
 	if m.ReplySequence == 0 {
 		return
 	}
@@ -18,18 +18,18 @@
 		return c.Verb == wire.CommandStart && m.StartsInReply[c.Task] == c.Attempt
 	})
 	if m.Reachability.NoteCarriedOut(r.outbox.Now(), !missed) {
-		r.markUnreachable(m, "it does not carry out commands")
+		r.markUnreachable(m, "start commands not carried out")
 	}
 }
 
-// markUnreachable has a machine get no more work, and be probed.
+// markUnreachable handles the change of a machine to unreachable: it gets no more work and is probed.
 func (r *Reconciler) markUnreachable(m *zone.Machine, reason string) {
 	r.outbox.Log("machine unreachable", "machine", m.Name, "reason", reason, "episodes", m.Reachability.Episodes)
 	r.unreachable[m] = true
 	r.listener.MachineChanged(m)
 }
 
-// markReachable notes that something that was sent to a worker has reached it.
+// markReachable records that a worker has received a message, and ends its unreachable state if it has one.
 func (r *Reconciler) markReachable(m *zone.Machine) {
 	if !m.Reachability.NoteReceived(r.outbox.Now()) {
 		return
@@ -39,7 +39,7 @@
 	r.listener.MachineChanged(m)
 }
 
-// ProbeUnreachable makes a call without commands to the machines that seem unreachable, now and then.
+// ProbeUnreachable makes a call without commands to each machine that seems unreachable and whose probe is due.
 func (r *Reconciler) ProbeUnreachable() {
 	for _, m := range slices.SortedFunc(maps.Keys(r.unreachable), zone.ByName) {
 		if !m.Registered() {
--- a/internal/core/reconciler/reconciler.go
+++ b/internal/core/reconciler/reconciler.go
@@ -1,6 +1,6 @@
-// Package reconciler brings workers in line with the committed records, on the leader: it handles their heartbeats,
-// commands what the records ask of them, and proves which attempts are over. It starts nothing that is not committed,
-// and closes no placement without proof.
+// Package reconciler makes the workers' tasks match the committed records. It runs on the leader: it handles
+// heartbeats, sends the commands that the records require, and determines which attempts are over. It starts no task
+// whose placement is not committed, and closes no placement without proof that the attempt is over.
 package reconciler
 
 import (
@@ -15,17 +15,17 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
-// Listener is notified of what a Reconciler finds out. The leader implements it, and has the records written.
+// Listener is notified of what a Reconciler detects. The leader implements it and writes the records.
 type Listener interface {
-	WorkerJoined(*zone.Machine)                                   // its worker has sent its first message
-	MachineChanged(*zone.Machine)                                 // any change
-	AvailabilityChanged(*zone.Machine)                            // whether it gets work at all may have changed
-	ImagesChanged(*zone.Machine)                                  // it is believed to have other images
-	CacheGB(*zone.Machine) float64                                // size of its image cache in GB; 0: not known
-	TaskRunning(key job.AttemptKey)                               // as its worker reports
-	TaskExited(m *zone.Machine, key job.AttemptKey, t *zone.Task) // as its worker reports
-	ClosePlacement(key job.AttemptKey, machine string, done bool) // it is proven that the attempt is not there any more
-	IsClosing(key job.AttemptKey, machine string) bool            // whether that is proven already
+	WorkerJoined(*zone.Machine)                                   // the worker has sent its first message
+	MachineChanged(*zone.Machine)                                 // something about the machine has changed
+	AvailabilityChanged(*zone.Machine)                            // whether the machine may get work may have changed
+	ImagesChanged(*zone.Machine)                                  // the images assumed to be on the machine have changed
+	CacheGB(*zone.Machine) float64                                // size of the image cache in GB, 0 if not known
+	TaskRunning(key job.AttemptKey)                               // the worker reports the task as running
+	TaskExited(m *zone.Machine, key job.AttemptKey, t *zone.Task) // the worker reports the task as exited
+	ClosePlacement(key job.AttemptKey, machine string, done bool) // the attempt is proven over; done if it succeeded
+	IsClosing(key job.AttemptKey, machine string) bool            // whether that end is proven but not committed yet
 }
 
 // Reconciler reconciles the workers of the cluster with the records. It is active while its node leads.
@@ -33,13 +33,13 @@
 	cfg      *config.Config
 	outbox   *outbox.Outbox
 	replica  *records.Replica
-	elector  *election.Elector // its fencing token is on every command
+	elector  *election.Elector // provides the fencing token of each command
 	listener Listener
 
 	active       bool // the records have been read since the election
 	registry     *zone.Registry
-	unfenced     map[*zone.Machine]bool                    // have not shown a fencing token of this term
-	unreachable  map[*zone.Machine]bool                    // seem not to receive anything
+	unfenced     map[*zone.Machine]bool                    // have not reported a fencing token of this term
+	unreachable  map[*zone.Machine]bool                    // seem to receive no messages
 	urgent       []*zone.Machine                           // have commands that should not wait for a heartbeat
 	terminations map[string]map[job.AttemptKey]termination // pending, by job
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// Activate starts commanding workers. The caller has read the stored records since its node was elected.
+// Activate starts sending commands to workers. The caller must have read the stored records since its node was elected.
 func (r *Reconciler) Activate() {
 	r.active = true
 	for _, name := range r.replica.OccupiedMachines() {
@@ -86,7 +86,7 @@
 // Registry returns the known machines.
 func (r *Reconciler) Registry() *zone.Registry { return r.registry }
 
-// EnsureMachine returns the machine of a name, and registers it if it is not known.
+// EnsureMachine returns the machine with a name, and registers it first if it is unknown.
 func (r *Reconciler) EnsureMachine(name string) *zone.Machine {
 	m := r.registry.Get(name)
 	if m == nil {
--- a/internal/core/reconciler/terminations.go
+++ b/internal/core/reconciler/terminations.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// saveMarginS is added to the time, in seconds, that a task needs to save a checkpoint.
+	// saveMarginS is added to the time that a task needs to save a checkpoint, in seconds.
 	saveMarginS = 0.5
-	// terminationMargin is how long after its grace a task may still exit before it is stopped without grace.
+	// terminationMargin is how long after its grace period plus gang_peer_s a task may still exit before it is stopped
+	// without grace.
 	terminationMargin = 10 * config.Second
 )
 
-// termination is a task that is to be stopped although its job goes on.
+// termination is the pending stop of a task whose job continues.
 type termination struct {
-	since  Micros
-	graceS float64
+	requestedAt Micros
+	graceS      float64
 }
 
 // IsTerminating reports whether an attempt is to be stopped.
@@ -30,7 +31,7 @@
 // IsTerminatingAny reports whether any attempt of a job is to be stopped.
 func (r *Reconciler) IsTerminatingAny(id string) bool { return len(r.terminations[id]) > 0 }
 
-// TerminationDone takes the end of an attempt.
+// TerminationDone discards the pending stop of an attempt that is over.
 func (r *Reconciler) TerminationDone(key job.AttemptKey) {
 	delete(r.terminations[key.Job], key)
 	if len(r.terminations[key.Job]) == 0 {
@@ -38,10 +39,11 @@
 	}
 }
 
-// JobTerminated takes the end of all attempts of a job.
+// JobTerminated discards the pending stops of a job whose attempts are all over.
 func (r *Reconciler) JobTerminated(id string) { delete(r.terminations, id) }
 
-// Terminate has tasks of a job stopped, all of them if only is nil. The tasks of a gang are always stopped together.
+// Terminate requests a stop of the tasks in only, or of all tasks of the job if only is nil. The tasks of a gang are
+// always stopped together.
 func (r *Reconciler) Terminate(j *records.Job, only map[job.AttemptKey]bool, reason string) {
 	spec := j.Record.Spec
 	if spec == nil {
