--- a/internal/core/delegation/delegation.go
+++ b/internal/core/delegation/delegation.go
@@ -1,5 +1,5 @@
-// Package delegation lets other nodes answer workers for the leader for a limited time, and takes what workers
-// report through those nodes. The nodes' side of it is in package relay.
+// Package delegation is the leader's side of delegations: it permits other nodes to answer workers on the leader's
+// behalf for a limited time, and applies what workers report through those nodes. The other side is package relay.
 package delegation
 
 import (
@@ -16,7 +16,7 @@
 	"coralhub/wire"
 )
 
-// Delegations are the delegations of a leader that is ready. They are not safe for concurrent use.
+// Delegations manages the delegations of a leader that is ready. It is not safe for concurrent use.
 type Delegations struct {
 	cfg        *config.Config
 	outbox     *outbox.Outbox
@@ -25,16 +25,16 @@
 	onContact  func(*zone.Machine)
 
 	delegates          map[string]delegate // by node
-	acknowledgedCancel uint64              // highest revision of a cancellation that was confirmed to a user
+	acknowledgedCancel uint64              // highest revision of a cancellation confirmed to a user
 }
 
 // delegate is another node to which this leader has delegated.
 type delegate struct {
-	until    config.Micros // the delegation ends; until then it holds however old the node's replica gets
-	revision uint64        // that the node's replica is known to have reached
+	until    config.Micros // end of the delegation, which holds until then however old the node's replica gets
+	revision uint64        // revision that the node's replica is known to have reached
 }
 
-// New returns a leader without delegates. onContact is called for a machine that has reported through another
+// New returns Delegations without delegates. onContact is called for each machine that has reported through another
 // node.
 func New(
 	cfg *config.Config,
@@ -48,15 +48,16 @@
 	return d
 }
 
-// Reset forgets the delegates, at the beginning and at the end of a term.
+// Reset discards all delegations. It is called at the beginning and at the end of a term.
 func (d *Delegations) Reset() {
 	d.delegates = map[string]delegate{}
 	d.acknowledgedCancel = 0
 }
 
-// grant delegates to a node from now on, records the revision it has reached, and returns the duration of
-// the delegation; 0: none. The node counts the duration from when it sent its heartbeat batch, which was earlier. A
-// node that doesn't know of every cancellation that was confirmed gets no delegation.
+// grant gives a node a delegation from now on, records the revision that the node has reached, and returns the
+// duration of the delegation, 0 if it gets none. The node counts the duration from the time at which it sent its
+// heartbeat batch, which is earlier. A node that has not reached the revision of every confirmed cancellation gets no
+// delegation.
 func (d *Delegations) grant(x msg.HeartbeatBatchIn) config.Micros {
 	duration := config.FromSeconds(d.cfg.Settings.DelegationS)
 	if duration <= 0 || x.Node == "" || x.Revision < d.acknowledgedCancel {
@@ -77,7 +78,7 @@
 	return true
 }
 
-// AcknowledgeCancel notes that a cancellation is confirmed that was committed at a revision.
+// AcknowledgeCancel records that a cancellation committed at the given revision is confirmed to the user.
 func (d *Delegations) AcknowledgeCancel(revision uint64) {
 	d.acknowledgedCancel = max(d.acknowledgedCancel, revision)
 }
@@ -97,11 +98,14 @@
 			d.onContact(m)
 		}
 	}
-	d.outbox.Respond(x.RequestID, http.StatusOK, msg.HeartbeatBatchResponse{ResendMachines: resend, Delegation: d.grant(x)})
+	d.outbox.Respond(x.RequestID, http.StatusOK, msg.HeartbeatBatchResponse{
+		ResendMachines: resend,
+		Delegation:     d.grant(x),
+	})
 }
 
-// ApplyRelayedHeartbeats applies heartbeats that a relay has stored for the leader, unless they were stored before
-// its term or are unreadable.
+// ApplyRelayedHeartbeats applies heartbeats that a relay has stored for the leader. It ignores heartbeats that were
+// stored before the leader's term or are unreadable.
 func (d *Delegations) ApplyRelayedHeartbeats(change *wire.Change) {
 	if change.Put == "" || change.Version <= d.elector.TermStart() {
 		return
@@ -119,7 +123,7 @@
 		if !m.Relayed {
 			d.outbox.Debug("heartbeat relayed through the state service", "machine", m.Name)
 		}
-		if d.reconciler.Observe(m, heartbeatOf(m, relayed), false) {
+		if d.reconciler.Observe(m, expandHeartbeat(m, relayed), false) {
 			m.Relayed = true
 			m.SilentSince = 0 // a relay has received its heartbeat
 			d.reconciler.Registry().TrackContact(m)
@@ -128,8 +132,8 @@
 	}
 }
 
-// heartbeatOf returns the heartbeat that a relay has stored in short, with what is known of the machine.
-func heartbeatOf(m *zone.Machine, relayed *relay.RelayedHeartbeat) *wire.Heartbeat {
+// expandHeartbeat converts a relayed heartbeat to the full form, with what is known about the machine.
+func expandHeartbeat(m *zone.Machine, relayed *relay.RelayedHeartbeat) *wire.Heartbeat {
 	heartbeat := &wire.Heartbeat{
 		Machine:      m.Name,
 		Addr:         m.Addr,
@@ -142,7 +146,13 @@
 		NoticeS:      relayed.NoticeS,
 	}
 	for _, t := range relayed.Tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: t.Task, Attempt: t.Attempt, State: t.State, Cause: t.Cause, Saved: t.Saved})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{
+			Task:    t.Task,
+			Attempt: t.Attempt,
+			State:   t.State,
+			Cause:   t.Cause,
+			Saved:   t.Saved,
+		})
 	}
 	return heartbeat
 }
--- a/internal/core/relay/acknowledgement.go
+++ b/internal/core/relay/acknowledgement.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	// batchInterval is how often the leader is told of the heartbeats answered on its behalf.
+	// batchInterval is the time between the batches that report to the leader which heartbeats were
+	// answered on its behalf.
 	batchInterval = 400 * millisecond
-	// keepAliveInterval is how often a batch is sent though there is nothing to tell.
-	keepAliveInterval = config.Second
-	// ackLifetime is how long unchanged heartbeats are answered here before one is forwarded.
+	// emptyBatchInterval is the time after the last batch at which one is sent even if it is empty.
+	emptyBatchInterval = config.Second
+	// ackLifetime is how long unchanged heartbeats are answered by this node before one is forwarded.
 	ackLifetime = 10 * config.Second
 )
 
@@ -27,7 +28,8 @@
 	tasks        []wire.TaskStatus
 }
 
-// ForwardDone passes on the leader's response to a heartbeat, or acts as its delegate if there is none.
+// ForwardDone handles the result of a forwarded heartbeat: it passes on the leader's response, or acts
+// as the leader's delegate if there is none.
 func (r *Relay) ForwardDone(done msg.ForwardDone) {
 	hb := &done.Heartbeat
 	leader := r.elector.Holder()
@@ -49,13 +51,14 @@
 	r.actAsDelegate(msg.HeartbeatIn{RequestID: done.RequestID, Heartbeat: done.Heartbeat}, !done.Busy)
 }
 
-// unchanged reports whether a heartbeat says only what the leader has acknowledged before, and the
+// unchanged reports whether a heartbeat repeats what the leader has acknowledged before, and the
 // records require nothing of the worker.
 func (r *Relay) unchanged(hb *wire.Heartbeat) bool {
 	return hb.NoticeS == nil && r.matchesAck(hb) && r.replicaFresh() && r.matchesPlacements(hb)
 }
 
-// matchesAck reports whether the present leader has lately acknowledged a heartbeat with the same content.
+// matchesAck reports whether the current leader has acknowledged a heartbeat with the same content
+// within ackLifetime.
 func (r *Relay) matchesAck(hb *wire.Heartbeat) bool {
 	ack, ok := r.acked[hb.Machine]
 	if !ok || r.outbox.Now()-ack.ackedAt > ackLifetime {
@@ -90,19 +93,19 @@
 	return true
 }
 
-// sendBatch tells the leader which heartbeats were answered on its behalf, and up to which revision
-// this node knows the records.
-func (r *Relay) sendBatch(leads bool) {
+// sendBatch reports to the leader which heartbeats were answered on its behalf, and which revision
+// this node's replica has reached.
+func (r *Relay) sendBatch(isLeader bool) {
 	now := r.outbox.Now()
 	if now < r.nextBatchAt {
 		return
 	}
-	keepAliveAt := r.nextBatchAt + keepAliveInterval - batchInterval
-	if len(r.pendingAcks) == 0 && now < keepAliveAt {
+	emptyBatchAt := r.nextBatchAt + emptyBatchInterval - batchInterval
+	if len(r.pendingAcks) == 0 && now < emptyBatchAt {
 		return
 	}
 	r.nextBatchAt = now + batchInterval
-	if !leads && r.elector.OtherHolder() != "" {
+	if !isLeader && r.elector.OtherHolder() != "" {
 		leader := r.elector.Holder()
 		r.outbox.Emit(msg.HeartbeatBatch{
 			Node:     leader.Node,
@@ -115,11 +118,12 @@
 	r.pendingAcks = nil
 }
 
-// OnCancelRequested is called when the replica holds that a job is to be cancelled. The leader may
-// be waiting for this node to confirm that, so the next batch is sent at once.
+// OnCancelRequested is called when the request to cancel a job has reached the replica. If this node
+// has a delegation, the leader may be waiting for it to confirm that, so the next batch is sent at
+// once.
 func (r *Relay) OnCancelRequested() {
 	if r.delegated() {
-		r.nextBatchAt = r.outbox.Now() - keepAliveInterval
+		r.nextBatchAt = r.outbox.Now() - emptyBatchInterval
 	}
 }
 
--- a/internal/core/relay/redirect.go
+++ b/internal/core/relay/redirect.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// redirectMemory is how long a redirect is remembered: a worker that comes back within this
-	// time cannot reach the node that it was sent to.
-	redirectMemory = 3 * peerTimeout
+	// redirectReturnWindow is how long a redirect is remembered. A worker that reports here again within this
+	// time is assumed to be unable to reach the node that it was redirected to.
+	redirectReturnWindow = 3 * peerTimeout
 	// redirectExemption is how long such a worker may report here before it is redirected again.
 	redirectExemption = 20 * config.Second
 )
@@ -21,11 +21,11 @@
 // redirect records that a worker was redirected to another node.
 type redirect struct {
 	sentAt      Micros
-	exemptUntil Micros // set if the worker came back
+	exemptUntil Micros // set if the worker has returned
 }
 
 // Redirect redirects a worker to the node that it should report to, and reports whether it did. It
-// does not if that is this node, or if the worker cannot reach the other one.
+// does not if there is no such node, if it is this one, or if the worker cannot reach it.
 func (r *Relay) Redirect(in msg.HeartbeatIn) bool {
 	node := r.preferredNode(&in.Heartbeat)
 	if node == "" || node == r.cfg.Node {
@@ -37,8 +37,8 @@
 	if now < last.exemptUntil {
 		return false
 	}
-	cameBack := last.sentAt != 0 && now-last.sentAt < redirectMemory
-	if cameBack {
+	returned := last.sentAt != 0 && now-last.sentAt < redirectReturnWindow
+	if returned {
 		r.redirects[machine] = redirect{exemptUntil: now + redirectExemption}
 		return false
 	}
@@ -47,9 +47,9 @@
 	return true
 }
 
-// preferredNode returns the node that a worker should report to: the leader if it is in the worker's
-// zone, or else a node there that is chosen by the machine's name. It is empty if no node in the
-// zone is alive.
+// preferredNode returns the node that a worker should report to: the leader if it is alive in the
+// worker's zone, or else a live node in that zone, selected by a hash of the machine's name. It
+// returns an empty string if no node in the zone is alive.
 func (r *Relay) preferredNode(hb *wire.Heartbeat) string {
 	leader := r.elector.Holder().Node
 	if r.location[leader] == hb.Zone && r.alive(leader) {
--- a/internal/core/relay/relay.go
+++ b/internal/core/relay/relay.go
@@ -1,14 +1,15 @@
 // Package relay serves workers on behalf of a leader on another node.
 //
-// A worker reports to a node in its own zone. A heartbeat that tells the leader something new, or to
-// which the leader may have something to say, is forwarded. One that repeats what the leader has
-// acknowledged, while the records require nothing of the worker, is answered by this node; the
-// leader is told of those in batches. If the leader cannot be reached, as in a network partition
-// between zones, this node acts as its delegate and relays heartbeats through the key-value store.
+// A worker reports to a node in its own zone. A heartbeat with new information for the leader, or in
+// response to which the leader may send commands, is forwarded. One that repeats what the leader has
+// acknowledged, while the records require nothing of the worker, is answered by this node, which
+// reports such heartbeats to the leader in batches. If the leader is unreachable, as in a network
+// partition between zones, this node acts as its delegate and relays heartbeats through the
+// key-value store.
 //
-// Both rely on this node's replica of the records. A node that is not the leader stops the tasks of
-// cancelled jobs, but starts no tasks and forgets none: conclusions about starts are drawn by the
-// leader alone. See replicaFresh for how old the replica may be.
+// In both cases the node relies on its replica of the records; see replicaFresh for how old the
+// replica may be. A node that is not the leader stops the tasks of cancelled jobs, but sends no
+// commands to start or forget tasks: only the leader determines which starts may still take effect.
 package relay
 
 import (
@@ -29,10 +30,11 @@
 const millisecond = config.Second / 1000
 
 const (
-	// peerTimeout is how long after its last response another node is taken to be unreachable.
+	// peerTimeout is how long after its last response another node is considered unreachable.
 	peerTimeout = 2500 * millisecond
-	// maxRememberedWorkers is how many workers are remembered before stale ones are forgotten.
-	maxRememberedWorkers = 1000
+	// maxTrackedWorkers is the number of workers in a map above which its stale entries are deleted,
+	// and above which no more heartbeats are queued.
+	maxTrackedWorkers = 1000
 )
 
 // Relay serves the workers that report to one node.
@@ -44,7 +46,7 @@
 	elector  *election.Elector
 
 	location        map[string]string // zone of each node
-	peerRespondedAt map[string]Micros // when another node last answered
+	peerRespondedAt map[string]Micros // when each other node last responded
 	redirects       map[string]redirect
 
 	acked       map[string]ackedHeartbeat // by machine
@@ -52,8 +54,8 @@
 	nextBatchAt Micros
 	delegation  delegation
 
-	leaderChangedAt Micros // when this node first knew of the present leader
-	leaderResponded bool   // whether the leader has responded as such since then
+	leaderChangedAt Micros // when this node first knew of the current leader
+	leaderResponded bool   // whether that node has responded as the leader since then
 
 	queued       map[string]RelayedHeartbeat // to be written to the key-value store, by machine
 	written      map[string]RelayedHeartbeat // what was written last, by machine
@@ -85,10 +87,10 @@
 	return r
 }
 
-// Tick does what is due by time alone. leads is whether this node is the leader itself.
-func (r *Relay) Tick(leads bool) {
+// Tick does the periodic work of the relay. isLeader is set if this node is a leader that is ready.
+func (r *Relay) Tick(isLeader bool) {
 	r.expireWorkers()
-	r.sendBatch(leads)
+	r.sendBatch(isLeader)
 	r.writeQueued()
 }
 
@@ -99,18 +101,18 @@
 		r.leaderChangedAt = r.outbox.Now()
 		r.leaderResponded = false
 	}
-	clear(r.written) // a new leader has not read it
+	clear(r.written) // a new leader has not read what was written before
 }
 
-// PeerAlive records that another node has answered.
+// PeerAlive records that another node has responded.
 func (r *Relay) PeerAlive(peer msg.PeerAlive) { r.peerRespondedAt[peer.Node] = r.outbox.Now() }
 
-// alive reports whether a node is this one or has answered lately.
+// alive reports whether a node is this one or has responded within peerTimeout.
 func (r *Relay) alive(node string) bool {
 	return node == r.cfg.Node || r.outbox.Now()-r.peerRespondedAt[node] <= peerTimeout
 }
 
-// HandleHeartbeat serves a worker while another node is the leader.
+// HandleHeartbeat handles a worker's heartbeat while another node is the leader.
 func (r *Relay) HandleHeartbeat(in msg.HeartbeatIn) {
 	hb := &in.Heartbeat
 	leader := r.elector.Holder()
@@ -129,18 +131,18 @@
 	}
 }
 
-// expireWorkers forgets stale state of workers once there is much of it.
+// expireWorkers deletes stale state of workers from the maps that have grown too large.
 func (r *Relay) expireWorkers() {
 	now := r.outbox.Now()
-	if len(r.redirects) > maxRememberedWorkers {
+	if len(r.redirects) > maxTrackedWorkers {
 		maps.DeleteFunc(r.redirects, func(_ string, d redirect) bool {
-			return now > max(d.exemptUntil, d.sentAt+redirectMemory)
+			return now > max(d.exemptUntil, d.sentAt+redirectReturnWindow)
 		})
 	}
-	if len(r.acked) > maxRememberedWorkers {
+	if len(r.acked) > maxTrackedWorkers {
 		maps.DeleteFunc(r.acked, func(_ string, a ackedHeartbeat) bool { return now-a.ackedAt > ackLifetime })
 	}
-	if len(r.written) > maxRememberedWorkers {
+	if len(r.written) > maxTrackedWorkers {
 		maps.DeleteFunc(r.written, func(_ string, w RelayedHeartbeat) bool {
 			return now-w.receivedAt > r.cfg.SilenceLimit()
 		})
--- a/internal/core/relay/relay_test.go
+++ b/internal/core/relay/relay_test.go
@@ -12,7 +12,7 @@
 	"coralhub/wire"
 )
 
-// noopListener is a Listener of records and of elections that ignores everything.
+// noopListener implements the listeners of records and of elections and ignores all events.
 type noopListener struct{}
 
 func (noopListener) JobAdded(*records.Job)                                  {}
@@ -31,8 +31,12 @@
 // the leader. A worker's lease is 4 s here, and a cancellation may take 20 s.
 func newRelay(t *testing.T) (*Relay, []byte) {
 	t.Helper()
-	cfg := &config.Config{Platform: config.Platform{Node: "n2", Location: "b", Peers: []config.Peer{{Node: "n1", Location: "a"}},
-		Cluster: config.Cluster{Workers: config.Workers{ReportS: 1, LeaseS: 4, CancelS: 20}}}}
+	cfg := &config.Config{Platform: config.Platform{
+		Node:     "n2",
+		Location: "b",
+		Peers:    []config.Peer{{Node: "n1", Location: "a"}},
+		Cluster:  config.Cluster{Workers: config.Workers{ReportS: 1, LeaseS: 4, CancelS: 20}},
+	}}
 	out := outbox.New(func(*wire.Transaction) {})
 	replica := records.New(noopListener{})
 	elector := election.New(out, "leader", "n2", config.Second, 1, noopListener{})
@@ -44,10 +48,10 @@
 	return r, leaderValue
 }
 
-// A node answers on behalf of a leader that it reaches only as long as its replica is recent enough,
-// or it has a delegation: what the replica lacks may be a cancellation. A cancellation may take 20 s
-// here, and a worker's lease is 4 s, so the replica may be 12 s old.
-func TestAnsweringNeedsAFreshReplica(t *testing.T) {
+// A node answers on behalf of a reachable leader only while its replica is recent enough or it has a
+// delegation, because an old replica may lack a cancellation. Here a cancellation may take 20 s, a
+// worker's lease is 4 s and replicaAgeMargin is 4 s, so the replica may be 12 s old.
+func TestAnsweringRequiresFreshReplica(t *testing.T) {
 	r, leaderValue := newRelay(t)
 	r.elector.Apply(&wire.Change{Put: "leader", Value: leaderValue, Version: 5}, true)
 	// heartbeatAt sends a worker's heartbeat without tasks after the given seconds, and returns how
@@ -55,14 +59,20 @@
 	heartbeatAt := func(seconds float64) string {
 		r.outbox.Begin(config.FromSeconds(seconds))
 		r.PeerAlive(msg.PeerAlive{Node: "n1"})
-		r.HandleHeartbeat(msg.HeartbeatIn{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Zone: "b", Incarnation: 1, FencingToken: 5}})
+		r.HandleHeartbeat(msg.HeartbeatIn{
+			RequestID: 1,
+			Heartbeat: wire.Heartbeat{Machine: "m-1", Zone: "b", Incarnation: 1, FencingToken: 5},
+		})
 		for _, e := range r.outbox.End() {
 			switch e.(type) {
 			case msg.Respond:
 				return "answered"
 			case msg.Forward:
-				r.ForwardDone(msg.ForwardDone{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Zone: "b", Incarnation: 1, FencingToken: 5},
-					Response: &wire.HeartbeatResponse{FencingToken: 5}})
+				r.ForwardDone(msg.ForwardDone{
+					RequestID: 1,
+					Heartbeat: wire.Heartbeat{Machine: "m-1", Zone: "b", Incarnation: 1, FencingToken: 5},
+					Response:  &wire.HeartbeatResponse{FencingToken: 5},
+				})
 				return "forwarded"
 			}
 		}
@@ -72,23 +82,37 @@
 	for _, c := range []struct {
 		at   float64
 		want string
-	}{{2, "forwarded"}, {3, "answered"}, {11, "answered"}, {12.5, "forwarded"}, {12.9, "answered"}, {13, "forwarded"}, {14, "forwarded"}} {
+	}{
+		{2, "forwarded"},
+		{3, "answered"},
+		{11, "answered"},
+		{12.5, "forwarded"},
+		{12.9, "answered"},
+		{13, "forwarded"},
+		{14, "forwarded"},
+	} {
 		if got := heartbeatAt(c.at); got != c.want {
 			t.Errorf("at %v s: %s, want %s", c.at, got, c.want)
 		}
 	}
-	r.HeartbeatBatchDone(msg.HeartbeatBatchDone{Batch: msg.HeartbeatBatch{Term: 4, SentAt: config.FromSeconds(14)}, HeartbeatBatchResponse: msg.HeartbeatBatchResponse{Delegation: 60 * config.Second}})
+	r.HeartbeatBatchDone(msg.HeartbeatBatchDone{
+		Batch:                  msg.HeartbeatBatch{Term: 4, SentAt: config.FromSeconds(14)},
+		HeartbeatBatchResponse: msg.HeartbeatBatchResponse{Delegation: 60 * config.Second},
+	})
 	if got := heartbeatAt(15); got != "forwarded" {
 		t.Errorf("with a delegation of an earlier leader: %s", got)
 	}
-	r.HeartbeatBatchDone(msg.HeartbeatBatchDone{Batch: msg.HeartbeatBatch{Term: 5, SentAt: config.FromSeconds(14)}, HeartbeatBatchResponse: msg.HeartbeatBatchResponse{Delegation: 60 * config.Second}})
+	r.HeartbeatBatchDone(msg.HeartbeatBatchDone{
+		Batch:                  msg.HeartbeatBatch{Term: 5, SentAt: config.FromSeconds(14)},
+		HeartbeatBatchResponse: msg.HeartbeatBatchResponse{Delegation: 60 * config.Second},
+	})
 	if got := heartbeatAt(16); got != "answered" {
 		t.Errorf("with a delegation: %s", got)
 	}
 }
 
-// A worker that has seen no token of the present term is kept alive under the one that it has seen,
-// however old the replica is, if the replica goes up to the start of the term.
+// A worker that has seen no token of the current term is kept alive under the token that it has seen,
+// however old the replica is, if the replica reaches the start of the term.
 func TestKeepAlive(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -97,11 +121,11 @@
 		listed, replaced bool
 		want             bool
 	}{
-		{"token of the term before", 5, 9, false, false, true},
-		{"token of the term before, and the present token was replaced", 5, 11, false, true, true},
+		{"token of the previous term", 5, 9, false, false, true},
+		{"token of the previous term, and the current token was replaced", 5, 11, false, true, true},
 		{"token of this term", 9, 9, false, false, false},
 		{"token of this term that was replaced", 9, 11, false, true, false},
-		{"replica does not go up to the start of the term", 5, 8, false, false, false},
+		{"replica does not reach the start of the term", 5, 8, false, false, false},
 		{"start of the term is unknown", 5, 9, true, false, false},
 		{"worker has seen no token", 0, 9, false, false, false},
 	} {
@@ -113,7 +137,10 @@
 		}
 		r.replica.NoteRevision(c.revision)
 		r.outbox.Begin(1000 * config.Second)
-		got := r.KeepAlive(msg.HeartbeatIn{RequestID: 1, Heartbeat: wire.Heartbeat{Machine: "m-1", Incarnation: 1, FencingToken: c.token}})
+		got := r.KeepAlive(msg.HeartbeatIn{
+			RequestID: 1,
+			Heartbeat: wire.Heartbeat{Machine: "m-1", Incarnation: 1, FencingToken: c.token},
+		})
 		if got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
@@ -127,9 +154,9 @@
 	}
 }
 
-// A worker that has seen no token is not shown that of a leader which cannot have read the records yet:
-// the worker would show it to the previous leader, which resigns when it sees it.
-func TestNewWorkersWaitForTheLeader(t *testing.T) {
+// A worker that has seen no token does not receive the token of a leader that cannot have read the
+// records yet: the worker would report it to the previous leader, which would then resign.
+func TestNewWorkersWaitUntilLeaderCaughtUp(t *testing.T) {
 	r, leaderValue := newRelay(t)
 	r.outbox.Begin(config.FromSeconds(10))
 	r.elector.Apply(&wire.Change{Put: "leader", Value: leaderValue, Version: 9}, true)
--- a/internal/core/relay/relayed_heartbeats.go
+++ b/internal/core/relay/relayed_heartbeats.go
@@ -9,11 +9,11 @@
 	"coralhub/wire"
 )
 
-// KeyPrefix is the prefix of the keys under which nodes write heartbeats for the leader, each under
-// its own name. The name of the prefix is that of earlier versions, which share the key-value store.
+// KeyPrefix is the prefix of the keys under which nodes write heartbeats for the leader; a node's name
+// completes its key. Earlier versions share the key-value store, so the prefix is the one they use.
 const KeyPrefix = job.KeyRoot + "mail/"
 
-// relayWriteShare is the share of the write rate that one node's relayed heartbeats may take.
+// relayWriteShare is the fraction of the write rate that one node's relayed heartbeats may use.
 const relayWriteShare = 0.1
 
 // RelayedHeartbeat is a heartbeat that is relayed to the leader through the key-value store.
@@ -40,12 +40,13 @@
 	Saved    bool
 }
 
-// differsFrom reports whether the heartbeat says anything that an earlier one did not.
+// differsFrom reports whether the incarnation or the tasks differ from those in an earlier heartbeat.
 func (h RelayedHeartbeat) differsFrom(earlier RelayedHeartbeat) bool {
 	return h.Incarnation != earlier.Incarnation || !slices.Equal(h.Tasks, earlier.Tasks)
 }
 
-// enqueue queues a heartbeat for the leader, unless it was relayed a moment ago.
+// enqueue queues a heartbeat for the leader, unless an unchanged one was relayed recently or too many
+// are queued.
 func (r *Relay) enqueue(hb *wire.Heartbeat) {
 	relayed := RelayedHeartbeat{
 		Machine:      hb.Machine,
@@ -65,9 +66,9 @@
 		})
 	}
 	last := r.written[hb.Machine]
-	// An unchanged heartbeat still shows in time that the worker is alive.
+	// An unchanged heartbeat is relayed again after a while, to show that the worker is alive.
 	recent := r.outbox.Now()-last.receivedAt < r.cfg.SilenceLimit()/2
-	if recent && !relayed.differsFrom(last) || len(r.queued) > maxRememberedWorkers {
+	if recent && !relayed.differsFrom(last) || len(r.queued) > maxTrackedWorkers {
 		return
 	}
 	r.queued[hb.Machine] = relayed
@@ -78,11 +79,11 @@
 	if len(r.queued) == 0 || r.writePending || r.outbox.Now() < r.nextWriteAt || r.elector.Holder().Version == 0 {
 		return
 	}
-	heartbeats := r.queuedByNovelty()
+	heartbeats := r.queuedChangedFirst()
 	value, err := job.Encode(heartbeats)
 	for err == nil && !r.encoding.Fits(value) {
 		if len(heartbeats) == 1 {
-			delete(r.queued, heartbeats[0].Machine) // it never fits, so the leader cannot get it this way
+			delete(r.queued, heartbeats[0].Machine) // it never fits into a value, so it cannot be relayed
 			return
 		}
 		heartbeats = heartbeats[:len(heartbeats)*3/4]
@@ -101,9 +102,9 @@
 	r.outbox.Commit(transaction, msg.PurposeRelay, func(done msg.CommitDone) { r.writeDone(heartbeats, done) })
 }
 
-// queuedByNovelty returns the queued heartbeats, those that say something new first, in the order of
-// machines.
-func (r *Relay) queuedByNovelty() []RelayedHeartbeat {
+// queuedChangedFirst returns the queued heartbeats, changed ones first, and otherwise in the order of
+// machine names.
+func (r *Relay) queuedChangedFirst() []RelayedHeartbeat {
 	var changed, unchanged []RelayedHeartbeat
 	for _, machine := range slices.Sorted(maps.Keys(r.queued)) {
 		h := r.queued[machine]
