--- a/internal/core/frontend/cancellations.go
+++ b/internal/core/frontend/cancellations.go
@@ -10,12 +10,13 @@
 	"coralhub/wire"
 )
 
-// placementsQuietTime is how long the placement pages must be unchanged for conditions on all of them to be likely to
-// hold: a transaction whose conditions fail costs as much of the quota as one that is applied.
-const placementsQuietTime = config.Second
+// pagesStableTime is how long the placement pages must have been unchanged for conditions on all of them to be
+// likely to hold. A transaction whose conditions fail costs as much of the quota as one that is applied.
+const pagesStableTime = config.Second
 
-// Cancel handles POST /v1/jobs/{id}/withdraw. The request is committed first and stops all starting; the user hears
-// "cancelled" once the leader has made sure that every worker concerned will stop its tasks.
+// Cancel handles POST /v1/jobs/{id}/withdraw. The request to cancel is committed first, and no task starts after that.
+// The user receives the status "cancelled" once the leader has made sure that every worker concerned will stop its
+// tasks.
 func (f *Frontend) Cancel(x msg.CancelIn) {
 	if !f.canAnswer(x.RequestID, x.JobID) {
 		return
@@ -49,17 +50,17 @@
 	f.outbox.Respond(requestID, http.StatusOK, wire.JobStatus{ID: j.ID, Status: Status(j).Status})
 }
 
-// requestCancel cancels a job: at once, if it is certain that no task of it is on any machine, or else by a request in
-// its record that the leader acts upon.
+// requestCancel cancels a job immediately if it is certain that no task of it is on any machine. Otherwise it records a
+// request to cancel the job, which the leader carries out.
 func (f *Frontend) requestCancel(requestID uint64, j *records.Job) {
-	if conditions, certain := f.neverPlacedConditions(j); certain {
+	if conditions, certain := f.unplacedConditions(j); certain {
 		f.cancelWithoutLeader(requestID, j, conditions)
 		return
 	}
 	f.cancelByLeader(requestID, j)
 }
 
-// cancelByLeader records that a job is to be cancelled.
+// cancelByLeader records a request to cancel a job, which the leader carries out.
 func (f *Frontend) cancelByLeader(requestID uint64, j *records.Job) {
 	rec := j.Record.Clone()
 	rec.CancelRequested = true
@@ -67,10 +68,10 @@
 	f.writeCancel(requestID, j, &rec, conditions, func() { f.outbox.RetryLater(requestID, reasonTryAgain) })
 }
 
-// cancelWithoutLeader cancels a job at once. If the conditions fail although nobody has cancelled it, a leader has been
-// placing jobs meanwhile, and the leader has to cancel it.
+// cancelWithoutLeader cancels a job immediately. If the conditions fail although the job has not been cancelled, a
+// leader has placed jobs in the meantime, and has to cancel this one.
 func (f *Frontend) cancelWithoutLeader(requestID uint64, j *records.Job, conditions []wire.Condition) {
-	// Placements that it had before are all over, by what the replica holds, and charged.
+	// According to the replica, all earlier placements of the job are over, and they have been charged.
 	rec := job.Record{Phase: job.Cancelled, DoneTasks: j.DoneTasks}
 	if f.encoding.Format >= job.FormatPreemption {
 		rec.Account = job.NewUsageAccount(j.Record.Spec, j.Record.Usage.Plus(j.PageUsage()), 0)
@@ -78,10 +79,10 @@
 	f.writeCancel(requestID, j, &rec, conditions, func() { f.cancelByLeader(requestID, j) })
 }
 
-// writeCancel commits a record that says that a job is cancelled, or is to be. If the conditions fail although it is
-// not, onRefused is called once the replica has the job as it is now.
+// writeCancel commits the record of a job that is cancelled or is to be cancelled. If the conditions fail although the
+// job is neither, onConflict is called once the replica holds the current record.
 func (f *Frontend) writeCancel(
-	requestID uint64, j *records.Job, rec *job.Record, conditions []wire.Condition, onRefused func(),
+	requestID uint64, j *records.Job, rec *job.Record, conditions []wire.Condition, onConflict func(),
 ) {
 	value, err := f.encodeCancelled(rec)
 	if err != nil || !f.encoding.Fits(value) {
@@ -99,7 +100,7 @@
 			f.node.ApplyWritten(wire.Change{Put: key, Value: value, Version: d.Revision})
 			f.waitForCancel(requestID, j)
 		case msg.Conflict:
-			f.resolveCancelConflict(requestID, j.ID, onRefused)
+			f.resolveCancelConflict(requestID, j.ID, onConflict)
 		case msg.Invalid:
 			f.outbox.RetryLater(requestID, reasonTryAgain)
 		default:
@@ -108,8 +109,8 @@
 	})
 }
 
-// encodeCancelled encodes a record, without what only placing needs if it is too large otherwise: nothing of the job
-// starts again.
+// encodeCancelled encodes the record of a job of which no task starts again. If the record is too large, it is encoded
+// without the fields of the description that are needed for placement only.
 func (f *Frontend) encodeCancelled(rec *job.Record) ([]byte, error) {
 	value, err := job.EncodeRecord(rec, f.encoding.Format)
 	if err != nil || f.encoding.Fits(value) || rec.Spec == nil {
@@ -121,7 +122,7 @@
 	return job.EncodeRecord(rec, f.encoding.Format)
 }
 
-func (f *Frontend) resolveCancelConflict(requestID uint64, id string, onRefused func()) {
+func (f *Frontend) resolveCancelConflict(requestID uint64, id string, onConflict func()) {
 	f.readCurrent(requestID, id, func(j *records.Job) {
 		switch {
 		case j != nil && (j.Record.CancelRequested || j.Record.Final()):
@@ -129,17 +130,18 @@
 		case j == nil || j.Record.Spec == nil:
 			f.outbox.RetryLater(requestID, reasonTryAgain)
 		default:
-			onRefused()
+			onConflict()
 		}
 	})
 }
 
-// neverPlacedConditions returns conditions that hold only if no task of a job is on any machine: then no leader is
-// needed to cancel it. From job.FormatPlacementPages on a placement may be in a page, which no condition on the record
-// excludes. So either there are conditions on all pages, and on the next one, which is the only one that could be
-// created; or the job waits for a dependency that is not done: the record of that one says so, and no task of this job
-// starts before.
-func (f *Frontend) neverPlacedConditions(j *records.Job) (conditions []wire.Condition, certain bool) {
+// unplacedConditions returns conditions that hold only if no task of a job is on any machine, so that no leader is
+// needed to cancel it. It returns false if there are no such conditions. From job.FormatPlacementPages on, a placement
+// may be in a page, which a condition on the job's record does not exclude. There are then two cases. If the job waits
+// for a dependency, a condition on the dependency's record ensures that the dependency is not done, and no task of the
+// job starts before. Otherwise, the conditions cover all pages and the next one, which is the only one that could be
+// created.
+func (f *Frontend) unplacedConditions(j *records.Job) (conditions []wire.Condition, certain bool) {
 	rec := &j.Record
 	hasShards := rec.Spec.Tasks > job.TasksPerShard || rec.ShardsOnly
 	if rec.LastAttempt > 0 && (j.OpenTasks > 0 || hasShards) {
@@ -155,13 +157,13 @@
 	}
 	pages := f.replica.PlacementPageConditions()
 	tooMany := len(conditions)+len(pages) > wire.ConditionsPerChange*f.encoding.MaxOps()
-	if tooMany || f.outbox.Now()-f.pageChanges.lastSeenAt < placementsQuietTime {
+	if tooMany || f.outbox.Now()-f.pageChanges.lastSeenAt < pagesStableTime {
 		return nil, false
 	}
 	return append(conditions, pages...), true
 }
 
-// waitForCancel responds to a cancellation once the job's phase is final, or with 503 when that takes too long.
+// waitForCancel responds to a cancellation once the job's phase is final, or with 503 if that takes too long.
 func (f *Frontend) waitForCancel(requestID uint64, j *records.Job) {
 	if j.Record.Final() {
 		f.respondCancelled(requestID, j)
@@ -170,7 +172,7 @@
 	f.waitingCancels.add(requestID, j.ID)
 }
 
-// JobFinished responds to the cancellations of a job whose phase is final now.
+// JobFinished responds to the waiting cancellations of a job whose phase has become final.
 func (f *Frontend) JobFinished(j *records.Job) {
 	for _, requestID := range f.waitingCancels.remove(j.ID) {
 		f.respondCancelled(requestID, j)
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -1,5 +1,6 @@
-// Package frontend serves users, at any node. Final phases are answered from memory; anything else only after the state
-// service has confirmed, since the request arrived, that this node's replica is current.
+// Package frontend serves the requests of users on every node. Final phases of jobs are answered from memory. All else
+// is answered only after the state service has confirmed, since the request arrived, that this node's replica is
+// current.
 package frontend
 
 import (
@@ -17,20 +18,20 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = config.Micros
 
-// Texts of responses that ask users to try again.
+// Texts of error responses to users.
 const (
 	reasonStoreUnavailable = "state service not available"
 	reasonTryAgain         = "try again"
 	reasonNoSuchJob        = "no such job"
 )
 
-// Node is what the frontend asks of the rest of its node.
+// Node is the interface of a Frontend to the rest of its node.
 type Node interface {
-	// NotServingReason returns why the node does not serve; empty if it does.
+	// NotServingReason returns why the node does not serve requests, or an empty string if it does.
 	NotServingReason() string
-	// ApplyRead takes a key that was read.
+	// ApplyRead applies the value of a key that was read.
 	ApplyRead(wire.Change)
-	// ApplyWritten takes a change that this node has committed, and sees to it that the leader learns of it soon.
+	// ApplyWritten applies a change that this node has committed, and sends it to the leader ahead of the watch.
 	ApplyWritten(wire.Change)
 }
 
@@ -68,7 +69,7 @@
 	return f
 }
 
-// Status returns a job's state as users are told it.
+// Status returns a job's state in the form of a response to users.
 func Status(j *records.Job) wire.JobStatus {
 	s := wire.JobStatus{ID: j.ID}
 	done, running := j.Record.DoneTasks, 0
@@ -91,14 +92,14 @@
 	return s
 }
 
-// Tick gives up requests that have waited too long.
+// Tick tracks changes of the placement pages and refuses requests that have waited too long. It is called periodically.
 func (f *Frontend) Tick() {
 	f.pageChanges.observe(f.outbox.Now(), f.replica.PlacementPagesRevision())
 	f.polls.refuseLate()
 	f.waitingCancels.refuseLate()
 }
 
-// Flush sends one check of the replica for the polls that wait, if it is due. It is called at the end of each step.
+// Flush sends a check of the replica for the waiting polls if one is due. It is called at the end of each step.
 func (f *Frontend) Flush() { f.polls.check() }
 
 // WatchAdvanced answers the polls for which the replica is current now that the watch has responded.
@@ -119,15 +120,15 @@
 }
 
 func (f *Frontend) respondToPoll(p pendingPoll, j *records.Job) {
-	if j == nil || j.Version == 0 { // without a version, it is only known as a dependency
+	if j == nil || j.Version == 0 { // without a version, it is only known as a dependency of a job
 		f.outbox.Respond(p.requestID, http.StatusNotFound, wire.Error{Error: reasonNoSuchJob})
 		return
 	}
 	f.respondWithStatus(p.requestID, j)
 }
 
-// canAnswer reports whether requests about a job can be answered. If not, it has responded: there is no job of such an
-// ID, or the node does not serve.
+// canAnswer reports whether requests about a job can be answered. If not, because the job ID is invalid or the node
+// does not serve requests, it responds to the request itself.
 func (f *Frontend) canAnswer(requestID uint64, jobID string) bool {
 	if !wire.ValidJobID(jobID) {
 		f.outbox.Respond(requestID, http.StatusNotFound, wire.Error{Error: reasonNoSuchJob})
@@ -140,8 +141,8 @@
 	return true
 }
 
-// readCurrent reads a job's record and calls then with the job, nil if there is none. If that can't be known it
-// responds with 503 itself.
+// readCurrent reads a job's record and calls then with the job, or with nil if there is none. If the read fails, it
+// responds with 503 instead.
 func (f *Frontend) readCurrent(requestID uint64, id string, then func(*records.Job)) {
 	f.outbox.Read(job.RecordKey(id), func(d msg.ReadDone) {
 		if d.Outcome != msg.OK {
@@ -157,24 +158,24 @@
 	})
 }
 
-// respondWithStatus responds with a job's state, which is known to be current. A job with a cancelled dependency is
-// cancelled in its own record first: then every node says the same from then on, whatever it knows of the others.
+// respondWithStatus responds with a job's state, which must be known to be current. A job with a cancelled dependency
+// is first cancelled in its own record, so that every node reports the same state from then on, whatever its replica
+// holds of the dependencies.
 func (f *Frontend) respondWithStatus(requestID uint64, j *records.Job) {
 	switch {
 	case j.Record.Final():
 		f.outbox.Respond(requestID, http.StatusOK, Status(j))
 	case j.DependencyCancelled():
 		f.requestCancel(requestID, j)
-	case f.dependenciesUnknown(j):
+	case f.dependenciesOutdated(j):
 		f.outbox.RetryLater(requestID, "not sure about the jobs that it needs")
 	default:
 		f.outbox.Respond(requestID, http.StatusOK, Status(j))
 	}
 }
 
-// dependenciesUnknown reports whether the replica is too old to tell whether a job that waits for others is still to be
-// called queued.
-func (f *Frontend) dependenciesUnknown(j *records.Job) bool {
+// dependenciesOutdated reports whether a job waits for dependencies and the replica is too old to report it as queued.
+func (f *Frontend) dependenciesOutdated(j *records.Job) bool {
 	age := f.outbox.Now() - f.replica.CurrentAt()
 	return j.WaitsForDependencies() && age > config.FromSeconds(f.cfg.Cluster.Workers.CancelS)/4
 }
--- a/internal/core/frontend/page_changes.go
+++ b/internal/core/frontend/page_changes.go
@@ -1,12 +1,12 @@
 package frontend
 
-// pageChanges is when the placement pages were last seen to change.
+// pageChanges records when the placement pages were last observed to change.
 type pageChanges struct {
 	revision   uint64 // of the last change
 	lastSeenAt Micros
 }
 
-// observe compares the revision of the last change with the one that was known.
+// observe records a change if the revision of the last change is not the one that was observed before.
 func (c *pageChanges) observe(now Micros, revision uint64) {
 	if revision != c.revision {
 		c.revision = revision
--- a/internal/core/frontend/polls.go
+++ b/internal/core/frontend/polls.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// pollDeadline is when a poll is given up, a little before its user does.
+	// pollDeadline is how long a poll may wait, slightly less than its user waits.
 	pollDeadline = 1500 * config.Second / 1000
-	// checkInterval is the least time between two checks, so that polls share them: the state service's quota of
-	// requests is for all nodes and purposes.
+	// checkInterval is the minimum time between two checks, so that polls share them: all nodes and purposes share the
+	// state service's quota of requests.
 	checkInterval = 150 * config.Second / 1000
-	// watchFreshness is how recently the watch must have been asked for many polls to wait for its next response.
+	// watchFreshness is how recent the watch's last request must be for many polls to wait for its next response.
 	watchFreshness = 500 * config.Second / 1000
-	// fastPollInterval is how often the watch is asked to poll fast while many polls wait.
+	// fastPollInterval is the time between requests to the watch to poll fast, while many polls wait.
 	fastPollInterval = config.Second
-	// maxPendingPolls bounds the polls that wait for a check; more are refused at once.
+	// maxPendingPolls is the maximum number of polls that wait for a check; further ones are refused immediately.
 	maxPendingPolls = 2000
 )
 
@@ -31,14 +31,14 @@
 type pendingPoll struct {
 	requestID uint64
 	jobID     string
-	since     Micros
+	arrivedAt Micros
 }
 
 // pollResponder answers polls, as the Frontend does.
 type pollResponder interface {
-	// respondToPoll responds with a job's state, which is known to be current; the job is nil if there is none.
+	// respondToPoll responds with a job's state, which must be known to be current. The job is nil if there is none.
 	respondToPoll(p pendingPoll, j *records.Job)
-	// readCurrent reads a job's record and calls then with the job, nil if there is none.
+	// readCurrent reads a job's record and calls then with the job, or with nil if there is none.
 	readCurrent(requestID uint64, id string, then func(*records.Job))
 }
 
@@ -51,10 +51,10 @@
 	responder pollResponder
 
 	pending             []pendingPoll
-	checked             []pendingPoll // those that the check in flight is for
+	checked             []pendingPoll // polls that the check in flight is for
 	checkInFlight       bool
 	nextCheckAt         Micros
-	fastPollRequestedAt Micros // when the watch was last asked to poll fast
+	fastPollRequestedAt Micros // when the watch was last requested to poll fast
 }
 
 // add queues a poll. It returns false if too many are pending.
@@ -73,7 +73,7 @@
 		return
 	}
 	maxConditions := wire.ConditionsPerChange * q.encoding.MaxOps()
-	if len(q.pending) > maxConditions && q.watchWillAnswer() {
+	if len(q.pending) > maxConditions && q.requestFastWatch() {
 		return
 	}
 	conditions := q.takeBatch(maxConditions)
@@ -86,9 +86,9 @@
 	})
 }
 
-// watchWillAnswer asks the watch to poll fast, and reports whether its next response will come soon: that confirms all
-// pending polls with one request.
-func (q *pollQueue) watchWillAnswer() bool {
+// requestFastWatch requests the watch to poll fast, and reports whether its next response is expected soon. That
+// response confirms all pending polls with one request.
+func (q *pollQueue) requestFastWatch() bool {
 	if q.fastPollRequestedAt == 0 || q.outbox.Now()-q.fastPollRequestedAt > fastPollInterval {
 		q.fastPollRequestedAt = q.outbox.Now()
 		q.outbox.Emit(msg.PollWatchFast{})
@@ -96,7 +96,7 @@
 	return q.outbox.Now()-q.replica.CurrentAt() < watchFreshness
 }
 
-// takeBatch moves as many pending polls as one check has conditions for to checked, and returns the conditions.
+// takeBatch moves pending polls to checked, as many as one check has conditions for, and returns the conditions.
 func (q *pollQueue) takeBatch(maxConditions int) []wire.Condition {
 	versions := map[string]uint64{} // by job
 	n := 0
@@ -117,19 +117,19 @@
 	return conditions
 }
 
-// watchAdvanced answers the polls that came before the watch was last asked: the replica holds everything that happened
-// before that. Under a flood of polls the watch responds all the time, while a check is a request to the state service
-// for some 40 polls.
+// watchAdvanced answers the polls that arrived before the watch's last request: the replica holds everything that was
+// committed before it. Under a flood of polls the watch responds continually, whereas each check takes a request to the
+// state service for some 40 polls.
 func (q *pollQueue) watchAdvanced() {
-	left := q.pending[:0]
+	remaining := q.pending[:0]
 	for _, p := range q.pending {
-		if p.since >= q.replica.CurrentAt() {
-			left = append(left, p)
+		if p.arrivedAt >= q.replica.CurrentAt() {
+			remaining = append(remaining, p)
 			continue
 		}
 		q.responder.respondToPoll(p, q.replica.Job(p.jobID))
 	}
-	q.pending = left
+	q.pending = remaining
 }
 
 func (q *pollQueue) checkDone(batch []pendingPoll, d msg.CommitDone) {
@@ -154,15 +154,16 @@
 	}
 }
 
-// refuseLate refuses the polls whose users will not wait much longer: the answer to a check may take that long, too.
+// refuseLate refuses the polls that have waited longer than pollDeadline. That includes polls whose check is in flight,
+// since its result may arrive only after the user has given up.
 func (q *pollQueue) refuseLate() {
 	q.pending = slices.DeleteFunc(q.pending, q.refuseIfLate)
 	q.checked = slices.DeleteFunc(q.checked, q.refuseIfLate)
 }
 
-// refuseIfLate refuses a poll if its user will not wait much longer, and reports whether it did.
+// refuseIfLate refuses a poll that has waited longer than pollDeadline, and reports whether it did.
 func (q *pollQueue) refuseIfLate(p pendingPoll) bool {
-	late := q.outbox.Now()-p.since > pollDeadline
+	late := q.outbox.Now()-p.arrivedAt > pollDeadline
 	if late {
 		q.outbox.RetryLater(p.requestID, reasonStoreUnavailable)
 	}
--- a/internal/core/frontend/polls_test.go
+++ b/internal/core/frontend/polls_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Polls that came before the watch was last asked are answered by its response, without a check.
+// Polls that arrived before the watch's last request are answered by its response, without a check.
 func TestWatchAnswersPolls(t *testing.T) {
 	queue, responder := newPollQueue()
 	queue.outbox.Begin(config.Second)
@@ -70,7 +70,7 @@
 	}
 }
 
-// A poll whose user will not wait much longer is refused, also while its check is in flight.
+// A poll that has waited longer than pollDeadline is refused, also while its check is in flight.
 func TestLatePollsAreRefused(t *testing.T) {
 	queue, _ := newPollQueue()
 	queue.outbox.Begin(config.Second)
--- a/internal/core/frontend/submissions.go
+++ b/internal/core/frontend/submissions.go
@@ -11,14 +11,14 @@
 	"coralhub/wire"
 )
 
-// refusal is why a submission is not accepted: an HTTP status and a text. The zero value refuses nothing.
+// refusal is the HTTP status and the text with which a submission is refused. The zero value is no refusal.
 type refusal struct {
 	status int
 	reason string
 }
 
 // Submit handles POST /v1/jobs. A job is accepted once the creation of its record has been confirmed, on the condition
-// that there was none. A job that is known already is answered with 200, whatever its retry holds.
+// that there was none. The submission of a job that exists already is answered with 200, whatever it contains.
 func (f *Frontend) Submit(x msg.SubmitIn) {
 	spec, err := wire.ParseJob(x.Body)
 	if spec.ID == "" {
@@ -36,7 +36,7 @@
 	}
 	refused := f.refusalOf(&spec, err)
 	if refused.status != 0 || known != nil && known.Version != 0 {
-		f.refuse(x, spec.ID, refused)
+		f.respondKnownOrRefuse(x, spec.ID, refused)
 		return
 	}
 	if len(spec.Needs) == 0 {
@@ -48,14 +48,17 @@
 		case outcome != msg.OK:
 			f.outbox.RetryLater(x.RequestID, reasonStoreUnavailable)
 		case missing != "":
-			f.refuse(x, spec.ID, refusal{http.StatusUnprocessableEntity, "needs " + missing + ", which was never accepted"})
+			f.respondKnownOrRefuse(x, spec.ID, refusal{
+				http.StatusUnprocessableEntity, "needs " + missing + ", which was never accepted",
+			})
 		default:
 			f.createRecord(x, &spec)
 		}
 	})
 }
 
-// refusalOf returns why a submission can't be accepted, by what this node knows. invalid is the error of parsing it.
+// refusalOf returns why a submission cannot be accepted according to this node's state, or the zero value if it can.
+// invalid is the error from parsing the submission, if there was one.
 func (f *Frontend) refusalOf(spec *wire.Job, invalid error) refusal {
 	switch {
 	case invalid != nil:
@@ -65,17 +68,17 @@
 	case f.dependsOnService(spec):
 		return refusal{http.StatusUnprocessableEntity, "needs a service, which is never done"}
 	case len(spec.Needs) > 0 && f.encoding.UpgradePending():
-		// An older node would lose the dependencies.
+		// A node of an older version would drop the dependencies.
 		return refusal{http.StatusServiceUnavailable, "needed jobs are not taken before every node has been upgraded"}
 	}
-	if reason := f.whyImpossible(spec); reason != "" {
+	if reason := f.infeasibleReason(spec); reason != "" {
 		return refusal{http.StatusUnprocessableEntity, reason}
 	}
 	return refusal{}
 }
 
-// whyImpossible returns why a job can never run; empty if it can.
-func (f *Frontend) whyImpossible(spec *wire.Job) string {
+// infeasibleReason returns why a job can never run, or an empty string if it can.
+func (f *Frontend) infeasibleReason(spec *wire.Job) string {
 	team := f.teams[spec.Team]
 	if team == nil {
 		return "unknown team"
@@ -94,7 +97,8 @@
 	if !f.catalog.Runs(spec) {
 		return "a task fits no allowed machine type"
 	}
-	// All of a gang run at once. Some of a service or an array can, and the others when there is a zone for them.
+	// All tasks of a gang run at the same time. Of a service or an array, some tasks can run, and the others once
+	// there is a zone for them.
 	spreadGang := spec.Shape == wire.Gang && spec.Spread && spec.Tasks > 1
 	if spreadGang && (spec.OneZone || f.catalog.Zones(spec) < 2) {
 		return "a gang can't be spread over one zone"
@@ -102,8 +106,8 @@
 	return ""
 }
 
-// dependsOnService reports whether a submission depends on a service, as far as this node knows. One that is not
-// recognized waits, and is cancelled with the service.
+// dependsOnService reports whether a submission depends on a service, as far as this node knows. A job for which this
+// is not recognized waits until the service is cancelled, and is cancelled with it.
 func (f *Frontend) dependsOnService(spec *wire.Job) bool {
 	return slices.ContainsFunc(spec.Needs, func(id string) bool {
 		n := f.replica.Job(id)
@@ -111,9 +115,9 @@
 	})
 }
 
-// refuse answers a submission that can't be accepted. Existence comes before validity: a job that is known is answered
-// with 200.
-func (f *Frontend) refuse(x msg.SubmitIn, id string, refused refusal) {
+// respondKnownOrRefuse responds to a submission of a job that exists already or cannot be accepted. Existence takes
+// precedence: the submission of a job that exists is answered with 200 even if it is invalid.
+func (f *Frontend) respondKnownOrRefuse(x msg.SubmitIn, id string, refused refusal) {
 	f.readCurrent(x.RequestID, id, func(j *records.Job) {
 		switch {
 		case j != nil:
@@ -126,9 +130,9 @@
 	})
 }
 
-// createRecord accepts a job.
+// createRecord accepts a job by creating its record.
 func (f *Frontend) createRecord(x msg.SubmitIn, spec *wire.Job) {
-	rec, value, err := f.firstRecord(x, spec)
+	rec, value, err := f.initialRecord(x, spec)
 	if err != nil {
 		f.outbox.Respond(x.RequestID, http.StatusBadRequest, wire.Error{Error: err.Error()})
 		return
@@ -149,7 +153,7 @@
 				"shape", spec.Shape, "gpus", spec.GPUs, "estimate_s", spec.EstimateS)
 			f.outbox.Respond(x.RequestID, http.StatusCreated, wire.JobStatus{ID: spec.ID, Status: status})
 		case msg.Conflict:
-			f.refuse(x, spec.ID, refusal{0, reasonTryAgain})
+			f.respondKnownOrRefuse(x, spec.ID, refusal{0, reasonTryAgain})
 		case msg.Invalid:
 			f.outbox.RetryLater(x.RequestID, reasonTryAgain)
 		default:
@@ -158,9 +162,9 @@
 	})
 }
 
-// checkDependencies calls then with the first of the jobs that was never accepted, empty if all were, as the state
-// service confirms it now. This node's replica may lag, and users submit a job as soon as its dependencies are
-// accepted, perhaps by another node.
+// checkDependencies calls then with the first of the jobs that was never accepted, or with an empty string if all were.
+// It checks jobs that are not in this node's replica with the state service: the replica may lag, and users submit a
+// job as soon as its dependencies have been accepted, possibly by another node.
 func (f *Frontend) checkDependencies(ids []string, then func(missing string, outcome msg.Outcome)) {
 	batch := f.replica.UnknownJobs(ids)
 	if len(batch) == 0 {
@@ -168,7 +172,7 @@
 		return
 	}
 	batch = batch[:min(len(batch), wire.ConditionsPerChange*f.encoding.MaxOps())]
-	absent := wire.Transaction{} // its conditions hold for what does not exist
+	absent := wire.Transaction{} // its conditions hold for jobs that do not exist
 	for _, id := range batch {
 		absent.Conditions = append(absent.Conditions, wire.Condition{Key: job.RecordKey(id)})
 	}
@@ -178,15 +182,15 @@
 			then("", msg.Unknown)
 			return
 		}
-		left := slices.Clone(ids)
+		remaining := slices.Clone(ids)
 		for _, id := range batch {
 			exists := d.Outcome != msg.OK && slices.Contains(d.Failed, job.RecordKey(id))
 			if !exists {
 				then(id, msg.OK)
 				return
 			}
-			left = slices.DeleteFunc(left, func(other string) bool { return other == id })
+			remaining = slices.DeleteFunc(remaining, func(other string) bool { return other == id })
 		}
-		f.checkDependencies(left, then)
+		f.checkDependencies(remaining, then)
 	})
 }
--- a/internal/core/frontend/waiting_cancels.go
+++ b/internal/core/frontend/waiting_cancels.go
@@ -11,7 +11,7 @@
 // cancelDeadline is how long a cancellation waits for the leader before its user is asked to try again.
 const cancelDeadline = 400 * config.Second / 1000
 
-// waitingCancel is a cancellation that is recorded, until the leader has cancelled the job.
+// waitingCancel is a recorded cancellation that waits until the leader has cancelled the job.
 type waitingCancel struct {
 	requestID uint64
 	deadline  Micros
@@ -23,7 +23,7 @@
 	byJob  map[string][]waitingCancel
 }
 
-// add has a cancellation of a job wait.
+// add adds a cancellation of a job.
 func (w *waitingCancels) add(requestID uint64, jobID string) {
 	w.byJob[jobID] = append(w.byJob[jobID], waitingCancel{requestID, w.outbox.Now() + cancelDeadline})
 }
--- a/internal/core/frontend/waiting_cancels_test.go
+++ b/internal/core/frontend/waiting_cancels_test.go
@@ -8,7 +8,7 @@
 	"coralhub/internal/core/outbox"
 )
 
-// A cancellation that waits is answered once: when its job is cancelled, or when it has waited too long.
+// A waiting cancellation is answered exactly once: when its job is cancelled, or when it has waited too long.
 func TestWaitingCancelsAreAnsweredOnce(t *testing.T) {
 	out := outbox.New(nil)
 	waiting := waitingCancels{outbox: out, byJob: map[string][]waitingCancel{}}
