--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -1,5 +1,5 @@
-// Package autoscaler decides which machines to rent and to give back, and keeps track of the
-// requests to the cloud.
+// Package autoscaler decides which machines to rent and to release, and tracks the requests to the
+// cloud.
 package autoscaler
 
 import (
@@ -21,7 +21,7 @@
 
 // Listener is notified of the changes that an Autoscaler makes.
 type Listener interface {
-	// MachineChanged is called when something about a machine has changed.
+	// MachineChanged is called when a property of a machine has changed.
 	MachineChanged(*zone.Machine)
 	// MachineSetChanged is called when a machine was added or removed.
 	MachineSetChanged(machine string)
@@ -32,7 +32,7 @@
 }
 
 // Autoscaler scales the cluster while its node leads. It rents machines for demand that found no
-// capacity, and gives back machines that are idle, dead, silent, faulty or that never booted.
+// capacity, and releases machines that are idle, failed, silent, faulty or that never booted.
 type Autoscaler struct {
 	cfg      *config.Config
 	outbox   *outbox.Outbox
@@ -49,7 +49,7 @@
 	list cloudList
 
 	pools   machinePools
-	watched map[*zone.Machine]bool // candidates for scaling in
+	watched map[*zone.Machine]bool // machines that each Tick examines for scaling in
 }
 
 // New returns an inactive Autoscaler without machines.
@@ -80,7 +80,7 @@
 	a.watched = map[*zone.Machine]bool{}
 }
 
-// Activate starts scaling. The caller has read the stored records since its node was elected.
+// Activate starts scaling. The caller must have read the stored records since its node was elected.
 func (a *Autoscaler) Activate() {
 	a.active = true
 	a.list.requestedAt = 0
@@ -113,8 +113,8 @@
 	delete(a.watched, m)
 }
 
-// UpdateMachine counts a changed machine in its pool. empty says that no open placement is on the
-// machine, used that some placement is on it or planned there.
+// UpdateMachine updates the pools and WatchMachine's state after a change of a machine. empty is set
+// if no open placement is on the machine, used if a placement is on it or planned there.
 func (a *Autoscaler) UpdateMachine(m *zone.Machine, empty, used bool) {
 	a.pools.remove(m)
 	a.WatchMachine(m, used)
@@ -124,9 +124,9 @@
 	a.pools.add(m, m.Incarnation == 0 && !m.Failed && empty)
 }
 
-// WatchMachine updates since when a machine is idle, and whether it is a candidate for scaling in:
-// every machine is, except those that work without a known fault. used says that some placement is
-// on the machine or planned there.
+// WatchMachine updates since when a machine is idle, and whether it is a candidate for scaling in.
+// Every machine is, except those that are in use and have no known fault. used is set if a placement
+// is on the machine or planned there.
 func (a *Autoscaler) WatchMachine(m *zone.Machine, used bool) {
 	notStarted := m.Incarnation == 0
 	idle := !notStarted && !used
--- a/internal/core/autoscaler/cloud_list.go
+++ b/internal/core/autoscaler/cloud_list.go
@@ -10,17 +10,18 @@
 const (
 	// minListInterval is the shortest time between two requests for the cloud's list.
 	minListInterval = 2 * config.Second
-	// deletedRetentionLags is for how many list lags a deleted machine is remembered.
+	// deletedRetentionLags is how long a deleted machine is remembered, in list lags.
 	deletedRetentionLags = 5
-	// missingLags is after how many list lags a machine counts as missing from the lists.
+	// missingLags is how long a machine must be absent from the lists to count as missing, in list lags.
 	missingLags = 3
 )
 
-// cloudList is what is known from and about the cloud's list of machines, which lags behind.
+// cloudList is the state of the requests for the cloud's list of machines. The list lags behind the
+// state of the machines.
 type cloudList struct {
 	deletedAt   map[string]Micros // machines proven to be deleted, which the list may still contain
 	requestedAt Micros
-	receivedAt  Micros // when the newest list came
+	receivedAt  Micros // when the newest list was received
 	inFlight    bool
 }
 
@@ -84,7 +85,7 @@
 	m.Describe(listed.Addr, listed.Type, listed.Zone, listed.Spot)
 }
 
-// updateUnlisted notes since when machines are absent from the list.
+// updateUnlisted records since when machines are absent from the list.
 func (a *Autoscaler) updateUnlisted(listed map[string]bool) {
 	for _, m := range a.machines.Registry().All() {
 		switch {
@@ -96,7 +97,7 @@
 	}
 }
 
-// forgetDeleted drops deleted machines that no lagging list can contain any more.
+// forgetDeleted drops the deleted machines that no list can contain any more, in spite of its lag.
 func (a *Autoscaler) forgetDeleted(listed map[string]bool) {
 	for name, since := range a.list.deletedAt {
 		if !listed[name] && a.outbox.Now()-since > deletedRetentionLags*a.listLag() {
@@ -105,9 +106,10 @@
 	}
 }
 
-// missingFromLists reports whether the cloud's lists have lacked a machine for longer than they
-// lag. Most likely a deletion that an earlier leader requested was executed late. That is no proof
-// that the machine is gone, but its own deletion will be, and there is no worker to be spared.
+// missingFromLists reports whether a machine has been absent from the cloud's lists for more than
+// missingLags list lags. Most likely a deletion that an earlier leader requested was executed late.
+// The absence does not prove that the machine was deleted, but a deletion by this leader will, and
+// there is no worker left for which it should wait.
 func (a *Autoscaler) missingFromLists(m *zone.Machine) bool {
 	return m.UnlistedSince != 0 && a.list.receivedAt-m.UnlistedSince > missingLags*a.listLag()
 }
--- a/internal/core/autoscaler/correlated_failure.go
+++ b/internal/core/autoscaler/correlated_failure.go
@@ -6,13 +6,13 @@
 	// correlatedFailureFactor is how many times longer a machine is kept without contact while its
 	// zone has a correlated failure.
 	correlatedFailureFactor = 6
-	// More than one machine and more than one in correlatedFailureShare of a zone without contact
-	// make a correlated failure.
+	// A zone has a correlated failure if more than one of its machines, and more than one in
+	// correlatedFailureShare, are without contact.
 	correlatedFailureShare = 3
 )
 
 // correlatedFailures is the set of zones in which so many machines are without contact that the
-// cause is rather the network than the machines. It is computed on first use; nil before.
+// cause is more likely the network than the machines. It is nil until it is computed on first use.
 type correlatedFailures map[string]bool
 
 // inCorrelatedFailure reports whether a machine's zone has a correlated failure.
@@ -23,8 +23,8 @@
 	return (*failures)[m.Zone]
 }
 
-// findCorrelatedFailures finds the zones with a correlated failure. Machines whose messages come
-// only through a relay count as without contact: they show a network partition.
+// findCorrelatedFailures finds the zones with a correlated failure. Machines whose messages arrive
+// only through a relay count as without contact, since they indicate a network partition.
 func (a *Autoscaler) findCorrelatedFailures() correlatedFailures {
 	lost, total := map[string]int{}, map[string]int{}
 	for _, m := range a.machines.Registry().All() {
--- a/internal/core/autoscaler/machine_pools.go
+++ b/internal/core/autoscaler/machine_pools.go
@@ -7,7 +7,7 @@
 	"coralhub/internal/core/zone"
 )
 
-// machinePools counts the machines that are capacity, or will be once they are up, by their pools.
+// machinePools counts the machines of each pool that provide capacity or will do so once they are up.
 type machinePools struct {
 	byMachine map[*zone.Machine]Pool
 	sizes     map[Pool]int
@@ -32,7 +32,7 @@
 	}
 }
 
-// remove counts a machine no more.
+// remove stops counting a machine, if it is counted.
 func (mp *machinePools) remove(m *zone.Machine) {
 	if pool, ok := mp.byMachine[m]; ok {
 		mp.sizes[pool]--
@@ -56,8 +56,8 @@
 // growing reports whether more than a quarter of the machines are booting.
 func (mp *machinePools) growing() bool { return len(mp.booting)*4 > len(mp.byMachine) }
 
-// ofBooting returns the pool of each machine that is booting, in the order of the machines' names.
-func (mp *machinePools) ofBooting() []Pool {
+// bootingPools returns the pool of each machine that is booting, in the order of the machines' names.
+func (mp *machinePools) bootingPools() []Pool {
 	var pools []Pool
 	for _, m := range slices.SortedFunc(maps.Keys(mp.booting), zone.ByName) {
 		pools = append(pools, mp.byMachine[m])
@@ -65,7 +65,7 @@
 	return pools
 }
 
-// anyBootingFor reports whether a machine is booting that a demand accepts.
+// anyBootingFor reports whether a machine is booting in a pool that a demand accepts.
 func (mp *machinePools) anyBootingFor(demand *Demand) bool {
 	for m := range mp.booting {
 		if demand.accepts(mp.byMachine[m]) {
--- a/internal/core/autoscaler/packing.go
+++ b/internal/core/autoscaler/packing.go
@@ -6,13 +6,13 @@
 	"coralhub/internal/core/zone"
 )
 
-// Demand is a number of equal tasks that found no free capacity.
+// Demand is a number of identical tasks that found no free capacity.
 type Demand struct {
-	Task  zone.Resources // of one task
+	Task  zone.Resources // resources of one task
 	Count int
 	Types map[string]bool // allowed machine types
-	Zone  string          // the only allowed zone; empty: any
-	Spot  bool            // spot instances are allowed
+	Zone  string          // the only allowed zone, empty if any is allowed
+	Spot  bool            // whether spot instances are allowed
 }
 
 // accepts reports whether the tasks may run on machines of a pool, whatever their size.
@@ -38,7 +38,7 @@
 	return out
 }
 
-// smallestTask returns the least of each resource that a task of the demands takes.
+// smallestTask returns the minimum of each resource over the tasks of the demands.
 func smallestTask(demands []Demand) zone.Resources {
 	var smallest zone.Resources
 	for i, d := range demands {
@@ -61,8 +61,8 @@
 	count int
 }
 
-// bins are machines in the order in which they are filled. Equal adjacent machines are packed at
-// once: neither 3,000 pending jobs nor 1,250 booting machines are processed one by one.
+// bins are machines in the order in which they are filled. Adjacent equal machines are packed
+// together, so that neither 3,000 pending jobs nor 1,250 booting machines are processed one by one.
 type bins []binGroup
 
 // add appends machines, to the last group if they are equal to its machines.
@@ -74,8 +74,8 @@
 	return append(bs, binGroup{pool, free, count})
 }
 
-// addFilled appends machines that were given some tasks each, unless not even the smallest task
-// fits on them any more.
+// addFilled appends machines after a number of tasks was assigned to each, unless not even the
+// smallest task fits on them any more.
 func (bs bins) addFilled(machine *binGroup, count int, task zone.Resources, tasks int, smallest zone.Resources) bins {
 	if count == 0 {
 		return bs
@@ -87,33 +87,33 @@
 	return bs.add(machine.pool, free, count)
 }
 
-// pack places the tasks of a demand by first fit. It returns how many tasks are left, and the
+// pack places the tasks of a demand by first fit. It returns how many tasks found no space, and the
 // machines on which a task as small as smallest still fits.
-func (bs bins) pack(d *Demand, smallest zone.Resources) (left int, rest bins) {
-	left = d.Count
-	rest = make(bins, 0, len(bs)+1)
+func (bs bins) pack(d *Demand, smallest zone.Resources) (unplaced int, remaining bins) {
+	unplaced = d.Count
+	remaining = make(bins, 0, len(bs)+1)
 	for i := range bs {
 		group := &bs[i]
 		perMachine := 0
-		if left > 0 && d.accepts(group.pool) {
+		if unplaced > 0 && d.accepts(group.pool) {
 			perMachine = d.Task.Count(group.free)
 		}
-		full, partial := spread(left, perMachine, group.count)
-		left -= full*perMachine + partial
+		full, partial := fillMachines(unplaced, perMachine, group.count)
+		unplaced -= full*perMachine + partial
 		untouched := group.count - full
-		rest = rest.addFilled(group, full, d.Task, perMachine, smallest)
+		remaining = remaining.addFilled(group, full, d.Task, perMachine, smallest)
 		if partial > 0 {
-			rest = rest.addFilled(group, 1, d.Task, partial, smallest)
+			remaining = remaining.addFilled(group, 1, d.Task, partial, smallest)
 			untouched--
 		}
-		rest = rest.addFilled(group, untouched, d.Task, 0, smallest)
+		remaining = remaining.addFilled(group, untouched, d.Task, 0, smallest)
 	}
-	return left, rest
+	return unplaced, remaining
 }
 
-// spread returns how many machines a number of tasks fills, and how many tasks come to one more
-// machine that they do not fill.
-func spread(tasks, perMachine, machines int) (full, partial int) {
+// fillMachines returns how many machines a number of tasks fills, and how many of the tasks are
+// placed on one more machine without filling it.
+func fillMachines(tasks, perMachine, machines int) (full, partial int) {
 	if perMachine == 0 {
 		return 0, 0
 	}
--- a/internal/core/autoscaler/plan.go
+++ b/internal/core/autoscaler/plan.go
@@ -5,7 +5,7 @@
 	"coralhub/wire"
 )
 
-// rentalPlan is the state of one Plan.
+// rentalPlan is the state of one call of Provisioner.Plan.
 type rentalPlan struct {
 	provisioner *Provisioner
 	now         Micros
@@ -38,9 +38,9 @@
 	plan.addExpected(booting)
 	smallest := smallestTask(demands)
 	for _, d := range mergeDemands(demands) {
-		var left int
-		left, plan.bins = plan.bins.pack(&d, smallest)
-		if !plan.rentFor(&d, left) {
+		var unplaced int
+		unplaced, plan.bins = plan.bins.pack(&d, smallest)
+		if !plan.rentFor(&d, unplaced) {
 			break
 		}
 	}
@@ -65,7 +65,7 @@
 		if !ok {
 			return true
 		}
-		if plan.rentals[pool]%wire.MaxRental == 0 { // the next machine takes a request of its own
+		if plan.rentals[pool]%wire.MaxRental == 0 { // the next machine needs another request
 			if plan.requests >= plan.provisioner.maxPending {
 				return false
 			}
@@ -80,8 +80,8 @@
 	return true
 }
 
-// cheapest returns the available pool with the lowest price that suits a demand; among equal prices
-// the one with the fewest machines, rented and existing. It returns false if there is none.
+// cheapest returns the available pool with the lowest price that suits a demand; among pools of equal
+// price, the one with the fewest planned and existing machines. It returns false if there is none.
 func (p *Provisioner) cheapest(
 	now Micros, d *Demand, rentals, existing map[Pool]int, types []*wire.MachineType,
 ) (Pool, bool) {
--- a/internal/core/autoscaler/provisioner.go
+++ b/internal/core/autoscaler/provisioner.go
@@ -19,16 +19,16 @@
 	exhaustedBackoff = 10 * config.Second
 	// requestRetryDelay is the delay before a request without an answer is sent again.
 	requestRetryDelay = config.Second
-	// lookaheadSeconds limits pending requests to what the cloud accepts in so many seconds. When
-	// the whole demand of a flood was requested at once, some 300 requests delayed the list of
-	// machines and the deletion of dead ones by a minute, though the first answer would have shown
-	// that there is nothing to rent.
+	// lookaheadSeconds limits pending requests to the number that the cloud accepts in this time.
+	// Requesting the whole demand of a flood at once led to some 300 requests, which delayed the
+	// list of machines and the deletion of failed ones by a minute, although the first answer showed
+	// that the cloud had no capacity.
 	lookaheadSeconds = 5
-	// maxInFlight is the number of requests that may be in flight.
+	// maxInFlight is the maximum number of requests in flight.
 	maxInFlight = 8
 )
 
-// Pool is the machines of one type in one zone, either spot instances or ordinary ones.
+// Pool identifies the machines of one type in one zone, either spot instances or on-demand ones.
 type Pool struct {
 	Type, Zone string
 	Spot       bool
@@ -46,19 +46,19 @@
 	return 1
 }
 
-// Provisioner plans the leader's rental requests and keeps track of them.
+// Provisioner plans and tracks the leader's rental requests. It is not safe for concurrent use.
 type Provisioner struct {
-	seq            uint64 // of the newest request
-	maxPending     int    // requests that may be without an answer
+	seq            uint64 // number of the newest request
+	maxPending     int    // maximum number of requests without a final answer
 	pending        map[string]*request
-	exhaustedUntil map[Pool]Micros // no capacity before then
+	exhaustedUntil map[Pool]Micros // by pool, until when nothing is requested for lack of capacity
 }
 
 // request is a rental request without a final answer.
 type request struct {
 	wire.RentalRequest
 	seq      uint64
-	sent     bool // at least once
+	sent     bool // it was sent at least once
 	inFlight bool
 	retryAt  Micros
 }
@@ -75,8 +75,8 @@
 	}
 }
 
-// Enqueue adds requests for what Plan returned. Their names contain the fencing token, so that no
-// other leader ever uses them.
+// Enqueue adds requests for the machines that Plan returned. Their names contain the fencing token,
+// so that no other leader ever uses the same names.
 func (p *Provisioner) Enqueue(token uint64, rentals map[Pool]int) {
 	for _, pool := range slices.SortedFunc(maps.Keys(rentals), comparePools) {
 		for left := rentals[pool]; left > 0; left -= wire.MaxRental {
@@ -116,10 +116,11 @@
 	return due
 }
 
-// Complete removes a request with a final answer, for which the cloud rented some machines, and
-// returns it; false if it is not pending. If the pool has no more capacity, its requests that were
-// never sent are dropped: the next plan may choose another pool. One that was sent may have been
-// executed, and only sending its name again shows that.
+// Complete removes a request that has received its final answer and returns it. It returns false if
+// the request is not pending. rented is the number of machines that the cloud rented for it. If the
+// pool has no more capacity, its requests that were never sent are dropped, so that the next plan can
+// choose another pool. A request that was sent is kept: it may have been executed, and only sending
+// it again under the same name shows whether it was.
 func (p *Provisioner) Complete(now Micros, name string, rented int, noCapacity bool) (wire.RentalRequest, bool) {
 	completed := p.pending[name]
 	if completed == nil {
@@ -134,8 +135,8 @@
 	return completed.RentalRequest, true
 }
 
-// Retry schedules a request without an answer to be sent again under the same name: if it was
-// executed after all, the cloud gives the same answer and rents nothing more.
+// Retry schedules a request without an answer to be sent again under the same name. If it was already
+// executed, the cloud returns the same answer and rents no more machines.
 func (p *Provisioner) Retry(now Micros, name string) {
 	if r := p.pending[name]; r != nil {
 		r.inFlight = false
--- a/internal/core/autoscaler/provisioner_test.go
+++ b/internal/core/autoscaler/provisioner_test.go
@@ -11,7 +11,7 @@
 	"coralhub/wire"
 )
 
-// The same cases in every run; -rapid.seed draws others.
+// Every run checks the same cases. Other values of -rapid.seed give other cases.
 var _ = flag.Set("rapid.seed", "1")
 
 var types = []*wire.MachineType{
@@ -19,7 +19,8 @@
 	{Name: "t8", CPUs: 32, GPUs: 8, MemoryGB: 128, Price: 9, SpotPrice: 3, Zones: []string{"a"}},
 }
 
-// planOneByOne is a reference for Plan that packs every demand into every machine by itself.
+// planOneByOne is a reference implementation of Plan that packs each demand into each machine
+// individually.
 func planOneByOne(demands []Demand, booting []Pool, cheapest func(*Demand, map[Pool]int) (Pool, bool)) map[Pool]int {
 	type machine struct {
 		pool Pool
@@ -77,7 +78,11 @@
 		}
 		var booting []Pool
 		for range rapid.IntRange(0, 20).Draw(t, "booting") {
-			booting = append(booting, rapid.SampledFrom([]Pool{{"t4", "a", false}, {"t4", "b", true}, {"t8", "a", true}}).Draw(t, "pool"))
+			booting = append(booting, rapid.SampledFrom([]Pool{
+				{"t4", "a", false},
+				{"t4", "b", true},
+				{"t8", "a", true},
+			}).Draw(t, "pool"))
 		}
 		p := NewProvisioner(1000)
 		if rapid.Bool().Draw(t, "scarce") {
@@ -88,14 +93,14 @@
 			return p.cheapest(1, d, rentals, map[Pool]int{}, types)
 		})
 		if !maps.Equal(got, want) {
-			t.Fatalf("%v, should be %v", got, want)
+			t.Fatalf("planned %v, want %v", got, want)
 		}
 	})
 }
 
-// A demand that no cloud could meet leads to a few requests, and to none in a pool once the cloud
-// has no capacity there.
-func TestPendingRequestsAreLimitedToWhatTheCloudAccepts(t *testing.T) {
+// A demand that exceeds the capacity of any cloud leads to a limited number of requests, and to none
+// for a pool once the cloud has no capacity there.
+func TestPendingRequestsLimitedByCloudRate(t *testing.T) {
 	p := NewProvisioner(8)
 	demands := []Demand{{Task: zone.Resources{CPUs: 4, GPUs: 1}, Count: 1_000_000, Types: map[string]bool{"t4": true}}}
 	plan := func(now Micros) {
@@ -103,11 +108,11 @@
 	}
 	plan(1)
 	if len(p.pending) != 40 {
-		t.Errorf("%d requests, a cloud that accepts 8 a second accepts 40 in 5 s", len(p.pending))
+		t.Errorf("%d pending requests, want 40: a cloud that accepts 8 a second accepts 40 in 5 s", len(p.pending))
 	}
 	due := p.Due(1)
 	if len(due) != maxInFlight || len(p.Due(1)) != 0 {
-		t.Fatalf("%d requests in flight", len(due))
+		t.Fatalf("%d requests in flight, want %d, and none due after that", len(due), maxInFlight)
 	}
 	p.Complete(2, due[0].Name, 0, true)
 	for _, r := range p.pending {
@@ -116,13 +121,13 @@
 		}
 	}
 	sent := 0
-	for _, r := range due[1:] { // what was sent may have been executed
+	for _, r := range due[1:] { // requests that were sent may have been executed
 		if p.pending[r.Name] != nil {
 			sent++
 		}
 	}
 	if sent != maxInFlight-1 {
-		t.Errorf("%d of the other requests are still pending", sent)
+		t.Errorf("%d of the other requests that were sent are still pending, want %d", sent, maxInFlight-1)
 	}
 	plan(2)
 	for _, r := range p.pending {
@@ -131,6 +136,6 @@
 		}
 	}
 	if name := p.sorted()[0].Name; name != due[1].Name {
-		t.Errorf("first is %s", name)
+		t.Errorf("first pending request is %s, want %s", name, due[1].Name)
 	}
 }
--- a/internal/core/autoscaler/scale_in.go
+++ b/internal/core/autoscaler/scale_in.go
@@ -14,8 +14,8 @@
 const (
 	// scaleInRetryInterval is the time between two deletion requests for a machine.
 	scaleInRetryInterval = 2 * config.Second
-	// idleBaseS and idleBootFactor give how long an idle machine is kept, in seconds: the base, and
-	// a multiple of the boot time of its type.
+	// An idle machine is kept for idleBaseS, in seconds, plus idleBootFactor times the boot time of
+	// its type.
 	idleBaseS      = 20.0
 	idleBootFactor = 1.4
 	// defaultBootS is the assumed boot time of an unknown machine type, in seconds.
@@ -24,7 +24,7 @@
 	bootTimeoutMargin = 5 * config.Second
 )
 
-// scaleInReason is why a machine is given back; empty if it is kept. It appears in the log.
+// scaleInReason is the reason for releasing a machine, empty if it is kept. It is logged.
 type scaleInReason string
 
 const (
@@ -40,9 +40,9 @@
 	reasonIdle                  scaleInReason = "idle"
 )
 
-// scaleIn gives back machines that are idle, dead, silent, faulty or that never booted. The answer
-// to a deletion is the proof that everything on the machine is over. Only machines that do not work
-// or do not send heartbeats are examined.
+// scaleIn releases machines that are idle, failed, silent, faulty or that never booted. The answer
+// to a deletion request proves that all tasks on the machine are over. Only machines that are unused,
+// faulty or send no heartbeats are examined.
 func (a *Autoscaler) scaleIn() {
 	var failures correlatedFailures
 	var names []string
@@ -68,7 +68,8 @@
 	return candidates
 }
 
-// shouldDelete reports whether a deletion of a machine is to be sent now, and records that it is.
+// shouldDelete reports whether a deletion request for a machine is to be sent now, and records it as
+// sent if so.
 func (a *Autoscaler) shouldDelete(m *zone.Machine, failures *correlatedFailures) bool {
 	now := a.outbox.Now()
 	if m.Releasing {
@@ -93,7 +94,7 @@
 	return true
 }
 
-// scaleInReason returns why a machine is to be given back, keepMachine if it is not.
+// scaleInReason returns why a machine is to be released, or keepMachine if it is not.
 func (a *Autoscaler) scaleInReason(m *zone.Machine, failures *correlatedFailures) scaleInReason {
 	switch {
 	case m.Failed:
@@ -101,28 +102,28 @@
 	case m.IncarnationReset:
 		return reasonIncarnationReset
 	case m.Incarnation == 0 && len(a.replica.PlacementsOn(m.Name)) == 0:
-		return onlyIf(a.bootTimedOut(m), reasonBootTimeout)
+		return reasonIf(a.bootTimedOut(m), reasonBootTimeout)
 	case a.silentTooLong(m, failures):
 		return reasonSilent
 	case m.Quarantined():
-		return onlyIf(m.IdleSince != 0, reasonQuarantined)
+		return reasonIf(m.IdleSince != 0, reasonQuarantined)
 	}
 	if reason := a.unreachableReason(m, failures); reason != keepMachine {
 		return reason
 	}
-	return onlyIf(m.IdleSince != 0 && a.outbox.Now()-m.IdleSince > a.idleLimit(m), reasonIdle)
+	return reasonIf(m.IdleSince != 0 && a.outbox.Now()-m.IdleSince > a.idleLimit(m), reasonIdle)
 }
 
-// onlyIf returns a reason if a condition holds, keepMachine otherwise.
-func onlyIf(condition bool, reason scaleInReason) scaleInReason {
+// reasonIf returns the reason if the condition holds, and keepMachine otherwise.
+func reasonIf(condition bool, reason scaleInReason) scaleInReason {
 	if condition {
 		return reason
 	}
 	return keepMachine
 }
 
-// unreachableReason returns why a machine is to be given back for lost messages from or to its
-// worker, keepMachine if it is not.
+// unreachableReason returns why a machine is to be released because of lost messages from or to its
+// worker, or keepMachine if it is not.
 func (a *Autoscaler) unreachableReason(m *zone.Machine, failures *correlatedFailures) scaleInReason {
 	now := a.outbox.Now()
 	switch {
@@ -151,7 +152,7 @@
 }
 
 // unreachableLimit returns how long messages from or to a machine may be lost before it is deleted.
-// By then its lease has expired, and with it all that ran there.
+// By then its lease has expired, and all its tasks have ended.
 func (a *Autoscaler) unreachableLimit(m *zone.Machine, failures *correlatedFailures) Micros {
 	lease := config.FromSeconds(a.cfg.Cluster.Workers.LeaseS)
 	if a.inCorrelatedFailure(m, failures) {
@@ -160,8 +161,8 @@
 	return lease
 }
 
-// idleLimit returns how long an idle machine is kept. Renting it again would cost a boot, paid
-// without use, and the images that it has cached.
+// idleLimit returns how long an idle machine is kept. Renting a machine again would cost its boot
+// time, which is paid without use, and the images cached on this one.
 func (a *Autoscaler) idleLimit(m *zone.Machine) Micros {
 	if s := a.cfg.Settings.IdleScaleInS; s > 0 {
 		return config.FromSeconds(s)
@@ -173,7 +174,8 @@
 	return config.FromSeconds(keepS)
 }
 
-// bootTimedOut reports whether a machine that has sent nothing yet should have booted by now.
+// bootTimedOut reports whether a machine whose worker has sent no message yet has exceeded its boot
+// timeout.
 func (a *Autoscaler) bootTimedOut(m *zone.Machine) bool {
 	bootS := defaultBootS
 	if t := a.catalog.Types[m.Type]; t != nil {
@@ -199,7 +201,7 @@
 }
 
 // scaleInFailed puts machines that were certainly not deleted back into use. If the outcome is
-// unknown, the deletion may still be executed, and nothing may be placed there by then.
+// unknown, the deletion may still be executed, so nothing may be placed on the machine.
 func (a *Autoscaler) scaleInFailed(x msg.ScaleInDone) {
 	for _, name := range x.Machines {
 		if m := a.machines.Registry().Get(name); m != nil {
--- a/internal/core/autoscaler/scale_out.go
+++ b/internal/core/autoscaler/scale_out.go
@@ -8,13 +8,13 @@
 	"coralhub/wire"
 )
 
-// ScaleOut requests the machines that demands call for beyond those that are booting.
+// ScaleOut requests the machines that demands require in addition to those that are booting.
 func (a *Autoscaler) ScaleOut(demands []Demand) {
 	types := make([]*wire.MachineType, 0, len(a.catalog.Types))
 	for _, name := range slices.Sorted(maps.Keys(a.catalog.Types)) {
 		types = append(types, a.catalog.Types[name])
 	}
-	rentals := a.provisioner.Plan(a.outbox.Now(), demands, a.pools.ofBooting(), a.pools.sizes, types)
+	rentals := a.provisioner.Plan(a.outbox.Now(), demands, a.pools.bootingPools(), a.pools.sizes, types)
 	a.provisioner.Enqueue(a.elector.FencingToken(), rentals)
 	a.sendDue()
 }
