--- a/internal/core/autoscaler/packing.go
+++ b/internal/core/autoscaler/packing.go
@@ -20,7 +20,7 @@
 	return d.Types[pool.Type] && (d.Spot || !pool.Spot) && (d.Zone == "" || d.Zone == pool.Zone)
 }
 
-// sameTasks reports whether two demands differ in no more than their count.
+// sameTasks reports whether two demands are equal except for their count.
 func (d *Demand) sameTasks(o *Demand) bool {
 	return d.Task == o.Task && d.Zone == o.Zone && d.Spot == o.Spot && maps.Equal(d.Types, o.Types)
 }
--- a/internal/core/autoscaler/scale_in.go
+++ b/internal/core/autoscaler/scale_in.go
@@ -138,7 +138,8 @@
 }
 
 // silentTooLong reports whether the last message of a machine is older than the silence limit. The
-// limit is longer in a zone with a correlated failure, unless the cloud's lists lack the machine.
+// limit is longer in a zone with a correlated failure, unless the machine is absent from the
+// cloud's lists.
 func (a *Autoscaler) silentTooLong(m *zone.Machine, failures *correlatedFailures) bool {
 	limit := a.cfg.SilenceLimit()
 	silence := a.outbox.Now() - max(m.LastMessageAt, a.activeSince)
--- a/internal/core/delegation/delegation_test.go
+++ b/internal/core/delegation/delegation_test.go
@@ -24,13 +24,13 @@
 		t.Error("a cancellation waits although there is no delegate")
 	}
 	if grant("", 100) != 0 || !delegations.CancelKnown(200) {
-		t.Error("a node of a version that doesn't send its name and revision got a delegation")
+		t.Error("a node of a version that sends no name and revision got a delegation")
 	}
 	if grant("n2", 90) != 60*config.Second || grant("n3", 120) != 60*config.Second {
 		t.Error("a node got no delegation")
 	}
 	if delegations.CancelKnown(100) || !delegations.CancelKnown(90) {
-		t.Error("n2 has reached revision 90 and not 100")
+		t.Error("n2 has reached revision 90, but not 100")
 	}
 	at(30)
 	if grant("n2", 101); !delegations.CancelKnown(100) {
@@ -52,10 +52,10 @@
 	}
 	delegations.AcknowledgeCancel(130)
 	if grant("n2", 129) != 0 || !delegations.CancelKnown(140) {
-		t.Error("n2 doesn't know of a confirmed cancellation and got a delegation")
+		t.Error("n2 got a delegation although it has not reached the revision of a confirmed cancellation")
 	}
 	if grant("n2", 130) == 0 || delegations.CancelKnown(140) {
-		t.Error("n2 knows of all confirmed cancellations and got no delegation")
+		t.Error("n2 got no delegation although it has reached the revision of each confirmed cancellation")
 	}
 	cfg.Settings.DelegationS = 0
 	if grant("n3", 130) != 0 {
