--- a/internal/node/counter/counter.go
+++ b/internal/node/counter/counter.go
@@ -1,9 +1,9 @@
-// Package counter counts events for metrics, as totals, and for the debug log, by interval.
+// Package counter counts events: as totals for metrics, and per interval for the debug log.
 package counter
 
 import "sync/atomic"
 
-// Counter counts events. All methods but Since may be called from any goroutine.
+// Counter counts events. All methods except Since are safe for concurrent use.
 type Counter struct {
 	total    atomic.Int64
 	reported int64
@@ -15,10 +15,10 @@
 // AddN counts n events.
 func (c *Counter) AddN(n int) { c.total.Add(int64(n)) }
 
-// Total returns the number of events since the process began.
+// Total returns the number of events since the start of the process.
 func (c *Counter) Total() float64 { return float64(c.total.Load()) }
 
-// Since returns the number of events since it was last called. One goroutine may call it.
+// Since returns the number of events since its last call. It is not safe for concurrent use.
 func (c *Counter) Since() int64 {
 	total := c.total.Load()
 	since := total - c.reported
--- a/internal/node/fairshare/fairshare.go
+++ b/internal/node/fairshare/fairshare.go
@@ -1,19 +1,19 @@
-// Package fairshare divides what all nodes have together by their demands, max-min fair: whoever wants less
-// than an equal share gets what it wants, and what it leaves is divided equally among the others. Every
-// node computes its own share, from the demands that the others have last reported.
+// Package fairshare divides a quota among nodes by max-min fairness: a node that demands less than an equal
+// share is allocated its demand, and the remainder is divided equally among the other nodes. Every node
+// computes its own share from the latest demands that the other nodes have reported.
 package fairshare
 
 import "slices"
 
-// Allocate returns the share of a total that belongs to the node with the demand own. What nobody wants is
-// spread evenly, so that a node whose demand rises has some before the others learn of it.
+// Allocate returns the share of total for the node whose demand is own. What exceeds the sum of the demands is
+// divided equally, so that a node whose demand rises has a surplus before the other nodes receive its new demand.
 func Allocate(total, own float64, others []float64) float64 {
 	demands := append(slices.Clone(others), own)
 	slices.Sort(demands)
 	left := total
 	for i, demand := range demands {
 		equal := left / float64(len(demands)-i)
-		if demand >= equal { // this one and all that want more get the same
+		if demand >= equal { // this and all larger demands get the same share
 			return min(own, equal)
 		}
 		left -= demand
--- a/internal/node/fairshare/fairshare_test.go
+++ b/internal/node/fairshare/fairshare_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases every run; -rapid.seed draws others.
+// Fixes the seed, so that every run checks the same cases; -rapid.seed overrides it.
 var _ = flag.Set("rapid.seed", "1")
 
 const rounding = 1e-9
 
-// Whatever nodes demand, their shares add up to the total at most, nobody gets less than the
-// smaller of its demand and an equal share, and wanting more never brings less.
+// For any demands, the shares add up to at most the total, no node gets less than the smaller of its demand
+// and an equal share, and a larger demand never results in a smaller share.
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := float64(rapid.IntRange(1, 100).Draw(t, "total"))
@@ -30,14 +30,16 @@
 			got := share(i, demand)
 			sum += got
 			if got < min(demand, total/float64(len(demands)))-rounding {
-				t.Fatalf("%v of %v: %v gets %v", demands, total, demand, got)
+				t.Fatalf("demands %v of total %v: share %v for demand %v is less than it and than an equal share",
+					demands, total, got, demand)
 			}
 			if more := share(i, demand+1); more < got-rounding {
-				t.Fatalf("%v of %v: %v gets %v, and with one more %v", demands, total, demand, got, more)
+				t.Fatalf("demands %v of total %v: share %v for demand %v, but only %v for a demand larger by 1",
+					demands, total, got, demand, more)
 			}
 		}
 		if sum > total+rounding*total {
-			t.Fatalf("%v of %v get %v", demands, total, sum)
+			t.Fatalf("demands %v of total %v: shares add up to %v", demands, total, sum)
 		}
 	})
 }
--- a/internal/node/httpclient/httpclient.go
+++ b/internal/node/httpclient/httpclient.go
@@ -1,4 +1,4 @@
-// Package httpclient makes the HTTP requests of the adapters, with MessagePack bodies.
+// Package httpclient sends the HTTP requests of the adapters, with MessagePack bodies.
 package httpclient
 
 import (
@@ -18,8 +18,8 @@
 	idleTimeout        = time.Minute
 )
 
-// New returns a client that keeps up to idlePerHost idle connections to a host and opens up to maxPerHost
-// of them; 0 means no limit.
+// New returns a client that keeps up to idlePerHost idle connections to each host and opens up to maxPerHost
+// connections to it. A maxPerHost of 0 means no limit.
 func New(dialTimeout time.Duration, idlePerHost, maxPerHost int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -60,8 +60,8 @@
 	return res.StatusCode, body, err
 }
 
-// NotSent reports whether an error of Do shows that no connection was made: the request was certainly
-// not executed, nor will it be.
+// NotSent reports whether an error of Do shows that no connection was made, so that the request was certainly
+// not executed and never will be.
 func NotSent(err error) bool {
 	var opError *net.OpError
 	return errors.As(err, &opError) && opError.Op == "dial"
--- a/internal/node/inbox/inbox.go
+++ b/internal/node/inbox/inbox.go
@@ -1,6 +1,6 @@
-// Package inbox queues the inputs of a node's loop by class, so that what keeps the node alive never waits
-// behind what users send. Each class has a maximum length and a maximum waiting time: what exceeds
-// them is shed at once, which costs a hundredth of answering it.
+// Package inbox queues the inputs of a node's loop by class, so that inputs on which the node's liveness
+// depends never wait behind requests of users. Each class has a maximum length and a maximum waiting time.
+// Requests that exceed them are shed at once, which costs a hundredth of answering them.
 package inbox
 
 import (
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// Class is a class of inputs, the most important first.
+// Class is a priority class of inputs. Lower values are more important.
 type Class int
 
-// The classes, and who may fill each.
+// Classes of inputs, and what bounds the number of inputs in each.
 const (
-	// Liveness is for answers to what this node has asked of the state service and the cloud, and for
-	// heartbeat batches: bounded by what the node asks and by the number of nodes.
+	// Liveness is for responses of the state service and the cloud to this node's requests, and for
+	// heartbeat batches. It is bounded by the node's own requests and the number of nodes.
 	Liveness Class = iota
-	// Workers is for heartbeats, and for answers of the leader and of workers: bounded by the machines
-	// and the interval of their heartbeats.
+	// Workers is for heartbeats, and for responses of the leader and of workers. It is bounded by the
+	// number of machines and the interval of their heartbeats.
 	Workers
-	// Users is for polls and cancellations: bounded by nothing but users.
+	// Users is for polls, cancellations and operators' queries. Only the users' request rate bounds it.
 	Users
 	// Submissions is for new jobs and peers' updates about them.
 	Submissions
-	classes
+	numClasses
 )
 
-// weights are how many inputs of each class are taken in a round while all of them wait. No class starves
-// another: even a node that is late with everything takes every fifteenth input from the last.
-var weights = [classes]int{8, 4, 2, 1}
+// weights are the numbers of inputs of each class taken per round while all classes have inputs waiting. No class
+// starves: even if all classes are backlogged, every fifteenth input is taken from the last one.
+var weights = [numClasses]int{8, 4, 2, 1}
 
-// limits are how many inputs of a class may wait, and for how long an offered one may.
-var limits = [classes]struct {
+// limits are the maximum number of inputs waiting in each class, and the maximum waiting time of an offered input.
+var limits = [numClasses]struct {
 	length  int
 	maxWait time.Duration
 }{
@@ -44,23 +44,23 @@
 type item[T any] struct {
 	input    T
 	postedAt time.Time
-	offered  bool // it may be shed
+	offered  bool // added by Offer: may be shed
 }
 
-// Inbox is the queue of one loop. Its methods may be called from any goroutine.
+// Inbox is the input queue of one loop. Its methods are safe for concurrent use.
 type Inbox[T any] struct {
 	now  func() time.Time
 	wake chan struct{}
 
 	mu        sync.Mutex
 	closed    bool
-	notFull   [classes]*sync.Cond
-	queues    [classes][]item[T]
-	remaining [classes]int // inputs that a class may still have taken in this round
-	shed      [classes]int // since Counters was last called
+	notFull   [numClasses]*sync.Cond
+	queues    [numClasses][]item[T]
+	remaining [numClasses]int // inputs that may still be taken of each class in this round
+	shed      [numClasses]int // since the last call of Counters
 }
 
-// New returns an empty inbox that goes by a clock.
+// New returns an empty inbox. now returns the current time.
 func New[T any](now func() time.Time) *Inbox[T] {
 	b := &Inbox[T]{now: now, wake: make(chan struct{}, 1), remaining: weights}
 	for i := range b.notFull {
@@ -69,8 +69,8 @@
 	return b
 }
 
-// Post adds an answer that the core waits for. It is never shed: while its class is full, Post blocks. Once the
-// inbox is closed, inputs are dropped.
+// Post adds a response that the core waits for. It is never shed: while its class is full, Post blocks. After
+// Close, inputs are dropped.
 func (b *Inbox[T]) Post(class Class, input T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,7 +83,8 @@
 	b.add(class, item[T]{input, b.now(), false})
 }
 
-// Close drops all inputs from now on. It is for when nobody takes them any more: calls of Post that block return.
+// Close makes the inbox drop all further inputs, and ends blocked calls of Post. It is called when no input will be
+// taken any more.
 func (b *Inbox[T]) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,7 +94,8 @@
 	}
 }
 
-// Offer adds a request, or returns false if it would wait for too long or the inbox is closed.
+// Offer adds a request. It returns false if the class is full or its first input has expired, or if the inbox is
+// closed.
 func (b *Inbox[T]) Offer(class Class, input T) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -117,26 +119,26 @@
 	}
 }
 
-// expired reports whether an input has waited for longer than its sender does.
+// expired reports whether an input has waited longer than the maximum of its class, for which its sender waits.
 func (b *Inbox[T]) expired(class Class, x *item[T]) bool {
 	return b.now().Sub(x.postedAt) > limits[class].maxWait
 }
 
-// Ready has a value when an input may have come.
+// Ready returns a channel that receives a value when an input may be available.
 func (b *Inbox[T]) Ready() <-chan struct{} { return b.wake }
 
-// Delivery is an input with how long it waited.
+// Delivery is an input taken from the inbox, with its waiting time.
 type Delivery[T any] struct {
 	Input   T
 	Waited  time.Duration
-	Expired bool // its sender has given up, or is about to: it is to be shed
+	Expired bool // to be shed: its sender has stopped waiting, or is about to
 }
 
-// Next takes the next input; false if there is none.
+// Next takes the next input. It returns false if there is none.
 func (b *Inbox[T]) Next() (Delivery[T], bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for range 2 { // the second time with a new round
+	for range 2 { // the second iteration is for a new round
 		for class := range b.queues {
 			if len(b.queues[class]) == 0 || b.remaining[class] == 0 {
 				continue
@@ -152,7 +154,7 @@
 func (b *Inbox[T]) take(class Class) Delivery[T] {
 	queue := b.queues[class]
 	x := queue[0]
-	queue[0] = item[T]{} // the rest of the slice must not keep it alive
+	queue[0] = item[T]{} // lets the input be garbage-collected before the rest of the slice
 	b.queues[class] = queue[1:]
 	if len(queue) == 1 {
 		b.queues[class] = nil
@@ -165,8 +167,8 @@
 	return Delivery[T]{x.input, b.now().Sub(x.postedAt), expired}
 }
 
-// Counters returns key-value pairs for the debug log: how many inputs wait, and how many were shed since
-// the last call.
+// Counters returns key-value pairs for the debug log: the number of waiting inputs by class, and of inputs shed
+// since the last call.
 func (b *Inbox[T]) Counters() []any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -179,6 +181,6 @@
 		"users_refused", b.shed[Users],
 		"submissions_refused", b.shed[Submissions],
 	}
-	b.shed = [classes]int{}
+	b.shed = [numClasses]int{}
 	return out
 }
--- a/internal/node/inbox/inbox_test.go
+++ b/internal/node/inbox/inbox_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases every run; -rapid.seed draws others.
+// Fixes the seed, so that every run checks the same cases; -rapid.seed overrides it.
 var _ = flag.Set("rapid.seed", "1")
 
 type clock struct{ at time.Time }
@@ -24,56 +24,56 @@
 	}
 	inbox.Post(Liveness, Liveness)
 	if !inbox.Offer(Workers, Workers) {
-		t.Fatal("a worker was refused because of users")
+		t.Fatal("a worker's input was refused while the queues of users are full")
 	}
 	if x, ok := inbox.Next(); !ok || x.Input != Liveness {
-		t.Errorf("first came %v", x.Input)
+		t.Errorf("first input is of class %v, want Liveness", x.Input)
 	}
 	if x, ok := inbox.Next(); !ok || x.Input != Workers {
-		t.Errorf("then %v", x.Input)
+		t.Errorf("second input is of class %v, want Workers", x.Input)
 	}
 }
 
-func TestShedsWhatWouldWaitTooLong(t *testing.T) {
+func TestShedsExpiredRequests(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
 	inbox := New[int](c.now)
 	inbox.Offer(Users, 1)
 	inbox.Offer(Users, 2)
 	c.at = c.at.Add(limits[Users].maxWait + 1)
 	if inbox.Offer(Users, 3) {
-		t.Error("accepted though the one before it has expired")
+		t.Error("input accepted although the one before it has expired")
 	}
 	if x, _ := inbox.Next(); !x.Expired {
-		t.Error("an expired input was not marked")
+		t.Error("expired input not marked as expired")
 	}
 	inbox.Next()
 	if !inbox.Offer(Users, 4) {
-		t.Error("an empty queue refuses")
+		t.Error("input refused by an empty queue")
 	}
 	if x, _ := inbox.Next(); x.Expired || x.Input != 4 {
-		t.Errorf("%+v", x)
+		t.Errorf("took %+v, want input 4, not expired", x)
 	}
 	inbox.Post(Liveness, 5)
 	c.at = c.at.Add(time.Hour)
 	if x, _ := inbox.Next(); x.Expired {
-		t.Error("a posted answer was shed")
+		t.Error("posted input marked as expired, want it never to be shed")
 	}
 }
 
-// Whatever comes, nothing is lost or repeated, each class keeps its order, and while a class waits it
-// gets its share of what is taken.
+// For any sequence of inputs, none is lost or repeated, each class keeps its order, and a class with waiting
+// inputs gets its share of the inputs taken.
 func TestNoClassStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &clock{time.Unix(1, 0)}
 		inbox := New[[2]int](c.now)
-		var put, got [classes]int
-		waits := [classes]int{} // inputs of others taken while it waited
+		var put, got [numClasses]int
+		waits := [numClasses]int{} // by class: inputs of other classes taken while it waited
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			if class := Class(rapid.IntRange(0, int(classes)).Draw(t, "class")); class < classes {
+			if class := Class(rapid.IntRange(0, int(numClasses)).Draw(t, "class")); class < numClasses {
 				if class == Liveness {
 					inbox.Post(Liveness, [2]int{int(class), put[class]})
 				} else if !inbox.Offer(class, [2]int{int(class), put[class]}) {
-					t.Fatal("refused with room")
+					t.Fatal("input refused by a queue that is not full")
 				}
 				put[class]++
 				continue
@@ -81,13 +81,13 @@
 			x, ok := inbox.Next()
 			if !ok {
 				if got != put {
-					t.Fatalf("got %v of %v", got, put)
+					t.Fatalf("inbox is empty after %v inputs taken by class, want %v", got, put)
 				}
 				continue
 			}
 			class := x.Input[0]
 			if x.Input[1] != got[class] {
-				t.Fatalf("class %d: got %d, should be %d", class, x.Input[1], got[class])
+				t.Fatalf("class %d: took input %d, want %d", class, x.Input[1], got[class])
 			}
 			got[class]++
 			for i := range waits {
@@ -95,14 +95,14 @@
 					waits[i] = 0
 				}
 				if waits[i] > 2*(weights[0]+weights[1]+weights[2]+weights[3]) {
-					t.Fatalf("class %d has waited while %d others were taken", i, waits[i])
+					t.Fatalf("class %d has waited while %d inputs of other classes were taken", i, waits[i])
 				}
 			}
 		}
 	})
 }
 
-// Whoever has an answer for a loop that has ended isn't held up by it.
+// Goroutines that post responses to a loop that has ended don't block.
 func TestClosedInboxDropsInputs(t *testing.T) {
 	inbox := New[int]((&clock{time.Unix(1, 0)}).now)
 	for range limits[Liveness].length {
@@ -118,7 +118,7 @@
 	}
 	select {
 	case <-posted:
-		t.Fatal("posted to a full class")
+		t.Fatal("Post to a full class returned, want it to block")
 	case <-time.After(20 * time.Millisecond):
 	}
 	inbox.Close()
@@ -126,11 +126,11 @@
 		select {
 		case <-posted:
 		case <-time.After(10 * time.Second):
-			t.Fatal("blocked by a closed inbox")
+			t.Fatal("Post is still blocked 10 s after Close")
 		}
 	}
 	inbox.Post(Liveness, 3)
 	if inbox.Offer(Users, 3) {
-		t.Error("a closed inbox accepts requests")
+		t.Error("Offer to a closed inbox returned true")
 	}
 }
--- a/internal/node/leaserenewal/renewer.go
+++ b/internal/node/leaserenewal/renewer.go
@@ -1,9 +1,9 @@
-// Package leaserenewal decides when a node's lease is renewed while its loop is busy. The core asks for a
-// renewal every quarter of the lease's time to live; in between, the lease is renewed without it, on
-// a connection that nothing else uses. So one long step, or a long queue of inputs, does not depose a
-// leader: one that was slow for three seconds would be followed by a successor that is slow for
-// longer, since it has everything to rebuild. A loop that asks for nothing for too long is taken
-// for dead, and its lease expires.
+// Package leaserenewal decides when a node's lease is renewed while its loop is busy. The core requests a
+// renewal every quarter of the lease's time to live. If a request is late, the lease is renewed without it,
+// on connections that other requests don't delay. So one long step, or a long queue of inputs, does not
+// depose a leader: a leader that was slow for three seconds would be replaced by a successor that is slow for
+// longer, since it has to rebuild all of its state. A loop that requests no renewal for too long is considered
+// dead, and its lease expires.
 package leaserenewal
 
 import (
@@ -12,28 +12,28 @@
 )
 
 const (
-	// renewalsPerTTL leaves time for a renewal that is lost, which takes a second to be given up.
+	// renewalsPerTTL leaves time to repeat a lost renewal, which times out after one second.
 	renewalsPerTTL = 4
-	// maxSilenceTTLs is for how many times to live the core may ask for nothing.
-	maxSilenceTTLs = 3
+	// maxRequestGapTTLs is how many times to live may pass since the core's last request before renewals stop.
+	maxRequestGapTTLs = 3
 	// retryInterval is how soon a refused renewal is sent again.
 	retryInterval = 100 * time.Millisecond
-	// IdleInterval is how often a Renewer without a due lease is to be asked again.
+	// IdleInterval is the upper bound of the time after which Due is to be called again.
 	IdleInterval = 250 * time.Millisecond
 )
 
-// Renewer schedules the renewals of one lease at a time. It has no clock: times are given to it. Its methods
-// may be called from any goroutine.
+// Renewer schedules the renewals of one lease at a time. It has no clock: callers pass the time. Its methods
+// are safe for concurrent use.
 type Renewer struct {
 	mu          sync.Mutex
-	lease       uint64 // 0: none
+	lease       uint64 // 0 if there is none
 	ttl         time.Duration
-	requestedAt time.Time // when the core last asked for it
-	renewedAt   time.Time // when the last renewal was sent
+	requestedAt time.Time // when the core last requested a renewal or the lease
+	renewedAt   time.Time // when the last renewal was sent; set back by NoteRefused, so that the next is due earlier
 }
 
-// Adopt takes a lease that the core wants to keep and that is being renewed now. The time to live of a new
-// lease counts from when it was asked for.
+// Adopt starts or continues to renew a lease that the core has just requested or renewed. The time to live of
+// a new lease counts from requestedAt, when it was requested.
 func (r *Renewer) Adopt(lease uint64, ttl time.Duration, requestedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,7 +41,7 @@
 	r.requestedAt, r.renewedAt = requestedAt, requestedAt
 }
 
-// Release stops renewing a lease that is not wanted any more, or has expired.
+// Release stops renewing a lease that the core has released, or that has expired.
 func (r *Renewer) Release(lease uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// NoteRefused has a renewal that was refused for the service's quota sent again soon: the quota is used up
-// for a moment only, and leadership depends on the lease.
+// NoteRefused schedules a retry after retryInterval for a renewal that was refused for the service's quota: the
+// quota is used up for a moment only, and leadership depends on the lease.
 func (r *Renewer) NoteRefused(lease uint64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,15 +60,15 @@
 	}
 }
 
-// interval is the time between renewals. The core's own are a little more frequent: on a node that keeps up
-// there are no others.
+// interval returns the time between renewals. The core requests renewals slightly more often, so that no others
+// are sent on a node whose loop keeps up.
 func (r *Renewer) interval() time.Duration { return r.ttl/renewalsPerTTL + r.ttl/16 }
 
-// Due returns the lease to be renewed now, 0 for none, and after which time to ask again.
+// Due returns the lease to renew now, or 0 if there is none, and the time after which to call it again.
 func (r *Renewer) Due(now time.Time) (lease uint64, next time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lease == 0 || now.Sub(r.requestedAt) > maxSilenceTTLs*r.ttl {
+	if r.lease == 0 || now.Sub(r.requestedAt) > maxRequestGapTTLs*r.ttl {
 		return 0, IdleInterval
 	}
 	if left := r.interval() - now.Sub(r.renewedAt); left > 0 {
--- a/internal/node/metrics/collector.go
+++ b/internal/node/metrics/collector.go
@@ -7,7 +7,7 @@
 	"coralhub/internal/core/slo"
 )
 
-// collector collects what the core and the adapters count.
+// collector collects the metrics of the core and the adapters.
 type collector struct {
 	gauges func() (query.Gauges, bool)
 	store  Store
@@ -78,7 +78,7 @@
 	e <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, v, labels...)
 }
 
-// Collect asks the adapters and the core for their counts. A core that has no time leaves its own out.
+// Collect sends the metrics of the adapters and the core. If the core is overloaded, its metrics are left out.
 func (c *collector) Collect(ch chan<- prometheus.Metric) {
 	e := emitter(ch)
 	c.collectAdapters(e)
@@ -139,7 +139,7 @@
 	}
 }
 
-// collectAttainment sends which share of jobs met their objective, and of how many jobs it is the share.
+// collectAttainment sends the share of jobs that met their objective, and the number of jobs it is based on.
 func collectAttainment(e emitter, share, jobs *prometheus.Desc, a slo.Attainment) {
 	for by, ratios := range map[string]map[string]slo.Ratio{"class": a.Class, "team": a.Team, "largest": a.Largest} {
 		for name, ratio := range ratios {
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics exposes a node to Prometheus. What the core counts is collected when somebody asks for it, so that it
-// costs nothing otherwise.
+// Package metrics exposes the metrics of a node to Prometheus. The counts of the core are collected only when they
+// are scraped, so that they cost nothing otherwise.
 package metrics
 
 import (
@@ -16,23 +16,24 @@
 	"coralhub/internal/core/query"
 )
 
-// Path is where the metrics are served.
+// Path is the HTTP path of the metrics.
 const Path = "/metrics"
 
-// Metrics is a node's registry. A nil Metrics ignores observations.
+// Metrics is the metrics registry of a node. A nil Metrics ignores observations.
 type Metrics struct {
 	handler http.Handler
 	steps   *prometheus.HistogramVec
 }
 
-// Store counts requests to the state service by name, since the process began.
+// Store returns counts of requests to the state service by name, since the start of the process.
 type Store interface {
-	Totals() map[string]float64   // transactions by priority and result
+	Totals() map[string]float64   // transactions by priority and result, and later_pace (a rate)
 	Requests() map[string]float64 // by purpose
 	Changes() map[string]float64  // puts and deletes, by purpose
 }
 
-// New returns the metrics of a node: what its core and adapters count.
+// New returns the metrics of a node, collected from its core (gauges) and its adapters. gauges returns false if the
+// core is overloaded.
 func New(gauges func() (query.Gauges, bool), store Store, peers func() map[string]float64) *Metrics {
 	r := prometheus.NewRegistry()
 	stepOptions := prometheus.HistogramOpts{
@@ -49,15 +50,15 @@
 
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.handler.ServeHTTP(w, r) }
 
-// ObserveStep takes how long the core took for an input.
+// ObserveStep records how long the core took to process an input.
 func (m *Metrics) ObserveStep(in msg.Input, took time.Duration) {
 	if m != nil {
 		m.steps.WithLabelValues(inputLabel(in)).Observe(took.Seconds())
 	}
 }
 
-// inputLabel is the label of a kind of input. Dashboards go by these: they stay as they were first
-// released.
+// inputLabel returns the label of an input's type. Dashboards depend on the labels, which stay as they were
+// first released.
 func inputLabel(in msg.Input) string {
 	switch in.(type) {
 	case msg.HeartbeatIn:
--- a/internal/node/metrics/names_test.go
+++ b/internal/node/metrics/names_test.go
@@ -21,8 +21,8 @@
 func (fixedStore) Requests() map[string]float64 { return map[string]float64{"read": 1} }
 func (fixedStore) Changes() map[string]float64  { return map[string]float64{"accept": 1} }
 
-// Dashboards and alerts go by the names of metrics and labels.
-func TestNamesOfMetrics(t *testing.T) {
+// Dashboards and alerts depend on the names of metrics and labels, which must stay as recorded.
+func TestMetricNames(t *testing.T) {
 	var gauges query.Gauges
 	gauges.Waiting, gauges.Machines = map[string]int{"train": 1}, map[string]int{"usable": 2}
 	gauges.Usage = []query.UsageRow{{Team: "red", Class: "train", Kind: "batch"}}
