--- a/internal/node/httpapi/admin.go
+++ b/internal/node/httpapi/admin.go
@@ -12,7 +12,7 @@
 	"coralhub/wire"
 )
 
-// Paths of operators' queries, which are answered in JSON.
+// Paths of operators' queries. Responses are encoded in JSON.
 const (
 	PathEstimates   = "/admin/v1/estimates"
 	PathJob         = "/admin/v1/jobs"
@@ -22,10 +22,10 @@
 	PathWaits       = "/admin/v1/waits"
 )
 
-// Errors of the parameters of operators' queries.
+// Errors of the parameters of operators' queries. Their texts are part of the responses.
 var (
-	errFrom = errors.New("from: no number")
-	errMost = errors.New("most: no number above 0")
+	errInvalidFrom  = errors.New("from: no number")
+	errInvalidLimit = errors.New("most: no number above 0")
 )
 
 func (a *API) addAdminRoutes() {
@@ -37,14 +37,14 @@
 	a.echo.GET(PathWaits+"/:id", a.admin(msg.QueryWaitReason))
 }
 
-// admin answers an operator's query.
+// admin returns the handler of a kind of operators' queries.
 func (a *API) admin(kind msg.AdminQuery) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		in, err := adminInput(c, kind)
 		if err != nil {
 			return c.JSON(http.StatusBadRequest, query.Error{Error: err.Error()})
 		}
-		response := a.ask(c.Request().Context(), func(requestID uint64) msg.Input {
+		response := a.dispatch(c.Request().Context(), func(requestID uint64) msg.Input {
 			in.RequestID = requestID
 			return in
 		})
@@ -52,18 +52,18 @@
 	}
 }
 
-// adminInput reads a query's job ID and parameters: from, and most, which is the limit.
+// adminInput parses a query's job ID and its parameters from and most, which sets the limit.
 func adminInput(c echo.Context, kind msg.AdminQuery) (msg.AdminIn, error) {
 	in := msg.AdminIn{Query: kind, JobID: c.Param("id")}
 	var err error
 	if from := c.QueryParam("from"); from != "" {
 		if in.From, err = strconv.ParseUint(from, 10, 64); err != nil {
-			return in, errFrom
+			return in, errInvalidFrom
 		}
 	}
 	if most := c.QueryParam("most"); most != "" {
 		if in.Limit, err = strconv.Atoi(most); err != nil || in.Limit < 1 {
-			return in, errMost
+			return in, errInvalidLimit
 		}
 	}
 	return in, nil
--- a/internal/node/httpapi/httpapi.go
+++ b/internal/node/httpapi/httpapi.go
@@ -1,5 +1,5 @@
-// Package httpapi serves users, workers, operators and health checks over HTTP: it hands their requests to the
-// core and waits for its responses.
+// Package httpapi serves requests of users, workers and operators, and health checks, over HTTP. It passes the
+// requests to the core and waits for its responses.
 package httpapi
 
 import (
@@ -18,7 +18,7 @@
 	"coralhub/wire"
 )
 
-// requestTimeout is how long a request waits for the core before it gets a 503.
+// requestTimeout is how long a request waits for the core before it is answered with status 503.
 const requestTimeout = 3500 * time.Millisecond
 
 // API is the HTTP interface of a node.
@@ -27,15 +27,15 @@
 	post  func(msg.Input) bool
 	ready func() bool
 
-	closed chan struct{} // by Close
+	closed chan struct{} // closed by Close
 
 	mu      sync.Mutex
 	lastID  uint64
 	pending map[uint64]chan msg.Respond // by request ID
 }
 
-// New returns the interface. post returns false when the node has no time for another request. Operators'
-// queries are served only if admin is set.
+// New returns the HTTP interface of a node. post passes an input to the core; it returns false if the node is
+// overloaded. Operators' queries are served only if admin is set.
 func New(post func(msg.Input) bool, ready func() bool, admin bool) *API {
 	a := &API{
 		echo:    echo.New(),
@@ -58,7 +58,7 @@
 	return a
 }
 
-// replyError answers a request whose handler has failed, or that has no handler.
+// replyError answers a request that has no handler, or whose handler has failed.
 func replyError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -68,29 +68,31 @@
 	if errors.As(err, &httpError) {
 		status = httpError.Code
 	}
-	_ = reply(c, msg.Respond{Status: status, Body: wire.Error{Error: http.StatusText(status)}}) // the client may be gone
+	// The error is ignored: the client may have disconnected.
+	_ = reply(c, msg.Respond{Status: status, Body: wire.Error{Error: http.StatusText(status)}})
 }
 
-// Serve adds a page of another package to the users' listener.
-func (a *API) Serve(path string, h http.Handler) { a.echo.GET(path, echo.WrapHandler(h)) }
+// AddHandler serves GET requests of a path by a handler of another package. It must not be called while the
+// interface is served.
+func (a *API) AddHandler(path string, h http.Handler) { a.echo.GET(path, echo.WrapHandler(h)) }
 
-// Gauges asks the core for its gauges; false if it has no time.
+// Gauges returns the core's gauges. It returns false if the core is overloaded or the API is closed.
 func (a *API) Gauges() (query.Gauges, bool) {
-	response := a.ask(context.Background(), func(requestID uint64) msg.Input {
+	response := a.dispatch(context.Background(), func(requestID uint64) msg.Input {
 		return msg.AdminIn{RequestID: requestID, Query: msg.QueryGauges}
 	})
 	gauges, ok := response.Body.(query.Gauges)
 	return gauges, ok
 }
 
-// Handler is the interface as an HTTP handler.
+// Handler returns the HTTP handler of the interface.
 func (a *API) Handler() http.Handler { return a.echo }
 
-// Close ends requests that wait for the core, and later ones at once: they are answered as by an overloaded core.
-// It is for when the core answers no more, and to be called once.
+// Close ends the requests that wait for the core, and makes later ones end at once. They are answered as if the core
+// were overloaded. Close is called when the core no longer responds, and only once.
 func (a *API) Close() { close(a.closed) }
 
-// Respond hands the core's response to whoever has made the request, unless they no longer wait for it.
+// Respond delivers the core's response to the request that waits for it, or drops it if the request has ended.
 func (a *API) Respond(x msg.Respond) {
 	a.mu.Lock()
 	ch := a.pending[x.RequestID]
@@ -101,7 +103,7 @@
 	}
 }
 
-// overloaded is the response when the core has no time for a request.
+// overloaded is the response to requests that the core can't process in time.
 var overloaded = msg.Respond{
 	Status:     http.StatusServiceUnavailable,
 	Body:       wire.Error{Error: "overloaded"},
@@ -109,16 +111,16 @@
 	Busy:       true,
 }
 
-// notReady is the response to a health check of a node that can't take requests.
+// notReady is the response to a health check of a node that can't serve requests.
 var notReady = msg.Respond{
 	Status:     http.StatusServiceUnavailable,
 	Body:       wire.Error{Error: "not ready"},
 	RetryAfter: 1,
 }
 
-// ask posts the input made for a request ID and waits for the response, until ctx ends, the request has timed out
-// or the API is closed.
-func (a *API) ask(ctx context.Context, input func(requestID uint64) msg.Input) msg.Respond {
+// dispatch posts the input that input returns for a new request ID, and waits for the response. It returns overloaded
+// if the input is not accepted, or if ctx ends, the request times out or the API is closed before the response.
+func (a *API) dispatch(ctx context.Context, input func(requestID uint64) msg.Input) msg.Respond {
 	ch := make(chan msg.Respond, 1)
 	id := a.addPending(ch)
 	if !a.post(input(id)) {
@@ -146,7 +148,7 @@
 	return a.lastID
 }
 
-// Shed answers a request that waited too long for the core.
+// Shed answers a request that has waited too long in the inbox as overloaded. Other inputs are ignored.
 func (a *API) Shed(in msg.Input) {
 	x := overloaded
 	switch in := in.(type) {
@@ -169,19 +171,19 @@
 }
 
 func (a *API) serve(c echo.Context, input func(requestID uint64) msg.Input) error {
-	return reply(c, a.ask(c.Request().Context(), input))
+	return reply(c, a.dispatch(c.Request().Context(), input))
 }
 
-// Heartbeat answers a worker's heartbeat that a relay has forwarded to this node.
+// Heartbeat returns the core's response to a worker's heartbeat that a relay has forwarded to this node.
 func (a *API) Heartbeat(r wire.Heartbeat) msg.Respond {
-	return a.ask(context.Background(), func(requestID uint64) msg.Input {
+	return a.dispatch(context.Background(), func(requestID uint64) msg.Input {
 		return msg.HeartbeatIn{RequestID: requestID, Heartbeat: r, Forwarded: true}
 	})
 }
 
-// HeartbeatBatch answers a relay that has acknowledged heartbeats for this node.
+// HeartbeatBatch returns the core's response to a relay that has acknowledged heartbeats on behalf of this node.
 func (a *API) HeartbeatBatch(x msg.HeartbeatBatchIn) msg.Respond {
-	return a.ask(context.Background(), func(requestID uint64) msg.Input {
+	return a.dispatch(context.Background(), func(requestID uint64) msg.Input {
 		x.RequestID = requestID
 		return x
 	})
@@ -208,13 +210,13 @@
 	}
 }
 
-// Errors of requests' bodies.
+// Errors of request bodies. Their texts are part of the responses.
 var (
-	errTooLarge         = errors.New("body too large")
-	errUnreadableReport = errors.New("unreadable report")
+	errTooLarge           = errors.New("body too large")
+	errMalformedHeartbeat = errors.New("unreadable report")
 )
 
-// readBody reads a request's body, up to the protocol's limit.
+// readBody reads a request's body, which may be up to wire.MaxBody bytes long.
 func readBody(c echo.Context) ([]byte, error) {
 	raw, err := io.ReadAll(io.LimitReader(c.Request().Body, wire.MaxBody+1))
 	if err == nil && len(raw) > wire.MaxBody {
@@ -255,7 +257,7 @@
 	}
 	var r wire.Heartbeat
 	if err := wire.Unmarshal(raw, &r); err != nil {
-		return badRequest(c, errUnreadableReport)
+		return badRequest(c, errMalformedHeartbeat)
 	}
 	return a.serve(c, func(requestID uint64) msg.Input { return msg.HeartbeatIn{RequestID: requestID, Heartbeat: r} })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node runs a controller: one loop owns the core, and adapters carry out its effects and post the
+// Package node runs a controller: a single loop owns the core, and adapters execute its effects and post the
 // results.
 package node
 
@@ -31,29 +31,29 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	// reservedSockets is the share of connections that is kept for direct calls to workers, peers and
-	// the outside systems.
+	// reservedSockets is the share of the maximum number of connections that is reserved for calls to workers,
+	// peers, the state service and the cloud.
 	reservedSockets = 0.3
 	bytesPerMB      = 1 << 20
-	// gcPercent trades memory for time: well below the memory limit, the heap may grow to three times what is
-	// in use.
+	// gcPercent trades memory for CPU time: well below the memory limit, the heap may grow to three times the
+	// live data.
 	gcPercent = 200
-	// counterLogInterval is the time between two lines of each adapter in the debug log.
+	// counterLogInterval is the interval at which the counters are written to the debug log.
 	counterLogInterval = 5 * time.Second
-	// peerStatusInterval is how often peers are asked for their status.
+	// peerStatusInterval is the interval at which the status of all peers is requested.
 	peerStatusInterval = time.Second
-	// isolatedAfter is how long the state service has to be out of reach for this node, while a peer
-	// reaches it, for the node to be not ready.
+	// isolatedAfter is how long the state service must be unreachable for this node, while a peer reaches it,
+	// before the node reports that it is not ready.
 	isolatedAfter = 1500 * time.Millisecond
 )
 
-// adapter carries out effects in the background.
+// adapter executes effects in the background.
 type adapter interface {
-	// Do starts to carry out an effect, until ctx ends at the latest; it returns false for effects of other
+	// Do starts to execute an effect, which ends with ctx at the latest. It returns false for effects of other
 	// adapters. Only the node's loop calls it.
 	Do(ctx context.Context, effect msg.Effect) bool
-	// Wait returns once all that Do has started has ended. It is called after the end of the context and of the
-	// loop, so that Do starts nothing meanwhile.
+	// Wait waits until everything started by Do has ended. It is called after the context and the loop have
+	// ended, so that Do starts nothing meanwhile.
 	Wait()
 }
 
@@ -67,10 +67,10 @@
 	peers    *peer.Peers
 	api      *httpapi.API
 	loaded   atomic.Bool
-	isolated atomic.Bool // the state service is out of reach for this node alone
+	isolated atomic.Bool // the state service is unreachable for this node, but not for some peer
 	stopped  atomic.Bool // the stored format is newer than this version
 	start    time.Time
-	metrics  *metrics.Metrics // nil if metrics are off
+	metrics  *metrics.Metrics // nil if metrics are disabled
 }
 
 // New returns a node that is not running yet.
@@ -82,26 +82,26 @@
 		start:  time.Now(),
 	}
 	post := func(in msg.Input) { n.inputs.Post(inbox.Liveness, in) }
-	fromWorkers := func(in msg.Input) { n.inputs.Post(classOf(in), in) }
+	postByClass := func(in msg.Input) { n.inputs.Post(classOf(in), in) }
 	n.store = kvstore.New(cfg, n.clock, post)
-	n.peers = peer.New(cfg, fromWorkers)
+	n.peers = peer.New(cfg, postByClass)
 	n.api = httpapi.New(n.offer, n.ready, cfg.Settings.Admin)
 	if cfg.Settings.Metrics {
 		n.metrics = metrics.New(n.api.Gauges, n.store, n.peers.Totals)
-		n.api.Serve(metrics.Path, n.metrics)
+		n.api.AddHandler(metrics.Path, n.metrics)
 	}
-	n.adapters = []adapter{n.store, worker.New(fromWorkers), cloud.New(cfg, post), n.peers}
+	n.adapters = []adapter{n.store, worker.New(postByClass), cloud.New(cfg, post), n.peers}
 	return n
 }
 
-// ready reports whether the node can take requests.
+// ready reports whether the node can serve requests.
 func (n *Node) ready() bool { return n.loaded.Load() && !n.isolated.Load() && !n.stopped.Load() }
 
-// offer adds an input to the inbox unless its answer would come too late anyway.
+// offer adds a request to the inbox. It returns false if the response would be too late.
 func (n *Node) offer(in msg.Input) bool { return n.inputs.Offer(classOf(in), in) }
 
-// classOf returns the inbox class of an input that somebody else has sent. Heartbeat batches show who is
-// alive: they are a few a second, and don't wait behind heartbeats.
+// classOf returns the inbox class of an input from a user, a worker or a peer. Heartbeat batches show which nodes
+// are alive, and there are only a few per second, so they don't wait behind heartbeats.
 func classOf(in msg.Input) inbox.Class {
 	switch in.(type) {
 	case msg.HeartbeatBatchIn, msg.HeartbeatBatchDone, msg.PeerAlive:
@@ -125,30 +125,30 @@
 	}
 	peers, err := new(net.ListenConfig).Listen(ctx, "tcp", n.cfg.PeerListen)
 	if err != nil {
-		_ = users.Close() // nobody was served yet
+		_ = users.Close() // ignores the error: no client was served yet
 		return fmt.Errorf("peer_listen: %w", err)
 	}
 	return n.serve(ctx, users, peers)
 }
 
-// serve serves on the listeners until parent ends or one of them fails, and returns the latter's error. By then it
-// has closed them, and all that the node has started has ended.
+// serve serves on the listeners until parent ends or a listener fails, and returns the error of the failed listener.
+// When it returns, the listeners are closed and everything that the node has started has ended.
 func (n *Node) serve(parent context.Context, users, peers net.Listener) error {
-	ctx, end := context.WithCancelCause(parent)
-	defer end(nil)
+	ctx, cancel := context.WithCancelCause(parent)
+	defer cancel(nil)
 	userServer := newUserServer(n.api.Handler())
 	peerServer := peer.NewServer(func(in msg.Input) { n.offer(in) }, n.api, n.status)
 	var background sync.WaitGroup
-	background.Go(func() { end(userServer.Serve(users)) })
-	background.Go(func() { end(peerServer.Serve(peers)) })
+	background.Go(func() { cancel(userServer.Serve(users)) })
+	background.Go(func() { cancel(peerServer.Serve(peers)) })
 	background.Go(func() { n.store.Follow(ctx) })
 	background.Go(func() { n.store.RenewLeases(ctx) })
 	background.Go(func() { n.watchPeers(ctx) })
 	n.logStart()
 	n.loop(ctx)
 
-	// Clients are cut off before the API is closed: the end of this node is not to be taken for a busy one. Errors
-	// of closing are of no use to anybody here.
+	// The connections of clients are closed before the API, so that clients don't take the shutdown for an
+	// overload. Errors of closing are ignored, since nothing can be done about them.
 	_ = userServer.Close()
 	_ = peers.Close()
 	peerServer.Close()
@@ -156,7 +156,7 @@
 	n.inputs.Close()
 	n.peers.Close()
 
-	// The loops go first: they start calls of the adapters too.
+	// Wait for the background loops before the adapters, since they also start calls of the adapters.
 	background.Wait()
 	userServer.Wait()
 	peerServer.Wait()
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// limitMemory has the garbage collector keep the process below its memory limit.
+// limitMemory configures the garbage collector to keep the process below its memory limit.
 func (n *Node) limitMemory() {
 	limitMB := n.cfg.Cluster.Limits.MemoryMB
 	if limitMB <= 0 {
@@ -198,13 +198,13 @@
 		"users", n.cfg.ClientListen,
 		"peers", n.cfg.PeerListen)
 	if w := &n.cfg.Cluster.Workers; !w.LeaseEndsInTime() {
-		slog.Warn("cancel_s is not longer than lease_s: cancellations are confirmed only once every task is proven gone",
+		slog.Warn("cancel_s is not longer than lease_s: cancellations are confirmed only once every task has provably ended",
 			"lease_s", w.LeaseS, "cancel_s", w.CancelS)
 	}
 }
 
-// loop hands inputs and ticks to the core until ctx ends. It is the only goroutine that uses the core, and that
-// calls the adapters' Do.
+// loop passes inputs and ticks to the core until ctx ends. Its goroutine is the only one that uses the core and
+// calls Do of the adapters.
 func (n *Node) loop(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -212,7 +212,7 @@
 	for {
 		delivery, ok := n.inputs.Next()
 		if ctx.Err() != nil {
-			return // the input may be of a call that has failed for nothing but the end of ctx
+			return // the input may be the result of a call that failed only because ctx ended
 		}
 		if ok {
 			n.process(ctx, delivery)
@@ -246,7 +246,7 @@
 	slog.Debug("inbox", n.inputs.Counters()...)
 }
 
-// process hands an input to the core, unless its sender has waited for too long: shedding it costs next to
+// process passes an input to the core, or sheds it if its sender has waited for too long. Shedding costs next to
 // nothing.
 func (n *Node) process(ctx context.Context, d inbox.Delivery[msg.Input]) {
 	if d.Expired {
@@ -264,20 +264,20 @@
 	}
 }
 
-// clock is the monotonic clock that the core goes by, in microseconds.
+// clock returns the time of the core's monotonic clock, in microseconds.
 func (n *Node) clock() msg.Micros { return time.Since(n.start).Microseconds() + 1 }
 
-// step hands an input to the core and carries out the effects.
+// step passes an input to the core and executes the resulting effects.
 func (n *Node) step(ctx context.Context, in msg.Input) {
 	began := time.Now()
 	defer func() { n.metrics.ObserveStep(in, time.Since(began)) }()
 	for _, e := range n.core.Step(n.clock(), in) {
-		n.carryOut(ctx, e)
+		n.execute(ctx, e)
 	}
 }
 
-// carryOut carries out an effect itself, or hands it to the adapter that does.
-func (n *Node) carryOut(ctx context.Context, e msg.Effect) {
+// execute handles an effect itself or passes it to the adapter that handles it.
+func (n *Node) execute(ctx context.Context, e msg.Effect) {
 	switch x := e.(type) {
 	case msg.Log:
 		level := slog.LevelInfo
@@ -300,33 +300,34 @@
 	}
 }
 
-// status is what this node reports to its peers.
+// status returns the status that this node reports to its peers.
 func (n *Node) status() peer.Status {
 	return peer.Status{StateOK: n.store.FailingFor() == 0, Says: true, Accepts: n.store.AdmissionDemand()}
 }
 
-// watchPeers asks the other nodes for their status. It shows whether this node alone has lost the state
-// service: then the node is not ready. If no peer reaches it either, all stay ready and answer 503 with
-// Retry-After, so that nobody waits for the load balancer afterwards.
+// watchPeers requests the status of the other nodes at an interval, which shows whether only this node has lost the
+// state service. If so, the node is not ready. If no peer reaches the state service either, all nodes stay ready
+// and answer with status 503 and Retry-After, so that clients don't have to wait for the load balancer once the
+// service is back.
 func (n *Node) watchPeers(ctx context.Context) {
 	wait.Every(ctx, peerStatusInterval, func() {
-		anyReaches := false
+		peerReachesState := false
 		var admissionDemands []float64
 		statuses := n.peers.CollectStatus(ctx)
 		if ctx.Err() != nil {
-			return // those that have not answered may be in reach
+			return // peers without an answer may still be reachable
 		}
 		for node, status := range statuses {
-			anyReaches = anyReaches || status.StateOK
+			peerReachesState = peerReachesState || status.StateOK
 			if status.Says {
 				admissionDemands = append(admissionDemands, status.Accepts)
 			}
 			n.inputs.Post(inbox.Liveness, msg.PeerAlive{Node: node})
 		}
 		n.store.SetAdmissionShare(admissionDemands)
-		alone := anyReaches && n.store.FailingFor() > isolatedAfter
-		if alone != n.isolated.Swap(alone) {
-			slog.Info("state service reachability", "lost_by_this_node_alone", alone)
+		isolated := peerReachesState && n.store.FailingFor() > isolatedAfter
+		if isolated != n.isolated.Swap(isolated) {
+			slog.Info("state service reachability changed", "lost_by_this_node_alone", isolated)
 		}
 	})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -22,9 +22,8 @@
 	"coralhub/wire"
 )
 
-// patience is how long the test waits for things that take well under a
-// second each; it is only ever spent in full by a failure.
-const patience = 60 * time.Second
+// eventuallyTimeout is how long tests wait for a condition, which takes well under a second unless the test fails.
+const eventuallyTimeout = 60 * time.Second
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
@@ -32,11 +31,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // the node listens there next
+	defer func() { _ = l.Close() }() // the node listens on this address later
 	return l.Addr().String()
 }
 
-type rig struct {
+type testCluster struct {
 	t       *testing.T
 	servers *emulator.Servers
 	client  *http.Client
@@ -45,10 +44,10 @@
 	wg      sync.WaitGroup
 }
 
-// newRig starts three nodes against stand-ins behind HTTP.
-func newRig(t *testing.T) *rig {
+// newTestCluster starts three nodes that use emulated systems over HTTP.
+func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
-	r := &rig{t: t, servers: emulator.NewServers(), client: &http.Client{Timeout: 5 * time.Second}}
+	r := &testCluster{t: t, servers: emulator.NewServers(), client: &http.Client{Timeout: 5 * time.Second}}
 	state := httptest.NewServer(r.servers.StateHandler())
 	cloud := httptest.NewServer(r.servers.CloudHandler())
 	workers := httptest.NewServer(r.servers.WorkerHandler())
@@ -97,7 +96,7 @@
 	return r
 }
 
-func (r *rig) start(i int) {
+func (r *testCluster) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stops[i] = cancel
 	r.wg.Go(func() {
@@ -107,7 +106,7 @@
 	})
 }
 
-func (r *rig) call(node int, method, path string, body any) (int, wire.JobStatus, http.Header) {
+func (r *testCluster) call(node int, method, path string, body any) (int, wire.JobStatus, http.Header) {
 	var raw []byte
 	switch b := body.(type) {
 	case []byte:
@@ -132,10 +131,10 @@
 	return res.StatusCode, st, res.Header
 }
 
-// eventually asks again and again until ok.
-func (r *rig) eventually(what string, ok func() bool) {
+// eventually waits until ok returns true, and fails the test after eventuallyTimeout.
+func (r *testCluster) eventually(what string, ok func() bool) {
 	r.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 	defer cancel()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -143,13 +142,13 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			r.t.Fatalf("never: %s", what)
+			r.t.Fatalf("condition not met within %v: %s", eventuallyTimeout, what)
 		}
 	}
 }
 
-// ready waits until every node serves.
-func (r *rig) ready() {
+// ready waits until every node is ready.
+func (r *testCluster) ready() {
 	r.t.Helper()
 	for i := range r.configs {
 		r.eventually("ready", func() bool {
@@ -159,8 +158,8 @@
 	}
 }
 
-// job returns a description that the workers know.
-func (r *rig) job(id, shape string, tasks int, needs ...string) *wire.Job {
+// job returns a job and adds it to those that the emulated workers can run.
+func (r *testCluster) job(id, shape string, tasks int, needs ...string) *wire.Job {
 	j := &wire.Job{ID: id, Class: "c", Team: "red", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 1, GPUs: 1,
 		MemoryGB: 1, Image: "i", ImageGB: 1, Needs: needs}
 	r.servers.With(func() {
@@ -169,7 +168,7 @@
 	return j
 }
 
-func (r *rig) submit(node int, j *wire.Job) {
+func (r *testCluster) submit(node int, j *wire.Job) {
 	r.t.Helper()
 	r.eventually("accepted "+j.ID, func() bool {
 		status, _, _ := r.call(node, http.MethodPost, wire.PathJobs, j)
@@ -177,7 +176,7 @@
 	})
 }
 
-func (r *rig) reaches(node int, id, want string) {
+func (r *testCluster) awaitStatus(node int, id, want string) {
 	r.t.Helper()
 	r.eventually(id+" "+want, func() bool {
 		_, st, _ := r.call(node, http.MethodGet, wire.PathJobs+"/"+id, nil)
@@ -185,8 +184,8 @@
 	})
 }
 
-// kept checks that no rule was broken.
-func (r *rig) kept() {
+// checkNoViolations reports the violated rules that the emulator has found.
+func (r *testCluster) checkNoViolations() {
 	r.t.Helper()
 	r.servers.With(func() {
 		for _, b := range r.servers.Environment.Broken {
@@ -196,7 +195,7 @@
 }
 
 // get fetches a page while the test runs.
-func (r *rig) get(url string) (*http.Response, error) {
+func (r *testCluster) get(url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(r.t.Context(), http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -204,8 +203,9 @@
 	return r.client.Do(req)
 }
 
-// ask asks an operator's question; it returns whether that was answered with 200.
-func ask(r *rig, addr, path string, into any) bool {
+// queryAdmin sends an operator's query and decodes the response. It reports whether that was a valid response with
+// status 200.
+func queryAdmin(r *testCluster, addr, path string, into any) bool {
 	res, err := r.get("http://" + addr + path)
 	if err != nil {
 		return false
@@ -214,17 +214,17 @@
 	return res.StatusCode == http.StatusOK && json.NewDecoder(res.Body).Decode(into) == nil
 }
 
-// TestThreeNodes runs jobs through real nodes, sockets and stand-ins, ends a
-// node in between and checks what each kind of request is answered.
+// TestThreeNodes runs jobs on three nodes and emulated systems over real sockets, stops a node meanwhile, and checks
+// the responses to each kind of request.
 func TestThreeNodes(t *testing.T) {
-	r := newRig(t)
+	r := newTestCluster(t)
 	r.ready()
 	r.submit(0, r.job("j-1", wire.Array, 5))
 	r.submit(1, r.job("j-2", wire.Gang, 2))
 	r.submit(2, r.job("j-3", wire.Service, 2))
-	r.reaches(1, "j-1", wire.Done)
-	r.reaches(2, "j-2", wire.Done)
-	r.reaches(0, "j-3", wire.Running)
+	r.awaitStatus(1, "j-1", wire.Done)
+	r.awaitStatus(2, "j-2", wire.Done)
+	r.awaitStatus(0, "j-3", wire.Running)
 
 	otherTeam := &wire.Job{
 		ID: "j-9", Class: "c", Team: "none", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, Image: "i",
@@ -247,11 +247,12 @@
 		}
 	}
 
-	r.eventually("operators are answered by the leader", func() bool {
+	r.eventually("leader answers operators' queries", func() bool {
 		for _, c := range r.configs {
 			var runs query.Runs
 			var job query.JobOutlook
-			if ask(r, c.ClientListen, httpapi.PathRuns, &runs) && ask(r, c.ClientListen, httpapi.PathJob+"/j-1", &job) {
+			if queryAdmin(r, c.ClientListen, httpapi.PathRuns, &runs) &&
+				queryAdmin(r, c.ClientListen, httpapi.PathJob+"/j-1", &job) {
 				return len(runs.Runs) >= 6 && job.Job.Status == wire.Done // five tasks and a gang
 			}
 		}
@@ -266,37 +267,37 @@
 		text, _ := io.ReadAll(res.Body)
 		_ = res.Body.Close()
 		leaders += strings.Count(string(text), "\ncoralhub_leading 1\n")
-		accepted += metricOf(t, string(text), `coralhub_state_changes_total{purpose="accept"}`)
-		if metricOf(t, string(text), `coralhub_state_requests_total{purpose="watch"}`) == 0 {
-			t.Errorf("%s has counted no watches", c.Node)
+		accepted += metricValue(t, string(text), `coralhub_state_changes_total{purpose="accept"}`)
+		if metricValue(t, string(text), `coralhub_state_requests_total{purpose="watch"}`) == 0 {
+			t.Errorf("metrics of %s count no watches", c.Node)
 		}
 		for _, sample := range []string{
 			`coralhub_step_seconds_count{input="tick"}`,
 			`coralhub_changes_total{kind="later_taken"}`,
 		} {
 			if !strings.Contains(string(text), sample) {
-				t.Errorf("no %s in metrics: %s", sample, text)
+				t.Errorf("metrics lack %s: %s", sample, text)
 			}
 		}
 	}
 	if leaders != 1 {
-		t.Errorf("%d nodes say that they lead", leaders)
+		t.Errorf("%d nodes report that they lead, want 1", leaders)
 	}
-	if accepted != 3 { // j-1, j-2 and j-3, each by one change
-		t.Errorf("%g changes for accepted jobs", accepted)
+	if accepted != 3 { // one change each for j-1, j-2 and j-3
+		t.Errorf("%g changes for accepted jobs, want 3", accepted)
 	}
-	if ask(r, r.configs[0].ClientListen, httpapi.PathEstimates+"?most=0", &query.Estimates{}) {
-		t.Error("most=0 was taken")
+	if queryAdmin(r, r.configs[0].ClientListen, httpapi.PathEstimates+"?most=0", &query.Estimates{}) {
+		t.Error("query with most=0 was accepted")
 	}
 
-	r.stops[0]() // one node ends
+	r.stops[0]() // stops one node
 	r.submit(1, r.job("j-4", wire.Array, 2))
-	r.reaches(2, "j-4", wire.Done)
-	r.eventually("cancelled", func() bool {
+	r.awaitStatus(2, "j-4", wire.Done)
+	r.eventually("j-3 is cancelled", func() bool {
 		status, st, _ := r.call(2, http.MethodPost, wire.PathJobs+"/j-3/"+wire.CancelVerb, nil)
 		return status == 200 && st.Status == wire.Cancelled
 	})
-	r.eventually("gone", func() bool {
+	r.eventually("no task of j-3 is running", func() bool {
 		gone := false
 		r.servers.With(func() { gone = len(r.servers.Environment.On("j-3", true)) == 0 })
 		return gone
@@ -305,26 +306,28 @@
 	r.servers.With(func() { r.servers.State.Down = true })
 	status, _, head := r.call(1, http.MethodPost, wire.PathJobs, r.job("j-5", wire.Array, 1))
 	if status != 503 || head.Get("Retry-After") == "" {
-		t.Errorf("without the state service: %d, Retry-After %q", status, head.Get("Retry-After"))
+		t.Errorf("without the state service: status %d, Retry-After %q, want 503 and a Retry-After",
+			status, head.Get("Retry-After"))
 	}
-	r.kept()
+	r.checkNoViolations()
 }
 
-// TestChain submits jobs that need others, as a user would, to nodes that have
-// raised the format among themselves.
-func TestChain(t *testing.T) {
-	r := newRig(t)
+// TestJobDependencies submits jobs that need other jobs, as a user would, to nodes that have raised the stored format
+// on their own.
+func TestJobDependencies(t *testing.T) {
+	r := newTestCluster(t)
 	r.ready()
 	r.submit(0, r.job("j-1", wire.Array, 3))
 	r.submit(1, r.job("j-2", wire.Gang, 2, "j-1"))
 	r.submit(2, r.job("j-3", wire.Array, 1, "j-2", "j-1"))
-	r.reaches(0, "j-3", wire.Done)
+	r.awaitStatus(0, "j-3", wire.Done)
 	r.submit(0, r.job("j-4", wire.Service, 1))
-	r.servers.With(func() { r.servers.Environment.Boot = 3600 * emulator.Second }) // what follows finds no room
+	// Further machines would boot too late, so that the jobs below stay incomplete.
+	r.servers.With(func() { r.servers.Environment.Boot = 3600 * emulator.Second })
 	r.submit(0, r.job("j-5", wire.Array, 15))
 	r.submit(1, r.job("j-6", wire.Array, 1, "j-5"))
 	r.submit(2, r.job("j-7", wire.Array, 1, "j-6"))
-	ask := func(node int, needs any) int {
+	submitWithNeeds := func(node int, needs any) int {
 		job := map[string]any{
 			"ref": "j-8", "docket": "c", "desk": "red", "shape": wire.Array, "rank": wire.Low,
 			"lots": 1, "cores": 1, "gpus": 0, "ram_gb": 1, "build": "i", "pull_gb": 1,
@@ -341,29 +344,29 @@
 		{"j-1", 400}, {[]any{1}, 400}, {[]string{"x"}, 400}, {[]string{"j-8"}, 400}, {map[string]any{}, 400},
 		{[]string{"j-1", "j-99"}, 422}, {[]string{"j-4"}, 422}, {[]string{"j-1"}, 201}, {[]string{"j-99"}, 200},
 	} {
-		if status := ask(1, tt.needs); status != tt.want {
-			t.Errorf("needs %v: %d, want %d", tt.needs, status, tt.want)
+		if status := submitWithNeeds(1, tt.needs); status != tt.want {
+			t.Errorf("needs %v: status %d, want %d", tt.needs, status, tt.want)
 		}
 	}
 	status, st, _ := r.call(1, http.MethodPost, wire.PathJobs+"/j-6/"+wire.CancelVerb, nil)
 	if status != 200 || st.Status != wire.Cancelled {
-		t.Errorf("cancelled in the middle: %d %s", status, st.Status)
+		t.Errorf("cancellation of j-6: status %d, job %s, want 200 and cancelled", status, st.Status)
 	}
-	r.reaches(0, "j-7", wire.Cancelled)
+	r.awaitStatus(0, "j-7", wire.Cancelled)
 	if _, st, _ := r.call(2, http.MethodGet, wire.PathJobs+"/j-5", nil); st.Status == wire.Cancelled {
-		t.Error("a cancellation went backwards")
+		t.Error("cancelling j-6 also cancelled j-5, which it needs")
 	}
-	r.kept()
+	r.checkNoViolations()
 }
 
-// metricOf returns the value of a sample of a page of metrics.
-func metricOf(t *testing.T, page, sample string) float64 {
+// metricValue returns the value of a sample on a metrics page.
+func metricValue(t *testing.T, page, sample string) float64 {
 	t.Helper()
 	_, rest, found := strings.Cut(page, "\n"+sample+" ")
 	text, _, _ := strings.Cut(rest, "\n")
 	value, err := strconv.ParseFloat(text, 64)
 	if !found || err != nil {
-		t.Errorf("metrics: no number for %s", sample)
+		t.Errorf("metrics: no numeric value of %s", sample)
 	}
 	return value
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -17,10 +17,10 @@
 	"coralhub/wire"
 )
 
-// goroutineID finds the number of a goroutine in its stack.
+// goroutineID matches the ID of a goroutine at the start of its stack.
 var goroutineID = regexp.MustCompile(`^goroutine (\d+) `)
 
-// goroutines returns the stacks of all goroutines by number.
+// goroutines returns the stacks of all goroutines by goroutine ID.
 func goroutines() map[string]string {
 	buffer := make([]byte, 16<<20)
 	buffer = buffer[:runtime.Stack(buffer, true)]
@@ -33,10 +33,10 @@
 	return stacks
 }
 
-// ofNode reports whether a goroutine that a test has not had from the start is of a node or of its connections.
-func ofNode(stack string) bool {
+// isNodeGoroutine reports whether a goroutine that was started during a test belongs to a node or its connections.
+func isNodeGoroutine(stack string) bool {
 	if strings.Contains(stack, "testing.tRunner(") {
-		return false // the test's own
+		return false // belongs to the test itself
 	}
 	for _, owner := range []string{"coralhub/internal/node", "net/http.", "net/rpc."} {
 		if strings.Contains(stack, owner) {
@@ -46,15 +46,15 @@
 	return false
 }
 
-// awaitNoGoroutinesSince waits until no goroutines of nodes are left but those of before. Those of net/http and
-// net/rpc end a moment after their connections are closed.
-func awaitNoGoroutinesSince(t *testing.T, before map[string]string, limit time.Duration) {
+// awaitNewNodeGoroutinesEnd waits until all goroutines of nodes except those in before have ended. Goroutines of
+// net/http and net/rpc end a moment after their connections are closed.
+func awaitNewNodeGoroutinesEnd(t *testing.T, before map[string]string, limit time.Duration) {
 	t.Helper()
 	var left []string
 	for deadline := time.Now().Add(limit); ; time.Sleep(time.Millisecond) {
 		left = nil
 		for id, stack := range goroutines() {
-			if before[id] == "" && ofNode(stack) {
+			if before[id] == "" && isNodeGoroutine(stack) {
 				left = append(left, stack)
 			}
 		}
@@ -65,10 +65,11 @@
 			break
 		}
 	}
-	t.Errorf("%d goroutines are left:\n%s", len(left), strings.Join(left, "\n\n"))
+	t.Errorf("%d goroutines have not ended within %v:\n%s", len(left), limit, strings.Join(left, "\n\n"))
 }
 
-// silentConfig is the configuration of a node all of whose servers, and its one peer n2, are the same.
+// silentConfig returns the configuration of a node whose cloud, state service and only peer n2 are all the same
+// server.
 func silentConfig(t *testing.T, server *nodetest.SilentServer) *config.Config {
 	t.Helper()
 	c := &config.Config{Settings: config.Defaults()}
@@ -85,9 +86,9 @@
 	return c
 }
 
-// A node ends at once though nobody that it has called answers, with nothing left behind.
-func TestEndsThoughNobodyAnswers(t *testing.T) {
-	const limit = 800 * time.Millisecond // all time-outs of calls are a second or longer
+// A node shuts down at once and leaves no goroutines, even if none of its calls is answered.
+func TestShutdownWithUnresponsiveServers(t *testing.T) {
+	const limit = 800 * time.Millisecond // all calls time out after one second or more
 	server := nodetest.NewSilentServer(t)
 	n := New(silentConfig(t, server))
 	before := goroutines()
@@ -99,12 +100,12 @@
 		msg.Command{ID: 1, Machine: "m-1", Addr: server.Address}, // a worker
 		msg.HeartbeatBatch{Node: "n2"}, msg.Forward{Node: "n2"},  // a peer
 	} {
-		n.carryOut(ctx, e) // before the loop begins
+		n.execute(ctx, e) // before the start of the loop
 	}
 	server.AwaitConnections(7)
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx) }()
-	server.AwaitConnections(1) // the store lists
+	server.AwaitConnections(1) // for the store's listing
 
 	cancelledAt := time.Now()
 	cancel()
@@ -114,17 +115,17 @@
 	if took := time.Since(cancelledAt); took > limit {
 		t.Errorf("ended after %v, want at most %v", took, limit)
 	}
-	awaitNoGoroutinesSince(t, before, limit)
+	awaitNewNodeGoroutinesEnd(t, before, limit)
 }
 
-// Nodes that have served users, workers and each other leave nothing behind.
-func TestLeavesNoGoroutines(t *testing.T) {
+// Nodes that have served users, workers and each other leave no goroutines.
+func TestNoGoroutineLeak(t *testing.T) {
 	before := goroutines()
 	t.Run("three nodes", func(t *testing.T) {
-		r := newRig(t)
+		r := newTestCluster(t)
 		r.ready()
 		r.submit(0, r.job("j-1", wire.Array, 5))
-		r.reaches(1, "j-1", wire.Done)
+		r.awaitStatus(1, "j-1", wire.Done)
 		for _, c := range r.configs {
 			res, err := r.get("http://" + c.ClientListen + "/metrics")
 			if err != nil {
@@ -135,10 +136,10 @@
 		t.Cleanup(r.client.CloseIdleConnections)
 	})
 	http.DefaultClient.CloseIdleConnections()
-	awaitNoGoroutinesSince(t, before, 5*time.Second)
+	awaitNewNodeGoroutinesEnd(t, before, 5*time.Second)
 }
 
-// A listener that fails ends the node with its error.
+// The failure of a listener ends the node with the listener's error.
 func TestFailedListener(t *testing.T) {
 	for _, failing := range []string{"users", "peers"} {
 		t.Run(failing, func(t *testing.T) {
@@ -154,14 +155,14 @@
 			}
 			_ = listeners[failing].Close()
 			if err := n.serve(t.Context(), listeners["users"], listeners["peers"]); !errors.Is(err, net.ErrClosed) {
-				t.Errorf("ended with %v", err)
+				t.Errorf("serve returned %v, want %v", err, net.ErrClosed)
 			}
 			for name, l := range listeners {
 				if l.Close() == nil {
 					t.Errorf("the listener for %s was left open", name)
 				}
 			}
-			awaitNoGoroutinesSince(t, before, time.Second)
+			awaitNewNodeGoroutinesEnd(t, before, time.Second)
 		})
 	}
 }
--- a/internal/node/user_server.go
+++ b/internal/node/user_server.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// userServer is an HTTP server whose connections can be waited for, also after Close.
+// userServer is an HTTP server that can wait for the end of its connections, even after Close.
 type userServer struct {
 	http.Server
 	connections sync.WaitGroup
@@ -26,8 +26,8 @@
 	return s
 }
 
-// countConnections keeps count of the connections that have a goroutine. net/http calls it for a new one before
-// Serve goes on, and for one that is closed when its last request has been handled.
+// countConnections counts the connections that have a goroutine. net/http calls it for a new connection before
+// Serve accepts the next one, and for a closed connection after its last request has been handled.
 func (s *userServer) countConnections(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -37,5 +37,5 @@
 	}
 }
 
-// Wait returns once all requests have been handled. It is for after Close and the end of Serve.
+// Wait waits until all requests have been handled. It may be called only after Close and the end of Serve.
 func (s *userServer) Wait() { s.connections.Wait() }
