--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -86,9 +86,9 @@
 }
 
 // Counters returns key-value pairs for the debug log, counted since the last call: forwarded heartbeats that the
-// leader has answered (handed), has not answered (lost) or has rejected because it was overloaded (busy), calls
-// rejected because too many were in flight (full), and connections closed after a failure (closed). It is not safe
-// for concurrent use.
+// leader has answered (handed), has not answered (lost) or was too busy to answer in time (busy), calls rejected
+// because too many were in flight (full), and connections closed after a failure (closed). It is not safe for
+// concurrent use.
 func (p *Peers) Counters() []any {
 	return []any{
 		"handed", p.answered.Since(),
