--- a/internal/core/machinecache/machinecache.go
+++ b/internal/core/machinecache/machinecache.go
@@ -1,8 +1,9 @@
-// Package machinecache stores what a leader knows of machines and a successor would have to learn
-// anew: where they are and which images they have. It proves nothing about their state.
+// Package machinecache stores the data on machines that a new leader would otherwise have to collect
+// again: their addresses, types, zones and images. The cache is no evidence of their present state.
 //
-// Many machines share a key, and the pages that have changed are written round-robin: the cache gets
-// a small share of the changes that the key-value store allows, whatever the size of the fleet.
+// Machines are grouped into pages of one key each, and the pages that have changed are written
+// round-robin, so that the cache uses a small share of the changes that the key-value store allows,
+// regardless of the size of the fleet.
 package machinecache
 
 import (
@@ -20,14 +21,14 @@
 	"coralhub/wire"
 )
 
-// KeyPrefix begins the keys of the pages; the number of the page follows.
+// KeyPrefix is the prefix of the keys of the pages; the number of the page follows it.
 const KeyPrefix = job.KeyRoot + "machines/"
 
 const (
 	pageCount = 32
-	// writeShare is the share of all changes that the cache may take.
+	// writeShare is the share of the allowed changes that the cache may use.
 	writeShare = 0.05
-	// maxImages bounds the images that are stored of a machine.
+	// maxImages is the maximum number of images that are stored for a machine.
 	maxImages = 16
 )
 
@@ -40,16 +41,18 @@
 	reconciler *reconciler.Reconciler
 
 	pages       [pageCount]storedPage
-	nextPage    int           // at which the search for a changed page begins
-	nextWriteAt config.Micros // no page is written before
+	nextPage    int           // page at which the search for a changed page begins
+	nextWriteAt config.Micros // earliest time of the next write
 }
 
 // New returns the cache of the machines that a reconciler knows.
-func New(out *outbox.Outbox, encoding *records.Encoding, elector *election.Elector, reconciler *reconciler.Reconciler) *Cache {
+func New(
+	out *outbox.Outbox, encoding *records.Encoding, elector *election.Elector, reconciler *reconciler.Reconciler,
+) *Cache {
 	return &Cache{outbox: out, encoding: encoding, elector: elector, reconciler: reconciler}
 }
 
-// Machine is what is stored of a machine, in a format that nodes of different versions share.
+// Machine is the stored form of a machine, which nodes of different versions share.
 type Machine struct {
 	//lint:ignore U1000 read by the encoder: a machine is stored as an array, to be short
 	_msgpack struct{} `msgpack:",as_array"`
@@ -61,11 +64,11 @@
 	Images   []string
 }
 
-// storedPage is a page of the cache as this node knows it.
+// storedPage is this node's state of a page of the cache.
 type storedPage struct {
-	version uint64   // that was applied last
-	names   []string // the machines in that version
-	changed bool     // since this node wrote it last
+	version uint64   // version that was applied last
+	names   []string // machines in that version
+	changed bool     // set if it has changed since this node last wrote it
 }
 
 // pageOf returns the number of the page that holds a machine.
@@ -75,7 +78,7 @@
 	return int(h.Sum32() % pageCount)
 }
 
-// MarkStale has the page of a machine written when it is due.
+// MarkStale marks the page of a machine to be written by a later Write.
 func (c *Cache) MarkStale(name string) {
 	c.pages[pageOf(name)].changed = true
 }
@@ -114,7 +117,7 @@
 	return 0, false
 }
 
-// machinesOfPage returns what is to be stored in a page. Machines that are being released are left out.
+// machinesOfPage returns the machines to be stored in a page, without those that are being released.
 func (c *Cache) machinesOfPage(n int) []Machine {
 	var machines []Machine
 	for _, m := range c.reconciler.Registry().All() {
@@ -133,8 +136,8 @@
 	return machines
 }
 
-// fitPage encodes machines so that they fit a value: images are dropped first, then the
-// youngest machines. It returns nil if they can't be encoded.
+// fitPage encodes machines so that they fit the size limit of a value: images are dropped first, then
+// the youngest machines. It returns nil if they can't be encoded.
 func (c *Cache) fitPage(machines []Machine) []byte {
 	for imageLimit := maxImages; ; imageLimit /= 2 {
 		for i := range machines {
@@ -152,9 +155,9 @@
 	}
 }
 
-// Apply restores the machines of a stored page, which is named by its number. A page that is unreadable or not
-// newer than the last one changes nothing. A leader that is ready must not call it: it knows more than what was
-// written before.
+// Apply restores the machines of a stored page, given the decimal number of the page. A page that can't be decoded
+// or is not newer than the last one is ignored. A leader that is ready must not call it, because its own data is
+// newer than what was stored before.
 func (c *Cache) Apply(number string, change *wire.Change) {
 	n, err := strconv.Atoi(number)
 	if err != nil || n < 0 || n >= pageCount {
@@ -178,9 +181,9 @@
 		m.Images.Restore(cached.Images)
 		m.Describe(cached.Addr, cached.Type, cached.Zone, cached.Spot)
 	}
-	for _, gone := range previous {
-		if !slices.Contains(page.names, gone) {
-			c.reconciler.Registry().Remove(gone)
+	for _, removed := range previous {
+		if !slices.Contains(page.names, removed) {
+			c.reconciler.Registry().Remove(removed)
 		}
 	}
 }
--- a/internal/core/modelstore/modelstore.go
+++ b/internal/core/modelstore/modelstore.go
@@ -1,5 +1,5 @@
 // Package modelstore stores a leader's model of run times (package estimate) under a few keys for its successors.
-// Every node follows the stored form; only the leader decodes and writes it.
+// Every node keeps a copy of the stored chunks; only the leader decodes and writes them.
 package modelstore
 
 import (
@@ -17,48 +17,49 @@
 	"coralhub/wire"
 )
 
-// KeyPrefix begins the keys of the chunks; the number of the chunk follows.
+// KeyPrefix is the prefix of the keys of the chunks; the number of the chunk follows it.
 const KeyPrefix = job.KeyRoot + "learnt/"
 
 const (
-	// writeInterval is the least time between two writes of the model.
+	// writeInterval is the minimum time between two writes of the model.
 	writeInterval = 10 * config.Second
-	// valueShare is the share of the largest value that a chunk of the model may fill.
+	// valueShare is the share of the maximum value size that a chunk of the model may fill.
 	valueShare = 0.5
 )
 
-// Store is the stored form of the model, as this node knows it. It is not safe for concurrent use.
+// Store is a node's copy of the stored model, and writes it on the leader. It is not safe for concurrent use.
 type Store struct {
 	outbox   *outbox.Outbox
 	encoding *records.Encoding
 	elector  *election.Elector
 
 	chunks      [estimate.Chunks]chunk
-	nextChunk   int           // at which the search for a changed chunk begins
-	nextWriteAt config.Micros // no chunk is written before
+	nextChunk   int           // chunk at which the search for a changed chunk begins
+	nextWriteAt config.Micros // earliest time of the next write
 }
 
 // chunk is a stored part of the model.
 type chunk struct {
 	version      uint64
 	raw          []byte
-	laterVersion bool   // written by a later release: not to be overwritten
-	writtenRuns  uint64 // number of runs that were observed when it was last written
-	inFlight     bool   // a write of it is
+	laterVersion bool   // written by a later release, so it must not be overwritten
+	writtenRuns  uint64 // number of observed runs in the model that was last written
+	inFlight     bool   // a write of it is in flight
 }
 
-// New returns a store of which nothing has been read yet.
+// New returns a store without any chunks.
 func New(out *outbox.Outbox, encoding *records.Encoding, elector *election.Elector) *Store {
 	return &Store{outbox: out, encoding: encoding, elector: elector}
 }
 
-// Reset forgets which chunk is written next and when, at the beginning and at the end of a term.
+// Reset clears the position and the time of the next write. It is called at the beginning and at the end of a term.
 func (s *Store) Reset() {
 	s.nextChunk = 0
 	s.nextWriteAt = 0
 }
 
-// Apply takes a stored chunk, which is named by its number. Other names and versions that are known are ignored.
+// Apply copies a stored chunk, given its decimal number. Invalid numbers, and versions that are not newer than the
+// known one, are ignored.
 func (s *Store) Apply(number string, change *wire.Change) {
 	n, err := strconv.Atoi(number)
 	if err != nil || n < 0 || n >= estimate.Chunks || change.Version <= s.chunks[n].version {
@@ -72,8 +73,8 @@
 	}
 }
 
-// Restore returns the model that earlier leaders have stored, at the beginning of a term. Chunks that can't be decoded
-// are left out.
+// Restore returns the model that earlier leaders have stored. It is called at the beginning of a term. Chunks that
+// can't be decoded are logged and left out.
 func (s *Store) Restore(settings estimate.Settings) *estimate.Model {
 	var decoded []*estimate.Chunk
 	for n := range s.chunks {
@@ -100,7 +101,7 @@
 	return !s.elector.TokenChangePending() && s.outbox.Now() >= s.nextWriteAt
 }
 
-// Write writes the next chunk of the model that has changed.
+// Write writes the next chunk of the model that has changed since it was last written.
 func (s *Store) Write(model *estimate.Model) {
 	for i := range estimate.Chunks {
 		n := (s.nextChunk + i) % estimate.Chunks
@@ -112,7 +113,7 @@
 	}
 }
 
-// writeChunk writes a chunk of the model if it has anything to hold.
+// writeChunk writes a chunk of the model unless the chunk is empty.
 func (s *Store) writeChunk(model *estimate.Model, n int) {
 	s.nextChunk = n + 1
 	s.nextWriteAt = s.outbox.Now() + writeInterval
--- a/internal/core/modelstore/modelstore_test.go
+++ b/internal/core/modelstore/modelstore_test.go
@@ -5,6 +5,6 @@
 // Nodes of other versions read and write the same keys.
 func TestKeyOfStoredModel(t *testing.T) {
 	if KeyPrefix != "ch/learnt/" {
-		t.Errorf("prefix ch/learnt/ was %s", KeyPrefix)
+		t.Errorf("key prefix %s, want ch/learnt/", KeyPrefix)
 	}
 }
--- a/internal/core/msg/effects.go
+++ b/internal/core/msg/effects.go
@@ -19,24 +19,24 @@
 // GrantLease requests a new lease.
 type GrantLease struct{ TTL Micros }
 
-// RenewLease renews a lease. The node goes on renewing it for a while, in case the core is too busy
-// to request the next renewal in time.
+// RenewLease requests the renewal of a lease. The node also continues to renew it for a limited time,
+// in case the core is too busy to request the next renewal in time.
 type RenewLease struct {
 	Lease uint64
 	TTL   Micros
 }
 
-// ReleaseLease ends the renewals of a lease by the node.
+// ReleaseLease makes the node stop renewing a lease.
 type ReleaseLease struct{ Lease uint64 }
 
-// PollWatchFast has the watch polled at short intervals for some seconds, even if nothing changes.
+// PollWatchFast makes the node poll the watch at short intervals for some seconds, even if nothing changes.
 type PollWatchFast struct{}
 
 // Relist requests a new Snapshot.
 type Relist struct{}
 
-// Respond answers a request of a user or worker. RetryAfter is in seconds, 0 for none. Busy means
-// that the node had no time to pass the request to its core.
+// Respond answers a request of a user or worker. RetryAfter is in seconds, or 0 if the response has
+// none. Busy is set if the node was too busy to pass the request to its core.
 type Respond struct {
 	RequestID  uint64
 	Status     int
@@ -45,7 +45,7 @@
 	Busy       bool
 }
 
-// Command is a direct call to a worker.
+// Command sends commands to a worker by a direct call.
 type Command struct {
 	ID            uint64
 	Machine, Addr string
@@ -61,23 +61,23 @@
 // ScaleOut requests machines from the cloud.
 type ScaleOut struct{ Request wire.RentalRequest }
 
-// ScaleIn deletes machines.
+// ScaleIn requests the deletion of machines from the cloud.
 type ScaleIn struct{ Machines []string }
 
-// SendPeerUpdate sends the leader a change that was just committed.
+// SendPeerUpdate sends the leader a change that this node has just committed.
 type SendPeerUpdate struct {
 	Node   string
 	Change wire.Change
 }
 
-// Forward passes a worker's heartbeat to the leader.
+// Forward forwards a worker's heartbeat to the leader.
 type Forward struct {
 	RequestID uint64
 	Node      string
 	Heartbeat wire.Heartbeat
 }
 
-// HeartbeatBatch tells the leader which heartbeats this node has answered on its behalf.
+// HeartbeatBatch reports to the leader the heartbeats that this node has answered on its behalf.
 type HeartbeatBatch struct {
 	Node     string // the leader
 	Term     uint64 // version of the leader key that the sender knows
@@ -86,10 +86,10 @@
 	Acks     []HeartbeatAck
 }
 
-// StopServing reports that this node cannot serve, because the stored format is newer than it reads.
+// StopServing reports that this node cannot serve, because the stored format is newer than it can read.
 type StopServing struct{}
 
-// Log writes a log line for the operators.
+// Log writes a log line, at level debug if Debug is set and at level info otherwise.
 type Log struct {
 	Debug   bool
 	Message string
--- a/internal/core/msg/inputs.go
+++ b/internal/core/msg/inputs.go
@@ -2,18 +2,19 @@
 
 import "coralhub/wire"
 
-// Tick reports that time has passed, and the time of day.
+// Tick reports the passage of time and the time of day.
 type Tick struct{ WallClock Micros }
 
-// Snapshot is a listing of all keys, with the revision of the key-value store before the listing
-// began.
+// Snapshot is a listing of all keys, with the revision that the key-value store had before the
+// listing began.
 type Snapshot struct {
 	Items    []wire.KeyValue
 	Revision uint64
 }
 
-// Changed reports puts and deletes in the order of their revisions. All changes up to CurrentAt
-// have come by then; it is when the watch was polled, or a little earlier.
+// Changed reports puts and deletes in the order of their revisions. CurrentAt is the time at which
+// the watch was polled, or slightly earlier: with this input, all changes up to that time have been
+// reported.
 type Changed struct {
 	Events    []wire.Change
 	CurrentAt Micros
@@ -36,7 +37,7 @@
 }
 
 // LeaseDone is the result of a GrantLease or RenewLease. It also reports renewals that the node made
-// on behalf of the core between two of the core's own. Age is how long ago the request was sent.
+// on behalf of the core between two requests of the core. Age is the time since the request was sent.
 type LeaseDone struct {
 	Outcome   Outcome
 	Lease     uint64
@@ -44,8 +45,8 @@
 	Age       Micros
 }
 
-// HeartbeatIn is a worker's heartbeat, to be answered by a Respond. Forwarded is set if it was sent
-// by another node, to which the worker reports.
+// HeartbeatIn is a worker's heartbeat, to be answered by a Respond. Forwarded is set if another
+// node, to which the worker reports, has forwarded it.
 type HeartbeatIn struct {
 	RequestID uint64
 	Heartbeat wire.Heartbeat
@@ -105,7 +106,7 @@
 }
 
 // AdminIn is an operator's query, to be answered by a Respond. Most queries can be answered by the
-// leader alone; another node responds with the leader's name.
+// leader alone; other nodes respond with the leader's name.
 type AdminIn struct {
 	RequestID uint64
 	Query     AdminQuery
@@ -114,8 +115,8 @@
 	Limit     int
 }
 
-// ForwardDone is the result of a Forward. Response is nil unless the leader answered as such. Busy
-// means that the leader was reached but had no time for the heartbeat.
+// ForwardDone is the result of a Forward. Response is nil unless the node responded as the leader.
+// Busy is set if the leader was reached but was too busy to handle the heartbeat.
 type ForwardDone struct {
 	RequestID uint64
 	Heartbeat wire.Heartbeat
@@ -129,11 +130,11 @@
 	Incarnation, Sequence uint64
 }
 
-// HeartbeatBatchIn tells the leader which heartbeats another node has answered on its behalf. The
-// body of the response is a HeartbeatBatchResponse.
+// HeartbeatBatchIn reports to the leader the heartbeats that another node has answered on its behalf.
+// The body of the response is a HeartbeatBatchResponse.
 type HeartbeatBatchIn struct {
 	RequestID uint64
-	Node      string // the sender; empty for versions that did not send it
+	Node      string // the sender; empty if it is of a version that did not send this field
 	Revision  uint64 // the sender's replica holds all changes up to this revision
 	Acks      []HeartbeatAck
 }
@@ -146,11 +147,11 @@
 
 // HeartbeatBatchResponse is the leader's response to a HeartbeatBatch.
 type HeartbeatBatchResponse struct {
-	ResendMachines []string // workers whose next heartbeat the leader wants forwarded
-	Delegation     Micros   // how long the sender may act as a delegate, from when it sent the batch
+	ResendMachines []string // workers whose next heartbeat must be forwarded to the leader
+	Delegation     Micros   // time for which the sender may act as a delegate, counted from when it sent the batch
 }
 
-// PeerAlive reports that another node has answered.
+// PeerAlive reports that another node has responded.
 type PeerAlive struct{ Node string }
 
 // PeerUpdate is a change that another node has just committed, sent ahead of the watch.
--- a/internal/core/msg/msg.go
+++ b/internal/core/msg/msg.go
@@ -1,5 +1,5 @@
 // Package msg defines the messages of a node's core: the inputs that it handles, and the effects
-// that it requests in return.
+// that it requests in response.
 package msg
 
 import "coralhub/internal/config"
--- a/internal/core/msg/outcomes.go
+++ b/internal/core/msg/outcomes.go
@@ -7,19 +7,19 @@
 const (
 	OK       Outcome = iota
 	Conflict         // not executed: a condition failed, or there is no capacity
-	Gone             // not executed: the lease does not exist any more
+	Gone             // not executed: the lease no longer exists
 	Refused          // certainly not executed; the same request may succeed later
-	Invalid          // certainly not executed, and the same request never will be
-	Unknown          // may have been executed, or may still be
+	Invalid          // certainly not executed; the same request can never succeed
+	Unknown          // may have been executed, or may be executed later
 )
 
-// WritePriority is the priority of a transaction when the write rate of the key-value store is short.
+// WritePriority is the priority of a transaction when the write rate of the key-value store is insufficient for all.
 type WritePriority int
 
 // Write priorities.
 const (
 	Critical        WritePriority = iota // a response or the leadership depends on it
 	Admission                            // the admission of a job
-	Deferrable                           // gives way to the others
+	Deferrable                           // yields to the other priorities
 	WritePriorities                      // number of priorities
 )
--- a/internal/core/msg/purpose.go
+++ b/internal/core/msg/purpose.go
@@ -1,7 +1,7 @@
 package msg
 
-// Purpose is what a transaction is for. It appears in logs and metrics only; its WritePriority
-// determines how it is paced.
+// Purpose classifies a transaction in logs and metrics. It does not affect how the transaction is
+// paced, which its WritePriority determines.
 type Purpose int
 
 // Purposes of transactions.
@@ -11,19 +11,19 @@
 	PurposeAdmission                    // admits a job
 	PurposeCancellation                 // records that a job is to be cancelled, or is cancelled
 	PurposePlacement                    // places tasks
-	PurposeCompletion                   // closes placements in the record of a job that goes on
-	PurposeJobEnd                       // makes a job done or cancelled
+	PurposeCompletion                   // closes placements in the record of a job that has not ended
+	PurposeJobEnd                       // records that a job is done or cancelled
 	PurposeCompletionLog                // adds ended attempts to the completion log
-	PurposeCleanup                      // deletes what is out of date
+	PurposeCleanup                      // deletes outdated keys
 	PurposePreemption                   // commits a preemption decision
 	PurposeMachineCache                 // stores machines' addresses and images for later leaders
 	PurposeRelay                        // relays heartbeats through the key-value store
 	PurposeEstimates                    // stores estimates of run times
-	PurposeReadCheck                    // checks that the replica is current, without any change
+	PurposeReadCheck                    // verifies that the replica is current; changes nothing
 	Purposes                            // number of purposes
 )
 
-// purposeNames are the labels of metrics, which dashboards depend on.
+// purposeNames are label values of metrics, which dashboards depend on.
 var purposeNames = [Purposes]string{
 	PurposeOther:         "other",
 	PurposeElection:      "claim",
--- a/internal/core/msg/queries.go
+++ b/internal/core/msg/queries.go
@@ -1,9 +1,9 @@
 package msg
 
-// AdminQuery names what an operator asks for.
+// AdminQuery is the kind of an operator's query.
 type AdminQuery int
 
-// Queries of operators.
+// Kinds of operators' queries.
 const (
 	QueryEstimates AdminQuery = iota
 	QueryJob
--- a/internal/core/query/names_test.go
+++ b/internal/core/query/names_test.go
@@ -6,7 +6,8 @@
 	"coralhub/internal/golden"
 )
 
-// What operators' programs read.
+// Operators' programs depend on the names and types of the JSON fields.
 func TestNamesOfAnswers(t *testing.T) {
-	golden.Check(t, "admin-json.txt", golden.Names("json", Error{}, Estimates{}, JobOutlook{}, Runs{}, WaitReason{}, []UsageRow{}, Preemptions{}))
+	golden.Check(t, "admin-json.txt", golden.Names("json",
+		Error{}, Estimates{}, JobOutlook{}, Runs{}, WaitReason{}, []UsageRow{}, Preemptions{}))
 }
--- a/internal/core/query/query.go
+++ b/internal/core/query/query.go
@@ -1,5 +1,5 @@
-// Package query has the answers to operators' queries: what the admin interface writes as JSON, and the gauges for the
-// metrics. Times are in seconds unless a field says otherwise. Package leader answers.
+// Package query defines the answers to operators' queries: the JSON bodies of the admin interface, and the gauges for
+// the metrics. Times are in seconds unless a field's comment says otherwise. Package leader produces the answers.
 package query
 
 import (
@@ -7,41 +7,41 @@
 	"coralhub/internal/history"
 )
 
-// Error is the body of the answer to a query that can't be answered. It names the leader if that
+// Error is the body of the answer to a query that this node can't answer. It names the leader if that
 // is another node.
 type Error struct {
 	Error  string `json:"error"`
 	Leader string `json:"leader,omitempty"`
 }
 
-// Estimates lists what is known of run times.
+// Estimates lists the estimates of run times by kind of job, and the slow machines.
 type Estimates struct {
-	Runs     uint64        `json:"runs"`           // observed, those of earlier leaders included
-	Changes  int           `json:"sudden_changes"` // of run times, that the model has detected
+	Runs     uint64        `json:"runs"`           // number of observed runs, including those of earlier leaders
+	Changes  int           `json:"sudden_changes"` // number of sudden changes of run times that the model has detected
 	Kinds    []EstimateRow `json:"kinds"`
-	More     bool          `json:"more"` // there are more kinds than are listed
+	More     bool          `json:"more"` // set if there are more kinds than are listed
 	Machines []SlowMachine `json:"slow_machines"`
 }
 
-// EstimateRow is an estimate as an operator reads it, with times in seconds.
+// EstimateRow is an estimate in the form shown to operators, with times in seconds.
 type EstimateRow struct {
 	Class     string      `json:"class,omitempty"`
 	Shape     string      `json:"shape,omitempty"`
 	Image     string      `json:"image,omitempty"`
-	Level     string      `json:"from"` // of the jobs that it is derived from
+	Level     string      `json:"from"` // hierarchy level of the jobs from which it is derived
 	Samples   float64     `json:"samples"`
 	MedianS   float64     `json:"median_s"`
-	Intervals [][]float64 `json:"intervals_s"` // for probabilities of 0.5, 0.8 and 0.95: low and high
-	Trust     []*float64  `json:"trust"`       // share of recent outcomes in each interval; null: not known
+	Intervals [][]float64 `json:"intervals_s"` // low and high bounds for probabilities of 0.5, 0.8 and 0.95
+	Trust     []*float64  `json:"trust"`       // share of recent outcomes in each interval; null if not known
 }
 
 // SlowMachine is a machine on which runs take longer than elsewhere.
 type SlowMachine struct {
 	Machine string  `json:"machine"`
-	Times   float64 `json:"times"` // as long as elsewhere
+	Times   float64 `json:"times"` // factor by which runs take longer than elsewhere
 }
 
-// JobOutlook is what can be said of the end of a job.
+// JobOutlook is a forecast of the end of a job.
 type JobOutlook struct {
 	Job            JobState     `json:"job"`
 	Class          string       `json:"class,omitempty"`
@@ -50,40 +50,40 @@
 	DueInS         *float64     `json:"due_in_s,omitempty"` // seconds until its deadline
 	Verdict        string       `json:"deadline,omitempty"`
 	DeadlineChance *float64     `json:"chance,omitempty"`        // probability that it meets its deadline
-	Overdue        []string     `json:"overdue_tasks,omitempty"` // running for longer than the widest interval
+	Overdue        []string     `json:"overdue_tasks,omitempty"` // tasks that run for longer than the widest interval
 }
 
 // JobState is the state of a job, as users see it.
 type JobState struct {
 	ID      string `json:"id"`
 	Status  string `json:"status"`
-	Done    int    `json:"done"`    // tasks
-	Running int    `json:"running"` // tasks
+	Done    int    `json:"done"`    // number of tasks
+	Running int    `json:"running"` // number of tasks
 }
 
 // Runs is a page of runs that have ended.
 type Runs struct {
-	Next   uint64         `json:"next"`   // number to continue from
-	Missed uint64         `json:"missed"` // requested runs that are not kept any more
+	Next   uint64         `json:"next"`   // number of the run to continue from
+	Missed uint64         `json:"missed"` // number of requested runs that are no longer kept
 	Runs   []history.Line `json:"runs"`
 }
 
-// WaitReason is why a job waits, and what is placed before it.
+// WaitReason explains why a job waits and which jobs are placed before it.
 type WaitReason struct {
 	Job              JobState `json:"job"`
 	Reason           string   `json:"why"`
 	Priority         string   `json:"priority,omitempty"`
 	WithinGuarantee  bool     `json:"within_guarantee"`
-	Late             bool     `json:"late"`           // it can't start in time any more
-	ClassShort       bool     `json:"class_is_short"` // of capacity: see "When there is too little"
-	Rank             int      `json:"rank,omitempty"` // 1: the first; 0: it is not in the queue
-	QueueLength      int      `json:"queue"`          // jobs in the queue
+	Late             bool     `json:"late"`           // it can no longer start in time
+	ClassShort       bool     `json:"class_is_short"` // the class is short of capacity: see "When there is too little"
+	Rank             int      `json:"rank,omitempty"` // position in the queue, starting at 1; 0 if it is not in the queue
+	QueueLength      int      `json:"queue"`          // number of jobs in the queue
 	Ahead            []string `json:"before"`         // the jobs ranked before it, the nearest first
-	ReservedMachines []string `json:"machines_kept"`  // reserved for it while its victims end
-	PreemptedJobs    []string `json:"yield"`          // its victims, by the decisions in force
+	ReservedMachines []string `json:"machines_kept"`  // machines reserved for it while its victims end
+	PreemptedJobs    []string `json:"yield"`          // its victims according to the decisions in force
 }
 
-// UsageRow is an account as an operator reads it. Each amount is in seconds of a resource, or of a task.
+// UsageRow is a usage account in the form shown to operators. Each amount is in seconds of a resource, or of a task.
 type UsageRow struct {
 	Team                string  `json:"team"`
 	Class               string  `json:"class"`
@@ -93,10 +93,10 @@
 	MemoryGBSeconds     float64 `json:"gb_s"`
 	TaskSeconds         float64 `json:"task_s"`
 	SpotTaskSeconds     float64 `json:"cheap_task_s"`
-	RepeatedTaskSeconds float64 `json:"repeated_task_s"` // of which the work was lost
+	RepeatedTaskSeconds float64 `json:"repeated_task_s"` // part of the task seconds whose work was lost
 }
 
-// Kinds of accounts.
+// Kinds of usage accounts.
 const (
 	KindBatch   = "batch"
 	KindService = "service"
@@ -105,14 +105,14 @@
 // Preemptions lists which jobs are preempted for which others.
 type Preemptions struct {
 	Decisions []DecisionRow   `json:"decisions"` // in force
-	Counts    []PreemptionRow `json:"yielded"`   // preempted tasks since the cluster began
+	Counts    []PreemptionRow `json:"yielded"`   // preempted tasks since the cluster was first started
 }
 
-// DecisionRow is a decision in force.
+// DecisionRow is a preemption decision in force.
 type DecisionRow struct {
 	Preemptor     string   `json:"winner"`
 	Reason        string   `json:"by"`
-	RemainingS    float64  `json:"for_s"`    // seconds for which it stays in force
+	RemainingS    float64  `json:"for_s"`    // seconds until it expires
 	Machines      []string `json:"machines"` // reserved for the preemptor
 	PreemptedJobs []string `json:"yield"`
 }
@@ -125,23 +125,23 @@
 	Tasks          uint64 `json:"tasks"`
 }
 
-// Gauges are the counts of a node at a moment, for the metrics, and some since its process began.
+// Gauges are a node's current counts for the metrics, and some totals since its process started.
 type Gauges struct {
 	Leading         bool
-	Records         int            // known jobs, finished ones included
-	Unfinished      int            // jobs
+	Records         int            // number of known jobs, including finished ones
+	Unfinished      int            // number of unfinished jobs
 	Waiting         map[string]int // jobs that lack placements, by class; on the leader
 	Machines        map[string]int // by state; on the leader
-	Placements      int            // open
-	InFlightChanges int            // changes of jobs in flight
-	Failovers       uint64         // how often this node was elected
+	Placements      int            // number of open placements
+	InFlightChanges int            // number of changes of jobs in flight
+	Failovers       uint64         // number of times this node was elected
 	Statistics      CycleStatistics
-	EstimateRuns    uint64 // observed by the model of run times; on the leader
+	EstimateRuns    uint64 // number of runs observed by the model of run times; on the leader
 
 	CompletedInTime, StartedInTime slo.Attainment // on the leader
 	Usage                          []UsageRow     // on the leader
 }
 
-// CycleStatistics counts the cycles of this process, and the machines and jobs that they have
+// CycleStatistics counts the scheduling cycles of this process and the machines and jobs that they have
 // examined, for tests and the debug log.
 type CycleStatistics struct{ Cycles, Machines, Jobs int }
