--- a/internal/core/preemption/committer.go
+++ b/internal/core/preemption/committer.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// decisionInterval and maxDecisionInterval are how long the next write of decisions
-	// waits, for each decision in the last one and at most: a single one is written at
-	// once, and those of a burst share changes. In microseconds.
+	// decisionInterval is the delay of the next write for each decision in the last one, and
+	// maxDecisionInterval bounds that delay, both in microseconds. A single decision is
+	// written at once, and the decisions of a burst share changes.
 	decisionInterval    = 50 * 1000
 	maxDecisionInterval = config.Second
-	// countsInterval is how often the counts of preempted tasks are written together with decisions.
+	// countsInterval is the minimum time between writes of the counts of preempted tasks, which accompany decisions.
 	countsInterval = 10 * config.Second
 )
 
-// Executor makes decisions and carries them out.
+// Executor makes decisions and carries out those that a Committer has committed.
 type Executor interface {
-	// WallClock returns the time of day; 0: not known yet.
+	// WallClock returns the time of day, or 0 if it is not known yet.
 	WallClock() Micros
-	// IsNeeded reports whether a decision's preemptor still wants placements.
+	// IsNeeded reports whether a decision's preemptor still lacks placements.
 	IsNeeded(d *Decision) bool
-	// DecisionsCommitted is called for decisions that are committed, and may be carried out.
+	// DecisionsCommitted is called with decisions that are committed and may be carried out.
 	DecisionsCommitted(decisions []Decision)
-	// DecisionsDropped is called for decisions that are not committed and never will be.
+	// DecisionsDropped is called with decisions that are not committed and never will be.
 	DecisionsDropped(decisions []Decision)
 }
 
-// Committer commits the decisions of a leader, one transaction at a time. Every node follows the stored decisions
-// and counts with it; the rest is of the term in which this node leads. It is not safe for concurrent use.
+// Committer commits the decisions of a leader, one transaction at a time. Every node uses it to keep a copy of the
+// stored decisions and counts; the other fields belong to the term in which this node leads. It is not safe for
+// concurrent use.
 type Committer struct {
 	outbox   *outbox.Outbox
 	encoding *records.Encoding
@@ -45,21 +46,25 @@
 	decisions Decisions
 	counts    Counts
 
-	unwritten       []Decision        // not in flight yet
-	transaction     *wire.Transaction // not settled; nil: none
-	writing         []Decision        // that transaction commits
-	inFlight        bool              // the answer to transaction is still expected
-	outcomeUnknown  bool              // an earlier sending of transaction had no answer
+	unwritten       []Decision        // decisions that are not in transaction yet
+	transaction     *wire.Transaction // transaction whose outcome is not final; nil if there is none
+	writing         []Decision        // decisions in transaction
+	inFlight        bool              // a response to transaction, or to the reads after its conflict, is pending
+	outcomeUnknown  bool              // an earlier attempt of transaction had no response
 	nextWriteAt     Micros
 	countsWrittenAt Micros
 }
 
-// NewCommitter returns a committer that has read nothing yet. It reports what becomes of decisions to the executor.
-func NewCommitter(out *outbox.Outbox, encoding *records.Encoding, elector *election.Elector, executor Executor) *Committer {
+// NewCommitter returns a committer without stored decisions and counts. It reports the outcome of decisions to the
+// executor.
+func NewCommitter(
+	out *outbox.Outbox, encoding *records.Encoding, elector *election.Elector, executor Executor,
+) *Committer {
 	return &Committer{outbox: out, encoding: encoding, elector: elector, executor: executor}
 }
 
-// Reset forgets what was decided in a term that is over and is not known to be committed.
+// Reset discards the decisions of a past term that are not known to be committed. The stored decisions and the counts
+// are kept.
 func (c *Committer) Reset() {
 	c.unwritten = nil
 	c.transaction = nil
@@ -70,10 +75,10 @@
 	c.countsWrittenAt = 0
 }
 
-// CanAdd reports whether one more decision can be open.
+// CanAdd reports whether another decision can be added without exceeding MaxOpenDecisions.
 func (c *Committer) CanAdd() bool { return len(c.unwritten)+len(c.writing) < MaxOpenDecisions }
 
-// Add has a decision committed, in parts if it doesn't fit a value.
+// Add queues a decision to be committed, in parts if it doesn't fit a value.
 func (c *Committer) Add(d Decision) {
 	c.unwritten = append(c.unwritten, SplitToFit(d, c.encoding.Fits)...)
 }
@@ -81,11 +86,11 @@
 // InForce returns the stored decisions that are in force at a time of day.
 func (c *Committer) InForce(wall Micros) []Decision { return c.decisions.InForce(wall) }
 
-// Counts returns how many tasks were preempted, by classes. The caller may add to them.
+// Counts returns the number of preempted tasks by classes and reason. The caller may add to them.
 func (c *Committer) Counts() *Counts { return &c.counts }
 
-// Apply applies a stored page of decisions, or the stored counts: a node that counts itself, because it is the leader,
-// takes their version alone. Unreadable values are logged.
+// Apply applies a stored page of decisions or the stored counts. A leader adds to the counts itself: with counting set,
+// only the version of the stored counts is applied. Values that can't be decoded are logged.
 func (c *Committer) Apply(change *wire.Change, counting bool) {
 	if change.Put == "" {
 		return
@@ -93,7 +98,7 @@
 	var err error
 	if change.Put == CountsKey {
 		if counting {
-			c.counts.Written(change.Version)
+			c.counts.NoteStored(change.Version)
 			return
 		}
 		err = c.counts.Apply(change.Version, change.Value)
@@ -105,12 +110,13 @@
 	}
 }
 
-// Write commits unwritten decisions.
+// Write commits unwritten decisions when the next write is due. It does nothing while a transaction is in flight or
+// the fencing token is being replaced.
 func (c *Committer) Write() {
 	if c.inFlight || c.elector.TokenChangePending() || c.outbox.Now() < c.nextWriteAt {
 		return
 	}
-	if c.transaction != nil { // had no answer: the same is sent again, by its conditions one of the two takes effect
+	if c.transaction != nil { // had no response: resent unchanged, its conditions let only one attempt take effect
 		c.send()
 		return
 	}
@@ -131,14 +137,14 @@
 	c.send()
 }
 
-// stillNeeded returns a function that reports whether a stored decision is in force and its preemptor still wants
+// stillNeeded returns a function that reports whether a stored decision is in force and its preemptor still lacks
 // placements.
 func (c *Committer) stillNeeded() func(*Decision) bool {
 	now := c.executor.WallClock()
 	return func(d *Decision) bool { return d.InForce(now) && c.executor.IsNeeded(d) }
 }
 
-// newTransaction returns the transaction that writes pages of decisions, and now and then the counts.
+// newTransaction returns the transaction that writes pages of decisions, and the counts if countsInterval has passed.
 func (c *Committer) newTransaction(writes []PageWrite) *wire.Transaction {
 	t := &wire.Transaction{Conditions: []wire.Condition{c.elector.Condition()}}
 	for _, w := range writes {
@@ -157,7 +163,7 @@
 	return t
 }
 
-// send sends the transaction, for the first time or again.
+// send sends or resends the transaction.
 func (c *Committer) send() {
 	t := c.transaction
 	c.inFlight = true
@@ -166,19 +172,19 @@
 			return
 		}
 		c.inFlight = false
-		c.onAnswer(t, &d)
+		c.handleResult(t, &d)
 	})
 }
 
-// onAnswer handles the answer to the transaction.
-func (c *Committer) onAnswer(t *wire.Transaction, d *msg.CommitDone) {
+// handleResult handles the result of the transaction.
+func (c *Committer) handleResult(t *wire.Transaction, d *msg.CommitDone) {
 	switch d.Outcome {
 	case msg.OK:
 		for _, change := range t.Changes {
 			c.Apply(&wire.Change{Put: change.Put, Value: change.Value, Version: d.Revision}, true)
 		}
 		c.executor.DecisionsCommitted(c.writing)
-		c.settle()
+		c.finishTransaction()
 	case msg.Unknown:
 		c.outcomeUnknown = true
 		c.nextWriteAt = c.outbox.Now() + outbox.CommitRetryInterval
@@ -188,24 +194,24 @@
 		}
 	default:
 		c.nextWriteAt = c.outbox.Now() + outbox.CommitRetryInterval
-		if c.outcomeUnknown { // this sending was refused; an earlier one may still be applied
+		if c.outcomeUnknown { // this attempt was refused, but an earlier one may still be applied
 			return
 		}
 		c.executor.DecisionsDropped(c.writing)
-		c.settle()
+		c.finishTransaction()
 	}
 }
 
-// settle ends the transaction.
-func (c *Committer) settle() {
+// finishTransaction clears the transaction, whose outcome is final.
+func (c *Committer) finishTransaction() {
 	c.transaction = nil
 	c.writing = nil
 }
 
-// readStored reads what is stored after a conflict: either an earlier sending of the transaction
-// has been applied after all, or it never will be.
+// readStored reads the stored values after a conflict. They show whether an earlier attempt of the
+// transaction has been applied; if it has not, it never will be.
 func (c *Committer) readStored(t *wire.Transaction) {
-	unanswered := len(t.Changes)
+	pendingReads := len(t.Changes)
 	c.inFlight = true
 	for _, change := range t.Changes {
 		c.outbox.Read(change.Put, func(d msg.ReadDone) {
@@ -215,31 +221,31 @@
 			if d.Outcome == msg.OK && d.Item.Version != 0 {
 				c.Apply(&wire.Change{Put: change.Put, Value: d.Item.Value, Version: d.Item.Version}, true)
 			}
-			unanswered--
-			if unanswered == 0 {
-				c.settleByStored()
+			pendingReads--
+			if pendingReads == 0 {
+				c.resolveFromStored()
 			}
 		})
 	}
 }
 
-// settleByStored ends the transaction by what is stored: decisions that are there are committed, the others dropped.
-func (c *Committer) settleByStored() {
+// resolveFromStored finishes the transaction: the decisions that are stored are committed, the others are dropped.
+func (c *Committer) resolveFromStored() {
 	stored := map[string]Micros{}
 	for _, d := range c.decisions.InForce(c.executor.WallClock()) {
 		stored[d.Preemptor] = d.Until
 	}
-	var committed, lost []Decision
+	var committed, dropped []Decision
 	for _, d := range c.writing {
 		if stored[d.Preemptor] == d.Until {
 			committed = append(committed, d)
 		} else {
-			lost = append(lost, d)
+			dropped = append(dropped, d)
 		}
 	}
 	c.executor.DecisionsCommitted(committed)
-	c.executor.DecisionsDropped(lost)
-	c.settle()
+	c.executor.DecisionsDropped(dropped)
+	c.finishTransaction()
 	c.inFlight = false
 	c.nextWriteAt = c.outbox.Now() + outbox.CommitRetryInterval
 }
--- a/internal/core/preemption/committer_test.go
+++ b/internal/core/preemption/committer_test.go
@@ -13,14 +13,14 @@
 	"coralhub/wire"
 )
 
-// ignoredEvents is a listener of the election that does nothing.
-type ignoredEvents struct{}
+// noopListener is an election.Listener that does nothing.
+type noopListener struct{}
 
-func (ignoredEvents) OnElected()                     {}
-func (ignoredEvents) OnDeposed(string, uint64)       {}
-func (ignoredEvents) OnHolderChanged(string, string) {}
+func (noopListener) OnElected()                     {}
+func (noopListener) OnDeposed(string, uint64)       {}
+func (noopListener) OnHolderChanged(string, string) {}
 
-// recordingExecutor records what becomes of decisions, by their preemptors.
+// recordingExecutor records the preemptors of the decisions that are committed and of those that are dropped.
 type recordingExecutor struct{ committed, dropped []string }
 
 func (e *recordingExecutor) WallClock() Micros       { return 100 * config.Second }
@@ -54,10 +54,10 @@
 func newCommitterTest(t *testing.T) *committerTest {
 	t.Helper()
 	ct := &committerTest{t: t, outbox: outbox.New(func(*wire.Transaction) {}), executor: &recordingExecutor{}}
-	elector := election.New(ct.outbox, "ch/leader", "n1", 4*config.Second, 1, ignoredEvents{})
+	elector := election.New(ct.outbox, "ch/leader", "n1", 4*config.Second, 1, noopListener{})
 	ct.step(config.Second, elector.Tick)
 	effects := ct.step(config.Second, func() { elector.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) })
-	ct.answer(ct.onlyCommit(effects), msg.CommitDone{Outcome: msg.OK, Revision: 10})
+	ct.respond(ct.onlyCommit(effects), msg.CommitDone{Outcome: msg.OK, Revision: 10})
 	if !elector.IsLeader() {
 		t.Fatal("not elected")
 	}
@@ -66,7 +66,7 @@
 	return ct
 }
 
-// step advances the clock and runs f. It returns the effects.
+// step advances the clock, runs f and returns the effects.
 func (ct *committerTest) step(d Micros, f func()) []msg.Effect {
 	ct.now += d
 	ct.outbox.Begin(ct.now)
@@ -84,13 +84,13 @@
 	return effects[i].(msg.Commit)
 }
 
-func (ct *committerTest) answer(c msg.Commit, done msg.CommitDone) []msg.Effect {
+func (ct *committerTest) respond(c msg.Commit, done msg.CommitDone) []msg.Effect {
 	done.ID = c.ID
 	return ct.step(config.Second/100, func() { ct.outbox.CommitDone(done) })
 }
 
-// answerReads answers the reads among the effects.
-func (ct *committerTest) answerReads(effects []msg.Effect, item wire.KeyValue) {
+// respondToReads answers the reads among the effects.
+func (ct *committerTest) respondToReads(effects []msg.Effect, item wire.KeyValue) {
 	ct.step(config.Second, func() {
 		for _, e := range effects {
 			if read, ok := e.(msg.Read); ok {
@@ -112,17 +112,19 @@
 func (ct *committerTest) expect(committed, dropped []string) {
 	ct.t.Helper()
 	if !slices.Equal(ct.executor.committed, committed) || !slices.Equal(ct.executor.dropped, dropped) {
-		ct.t.Errorf("committed %v and dropped %v, want %v and %v", ct.executor.committed, ct.executor.dropped, committed, dropped)
+		ct.t.Errorf("committed %v and dropped %v, want %v and %v",
+			ct.executor.committed, ct.executor.dropped, committed, dropped)
 	}
 }
 
-// A decision may be carried out once it is committed, and is given up once it is certain that it never will be.
+// A decision may be carried out once it is committed, and is dropped once it is certain that it never will be
+// committed.
 func TestDecisionsByOutcome(t *testing.T) {
 	t.Run("committed", func(t *testing.T) {
 		ct := newCommitterTest(t)
 		c := ct.add()
 		ct.expect(nil, nil)
-		ct.answer(c, msg.CommitDone{Outcome: msg.OK, Revision: 20})
+		ct.respond(c, msg.CommitDone{Outcome: msg.OK, Revision: 20})
 		ct.expect([]string{"job-1"}, nil)
 		if got := preemptors(ct.committer.InForce(ct.executor.WallClock())); !slices.Equal(got, []string{"job-1"}) {
 			t.Errorf("in force: %v", got)
@@ -130,13 +132,13 @@
 	})
 	t.Run("refused", func(t *testing.T) {
 		ct := newCommitterTest(t)
-		ct.answer(ct.add(), msg.CommitDone{Outcome: msg.Refused})
+		ct.respond(ct.add(), msg.CommitDone{Outcome: msg.Refused})
 		ct.expect(nil, []string{"job-1"})
 	})
 	t.Run("refused after an unknown outcome", func(t *testing.T) {
 		ct := newCommitterTest(t)
 		first := ct.add()
-		ct.answer(first, msg.CommitDone{Outcome: msg.Unknown})
+		ct.respond(first, msg.CommitDone{Outcome: msg.Unknown})
 		if early := ct.step(outbox.CommitRetryInterval-2, ct.committer.Write); len(early) != 0 {
 			t.Errorf("resent too early: %v", early)
 		}
@@ -144,26 +146,26 @@
 		if !reflect.DeepEqual(again.Transaction, first.Transaction) {
 			t.Errorf("resent %+v, want %+v", again.Transaction, first.Transaction)
 		}
-		ct.answer(again, msg.CommitDone{Outcome: msg.Refused})
-		ct.expect(nil, nil) // the first sending may still be applied
+		ct.respond(again, msg.CommitDone{Outcome: msg.Refused})
+		ct.expect(nil, nil) // the first attempt may still be applied
 	})
 }
 
-// After a conflict, what is stored tells whether an earlier sending was applied.
-func TestConflictIsSettledByWhatIsStored(t *testing.T) {
+// After a conflict, the stored page shows whether an earlier attempt was applied.
+func TestConflictIsResolvedFromStoredPages(t *testing.T) {
 	for name, applied := range map[string]bool{"applied": true, "not applied": false} {
 		t.Run(name, func(t *testing.T) {
 			ct := newCommitterTest(t)
 			c := ct.add()
 			page := c.Transaction.Changes[0]
-			effects := ct.answer(c, msg.CommitDone{Outcome: msg.Conflict, Failed: []string{page.Put}})
+			effects := ct.respond(c, msg.CommitDone{Outcome: msg.Conflict, Failed: []string{page.Put}})
 			ct.expect(nil, nil)
 			item := wire.KeyValue{Key: page.Put}
 			if applied {
 				item.Value = page.Value
 				item.Version = 20
 			}
-			ct.answerReads(effects, item)
+			ct.respondToReads(effects, item)
 			if applied {
 				ct.expect([]string{"job-1"}, nil)
 			} else {
--- a/internal/core/preemption/counts.go
+++ b/internal/core/preemption/counts.go
@@ -11,16 +11,16 @@
 // CountsKey is the key under which the counts are stored.
 const CountsKey = KeyPrefix + "tally"
 
-// maxCountRows bounds the number of rows: users choose the names of classes.
+// maxCountRows bounds the number of rows, because users choose the names of classes.
 const maxCountRows = 60
 
-// Pair is what preempted tasks are counted by.
+// Pair is the key by which preempted tasks are counted.
 type Pair struct {
 	Preemptor, Victim string // classes of the jobs
 	Reason            Reason
 }
 
-// countRow is a row as it is stored.
+// countRow is the stored form of a row.
 type countRow struct {
 	//lint:ignore U1000 read by the encoder: a row is stored as a list, which is shorter
 	_msgpack          struct{} `msgpack:",as_array"`
@@ -29,14 +29,14 @@
 	Tasks             uint64
 }
 
-// Counts counts the preempted tasks since the cluster began. Its zero value is empty. The leader counts and
-// stores; the other nodes apply what is stored.
+// Counts counts the preempted tasks since the cluster was first started. Its zero value is empty. The leader
+// adds to the counts and stores them; the other nodes apply the stored ones.
 type Counts struct {
 	version uint64
 	tasks   map[Pair]uint64
 }
 
-// Add counts preempted tasks. When there are too many pairs, further ones are counted without the names of
+// Add counts preempted tasks. Once there are maxCountRows pairs, further ones are counted without the names of
 // the classes.
 func (c *Counts) Add(pair Pair, tasks int) {
 	if c.tasks == nil {
@@ -49,7 +49,7 @@
 	c.tasks[pair] += uint64(tasks)
 }
 
-// Each calls f for each pair with its number of tasks, the largest number first.
+// Each calls f for each pair with its number of tasks, in descending order of that number.
 func (c *Counts) Each(f func(Pair, uint64)) {
 	pairs := slices.SortedFunc(maps.Keys(c.tasks), func(a, b Pair) int {
 		return cmp.Or(
@@ -64,11 +64,11 @@
 	}
 }
 
-// Version is the version of the stored value, as this node knows it.
+// Version returns the version of the stored counts that this node knows.
 func (c *Counts) Version() uint64 { return c.version }
 
-// Value returns the counts as they are stored, without the smallest rows if they don't fit; nil: not even
-// the first row fits, or there is none.
+// Value returns the encoded counts, without the smallest rows if they don't all fit. It returns nil if not even
+// the largest row fits, or if there are no rows.
 func (c *Counts) Value(fits func([]byte) bool) []byte {
 	var rows []countRow
 	c.Each(func(pair Pair, tasks uint64) {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// Apply takes the stored counts, unless a version at least as new is known. It returns an error if the value
-// can't be decoded.
+// Apply replaces the counts with the stored ones, unless a version at least as new is known. It returns an
+// error, and changes nothing, if the value can't be decoded.
 func (c *Counts) Apply(version uint64, value []byte) error {
 	if version <= c.version {
 		return nil
@@ -100,5 +100,5 @@
 	return nil
 }
 
-// Written records that the current counts are stored under a version.
-func (c *Counts) Written(version uint64) { c.version = max(c.version, version) }
+// NoteStored records that the current counts are stored under a version.
+func (c *Counts) NoteStored(version uint64) { c.version = max(c.version, version) }
--- a/internal/core/preemption/decisions.go
+++ b/internal/core/preemption/decisions.go
@@ -1,10 +1,11 @@
-// Package preemption keeps the decisions by which tasks are preempted for others: the preemptor, its victims,
-// which machines are reserved for the preemptor, for which reason and until when. A decision is committed
-// before anything is stopped for it, so that a successor carries it on: the capacity that becomes free stays
-// reserved for the preemptor, and nothing is stopped for it a second time.
+// Package preemption stores preemption decisions: the preemptor, its victims, the machines reserved for the
+// preemptor, the reason and the time of expiry. A decision is committed before any task is stopped for it, so
+// that the next leader continues it: the capacity that becomes free stays reserved for the preemptor, and no
+// task is stopped for it a second time.
 //
-// The package does the bookkeeping alone: it packs decisions into pages and commits them, reports which of them are
-// in force, and counts which classes are preempted for which. The leader makes decisions and carries them out.
+// The package only manages decisions: it packs them into pages and commits them, reports which of them are in
+// force, and counts preempted tasks by the classes of victim and preemptor. The leader makes decisions and
+// carries them out.
 package preemption
 
 import (
@@ -26,30 +27,31 @@
 	PageCount = 8
 	// MaxOpenDecisions bounds the number of decisions that are in force or to be committed.
 	MaxOpenDecisions = 256
-	// MaxDuration is how long a decision can be in force.
+	// MaxDuration is the maximum time for which a decision can be in force.
 	MaxDuration = 60 * config.Second
 )
 
 // PageKey returns the key of a page.
 func PageKey(page int) string { return KeyPrefix + strconv.Itoa(page) }
 
-// ParsePage returns the number of a page from its key without KeyPrefix; false: it is no page's.
+// ParsePage returns the number of a page from its key without KeyPrefix. It returns false if the key is not that of
+// a page.
 func ParsePage(suffix string) (int, bool) {
 	n, err := strconv.Atoi(suffix)
 	return n, err == nil && n >= 0 && n < PageCount
 }
 
-// Reason is why tasks may be preempted.
+// Reason is the reason for a preemption.
 type Reason int
 
-// The reasons. Their numbers are stored and keep their meanings.
+// Reasons for preemption. Their numbers are stored, so they must keep their meanings.
 const (
 	ReasonPriority        Reason = 1 // the preemptor's priority is higher
 	ReasonGuarantee       Reason = 2 // the preemptor's team claims its guarantee
 	ReasonDefragmentation Reason = 3 // replicas are moved so that a gang fits
 )
 
-// String returns the reason as operators read it.
+// String returns the reason in the form shown to operators.
 func (r Reason) String() string {
 	switch r {
 	case ReasonPriority:
@@ -62,11 +64,11 @@
 	return "right " + strconv.Itoa(int(r))
 }
 
-// WholeGang stands for all tasks of a gang, which are preempted together.
+// WholeGang is the Victim.Task that stands for all tasks of a gang, which are preempted together.
 const WholeGang = -1
 
-// Victim is a preempted task, under the attempt that was placed: an attempt that was placed since is not a
-// victim.
+// Victim is a preempted task, identified by the attempt that was placed when the decision was made. Attempts
+// that are placed later are not victims.
 type Victim struct {
 	//lint:ignore U1000 read by the encoder: a victim is stored as a list, which is shorter
 	_msgpack struct{} `msgpack:",as_array"`
@@ -75,24 +77,25 @@
 	Attempt  uint64
 }
 
-// Decision is to preempt tasks for a job.
+// Decision is a decision to preempt tasks for a job.
 type Decision struct {
 	//lint:ignore U1000 read by the encoder: a decision is stored as a list, which is shorter
 	_msgpack         struct{} `msgpack:",as_array"`
-	Preemptor        string   // id of the job
+	Preemptor        string   // ID of the job
 	Reason           Reason
-	Level            int    // of the preemptor when it was decided
-	Order            uint64 // 0; reserved for a revision of the order in force
+	Level            int    // queue level of the preemptor when the decision was made
+	Order            uint64 // always 0; reserved for a revision of the order in force
 	Until            Micros // time of day until which the machines are reserved
 	ReservedMachines []string
 	Victims          []Victim
 }
 
-// InForce reports whether a decision is in force at a time of day. One that would be for longer than
-// MaxDuration comes from a clock that was wrong, and is not.
+// InForce reports whether a decision is in force at a time of day. A decision that would be in force for
+// longer than MaxDuration was made with a wrong clock, and is not in force.
 func (d *Decision) InForce(wall Micros) bool { return wall < d.Until && d.Until-wall <= MaxDuration }
 
-// split divides a decision into two halves, for pages that are too small for it; nil: it can't be divided.
+// split divides a decision into two halves, for pages that are too small for it. It returns nil if the decision
+// can't be divided.
 func (d *Decision) split() []Decision {
 	if len(d.ReservedMachines)+len(d.Victims) <= 1 {
 		return nil
@@ -107,7 +110,7 @@
 	return []Decision{first, second}
 }
 
-// page is a page of decisions as it is stored.
+// page is a stored page of decisions.
 type page struct {
 	version   uint64
 	decisions []Decision
@@ -116,8 +119,8 @@
 // Decisions is a node's copy of the stored decisions. Its zero value is empty.
 type Decisions struct{ pages [PageCount]page }
 
-// Apply takes page n as the key-value store has it, unless a version at least as new is known; version 0: the
-// page does not exist. It returns an error, and changes nothing, if the value can't be decoded.
+// Apply replaces page n with its stored value, unless a version at least as new is known. Version 0 means that
+// the page does not exist. Apply returns an error, and changes nothing, if the value can't be decoded.
 func (ds *Decisions) Apply(n int, version uint64, value []byte) error {
 	if version != 0 && version <= ds.pages[n].version {
 		return nil
@@ -132,10 +135,10 @@
 	return nil
 }
 
-// Version is the version of page n; 0: it does not exist.
+// Version returns the version of page n, or 0 if the page does not exist.
 func (ds *Decisions) Version(n int) uint64 { return ds.pages[n].version }
 
-// InForce lists the decisions that are in force at a time of day, ordered by preemptor.
+// InForce returns the decisions that are in force at a time of day, ordered by preemptor.
 func (ds *Decisions) InForce(wall Micros) []Decision {
 	var out []Decision
 	for n := range ds.pages {
@@ -152,22 +155,22 @@
 // PageWrite is a page to be written.
 type PageWrite struct {
 	Page    int
-	Version uint64 // the version that it replaces
+	Version uint64 // version that is replaced
 	Value   []byte
 }
 
-// Pack adds fresh decisions to as few pages as possible, beside the stored ones that are still needed. It
-// returns the pages to write, at most maxWrites, and the number of fresh decisions that they contain, which are
-// the first ones. Decisions that are not needed any more are removed from a page when it is written.
+// Pack adds pending decisions to as few pages as possible, beside the stored ones that are still needed. It
+// returns the pages to write, at most maxWrites, and the number of pending decisions that they contain, which
+// are the first ones. Decisions that are no longer needed are removed from a page when it is written.
 func (ds *Decisions) Pack(
-	fresh []Decision, maxWrites int, needed func(*Decision) bool, fits func([]byte) bool,
+	pending []Decision, maxWrites int, needed func(*Decision) bool, fits func([]byte) bool,
 ) (writes []PageWrite, packed int) {
 	kept := ds.neededByPage(needed)
 	for _, n := range emptiestFirst(kept) {
-		if packed == len(fresh) || len(writes) == maxWrites {
+		if packed == len(pending) || len(writes) == maxWrites {
 			break
 		}
-		value, added := fillPage(kept[n], fresh[packed:], fits)
+		value, added := fillPage(kept[n], pending[packed:], fits)
 		packed += added
 		if value != nil {
 			writes = append(writes, PageWrite{n, ds.pages[n].version, value})
@@ -176,7 +179,7 @@
 	return writes, packed
 }
 
-// neededByPage lists the decisions of each page that are still needed.
+// neededByPage returns the decisions of each page that are still needed.
 func (ds *Decisions) neededByPage(needed func(*Decision) bool) [][]Decision {
 	kept := make([][]Decision, PageCount)
 	for n := range ds.pages {
@@ -189,7 +192,7 @@
 	return kept
 }
 
-// emptiestFirst returns the numbers of the pages, ordered by their number of decisions.
+// emptiestFirst returns the numbers of the pages, in ascending order of their number of decisions.
 func emptiestFirst(kept [][]Decision) []int {
 	order := make([]int, len(kept))
 	for n := range order {
@@ -199,10 +202,10 @@
 	return order
 }
 
-// fillPage adds fresh decisions to those of a page while they fit. It returns the value of the page and how
-// many were added; nil: none.
-func fillPage(decisions, fresh []Decision, fits func([]byte) bool) (value []byte, added int) {
-	for _, d := range fresh {
+// fillPage adds pending decisions to those of a page while they fit. It returns the encoded page and the number
+// of added decisions. The value is nil if none was added.
+func fillPage(decisions, pending []Decision, fits func([]byte) bool) (value []byte, added int) {
+	for _, d := range pending {
 		extended := append(decisions, d)
 		raw, err := job.Encode(extended)
 		if err != nil || !fits(raw) {
@@ -215,8 +218,8 @@
 	return value, added
 }
 
-// SplitToFit returns a decision in as many parts as necessary for each to fit into a page alone. What can't be
-// divided any further and still doesn't fit is left out.
+// SplitToFit divides a decision into as many parts as necessary for each of them to fit into a page of its own.
+// A part that can't be divided further and still doesn't fit is left out.
 func SplitToFit(d Decision, fits func([]byte) bool) []Decision {
 	raw, err := job.Encode([]Decision{d})
 	if err == nil && fits(raw) {
--- a/internal/core/preemption/decisions_test.go
+++ b/internal/core/preemption/decisions_test.go
@@ -11,11 +11,11 @@
 	"coralhub/internal/core/job"
 )
 
-// Each run checks the same cases; -rapid.seed draws others.
+// The fixed seed makes every run check the same cases; the flag -rapid.seed selects others.
 var _ = flag.Set("rapid.seed", "1")
 
-// decision draws a decision for a preemptor.
-func decision(t *rapid.T, preemptor string, until Micros) Decision {
+// drawDecision draws a random decision for a preemptor.
+func drawDecision(t *rapid.T, preemptor string, until Micros) Decision {
 	d := Decision{Preemptor: preemptor, Reason: Reason(rapid.IntRange(1, 3).Draw(t, "why")), Level: 4, Until: until}
 	for i := range rapid.IntRange(0, 40).Draw(t, "kept") {
 		d.ReservedMachines = append(d.ReservedMachines, fmt.Sprintf("m-%06d", i))
@@ -26,22 +26,21 @@
 	return d
 }
 
-// Whatever is decided, written and ends in any order: packed decisions are in force until they are not needed
-// any more, no page is larger than a value may be, and the parts of a decision have together what the whole
-// had.
-func TestPackedDecisionsAreInForceUntilTheyEnd(t *testing.T) {
+// For any sequence of decisions, writes and expirations: packed decisions are in force until they expire, no page
+// exceeds the size limit of a value, and the parts of a divided decision together have all its machines and victims.
+func TestPackedDecisionsAreInForceUntilTheyExpire(t *testing.T) {
 	const maxValueBytes = 1500
 	fits := func(raw []byte) bool { return len(raw) <= maxValueBytes }
 	rapid.Check(t, func(t *rapid.T) {
 		var decisions Decisions
 		now, revision := 1000*config.Second, uint64(0)
-		want := map[string]Micros{} // until when, by preemptor
+		want := map[string]Micros{} // time of expiry by preemptor
 		parts := map[string]int{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "rounds") {
 			now += Micros(rapid.IntRange(0, 9).Draw(t, "s")) * config.Second
-			var fresh []Decision
+			var pending []Decision
 			for k := range rapid.IntRange(0, 6).Draw(t, "decisions") {
-				d := decision(t, fmt.Sprintf("j-%d-%d", i, k), now+Micros(rapid.IntRange(1, 20).Draw(t, "for"))*config.Second)
+				d := drawDecision(t, fmt.Sprintf("j-%d-%d", i, k), now+Micros(rapid.IntRange(1, 20).Draw(t, "for"))*config.Second)
 				split := SplitToFit(d, fits)
 				machines, victims := 0, 0
 				for _, p := range split {
@@ -49,24 +48,26 @@
 					victims += len(p.Victims)
 				}
 				if machines != len(d.ReservedMachines) || victims != len(d.Victims) {
-					t.Fatalf("%d of %d machines, %d of %d victims in the parts", machines, len(d.ReservedMachines), victims, len(d.Victims))
+					t.Fatalf("the parts have %d of %d machines and %d of %d victims",
+						machines, len(d.ReservedMachines), victims, len(d.Victims))
 				}
-				fresh = append(fresh, split...)
+				pending = append(pending, split...)
 			}
-			writes, packed := decisions.Pack(fresh, 3, func(d *Decision) bool { return d.InForce(now) }, fits)
+			writes, packed := decisions.Pack(pending, 3, func(d *Decision) bool { return d.InForce(now) }, fits)
 			if len(writes) > 3 {
-				t.Fatalf("%d pages written", len(writes))
+				t.Fatalf("%d pages written, want at most 3", len(writes))
 			}
 			revision++
 			for _, w := range writes {
 				if !fits(w.Value) || w.Version != decisions.Version(w.Page) {
-					t.Fatalf("page %d of %d bytes over version %d", w.Page, len(w.Value), w.Version)
+					t.Fatalf("page %d: %d bytes replace version %d, want at most %d bytes and version %d",
+						w.Page, len(w.Value), w.Version, maxValueBytes, decisions.Version(w.Page))
 				}
 				if err := decisions.Apply(w.Page, revision, w.Value); err != nil {
 					t.Fatal(err)
 				}
 			}
-			for _, d := range fresh[:packed] {
+			for _, d := range pending[:packed] {
 				want[d.Preemptor] = d.Until
 				parts[d.Preemptor]++
 			}
@@ -83,8 +84,8 @@
 	})
 }
 
-// An older version of a page, or the same again, changes nothing; a decision that a wrong clock has made too long
-// is not in force; an unreadable page is an error, and a deleted one is empty.
+// A version of a page that is not newer changes nothing. A decision that exceeds MaxDuration because of a wrong
+// clock is not in force. A page that can't be decoded is an error, and a deleted page is empty.
 func TestApplyIgnoresOldPagesAndTooLongDecisions(t *testing.T) {
 	var decisions Decisions
 	now := 1000 * config.Second
@@ -105,18 +106,18 @@
 		}
 	}
 	if ds := decisions.InForce(now); len(ds) != 1 || ds[0].Preemptor != "new" || decisions.Version(2) != 7 {
-		t.Errorf("%+v", ds)
+		t.Errorf("in force: %+v at version %d, want the decision of version 7", ds, decisions.Version(2))
 	}
 	if err := decisions.Apply(3, 8, value("for ever", now+2*MaxDuration)); err != nil {
 		t.Fatal(err)
 	}
 	if ds := decisions.InForce(now); len(ds) != 1 {
-		t.Errorf("%+v", ds)
+		t.Errorf("in force: %+v, want 1 decision", ds)
 	}
 	if err := decisions.Apply(2, 9, []byte("\xc1")); err == nil {
-		t.Error("an unreadable page is applied")
+		t.Error("a page that can't be decoded was applied")
 	}
 	if err := decisions.Apply(2, 0, nil); err != nil || len(decisions.InForce(now)) != 0 {
-		t.Errorf("a page that was deleted is in force: %v", err)
+		t.Errorf("after the deletion of page 2: error %v, in force: %+v", err, decisions.InForce(now))
 	}
 }
--- a/internal/core/slo/recorder.go
+++ b/internal/core/slo/recorder.go
@@ -20,79 +20,80 @@
 	maxLogged = 100
 )
 
-// Progress is how far a job has come by its records.
+// Progress is the progress of a job according to its records.
 type Progress struct {
-	Started  bool // it has ever had a placement
-	Complete bool // it is done or, for a service, has all its replicas placed
+	Started  bool // set if it has ever had a placement
+	Complete bool // set if it is done or, for a service, has all its replicas placed
 }
 
-// Recorder is what a node knows of the SLO attainment. Every node counts, by the records that it
-// reads, so that a successor continues the counts of the leader before it. A node that has just started
-// knows nothing of jobs that have ended: it only counts those that were accepted since. It is not safe for
-// concurrent use.
+// Recorder measures the SLO attainment from the records that a node reads. Every node does so, so that a
+// new leader continues the counts of its predecessor. A node that has just started has no data on jobs that
+// have ended, so it counts only jobs that were accepted since. Recorder is not safe for concurrent use.
 type Recorder struct {
 	outbox   *outbox.Outbox
 	tracker  *Tracker
-	since    Micros // time of day from which on jobs are counted; 0: not yet known
+	since    Micros // jobs accepted from this time of day on are counted; 0 if not known yet
 	loggedAt Micros
 }
 
-// NewRecorder returns a recorder that counts nothing yet. Jobs have to start within a time from their acceptance on.
+// NewRecorder returns a recorder that counts no jobs before StartCounting is called. Jobs have to start within
+// startWithin of their acceptance.
 func NewRecorder(out *outbox.Outbox, startWithin Micros) *Recorder {
 	return &Recorder{outbox: out, tracker: New(startWithin)}
 }
 
-// StartCounting has jobs counted that are accepted from a time of day on. Only the first call has an effect.
+// StartCounting enables the counting of jobs that are accepted from a time of day on. Only the first call has an
+// effect.
 func (r *Recorder) StartCounting(wall Micros) {
 	if r.since == 0 {
 		r.since = wall
 	}
 }
 
-// Tracker returns the attainment by the jobs that were counted.
+// Tracker returns the tracker of the counted jobs.
 func (r *Recorder) Tracker() *Tracker { return r.tracker }
 
-// Record counts what the record of a job says about its objectives at a time of day; 0: not known yet. It takes and
-// returns what is known of the job; nil: it is not counted, or not any more.
-func (r *Recorder) Record(wall Micros, known *Job, record *job.Record, progress Progress) *Job {
-	if r.since == 0 || wall == 0 || r.acceptedBefore(record) {
-		return known
+// Record updates the attainment with the record of a job. wall is the time of day, or 0 if it is not known yet.
+// tracked is the result of the last call for the job; it is nil if the job is not counted, or no longer counted.
+func (r *Recorder) Record(wall Micros, tracked *Job, record *job.Record, progress Progress) *Job {
+	if r.since == 0 || wall == 0 || r.acceptedBeforeCounting(record) {
+		return tracked
 	}
-	if known == nil && record.Spec != nil && !record.Final() {
-		known = r.tracker.JobAccepted(wall, record.Spec, record.CreatedAt)
+	if tracked == nil && record.Spec != nil && !record.Final() {
+		tracked = r.tracker.JobAccepted(wall, record.Spec, record.CreatedAt)
 	}
-	if known != nil {
-		r.recordProgress(wall, known, record, progress)
+	if tracked != nil {
+		r.recordProgress(wall, tracked, record, progress)
 	}
 	if record.Final() {
 		return nil
 	}
-	return known
+	return tracked
 }
 
-func (r *Recorder) recordProgress(wall Micros, known *Job, record *job.Record, progress Progress) {
+func (r *Recorder) recordProgress(wall Micros, tracked *Job, record *job.Record, progress Progress) {
 	if record.Phase == job.Cancelled || record.CancelRequested {
-		r.tracker.JobCancelled(wall, known)
+		r.tracker.JobCancelled(wall, tracked)
 		return
 	}
 	if progress.Started {
-		r.tracker.JobStarted(wall, known)
+		r.tracker.JobStarted(wall, tracked)
 	}
 	if progress.Complete {
-		r.tracker.JobCompleted(wall, known)
+		r.tracker.JobCompleted(wall, tracked)
 	}
 }
 
-// acceptedBefore reports whether a job was accepted before this node began to count, or at a time
-// that is not known.
-func (r *Recorder) acceptedBefore(record *job.Record) bool {
+// acceptedBeforeCounting reports whether a job was accepted before this node began to count, or at an
+// unknown time.
+func (r *Recorder) acceptedBeforeCounting(record *job.Record) bool {
 	if record.CreatedAt == 0 {
 		return record.Spec != nil
 	}
 	return record.CreatedAt < r.since
 }
 
-// Log writes the log lines when they are due. The time of day is 0 if it is not known yet.
+// Log writes the log lines if they are due. wall is the time of day, or 0 if it is not known yet.
 func (r *Recorder) Log(wall Micros) {
 	if r.outbox.Now()-r.loggedAt < logInterval || wall == 0 {
 		return
@@ -113,7 +114,7 @@
 		"largest", formatRatios(attainment.Largest))
 }
 
-// formatRatios lists ratios by name with their numbers of jobs, the worst first.
+// formatRatios lists ratios by name with their numbers of jobs, in ascending order and at most maxLogged of them.
 func formatRatios(ratios map[string]Ratio) string {
 	names := slices.SortedFunc(maps.Keys(ratios), func(a, b string) int {
 		return cmp.Or(cmp.Compare(ratios[a].Value(), ratios[b].Value()), cmp.Compare(a, b))
--- a/internal/core/slo/tracker.go
+++ b/internal/core/slo/tracker.go
@@ -1,9 +1,9 @@
-// Package slo measures which share of the jobs meets its service level objectives, so that a class, a team or
-// the largest jobs of a class that starve are noticed. Each job is judged once by each of two objectives, when
-// its deadline for it has passed. Has it started, that is, has it had a placement? And has it completed: a job
-// that ends by itself has to be done by then, a service to have all its replicas placed. A job that its
-// user cancels before that doesn't count. Submissions that were refused are not known here: clients count
-// them.
+// Package slo measures the share of jobs that meet their service level objectives, to reveal the starvation of
+// a class, of a team or of the largest jobs of a class. Each job is evaluated once against each of two
+// objectives, when its deadline for that objective has passed. A job meets the first objective if it has
+// started, that is, has had a placement. It meets the second if it has completed: a service must have all its
+// replicas placed by the deadline, any other job must be done. A job that its user cancels before the deadline
+// is not counted. Refused submissions are not known to this package; clients count them.
 package slo
 
 import (
@@ -16,63 +16,65 @@
 	"coralhub/wire"
 )
 
-// Micros is a time or a duration in whole microseconds; times of jobs are the time of day.
+// Micros is a time or a duration in whole microseconds. Times of jobs are times of day.
 type Micros = config.Micros
 
 const (
-	// Window is the time over which jobs count, by their deadlines.
+	// Window is the period over which jobs are counted, by their deadlines.
 	Window = 10 * 60 * config.Second
-	// bucketLength is the time over which deadlines are counted together.
+	// bucketLength is the length of the buckets in which jobs are counted by their deadlines.
 	bucketLength = 10 * config.Second
-	// minCompletionTime and completionFactor give the time that a job has to complete: so many times its
-	// user's estimate, which is often wrong by half, and no less than a minute, which machines take to
+	// minCompletionTime and completionFactor determine the time that a job has to complete: a multiple of
+	// its user's estimate, which is often wrong by half, but at least the minute that machines take to
 	// boot.
 	minCompletionTime = 60 * config.Second
 	completionFactor  = 4
-	// maxKeys bounds the number of keys in a bucket, and of names in an answer: users choose names and
-	// sizes.
+	// maxKeys bounds the number of keys in a bucket and the number of names in an answer, because users
+	// choose names and sizes.
 	maxKeys = 200
 	// largestShare is the share of a class's jobs that counts as its largest ones.
 	largestShare = 0.1
 )
 
-// Key is what jobs are counted by.
+// Key is the key by which jobs are counted.
 type Key struct {
 	Class, Team string
 	Size        int // as SizeBucket returns it
 }
 
-// SizeBucket returns the lower bound of the size bucket of a job with a number of tasks. Buckets are exact up to
-// 8 tasks; from each power of two to the next there are four.
+// SizeBucket returns the lower bound of the size bucket of a job with a number of tasks. Up to 8 tasks, each
+// number has its own bucket; above, there are four buckets from each power of two to the next.
 func SizeBucket(tasks int) int {
 	shift := max(0, bits.Len(uint(tasks))-3)
 	return tasks >> shift << shift
 }
 
-// outcome is whether a job meets one objective.
+// outcome is the outcome of one objective of a job.
 type outcome struct {
 	key      Key
 	deadline Micros
 	met      bool
 }
 
-// Job is what a Tracker knows of a job.
+// Job is a Tracker's state of a job.
 type Job struct {
-	cancelled          bool // it doesn't count any more
+	cancelled          bool // it is no longer counted
 	completed, started outcome
 }
 
-// tally is a number of jobs and how many of them have met an objective.
-type tally struct{ jobs, met int }
+// jobCounts is a number of jobs and the number of those that have met an objective.
+type jobCounts struct{ jobs, met int }
 
-func (t tally) plus(other tally) tally { return tally{t.jobs + other.jobs, t.met + other.met} }
+func (t jobCounts) plus(other jobCounts) jobCounts {
+	return jobCounts{t.jobs + other.jobs, t.met + other.met}
+}
 
-func (t tally) ratio() Ratio { return Ratio{t.jobs, t.met} }
+func (t jobCounts) ratio() Ratio { return Ratio{t.jobs, t.met} }
 
-// Ratio is a number of judged jobs and how many of them have met the objective.
+// Ratio is a number of evaluated jobs and the number of those that have met the objective.
 type Ratio struct{ Jobs, Met int }
 
-// Value is the share of jobs that have met the objective, 0 to 1.
+// Value returns the share of jobs that have met the objective, from 0 to 1. It is 0 if there are no jobs.
 func (r Ratio) Value() float64 { return float64(r.Met) / float64(max(r.Jobs, 1)) }
 
 // plus returns the sum of two ratios' jobs.
@@ -81,32 +83,33 @@
 // Attainment is the SLO attainment by class, by team, and of the largest tenth of each class.
 type Attainment struct{ Class, Team, Largest map[string]Ratio }
 
-// objective counts the outcomes of one objective, by the beginning of the bucket of their deadlines.
-type objective map[Micros]map[Key]tally
+// objective counts the outcomes of one objective, by the start of the bucket that contains their deadlines.
+type objective map[Micros]map[Key]jobCounts
 
-// add adds to the numbers of jobs and of those that have met the objective.
+// add adds to the number of jobs and to the number of those that have met the objective. A new key in a full bucket is
+// replaced by the empty one.
 func (o objective) add(result *outcome, jobs, met int) {
 	at := result.deadline - result.deadline%bucketLength
 	counts := o[at]
 	if counts == nil {
-		counts = map[Key]tally{}
+		counts = map[Key]jobCounts{}
 		o[at] = counts
 	}
 	if _, exists := counts[result.key]; !exists && len(counts) >= maxKeys {
 		result.key = Key{}
 	}
-	counts[result.key] = counts[result.key].plus(tally{jobs, met})
+	counts[result.key] = counts[result.key].plus(jobCounts{jobs, met})
 }
 
-// meet records that a job meets the objective. After its deadline this changes nothing.
-func (o objective) meet(now Micros, result *outcome) {
+// recordMet records that a job meets the objective. It has no effect after the deadline.
+func (o objective) recordMet(now Micros, result *outcome) {
 	if !result.met && now <= result.deadline {
 		result.met = true
 		o.add(result, 0, 1)
 	}
 }
 
-// remove takes a job out of the counts unless its deadline has passed.
+// remove removes a job from the counts unless its deadline has passed.
 func (o objective) remove(now Micros, result *outcome) {
 	if now > result.deadline {
 		return
@@ -120,10 +123,10 @@
 
 // expire removes the buckets before the window.
 func (o objective) expire(now Micros) {
-	maps.DeleteFunc(o, func(at Micros, _ map[Key]tally) bool { return at+bucketLength <= now-Window })
+	maps.DeleteFunc(o, func(at Micros, _ map[Key]jobCounts) bool { return at+bucketLength <= now-Window })
 }
 
-// attainment adds up the jobs whose deadlines have passed.
+// attainment sums up the jobs whose deadlines have passed.
 func (o objective) attainment(now Micros) Attainment {
 	o.expire(now)
 	out := Attainment{map[string]Ratio{}, map[string]Ratio{}, map[string]Ratio{}}
@@ -152,19 +155,20 @@
 }
 
 // sizeCounts counts the jobs of each class by size bucket.
-type sizeCounts map[string]map[int]tally
+type sizeCounts map[string]map[int]jobCounts
 
-func (sc sizeCounts) add(key Key, t tally) {
+func (sc sizeCounts) add(key Key, t jobCounts) {
 	bySize := sc[key.Class]
 	if bySize == nil {
-		bySize = map[int]tally{}
+		bySize = map[int]jobCounts{}
 		sc[key.Class] = bySize
 	}
 	bySize[key.Size] = bySize[key.Size].plus(t)
 }
 
-// splitLargest divides the jobs of a class into the largest tenth, from some size bucket on, and the rest.
-func splitLargest(bySize map[int]tally) (from int, largest, rest tally) {
+// splitLargest divides the jobs of a class into the largest tenth and the rest. It also returns the smallest size
+// bucket of the largest tenth.
+func splitLargest(bySize map[int]jobCounts) (from int, largest, rest jobCounts) {
 	jobs := 0
 	for _, t := range bySize {
 		jobs += t.jobs
@@ -179,7 +183,8 @@
 	return from, largest, rest
 }
 
-// mergeSmallest merges the entries with the fewest jobs under the name "" when there are too many to read.
+// mergeSmallest merges the entries with the fewest jobs under the name "" if there are more than maxKeys, which would
+// be too many to read.
 func mergeSmallest(ratios map[string]Ratio) {
 	if len(ratios) <= maxKeys {
 		return
@@ -200,12 +205,12 @@
 	completed, started objective
 }
 
-// New returns a Tracker that knows of no jobs. They have to start within a time from their acceptance on.
+// New returns a Tracker without jobs. Jobs have to start within startWithin of their acceptance.
 func New(startWithin Micros) *Tracker {
 	return &Tracker{startWithin: startWithin, completed: objective{}, started: objective{}}
 }
 
-// CompletionDeadline returns by when a job that was accepted at a time has to complete.
+// CompletionDeadline returns the time by which a job that was accepted at a time has to complete.
 func CompletionDeadline(spec *wire.Job, created Micros) Micros {
 	if spec.Shape == wire.Service {
 		return created + minCompletionTime
@@ -217,7 +222,8 @@
 	return created + within
 }
 
-// JobAccepted counts a job that was accepted at a time; nil: its deadlines have passed for longer than the window.
+// JobAccepted counts a job that was accepted at a time. It returns nil if both deadlines of the job are before the
+// window.
 func (t *Tracker) JobAccepted(now Micros, spec *wire.Job, created Micros) *Job {
 	t.completed.expire(now)
 	t.started.expire(now)
@@ -234,22 +240,22 @@
 	return j
 }
 
-// JobStarted records that a job has had a placement. The job may be nil.
+// JobStarted records that a job has had a placement. j may be nil.
 func (t *Tracker) JobStarted(now Micros, j *Job) {
 	if j != nil && !j.cancelled {
-		t.started.meet(now, &j.started)
+		t.started.recordMet(now, &j.started)
 	}
 }
 
-// JobCompleted records that a job is done, or has all its replicas placed. The job may be nil.
+// JobCompleted records that a job is done, or has all its replicas placed. j may be nil.
 func (t *Tracker) JobCompleted(now Micros, j *Job) {
 	if j != nil && !j.cancelled {
-		t.completed.meet(now, &j.completed)
+		t.completed.recordMet(now, &j.completed)
 	}
 }
 
-// JobCancelled records that a job was cancelled by its user. Objectives whose deadline has passed still count. The
-// job may be nil.
+// JobCancelled records that a job was cancelled by its user. Objectives whose deadline has passed remain counted.
+// j may be nil.
 func (t *Tracker) JobCancelled(now Micros, j *Job) {
 	if j == nil || j.cancelled {
 		return
@@ -259,15 +265,15 @@
 	j.cancelled = true
 }
 
-// CompletedInTime returns which jobs have completed in time, of those whose deadlines have passed within the
+// CompletedInTime returns how many jobs have completed in time, of those whose deadlines have passed within the
 // window.
 func (t *Tracker) CompletedInTime(now Micros) Attainment { return t.completed.attainment(now) }
 
-// StartedInTime returns which jobs have started in time, of those whose deadlines have passed within the window.
+// StartedInTime returns how many jobs have started in time, of those whose deadlines have passed within the window.
 func (t *Tracker) StartedInTime(now Micros) Attainment { return t.started.attainment(now) }
 
-// ClassStarts is how many jobs of a class that were accepted lately have started, whether their deadlines have
-// passed or not.
+// ClassStarts counts the recently accepted jobs of a class and those of them that have started, whether or not their
+// deadlines have passed.
 type ClassStarts struct {
 	LargestBucket int // size bucket from which on a job counts among the largest
 	Largest, Rest Ratio
--- a/internal/core/slo/tracker_test.go
+++ b/internal/core/slo/tracker_test.go
@@ -12,23 +12,23 @@
 	"coralhub/wire"
 )
 
-// Each run checks the same cases; -rapid.seed draws others.
+// The fixed seed makes every run check the same cases; the flag -rapid.seed selects others.
 var _ = flag.Set("rapid.seed", "1")
 
-const within = 240 * config.Second
+const startTimeLimit = 240 * config.Second
 
 func TestSizeBucket(t *testing.T) {
 	for tasks, want := range map[int]int{1: 1, 7: 7, 8: 8, 9: 8, 10: 10, 16: 16, 19: 16, 20: 20, 90: 80, 100_000: 98304} {
 		if got := SizeBucket(tasks); got != want {
-			t.Errorf("%d tasks count as %d", tasks, got)
+			t.Errorf("%d tasks: bucket %d, want %d", tasks, got, want)
 		}
 	}
 }
 
-// The jobs with the most tasks count as the largest of their class, whichever sizes the class has most of; where
-// all have the same size every one does.
+// The jobs with the most tasks count as the largest of their class, regardless of the sizes that are most common in
+// it. If all jobs have the same size, all of them count as the largest.
 func TestLargestJobsOfClasses(t *testing.T) {
-	tracker := New(within)
+	tracker := New(startTimeLimit)
 	now := 1000 * config.Second
 	accept := func(class string, tasks, count, started int) {
 		for i := range count {
@@ -49,18 +49,19 @@
 	if c := classes["uniform"]; c != (ClassStarts{2, Ratio{5, 1}, Ratio{}}) {
 		t.Errorf("uniform: %+v", c)
 	}
-	now += within + bucketLength
+	now += startTimeLimit + bucketLength
 	got := tracker.StartedInTime(now)
-	if got.Class["mixed"] != (Ratio{100, 77}) || got.Largest["mixed"] != (Ratio{10, 2}) || got.Largest["uniform"] != (Ratio{5, 1}) {
-		t.Errorf("%+v", got)
+	if got.Class["mixed"] != (Ratio{100, 77}) || got.Largest["mixed"] != (Ratio{10, 2}) ||
+		got.Largest["uniform"] != (Ratio{5, 1}) {
+		t.Errorf("started in time: %+v", got)
 	}
-	if late := tracker.CompletedInTime(now).Class["mixed"]; late != (Ratio{100, 0}) {
-		t.Errorf("completed: %+v", late)
+	if completed := tracker.CompletedInTime(now).Class["mixed"]; completed != (Ratio{100, 0}) {
+		t.Errorf("completed in time: %+v, want none of 100", completed)
 	}
 }
 
 func TestCompletionDeadline(t *testing.T) {
-	late := 900.0
+	deadline := 900.0
 	for _, tt := range []struct {
 		spec wire.Job
 		want Micros
@@ -68,16 +69,16 @@
 		{wire.Job{Shape: wire.Service}, 60},
 		{wire.Job{Shape: wire.Array, EstimateS: 3}, 60},
 		{wire.Job{Shape: wire.Gang, EstimateS: 100}, 400},
-		{wire.Job{Shape: wire.Array, EstimateS: 100, DeadlineS: &late}, 900},
+		{wire.Job{Shape: wire.Array, EstimateS: 100, DeadlineS: &deadline}, 900},
 	} {
 		if got := CompletionDeadline(&tt.spec, config.Second); got != config.Second+tt.want*config.Second {
-			t.Errorf("%+v: due after %d us", tt.spec, got-config.Second)
+			t.Errorf("%+v: deadline after %d us, want %d us", tt.spec, got-config.Second, tt.want*config.Second)
 		}
 	}
 }
 
 func TestNumberOfNamesIsBounded(t *testing.T) {
-	tracker := New(within)
+	tracker := New(startTimeLimit)
 	now := 1000 * config.Second
 	for i := range 3 * maxKeys {
 		now += config.Second
@@ -89,36 +90,38 @@
 		jobs += s.Jobs
 	}
 	if len(classes) > maxKeys+1 || jobs < 500 {
-		t.Errorf("%d names, %d jobs", len(classes), jobs)
+		t.Errorf("%d names and %d jobs, want at most %d names and at least 500 jobs", len(classes), jobs, maxKeys+1)
 	}
 }
 
-// Whatever happens to jobs in any order, the attainment is that of judging each job by itself, and the number of
-// buckets is bounded by the window.
-func TestAttainmentAgreesWithJudgingEachJob(t *testing.T) {
-	type one struct {
+// For any sequence of events, the attainment equals that of evaluating each job separately, and the number of buckets
+// is bounded by the window.
+func TestAttainmentEqualsSeparateEvaluation(t *testing.T) {
+	type trackedJob struct {
 		*Job
 		class, team            string
 		done, cancelled, dueAt Micros
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		tracker := New(within)
-		var all []*one
+		tracker := New(startTimeLimit)
+		var all []*trackedJob
 		now := 1000 * config.Second
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += Micros(rapid.IntRange(0, 40).Draw(t, "s"))*config.Second + 1
-			what := rapid.IntRange(0, 3).Draw(t, "what")
-			if what <= 1 || len(all) == 0 {
-				spec := &wire.Job{Class: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"), Team: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "team"),
+			action := rapid.IntRange(0, 3).Draw(t, "what")
+			if action <= 1 || len(all) == 0 {
+				spec := &wire.Job{Class: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"),
+					Team:  rapid.SampledFrom([]string{"x", "y"}).Draw(t, "team"),
 					Shape: wire.Array, EstimateS: float64(rapid.IntRange(1, 60).Draw(t, "estimate"))}
-				all = append(all, &one{Job: tracker.JobAccepted(now, spec, now), class: spec.Class, team: spec.Team, dueAt: CompletionDeadline(spec, now)})
+				all = append(all, &trackedJob{Job: tracker.JobAccepted(now, spec, now), class: spec.Class, team: spec.Team,
+					dueAt: CompletionDeadline(spec, now)})
 				continue
 			}
 			o := rapid.SampledFrom(all).Draw(t, "job")
-			if what == 2 && o.cancelled == 0 && o.done == 0 {
+			if action == 2 && o.cancelled == 0 && o.done == 0 {
 				o.done = now
 				tracker.JobCompleted(now, o.Job)
-			} else if what == 3 && o.cancelled == 0 {
+			} else if action == 3 && o.cancelled == 0 {
 				o.cancelled = now
 				tracker.JobCancelled(now, o.Job)
 			}
@@ -137,10 +140,10 @@
 			}
 			got := tracker.CompletedInTime(now)
 			if !maps.Equal(got.Class, classes) || !maps.Equal(got.Team, teams) {
-				t.Fatalf("%v, should be %v %v", got, classes, teams)
+				t.Fatalf("attainment %v, want classes %v and teams %v", got, classes, teams)
 			}
 			if len(tracker.completed)+len(tracker.started) > 2*int(Window/bucketLength)+60 {
-				t.Fatalf("%d and %d buckets", len(tracker.completed), len(tracker.started))
+				t.Fatalf("%d and %d buckets exceed the bound of the window", len(tracker.completed), len(tracker.started))
 			}
 		}
 	})
