--- a/internal/core/catalog.go
+++ b/internal/core/catalog.go
@@ -11,20 +11,21 @@
 const catalogKey = job.KeyRoot + "catalog"
 
 const (
-	// catalogRetryInterval is the time between requests while the machine types are unknown.
+	// catalogRetryInterval is the time between requests to the cloud while the machine types are unknown.
 	catalogRetryInterval = config.Second
-	// catalogRefreshInterval is the time between requests of a leader that knows them.
+	// catalogRefreshInterval is the time between the requests of a leader that already has them.
 	catalogRefreshInterval = 30 * config.Second
 )
 
-// catalogState is what a core knows about where its catalog of machine types is from.
+// catalogState records the origin of a core's catalog of machine types.
 type catalogState struct {
-	catalogVersion     uint64 // of the stored catalog, 0 if there is none
-	catalogRequestedAt Micros
+	catalogVersion     uint64 // version of the stored catalog, 0 if there is none
+	catalogRequestedAt Micros // time of the last request to the cloud, 0 if there was none
 }
 
-// fetchCatalogIfDue requests the machine types from the cloud. Without them no job can be admitted: a
-// node whose records don't have them requests them at once. The leader refreshes them.
+// fetchCatalogIfDue requests the machine types from the cloud if a request is due. No job can be admitted
+// without them, so a node that has read the records and found none requests them at once. The leader
+// refreshes them regularly.
 func (c *Core) fetchCatalogIfDue() {
 	age := c.outbox.Now() - c.catalogRequestedAt
 	missing := !c.catalog.Known() && c.loaded
@@ -36,8 +37,8 @@
 	}
 }
 
-// catalogDone applies the machine types of the cloud. The leader stores them in the key-value store,
-// so that nodes that start during an outage of the cloud know them.
+// catalogDone applies the machine types received from the cloud. The leader stores them in the key-value
+// store, so that nodes that start during an outage of the cloud can read them.
 func (c *Core) catalogDone(done msg.CatalogDone) {
 	if done.Outcome != msg.OK || len(done.Catalog.Types) == 0 {
 		return
@@ -49,7 +50,7 @@
 	}
 }
 
-// sameMachineTypes reports whether the machine types and their resources are those that this node knows.
+// sameMachineTypes reports whether a catalog has the same machine types with the same resources as the current one.
 func (c *Core) sameMachineTypes(catalog *wire.Catalog) bool {
 	if len(c.catalog.Types) != len(catalog.Types) {
 		return false
@@ -64,7 +65,7 @@
 	return true
 }
 
-// storeCatalog writes the machine types to the key-value store, unless they are too large.
+// storeCatalog writes the machine types to the key-value store, unless they exceed the size limit of a value.
 func (c *Core) storeCatalog(catalog *wire.Catalog) {
 	value, err := job.Encode(catalog)
 	if err != nil || !c.encoding.Fits(value) {
@@ -78,7 +79,8 @@
 	})
 }
 
-// applyCatalog applies a change of the stored machine types. A value that cannot be decoded is ignored.
+// applyCatalog applies a change of the stored machine types. Deletions, versions that are not newer and values that
+// can't be decoded are ignored.
 func (c *Core) applyCatalog(change *wire.Change) {
 	if change.Put == "" || change.Version <= c.catalogVersion {
 		return
--- a/internal/core/changes.go
+++ b/internal/core/changes.go
@@ -8,8 +8,8 @@
 	"coralhub/wire"
 )
 
-// applySnapshot replaces what this node knows by a listing. Keys that were changed after the listing
-// began come again through the watch.
+// applySnapshot replaces all that this node has read from the key-value store with a listing. The watch
+// reports again any key that was changed after the listing began.
 func (c *Core) applySnapshot(snapshot msg.Snapshot) {
 	listed := make(map[string]bool, len(snapshot.Items))
 	for i := range snapshot.Items {
@@ -31,7 +31,7 @@
 	c.leader.OnRecordsRead(snapshot.Revision)
 }
 
-// applyChanges applies the changes of a watch.
+// applyChanges applies the changes reported by the watch.
 func (c *Core) applyChanges(changed msg.Changed) {
 	for i := range changed.Events {
 		c.apply(&changed.Events[i])
@@ -41,7 +41,8 @@
 	c.frontend.WatchAdvanced()
 }
 
-// applyPeerUpdate applies a record that another node has just committed, ahead of the watch.
+// applyPeerUpdate applies a record that another node has just committed, before the watch reports it. Other keys are
+// ignored, and so is any change before the first listing.
 func (c *Core) applyPeerUpdate(change *wire.Change) {
 	id, shard, ok := job.ParseKey(change.Put)
 	isRecord := ok && shard == 0 && id != ""
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,10 @@
-// Package core is the scheduler of a node as a deterministic state machine: Step handles an input and
-// returns the effects that it requests. A core has no clock, does no I/O and starts no goroutines,
-// and nothing in it depends on the iteration order of a map.
+// Package core implements the scheduler of a node as a deterministic state machine: Step handles an input
+// and returns the effects that the node has to execute. A core has no clock, does no I/O and starts no
+// goroutines, and nothing in it depends on the iteration order of a map.
 //
-// Every node keeps a replica of the records, answers users, and is ready to become the leader. Each
-// of these concerns is a component in a package of its own; the core dispatches inputs to them. See
-// docs/design.md.
+// Every node keeps a replica of the records, answers users and is ready to become the leader. Each of
+// these concerns is implemented by a component in a package of its own; the core dispatches inputs to the
+// components. See docs/design.md.
 package core
 
 import (
@@ -47,15 +47,15 @@
 	autoscaler *autoscaler.Autoscaler
 	reconciler *reconciler.Reconciler
 
-	loaded  bool // whether a Snapshot has come
+	loaded  bool // whether a Snapshot has been applied
 	replica *records.Replica
 
 	catalogState
 	formatState
 }
 
-// New returns the core of a node that knows nothing yet. The seed determines the jitter of nodes that
-// start at the same time.
+// New returns a core that has not read any records. The seed determines the jitter, which separates the
+// campaigns of nodes that start at the same time.
 func New(cfg *config.Config, seed uint64) *Core {
 	c := &Core{
 		cfg:         cfg,
@@ -79,7 +79,7 @@
 	return c
 }
 
-// Step handles one input at the given time, and returns the effects that it requests.
+// Step handles one input at the given time, and returns the effects to be executed.
 func (c *Core) Step(now Micros, in msg.Input) []msg.Effect {
 	c.outbox.Begin(now)
 	c.dispatch(in)
@@ -90,7 +90,7 @@
 	return c.outbox.End()
 }
 
-// dispatch passes an input to the component that it concerns.
+// dispatch passes an input to the component that handles it.
 func (c *Core) dispatch(in msg.Input) {
 	switch x := in.(type) {
 	case msg.Tick:
@@ -139,7 +139,7 @@
 	}
 }
 
-// tick does what is due by time alone.
+// tick performs the actions that become due with time.
 func (c *Core) tick() {
 	c.frontend.Tick()
 	c.relay.Tick(c.leader.Ready())
@@ -154,10 +154,10 @@
 	}
 }
 
-// notServingReason returns why this node cannot answer users and workers; it is empty if it can.
+// notServingReason returns the reason why this node cannot answer users and workers, or "" if it can.
 func (c *Core) notServingReason() string {
 	switch {
-	case c.formatUnknown:
+	case c.formatUnsupported:
 		return "the records are of a later version"
 	case !c.loaded:
 		return "starting"
@@ -168,9 +168,9 @@
 // canServe reports whether this node can answer users and workers.
 func (c *Core) canServe() bool { return c.notServingReason() == "" }
 
-// reduceMaxValueBytes is called with a transaction that the key-value store has rejected as malformed.
-// The cause is a defect, or limits below those that this node was configured with. The same bytes
-// must not be sent for ever, so values become smaller, down to a bound.
+// reduceMaxValueBytes is called with a transaction that the key-value store has rejected as malformed,
+// either because of a defect or because the store's limits are below the configured ones. So that the same
+// bytes are not sent indefinitely, it reduces the maximum size of values, down to a lower bound.
 func (c *Core) reduceMaxValueBytes(transaction *wire.Transaction) {
 	var puts []string
 	for i := range transaction.Changes {
@@ -186,12 +186,13 @@
 	c.encoding.ReduceMaxValueBytes()
 }
 
-// CycleStatistics returns what this node's scheduling cycles have examined.
+// CycleStatistics returns the number of this node's scheduling cycles and of the machines and jobs that they have
+// examined.
 func (c *Core) CycleStatistics() query.CycleStatistics { return c.leader.CycleStatistics() }
 
-// UsageLedger returns the resource usage by team and class that the records account for.
+// UsageLedger returns the resource usage by team and class according to the records.
 func (c *Core) UsageLedger() *accounting.Ledger { return c.leader.UsageLedger() }
 
 // Audit compares the scheduler's snapshot of the cluster with the records and returns the first
-// difference. It is for tests.
+// difference as an error. It is intended for tests.
 func (c *Core) Audit() error { return c.leader.Audit() }
--- a/internal/core/election_test.go
+++ b/internal/core/election_test.go
@@ -10,7 +10,7 @@
 	"coralhub/wire"
 )
 
-// candidate is a core without peers, and with a key-value store whose responses the test gives.
+// candidate is a core without peers. The test supplies the responses of the key-value store.
 type candidate struct {
 	t    *testing.T
 	core *core.Core
@@ -22,17 +22,18 @@
 	return c.core.Step(c.now, in)
 }
 
-// campaign returns the transaction among the effects that puts the leader key, or nil.
-func campaign(effects []msg.Effect) *msg.Commit {
+// campaignCommit returns the transaction among the effects that puts the leader key, or nil.
+func campaignCommit(effects []msg.Effect) *msg.Commit {
 	for _, e := range effects {
-		if x, ok := e.(msg.Commit); ok && len(x.Transaction.Changes) == 1 && x.Transaction.Changes[0].Put == job.KeyRoot+"leader" {
+		if x, ok := e.(msg.Commit); ok && len(x.Transaction.Changes) == 1 &&
+			x.Transaction.Changes[0].Put == job.KeyRoot+"leader" {
 			return &x
 		}
 	}
 	return nil
 }
 
-// mustCampaign handles an input, and goes on with ticks until the node campaigns.
+// mustCampaign handles an input, and then ticks until the node campaigns. It returns the campaign's transaction.
 func (c *candidate) mustCampaign(in msg.Input) *msg.Commit {
 	c.t.Helper()
 	for range 5 {
@@ -42,7 +43,7 @@
 				effects = append(effects, c.step(msg.LeaseDone{Outcome: msg.OK, Lease: 7})...)
 			}
 		}
-		if x := campaign(effects); x != nil {
+		if x := campaignCommit(effects); x != nil {
 			return x
 		}
 		in = msg.Tick{WallClock: c.now}
@@ -51,9 +52,10 @@
 	return nil
 }
 
-// A leader key whose write had no response, and which the watch reports while the next attempt is in
-// flight, is this node's all the same. Once, there was no leader for the rest of a day: the node took
-// the key for that of an earlier process, and went on renewing its lease.
+// Guards against a cluster that remains without a leader, in one case for the rest of a day. The write of
+// the leader key has no response, and the watch reports the key while the next attempt is in flight. The
+// node must recognize the key as its own: the fault was that it attributed the key to an earlier process
+// and continued to renew the key's lease.
 func TestCampaignWithoutResponse(t *testing.T) {
 	c := &candidate{t: t, core: core.New(fleetConfig(10), 5), now: config.Second}
 	c.step(msg.Snapshot{Revision: 3})
@@ -62,29 +64,31 @@
 	second := c.mustCampaign(msg.Tick{WallClock: c.now})
 	watched := wire.Change{Put: first.Transaction.Changes[0].Put, Value: first.Transaction.Changes[0].Value, Version: 9}
 	effects := c.step(msg.Changed{Events: []wire.Change{watched}})
-	effects = append(effects, c.step(msg.CommitDone{ID: second.ID, Outcome: msg.Conflict, Failed: []string{watched.Put}})...)
-	leads := false
+	effects = append(effects, c.step(msg.CommitDone{
+		ID: second.ID, Outcome: msg.Conflict, Failed: []string{watched.Put}})...)
+	elected := false
 	for range 50 {
 		var next []msg.Effect
 		for _, e := range effects {
 			switch x := e.(type) {
 			case msg.Log:
-				leads = leads || x.Message == "elected leader"
+				elected = elected || x.Message == "elected leader"
 			case msg.Relist:
-				next = append(next, c.step(msg.Snapshot{Items: []wire.KeyValue{{Key: watched.Put, Value: watched.Value, Version: 9, Lease: 7}}, Revision: 9})...)
+				next = append(next, c.step(msg.Snapshot{
+					Items: []wire.KeyValue{{Key: watched.Put, Value: watched.Value, Version: 9, Lease: 7}}, Revision: 9})...)
 			case msg.RenewLease:
 				next = append(next, c.step(msg.LeaseDone{Outcome: msg.OK, Lease: x.Lease, IsRenewal: true})...)
 			}
 		}
 		effects = append(next, c.step(msg.Tick{WallClock: c.now})...)
 	}
-	if !leads {
-		t.Error("there is no leader, though the leader key is this node's")
+	if !elected {
+		t.Error("the node was not elected although the leader key is its own")
 	}
 }
 
-// A node that has a lease and does not lead lets the lease expire if the leader key has a holder, for
-// instance an earlier process of the same node.
+// A node that has a lease and is not the leader lets the lease expire if the leader key has a holder, for
+// example an earlier process of the same node.
 func TestLeaseOfNonLeaderExpires(t *testing.T) {
 	c := &candidate{t: t, core: core.New(fleetConfig(10), 5), now: config.Second}
 	c.step(msg.Snapshot{Revision: 3})
@@ -105,6 +109,6 @@
 		}
 	}
 	if renewals > 1 {
-		t.Errorf("the lease of a leader key by which nobody leads was renewed %d times in 10 s", renewals)
+		t.Errorf("a node that is not the leader renewed its lease %d times in 10 s, want at most 1", renewals)
 	}
 }
--- a/internal/core/flood_test.go
+++ b/internal/core/flood_test.go
@@ -11,31 +11,35 @@
 	"coralhub/wire"
 )
 
-// newFlood returns a fleet whose machines are all full, with pending arrays that are within their
-// team's limit and find no free capacity.
-func newFlood(tb testing.TB, machines, pending int) *fleet {
+// newSaturatedFleet returns a fleet whose machines are all full, with pending arrays that are within their
+// team's limit but for which there is no free capacity.
+func newSaturatedFleet(tb testing.TB, machines, pending int) *fleet {
 	tb.Helper()
 	f := newFleetWithPending(tb, machines, 0)
 	for i := range pending {
-		f.put(tb, pendingName(i), &job.Record{Spec: &wire.Job{ID: pendingName(i), Class: "flood", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 1 + i*7%50,
-			CPUs: 5, GPUs: 1, MemoryGB: 36, Image: fmt.Sprint("image-", i%5), ImageGB: 3.5, EstimateS: 40, CheckpointS: 30, Spot: true}, CreatedAt: int64(machines + i + 1)})
+		f.put(tb, pendingName(i), &job.Record{Spec: &wire.Job{ID: pendingName(i), Class: "flood", Team: "red",
+			Shape: wire.Array, Priority: wire.Low, Tasks: 1 + i*7%50, CPUs: 5, GPUs: 1, MemoryGB: 36,
+			Image: fmt.Sprint("image-", i%5), ImageGB: 3.5, EstimateS: 40, CheckpointS: 30, Spot: true},
+			CreatedAt: int64(machines + i + 1)})
 	}
 	return f
 }
 
-// changeLastJob has a change of the last pending job come, and a scheduling cycle after it.
+// changeLastJob applies a change of the last pending job, which is followed by a scheduling cycle.
 func (f *fleet) changeLastJob() {
 	item := f.records[len(f.records)-1]
 	f.version++
-	f.step(10*config.Second, msg.PeerUpdate{Change: wire.Change{Put: item.Key, Value: item.Value, Version: f.version + 1<<40}})
+	f.step(10*config.Second, msg.PeerUpdate{
+		Change: wire.Change{Put: item.Key, Value: item.Value, Version: f.version + 1<<40}})
 }
 
-// A scheduling cycle tries to place one job of each equivalence class that finds no free capacity. Ten
-// times the jobs only make its lists longer. The test counts allocations, which needs no clock.
+// A scheduling cycle tries to place only one job of each equivalence class for which there is no free
+// capacity, so that ten times the jobs only make its lists longer. The test counts allocations, which do
+// not depend on a clock.
 func TestCycleCostsByEquivalenceClass(t *testing.T) {
 	var allocs [2]float64
 	for i, pending := range []int{300, 3000} {
-		f := newFlood(t, 500, pending)
+		f := newSaturatedFleet(t, 500, pending)
 		f.takeOver(t)
 		f.heartbeatAll()
 		f.step(config.Second, msg.Tick{WallClock: f.now})
@@ -50,7 +54,8 @@
 		}
 	}
 	if allocs[1] > allocs[0]+60 {
-		t.Errorf("a cycle takes %v allocations with 300 pending jobs and %v with 3,000", allocs[0], allocs[1])
+		t.Errorf("allocations per cycle: %v with 300 pending jobs and %v with 3,000, want at most 60 more",
+			allocs[0], allocs[1])
 	}
 }
 
@@ -59,14 +64,15 @@
 func BenchmarkFlood(b *testing.B) {
 	for _, pending := range []int{300, 1000, 3000, 10000} {
 		b.Run(fmt.Sprintf("takeover/%d", pending), func(b *testing.B) { // the first cycle, before any heartbeat
-			f := newFlood(b, 1250, pending)
+			f := newSaturatedFleet(b, 1250, pending)
 			for b.Loop() {
 				b.StopTimer()
 				f.takeOver(b)
-				// the machines are listed, and none has sent a heartbeat yet
+				// the machines are listed, but none has sent a heartbeat yet
 				list := msg.ListDone{Outcome: msg.OK}
 				for i := range f.machines {
-					list.Machines = append(list.Machines, wire.Machine{Name: machineName(i), Addr: "10.0.0.1:9000", Type: "t4", Zone: machineZone(i), State: "running", AgeS: 600})
+					list.Machines = append(list.Machines, wire.Machine{
+						Name: machineName(i), Addr: "10.0.0.1:9000", Type: "t4", Zone: machineZone(i), State: "running", AgeS: 600})
 				}
 				b.StartTimer()
 				f.step(1000, list)
@@ -74,14 +80,14 @@
 			}
 		})
 		b.Run(fmt.Sprintf("cycle/%d", pending), func(b *testing.B) {
-			f := newFlood(b, 1250, pending)
+			f := newSaturatedFleet(b, 1250, pending)
 			f.takeOver(b)
 			f.heartbeatAll()
 			f.step(config.Second, msg.Tick{WallClock: f.now})
 			rounds := 0
 			var total time.Duration
 			for b.Loop() {
-				f.change(rounds)
+				f.toggleNotices(rounds)
 				f.heartbeatAll()
 				start := time.Now()
 				f.changeLastJob()
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -8,11 +8,12 @@
 	"coralhub/wire"
 )
 
-// The format of stored values is raised once, while nodes of both versions serve. Each node announces
-// permanently which format it reads; a node without an announcement reads the first one. When all
-// configured nodes read a newer one, the leader raises the format in a transaction that is
-// conditional on its leadership. The format never goes back. Until it is raised, everything is
-// written as the older version reads it, and nothing is admitted that the older version would lose.
+// An upgrade raises the format of stored values once, while nodes of both versions serve. Each node writes
+// a permanent announcement of the newest format that it reads; a node without an announcement reads only
+// the first one. Once all configured nodes read a newer format, the leader raises the format in a
+// transaction that is conditional on its leadership. The format is never lowered. Until it is raised, all
+// values are written so that the older version can read them, and no job is admitted of which the older
+// version would lose a part.
 
 const (
 	formatKey      = records.FormatKey
@@ -21,62 +22,62 @@
 	formatRetryInterval = config.Second
 )
 
-// formatMark is the value of the format key and of the announcements.
-type formatMark struct {
+// storedFormat is the value of the format key and of the announcements.
+type storedFormat struct {
 	Format job.Format `msgpack:"format"`
 }
 
-// formatState is what a core knows about the upgrade of the format.
+// formatState is a core's state of the upgrade of the format.
 type formatState struct {
-	announcedFormats    map[string]job.Format // by node
+	announcedFormats    map[string]job.Format // newest format that each node reads
 	nextFormatAttemptAt Micros
-	formatUnknown       bool // the format in force is newer than this node reads
+	formatUnsupported   bool // whether the format in force is newer than this node can read
 }
 
 // applyFormat applies a change of the format in force.
 func (c *Core) applyFormat(change *wire.Change) {
-	var mark formatMark
-	if change.Put == "" || change.Version <= c.encoding.Version || job.Decode(change.Value, &mark) != nil {
+	var stored storedFormat
+	if change.Put == "" || change.Version <= c.encoding.Version || job.Decode(change.Value, &stored) != nil {
 		return
 	}
-	c.encoding.Format = mark.Format
+	c.encoding.Format = stored.Format
 	c.encoding.Version = change.Version
 	c.leader.RequestCycle()
-	if mark.Format > job.NewestFormat && !c.formatUnknown {
-		c.formatUnknown = true
-		c.outbox.Log("not serving: stored format is newer than this version", "format", int(mark.Format),
+	if stored.Format > job.NewestFormat && !c.formatUnsupported {
+		c.formatUnsupported = true
+		c.outbox.Log("not serving: stored format is newer than this version", "format", int(stored.Format),
 			"newest_known", int(job.NewestFormat))
 		c.outbox.Emit(msg.StopServing{})
 		c.elector.Resign("stored format is newer than this version")
 	}
 }
 
-// applyAnnouncement applies a change of a node's announcement.
+// applyAnnouncement applies a change of a node's announcement. A lower format than an earlier one is ignored.
 func (c *Core) applyAnnouncement(node string, change *wire.Change) {
-	var mark formatMark
-	if change.Put != "" && job.Decode(change.Value, &mark) == nil {
-		c.announcedFormats[node] = max(c.announcedFormats[node], mark.Format)
+	var stored storedFormat
+	if change.Put != "" && job.Decode(change.Value, &stored) == nil {
+		c.announcedFormats[node] = max(c.announcedFormats[node], stored.Format)
 	}
 }
 
-// writeFormat writes a format under a key, and calls then if it was committed.
-func (c *Core) writeFormat(key string, format job.Format, conditions []wire.Condition, then func()) {
-	value, err := job.Encode(formatMark{format})
+// writeFormat writes a format under a key, and calls onCommitted if the transaction was committed.
+func (c *Core) writeFormat(key string, format job.Format, conditions []wire.Condition, onCommitted func()) {
+	value, err := job.Encode(storedFormat{format})
 	if err != nil {
-		panic(err) // a struct of a number always encodes
+		panic(err) // a struct with one integer can always be encoded
 	}
 	c.nextFormatAttemptAt = c.outbox.Now() + formatRetryInterval
 	transaction := wire.Transaction{Conditions: conditions, Changes: []wire.Change{{Put: key, Value: value}}}
 	c.outbox.Commit(transaction, msg.PurposeOther, func(done msg.CommitDone) {
 		if done.Outcome == msg.OK {
 			c.apply(&wire.Change{Put: key, Value: value, Version: done.Revision})
-			then()
+			onCommitted()
 		}
 	})
 }
 
-// targetFormat returns the format that this node is to announce: the newest one, unless placement
-// pages are switched off.
+// targetFormat returns the format that this node announces: the newest one, unless placement pages are
+// disabled.
 func (c *Core) targetFormat() job.Format {
 	if !c.cfg.Settings.PlacementPages {
 		return job.FormatPlacementPages - 1
@@ -84,7 +85,7 @@
 	return job.NewestFormat
 }
 
-// announceFormat announces permanently that this node reads its target format.
+// announceFormat writes the permanent announcement that this node reads its target format, if it is due.
 func (c *Core) announceFormat() {
 	announced := c.announcedFormats[c.cfg.Node] >= c.targetFormat()
 	if announced || c.cfg.Settings.HoldFormat || !c.canServe() || c.outbox.Now() < c.nextFormatAttemptAt {
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -7,12 +7,12 @@
 	"coralhub/wire"
 )
 
-// handleHeartbeat answers a worker's heartbeat, or has the relay do so. Only a leader that has read
-// the records may answer by itself; a 200 from any other node would keep the worker there while its
-// lease expires.
+// handleHeartbeat answers a worker's heartbeat, directly or through the relay. Only a leader that has read
+// the records may answer directly: a 200 from any other node would make the worker continue to report there
+// while its lease expires.
 func (c *Core) handleHeartbeat(in msg.HeartbeatIn) {
 	hb := &in.Heartbeat
-	if c.formatUnknown {
+	if c.formatUnsupported {
 		c.outbox.RetryLater(in.RequestID, c.notServingReason())
 		return
 	}
--- a/internal/core/listeners.go
+++ b/internal/core/listeners.go
@@ -9,14 +9,14 @@
 	"coralhub/wire"
 )
 
-// recordsListener passes changes of the replica to the leader, and some of them to other components.
+// recordsListener forwards changes of the replica to the leader, and some of them to other components.
 type recordsListener struct {
 	leader.RecordHandler
 	frontend *frontend.Frontend
 	relay    *relay.Relay
 }
 
-// RecordChanged also has the relay confirm to the leader that this node knows of a cancellation.
+// RecordChanged also makes the relay confirm to the leader that the replica holds the cancellation of a job.
 func (l recordsListener) RecordChanged(j *records.Job) {
 	l.RecordHandler.RecordChanged(j)
 	if j.Record.CancelRequested && !j.Record.Final() {
@@ -24,13 +24,13 @@
 	}
 }
 
-// JobFinished also has the frontend answer clients that wait for the end of the job.
+// JobFinished also makes the frontend answer clients that wait for the end of the job.
 func (l recordsListener) JobFinished(j *records.Job) {
 	l.RecordHandler.JobFinished(j)
 	l.frontend.JobFinished(j)
 }
 
-// electionListener passes changes of leadership to the leader and the relay.
+// electionListener forwards changes of leadership to the leader and the relay.
 type electionListener struct{ core *Core }
 
 func (l electionListener) OnElected()                         { l.core.leader.OnElected() }
@@ -43,7 +43,8 @@
 func (n frontendNode) NotServingReason() string     { return n.core.notServingReason() }
 func (n frontendNode) ApplyRead(change wire.Change) { n.core.apply(&change) }
 
-// ApplyWritten applies a change that this node has committed, and sends it to the leader ahead of the watch.
+// ApplyWritten applies a change that this node has committed, and sends it to the leader, whose watch may report it
+// later.
 func (n frontendNode) ApplyWritten(change wire.Change) {
 	n.core.apply(&change)
 	if leaderNode := n.core.elector.OtherHolder(); leaderNode != "" {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -14,8 +14,8 @@
 	"coralhub/wire"
 )
 
-// fleet is a leader with machines that are all full of services, of which each has eight tasks on two
-// machines, and with pending jobs that wait for their team's limit.
+// fleet is a leader with machines that are all full of services, each of which has eight tasks on two
+// machines, and with pending jobs that their team's limit prevents from being placed.
 type fleet struct {
 	core     *core.Core
 	now      core.Micros
@@ -35,8 +35,9 @@
 	cfg := &config.Config{Settings: config.Defaults()}
 	cfg.Node, cfg.Location = "n1", "a"
 	cfg.Cluster = config.Cluster{
-		Zones:   []string{"a", "b"},
-		Teams:   []config.Team{{Name: "red", GPUs: float64(machines), GPUsMax: float64(8 * machines)}, {Name: "blue", CPUsMax: 1}},
+		Zones: []string{"a", "b"},
+		Teams: []config.Team{
+			{Name: "red", GPUs: float64(machines), GPUsMax: float64(8 * machines)}, {Name: "blue", CPUsMax: 1}},
 		Workers: config.Workers{ReportS: 5, LeaseS: 26, GangWaitS: 40, GangPeerS: 6, CancelS: 56},
 		State:   config.State{RPS: 400, WriteRPS: 150, ValueKB: 8, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 8, ListLagS: 8},
@@ -58,14 +59,15 @@
 	tb.Helper()
 	f := &fleet{machines: machines, now: config.Second, version: 1000}
 	spec := func(id, team string, tasks int) *wire.Job {
-		return &wire.Job{ID: id, Class: "c", Team: team, Shape: wire.Service, Priority: wire.Normal, Tasks: tasks, CPUs: 1, GPUs: 1,
-			MemoryGB: 1, Image: "i", ImageGB: 1}
+		return &wire.Job{ID: id, Class: "c", Team: team, Shape: wire.Service, Priority: wire.Normal, Tasks: tasks,
+			CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1}
 	}
 	for i := 0; i < machines; i += 2 {
 		record := &job.Record{Spec: spec(jobName(i), "red", 2*tasksPerMachine), CreatedAt: int64(i + 1), LastAttempt: 1}
 		for task := range 2 * tasksPerMachine {
 			machine := i + task/tasksPerMachine
-			record.Open = append(record.Open, job.Placement{Task: task, Attempt: 1, Machine: machineName(machine), Incarnation: 1, Zone: machineZone(machine)})
+			record.Open = append(record.Open, job.Placement{
+				Task: task, Attempt: 1, Machine: machineName(machine), Incarnation: 1, Zone: machineZone(machine)})
 		}
 		f.put(tb, jobName(i), record)
 	}
@@ -76,8 +78,8 @@
 	for i := range pending {
 		f.put(tb, pendingName(i), &job.Record{Spec: spec(pendingName(i), "blue", 2), CreatedAt: int64(i + 1)})
 	}
-	catalog, err := job.Encode(&wire.Catalog{Types: []wire.MachineType{{Name: "t4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 100,
-		FetchGBs: 1, Price: 4, SpotPrice: 2, BootS: 50, Zones: []string{"a", "b"}}}})
+	catalog, err := job.Encode(&wire.Catalog{Types: []wire.MachineType{{Name: "t4", CPUs: 16, GPUs: 4, MemoryGB: 64,
+		CacheGB: 100, FetchGBs: 1, Price: 4, SpotPrice: 2, BootS: 50, Zones: []string{"a", "b"}}}})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -91,7 +93,7 @@
 	return f
 }
 
-// put adds a job's record to the stored ones.
+// put adds the record of a job to the stored records.
 func (f *fleet) put(tb testing.TB, id string, record *job.Record) {
 	tb.Helper()
 	value, err := job.EncodeRecord(record, job.NewestFormat)
@@ -104,14 +106,14 @@
 
 func jobName(i int) string { return fmt.Sprintf("j-%06d", i) }
 
-// takeOver has a new node read all records, become the leader and read them again.
+// takeOver replaces the core with one that reads all records, becomes the leader and reads them again.
 func (f *fleet) takeOver(tb testing.TB) {
 	tb.Helper()
-	f.takeOverWith(tb, fleetConfig(f.machines))
+	f.takeOverWithConfig(tb, fleetConfig(f.machines))
 }
 
-// takeOverWith is takeOver with another configuration.
-func (f *fleet) takeOverWith(tb testing.TB, cfg *config.Config) {
+// takeOverWithConfig is takeOver with the given configuration.
+func (f *fleet) takeOverWithConfig(tb testing.TB, cfg *config.Config) {
 	tb.Helper()
 	f.core = core.New(cfg, 0)
 	f.step(1, msg.Snapshot{Items: f.records, Revision: f.version})
@@ -133,22 +135,24 @@
 	return f.core.Step(f.now, in)
 }
 
-// heartbeat returns the heartbeat of a machine's worker, with a termination notice in seconds unless it is nil.
+// heartbeat returns the heartbeat of a machine's worker. notice is a termination notice in seconds, or nil for none.
 func (f *fleet) heartbeat(i int, notice *float64) msg.Input {
 	f.sequence++
-	hb := wire.Heartbeat{Machine: machineName(i), Addr: "10.0.0.1:9000", Type: "t4", Zone: machineZone(i), Incarnation: 1, Sequence: f.sequence,
-		FencingToken: f.token, NoticeS: notice}
+	hb := wire.Heartbeat{Machine: machineName(i), Addr: "10.0.0.1:9000", Type: "t4", Zone: machineZone(i),
+		Incarnation: 1, Sequence: f.sequence, FencingToken: f.token, NoticeS: notice}
 	if i == 0 {
 		hb.Tasks = append(hb.Tasks, wire.TaskStatus{Task: wire.TaskName("j-800000", 0), Attempt: 1, State: wire.Running})
 	}
 	for k := range tasksPerMachine {
-		hb.Tasks = append(hb.Tasks, wire.TaskStatus{Task: wire.TaskName(jobName(i-i%2), (i%2)*tasksPerMachine+k), Attempt: 1, State: wire.Running})
+		hb.Tasks = append(hb.Tasks, wire.TaskStatus{
+			Task: wire.TaskName(jobName(i-i%2), (i%2)*tasksPerMachine+k), Attempt: 1, State: wire.Running})
 	}
 	return msg.HeartbeatIn{RequestID: 1, Heartbeat: hb, Forwarded: true}
 }
 
-// change changes the termination notice of one in a hundred machines, all over the fleet. It returns their number.
-func (f *fleet) change(round int) (changed int) {
+// toggleNotices sets the termination notice of every hundredth machine in even rounds, and removes it in odd ones. It
+// returns the number of these machines.
+func (f *fleet) toggleNotices(round int) (changed int) {
 	notice := new(float64)
 	*notice = 30
 	if round%2 == 1 {
@@ -168,33 +172,35 @@
 	}
 }
 
-// runCycle triggers a scheduling cycle by a change of a pending job.
+// runCycle triggers a scheduling cycle by applying a change of a pending job.
 func (f *fleet) runCycle() {
 	item := f.records[f.machines/2+1] // of a pending job
 	f.version++
-	f.step(150*1000, msg.PeerUpdate{Change: wire.Change{Put: item.Key, Value: item.Value, Version: f.version + 1<<40}})
+	f.step(150*1000, msg.PeerUpdate{
+		Change: wire.Change{Put: item.Key, Value: item.Value, Version: f.version + 1<<40}})
 }
 
-// A scheduling cycle examines what has changed, not the whole fleet: the number of machines and jobs
-// that it examines is that of the changes, whatever the number of machines.
+// A scheduling cycle examines only what has changed: the number of machines and jobs that it examines is
+// that of the changes, regardless of the size of the fleet.
 func TestCycleExaminesWhatHasChanged(t *testing.T) {
 	for _, machines := range []int{500, 2000} {
 		f := newFleet(t, machines)
 		f.heartbeatAll()
 		f.runCycle()
 		before := f.core.CycleStatistics()
-		changed := f.change(0)
+		changed := f.toggleNotices(0)
 		f.runCycle()
 		after := f.core.CycleStatistics()
 		cycles := after.Cycles - before.Cycles
 		if cycles == 0 {
-			t.Fatal("no cycle")
+			t.Fatal("no scheduling cycle was run")
 		}
 		if got := after.Machines - before.Machines; got < changed || got > changed+2 {
-			t.Errorf("%d machines: examined %d in %d cycles, %d have changed", machines, got, cycles, changed)
+			t.Errorf("fleet of %d: %d machines examined in %d cycles, want the %d that have changed, or up to 2 more",
+				machines, got, cycles, changed)
 		}
 		if got := after.Jobs - before.Jobs; got < 1 || got > 2 {
-			t.Errorf("%d machines: examined %d jobs, one has changed", machines, got)
+			t.Errorf("fleet of %d: %d jobs examined, want the 1 that has changed, or 1 more", machines, got)
 		}
 		if err := f.core.Audit(); err != nil {
 			t.Error(err)
@@ -202,7 +208,7 @@
 	}
 }
 
-// A tick with nothing to do makes as few allocations at any size of the fleet.
+// The number of allocations of a tick with nothing to do does not grow with the fleet.
 func TestIdleTickDoesNotGrowWithTheFleet(t *testing.T) {
 	var allocs [2]float64
 	for i, machines := range []int{500, 2000} {
@@ -212,7 +218,7 @@
 		allocs[i] = testing.AllocsPerRun(5, func() { f.step(1000, msg.Tick{WallClock: f.now}) })
 	}
 	if allocs[1] > allocs[0]+2 {
-		t.Errorf("a tick takes %v allocations with 500 machines and %v with 2,000", allocs[0], allocs[1])
+		t.Errorf("allocations per tick: %v with 500 machines and %v with 2,000, want at most 2 more", allocs[0], allocs[1])
 	}
 }
 
@@ -220,7 +226,7 @@
 
 // BenchmarkFleet measures, at four sizes, an unchanged heartbeat, a change of a record, a tick, a
 // scheduling cycle after one in a hundred machines has changed, a takeover, and the memory for a
-// machine and a job. What matters is the ratios between sizes.
+// machine and its half of a job. The ratios between sizes matter, not the absolute values.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("heartbeat/%d", n), func(b *testing.B) {
@@ -245,7 +251,8 @@
 			for b.Loop() {
 				f.version++
 				item := f.records[0]
-				f.step(1, msg.Changed{Events: []wire.Change{{Put: item.Key, Value: item.Value, Version: f.version + 1<<40}}})
+				f.step(1, msg.Changed{Events: []wire.Change{
+					{Put: item.Key, Value: item.Value, Version: f.version + 1<<40}}})
 			}
 		})
 	}
@@ -256,9 +263,9 @@
 			rounds := 0
 			for b.Loop() {
 				if rounds%20 == 0 {
-					f.heartbeatAll() // so that a full cycle is due now and then
+					f.heartbeatAll() // so that a full cycle is due from time to time
 				}
-				f.change(rounds)
+				f.toggleNotices(rounds)
 				start := time.Now()
 				f.runCycle()
 				durations = append(durations, time.Since(start))
@@ -266,15 +273,16 @@
 			}
 			slices.Sort(durations)
 			b.ReportMetric(float64(durations[len(durations)/2].Nanoseconds()), "ns/cycle")
-			b.ReportMetric(float64(durations[len(durations)-1].Nanoseconds()), "ns/full-cycle") // the slowest, which examines everything
+			// the slowest cycle is one that examines everything
+			b.ReportMetric(float64(durations[len(durations)-1].Nanoseconds()), "ns/full-cycle")
 		})
 	}
-	for _, pending := range []int{100, 1000, 10000} { // all in the queue, none within its team's limit
+	for _, pending := range []int{100, 1000, 10000} { // all are queued, and none can be placed within its team's limit
 		b.Run(fmt.Sprintf("queue/%d", pending), func(b *testing.B) {
 			f := newFleetWithPending(b, fleetSizes[2], pending)
 			rounds := 0
 			for b.Loop() {
-				f.change(rounds)
+				f.toggleNotices(rounds)
 				f.runCycle()
 				rounds++
 			}
@@ -303,7 +311,7 @@
 	}
 }
 
-// heapBytes returns the size of live objects on the heap.
+// heapBytes returns the size of the reachable objects on the heap.
 func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/core/stored_values_test.go
+++ b/internal/core/stored_values_test.go
@@ -16,33 +16,36 @@
 	"coralhub/wire"
 )
 
-// Nodes of several versions share the stored values, which outlive all of them: the bytes and the keys
-// recorded in testdata/stored must not change. Every field has a different value, so that neither a
-// renamed field nor two swapped fields go unnoticed.
+// Nodes of several versions share the stored values, which are kept longer than any of these versions is in
+// use: the keys, and the bytes recorded in testdata/stored, must not change. Every field has a different
+// value, so that these tests detect a renamed field and two swapped fields.
 
 func storedSpec() *wire.Job {
 	deadline := 900.5
-	return &wire.Job{ID: "j-000412", Class: "train", Team: "red", Shape: wire.Gang, Priority: wire.High, Tasks: 40, CPUs: 8, GPUs: 1,
-		MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g4"}, Zone: "a", OneZone: true, Spread: true, Spot: true, EstimateS: 240,
-		CheckpointS: 30, SaveS: 4, DeadlineS: &deadline, Needs: []string{"j-1", "j-2"}}
+	return &wire.Job{ID: "j-000412", Class: "train", Team: "red", Shape: wire.Gang, Priority: wire.High, Tasks: 40,
+		CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8", "g4"}, Zone: "a",
+		OneZone: true, Spread: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: &deadline,
+		Needs: []string{"j-1", "j-2"}}
 }
 
 func storedShard(first int) job.Shard {
-	return job.Shard{DoneSet: "5", Usage: &job.Usage{Time: 7_000_000, Spot: 5_000_000, Lost: 3_000_000}, Open: []job.Placement{
-		{Task: first + 1, Attempt: 2, Machine: "m-000231", Incarnation: 3, Zone: "a", PlacedAt: 17, Spot: true},
-		{Task: first + 4, Attempt: 2, Machine: "m-000231", Incarnation: 3, Zone: "a", PlacedAt: 17, Spot: true},
-		{Task: first + 31, Attempt: 5, Machine: "m-000240", Incarnation: 6, Zone: "b", PlacedAt: 19}}}
+	return job.Shard{DoneSet: "5", Usage: &job.Usage{Time: 7_000_000, Spot: 5_000_000, Lost: 3_000_000},
+		Open: []job.Placement{
+			{Task: first + 1, Attempt: 2, Machine: "m-000231", Incarnation: 3, Zone: "a", PlacedAt: 17, Spot: true},
+			{Task: first + 4, Attempt: 2, Machine: "m-000231", Incarnation: 3, Zone: "a", PlacedAt: 17, Spot: true},
+			{Task: first + 31, Attempt: 5, Machine: "m-000240", Incarnation: 6, Zone: "b", PlacedAt: 19}}}
 }
 
 func storedRecord() job.Record {
-	return job.Record{Spec: storedSpec(), Phase: job.Done, CancelRequested: true, CreatedAt: 1764600000000000, LastAttempt: 11, DoneTasks: 13, ShardsOnly: true,
+	return job.Record{Spec: storedSpec(), Phase: job.Done, CancelRequested: true, CreatedAt: 1764600000000000,
+		LastAttempt: 11, DoneTasks: 13, ShardsOnly: true,
 		Account: &job.UsageAccount{Team: "red", Class: "train", Service: true, End: 1764600099,
 			Usage: job.ResourceUsage{CPU: 21, GPU: 22, Memory: 23, Time: 24, Spot: 25, Lost: 26}},
 		Shard: storedShard(0)}
 }
 
-// asDecoded returns what is decoded from a shard that was encoded in a format: without what the
-// format lacks.
+// asDecoded returns the expected result of encoding and decoding a shard in a format: the shard without the
+// fields that the format lacks.
 func asDecoded(shard job.Shard, format job.Format) job.Shard {
 	shard = shard.Clone()
 	if format >= job.FormatPreemption {
@@ -55,8 +58,8 @@
 	return shard
 }
 
-// check compares an encoded value with the recorded bytes, and returns those.
-func check(t *testing.T, name string, value []byte, err error) []byte {
+// checkGolden compares an encoded value with the recorded bytes, and returns the recorded bytes.
+func checkGolden(t *testing.T, name string, value []byte, err error) []byte {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +73,7 @@
 		record, shard := storedRecord(), storedShard(32)
 		value, err := job.EncodeRecord(&record, f)
 		var gotRecord job.Record
-		if err := job.DecodeRecord(check(t, fmt.Sprintf("record-%d", f), value, err), &gotRecord); err != nil {
+		if err := job.DecodeRecord(checkGolden(t, fmt.Sprintf("record-%d", f), value, err), &gotRecord); err != nil {
 			t.Error(err)
 		}
 		record.Shard = asDecoded(record.Shard, f)
@@ -79,7 +82,7 @@
 		}
 		value, err = job.EncodeShard(&shard, f)
 		var gotShard job.Shard
-		if err := job.DecodeShard(check(t, fmt.Sprintf("part-%d", f), value, err), &gotShard); err != nil {
+		if err := job.DecodeShard(checkGolden(t, fmt.Sprintf("part-%d", f), value, err), &gotShard); err != nil {
 			t.Error(err)
 		}
 		if want := asDecoded(shard, f); !reflect.DeepEqual(gotShard, want) {
@@ -89,11 +92,12 @@
 }
 
 func TestStoredCompletionPages(t *testing.T) {
-	entries := []records.CompletionEntry{{Job: "j-000412", Task: 33, Attempt: 3, Machine: "m-000240", Done: true, Occupancy: job.Occupancy{End: 41, Lost: 42}},
+	entries := []records.CompletionEntry{
+		{Job: "j-000412", Task: 33, Attempt: 3, Machine: "m-000240", Done: true, Occupancy: job.Occupancy{End: 41, Lost: 42}},
 		{Job: "j-7", Task: 2, Attempt: 1, Machine: "m-1", Occupancy: job.Occupancy{End: 43}}}
 	for f := job.FormatPlacements; f <= job.NewestFormat; f++ {
 		value, err := records.EncodeCompletionPage(entries, f)
-		got, err := records.DecodeCompletionPage(check(t, fmt.Sprintf("ended-%d", f), value, err))
+		got, err := records.DecodeCompletionPage(checkGolden(t, fmt.Sprintf("ended-%d", f), value, err))
 		if err != nil {
 			t.Error(err)
 		}
@@ -110,43 +114,50 @@
 }
 
 func TestStoredPlacementPages(t *testing.T) {
-	entries := []records.PlacementEntry{{Job: "j-000412", Index: 2, LastAttempt: 9, Shard: storedShard(64)}, {Job: "j-7", Index: 0, LastAttempt: 1, Shard: job.Shard{DoneSet: "f"}}}
+	entries := []records.PlacementEntry{
+		{Job: "j-000412", Index: 2, LastAttempt: 9, Shard: storedShard(64)},
+		{Job: "j-7", Index: 0, LastAttempt: 1, Shard: job.Shard{DoneSet: "f"}}}
 	value, err := records.EncodePlacementPage(entries)
-	got, err := records.DecodePlacementPage(check(t, "placements", value, err))
+	got, err := records.DecodePlacementPage(checkGolden(t, "placements", value, err))
 	if err != nil || !reflect.DeepEqual(got, entries) {
-		t.Errorf("read %+v, %v", got, err)
+		t.Errorf("placement page: read %+v, stored %+v, error %v", got, entries, err)
 	}
 }
 
 func TestStoredPreemptions(t *testing.T) {
-	decisions := []preemption.Decision{{Preemptor: "j-1", Reason: preemption.ReasonGuarantee, Level: 3, Order: 4, Until: 1764600000000000,
-		ReservedMachines: []string{"m-1", "m-2"}, Victims: []preemption.Victim{{Job: "j-2", Task: 5, Attempt: 6}, {Job: "j-3", Task: preemption.WholeGang, Attempt: 7}}}}
+	decisions := []preemption.Decision{{Preemptor: "j-1", Reason: preemption.ReasonGuarantee, Level: 3, Order: 4,
+		Until: 1764600000000000, ReservedMachines: []string{"m-1", "m-2"}, Victims: []preemption.Victim{
+			{Job: "j-2", Task: 5, Attempt: 6}, {Job: "j-3", Task: preemption.WholeGang, Attempt: 7}}}}
 	value, err := job.Encode(decisions)
 	var got []preemption.Decision
-	if err := job.Decode(check(t, "decisions", value, err), &got); err != nil || !reflect.DeepEqual(got, decisions) {
-		t.Errorf("read %+v, %v", got, err)
+	if err := job.Decode(checkGolden(t, "decisions", value, err), &got); err != nil ||
+		!reflect.DeepEqual(got, decisions) {
+		t.Errorf("preemption decisions: read %+v, stored %+v, error %v", got, decisions, err)
 	}
 	var counts, decoded preemption.Counts
 	counts.Add(preemption.Pair{Preemptor: "live", Victim: "batch", Reason: preemption.ReasonPriority}, 7)
 	counts.Add(preemption.Pair{Preemptor: "train", Victim: "lab", Reason: preemption.ReasonDefragmentation}, 3)
-	raw := check(t, "tally", counts.Value(func([]byte) bool { return true }), nil)
+	raw := checkGolden(t, "tally", counts.Value(func([]byte) bool { return true }), nil)
 	if err := decoded.Apply(1, raw); err != nil || !bytes.Equal(decoded.Value(func([]byte) bool { return true }), raw) {
-		t.Errorf("read %+v, %v", decoded, err)
+		t.Errorf("preemption counts: read %+v, stored %+v, error %v", decoded, counts, err)
 	}
-	for _, reason := range [][2]int{{int(preemption.ReasonPriority), 1}, {int(preemption.ReasonGuarantee), 2}, {int(preemption.ReasonDefragmentation), 3}} {
+	for _, reason := range [][2]int{{int(preemption.ReasonPriority), 1}, {int(preemption.ReasonGuarantee), 2},
+		{int(preemption.ReasonDefragmentation), 3}} {
 		if reason[0] != reason[1] {
-			t.Errorf("a reason is stored as %d, was %d", reason[0], reason[1])
+			t.Errorf("a preemption reason is stored as %d, want %d", reason[0], reason[1])
 		}
 	}
 }
 
 func TestOtherStoredValues(t *testing.T) {
 	notice := 7.5
-	machines := []machinecache.Machine{{Name: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Images: []string{"img-07", "img-08"}}}
-	heartbeats := []relay.RelayedHeartbeat{{Machine: "m-000231", Incarnation: 2, Sequence: 88, FencingToken: 41, NoticeS: &notice,
-		Tasks: []relay.RelayedTask{{Task: "j-000412/3", Attempt: 5, State: wire.Exited, Cause: wire.CauseStopped, Saved: true}}}}
-	catalog := wire.Catalog{Types: []wire.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 200, FetchGBs: 1, Price: 12, SpotPrice: 4.5,
-		BootS: 45, Zones: []string{"a", "b"}}}}
+	machines := []machinecache.Machine{{Name: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true,
+		Images: []string{"img-07", "img-08"}}}
+	heartbeats := []relay.RelayedHeartbeat{{Machine: "m-000231", Incarnation: 2, Sequence: 88, FencingToken: 41,
+		NoticeS: &notice, Tasks: []relay.RelayedTask{
+			{Task: "j-000412/3", Attempt: 5, State: wire.Exited, Cause: wire.CauseStopped, Saved: true}}}}
+	catalog := wire.Catalog{Types: []wire.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, CacheGB: 200,
+		FetchGBs: 1, Price: 12, SpotPrice: 4.5, BootS: 45, Zones: []string{"a", "b"}}}}
 	for _, x := range []struct {
 		name       string
 		value, got any
@@ -155,11 +166,11 @@
 		{"mail", &heartbeats, &[]relay.RelayedHeartbeat{}},
 		{"catalog", &catalog, &wire.Catalog{}},
 		{"claim", &election.LeaseRecord{Node: "n1", Nonce: 7}, &election.LeaseRecord{}},
-		{"format", &formatMark{Format: 3}, &formatMark{}},
+		{"format", &storedFormat{Format: 3}, &storedFormat{}},
 	} {
 		value, err := job.Encode(x.value)
-		if err := job.Decode(check(t, x.name, value, err), x.got); err != nil || !reflect.DeepEqual(x.got, x.value) {
-			t.Errorf("%s: read %+v, %v", x.name, x.got, err)
+		if err := job.Decode(checkGolden(t, x.name, value, err), x.got); err != nil || !reflect.DeepEqual(x.got, x.value) {
+			t.Errorf("%s: read %+v, stored %+v, error %v", x.name, x.got, x.value, err)
 		}
 	}
 }
@@ -179,10 +190,11 @@
 		preemption.CountsKey:          "ch/standing/tally",
 	} {
 		if got != want {
-			t.Errorf("key %s was %s", got, want)
+			t.Errorf("key %s, want %s", got, want)
 		}
 	}
 	if preemption.PageCount != 8 || job.TasksPerShard != 32 || job.NewestFormat != 4 {
-		t.Error("the division of stored values has changed")
+		t.Errorf("%d pages of decisions, %d tasks per shard, newest format %d; want 8, 32 and 4",
+			preemption.PageCount, job.TasksPerShard, job.NewestFormat)
 	}
 }
--- a/internal/core/term_test.go
+++ b/internal/core/term_test.go
@@ -13,7 +13,7 @@
 	"coralhub/wire"
 )
 
-// responseStatus returns the status of the response among the effects, 0 if there is none.
+// responseStatus returns the status of the response among the effects, or 0 if there is none.
 func responseStatus(effects []msg.Effect) int {
 	for _, e := range effects {
 		if response, ok := e.(msg.Respond); ok {
@@ -23,8 +23,8 @@
 	return 0
 }
 
-// A listing that was requested before the election lacks what predecessors have placed since: a leader
-// that relied on it would start tasks twice.
+// A listing that was requested before the election may lack placements that earlier leaders have committed
+// since: a leader that relied on it would start tasks twice.
 func TestLeaderNeedsListingFromItsTerm(t *testing.T) {
 	f := newFleet(t, 2)
 	f.core = core.New(fleetConfig(2), 0)
@@ -36,21 +36,22 @@
 			campaign = commit
 		}
 	}
-	f.version += 3 // two records that others have written, and the leader key
+	f.version += 3 // two records that other nodes have written, and the leader key
 	f.token = f.version
 	f.step(1, msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: f.version})
 	f.step(1, msg.Snapshot{Items: f.records, Revision: f.version - 1})
 	if got := responseStatus(f.step(1, f.heartbeat(1, nil))); got == http.StatusOK {
-		t.Error("a worker is answered from records that are older than the term")
+		t.Error("a heartbeat was answered with status 200 from records that are older than the term")
 	}
 	f.step(1, msg.Snapshot{Items: f.records, Revision: f.version})
 	if got := responseStatus(f.step(1, f.heartbeat(1, nil))); got != http.StatusOK {
-		t.Errorf("once the records have been read: %d", got)
+		t.Errorf("status %d after the records of the term were read, want 200", got)
 	}
 }
 
-// A worker that has seen a higher fencing token ignores every answer of this node. So the node resigns,
-// whichever way it learns of that, and its workers look for the other leader before their leases expire.
+// A worker that has seen a higher fencing token ignores every answer of this node. Therefore the node resigns,
+// regardless of which message contains the token, and its workers look for the other leader before their
+// leases expire.
 func TestHigherTokenEndsTheTerm(t *testing.T) {
 	for name, input := range map[string]func(f *fleet) msg.Input{
 		"in a heartbeat": func(f *fleet) msg.Input {
@@ -67,21 +68,21 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2)
 			if got := responseStatus(f.step(1, f.heartbeat(0, nil))); got != http.StatusOK {
-				t.Fatalf("before: %d", got)
+				t.Fatalf("status %d before the higher token, want 200", got)
 			}
 			f.step(1, input(f))
 			if got := responseStatus(f.step(1, f.heartbeat(0, nil))); got == http.StatusOK {
-				t.Error("the node goes on answering workers")
+				t.Error("the node still answers heartbeats with status 200 after the higher token")
 			}
 		})
 	}
 }
 
-// A command of a predecessor may reach a worker that has not seen this leader's token yet, however late.
-// So it proves nothing if such a worker doesn't report the tasks of a cancelled job.
+// A command of an earlier leader may reach a worker that has not seen this leader's token yet after any delay.
+// Therefore it proves nothing if such a worker doesn't report the tasks of a cancelled job.
 func TestPredecessorsCommandsMayArriveLate(t *testing.T) {
-	// closingWrites counts the writes of the record and the completion log after the worker has
-	// reported none of the tasks.
+	// closingWrites returns the number of writes of the record and the completion log after the worker
+	// has reported none of the tasks.
 	closingWrites := func(tokenSeen bool) (n int) {
 		f := newFleet(t, 2)
 		token := f.token
@@ -113,29 +114,30 @@
 		return n
 	}
 	if closingWrites(false) > 0 {
-		t.Error("tasks that a worker doesn't report before it has seen the token are taken to have ended")
+		t.Error("placements were closed although the worker has not seen the token")
 	}
 	if closingWrites(true) == 0 {
-		t.Error("no placement is closed though the worker has seen the token")
+		t.Error("no placement was closed although the worker has seen the token")
 	}
 }
 
-// A task that no record places on its machine is stopped, whatever has started it there.
+// A task that no record places on its machine is stopped, regardless of what has started it there.
 func TestUnplacedTaskIsStopped(t *testing.T) {
 	f := newFleet(t, 2)
 	in := f.heartbeat(1, nil).(msg.HeartbeatIn)
-	stray := wire.TaskName(pendingName(0), 0)
-	in.Heartbeat.Tasks = append(in.Heartbeat.Tasks, wire.TaskStatus{Task: stray, Attempt: 1, State: wire.Running})
+	unplaced := wire.TaskName(pendingName(0), 0)
+	in.Heartbeat.Tasks = append(in.Heartbeat.Tasks, wire.TaskStatus{Task: unplaced, Attempt: 1, State: wire.Running})
 	for _, e := range f.step(1, in) {
 		response, ok := e.(msg.Respond)
 		if !ok {
 			continue
 		}
 		commands := response.Body.(wire.HeartbeatResponse).Commands
-		if len(commands) != 1 || commands[0].Verb != wire.CommandStop || commands[0].Task != stray || commands[0].GraceS == nil || *commands[0].GraceS != 0 {
-			t.Errorf("the worker gets commands %+v", commands)
+		if len(commands) != 1 || commands[0].Verb != wire.CommandStop || commands[0].Task != unplaced ||
+			commands[0].GraceS == nil || *commands[0].GraceS != 0 {
+			t.Errorf("commands %+v, want only a stop of %s without grace period", commands, unplaced)
 		}
 		return
 	}
-	t.Error("no response")
+	t.Error("the heartbeat was not answered")
 }
