--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -1,5 +1,6 @@
-// Package invariants checks a history of what users, workers and the cloud saw against the rules of the
-// protocol. It knows nothing of how the service works: every violation follows from the history alone.
+// Package invariants checks the history of events observed by users, workers and the cloud against the
+// rules of the protocol. It does not depend on the implementation of the service: every violation follows
+// from the history alone.
 package invariants
 
 import (
@@ -9,41 +10,41 @@
 	"slices"
 )
 
-// placement is an attempt of a task on a machine.
+// placement is an attempt to run a task on a machine.
 type placement struct {
 	task    int
 	attempt uint64
 	machine string
 }
 
-// job is what the history says of a job so far.
+// job is the state of a job according to the events so far.
 type job struct {
-	spec            *Spec // nil if it was not submitted
+	spec            *Spec // nil if the job was not submitted
 	cancelRequested bool
 	accepted        bool
-	final           string // the final state that a user was answered; "": none
-	cancelledAt     Micros // when a user was first answered that it is cancelled; 0: never
+	finalState      string // the final state in an answer to a user; empty if there was none
+	cancelledAt     Micros // time of the first answer that the job is cancelled; 0 if there was none
 	done            map[int]bool
 	placements      []placement
-	failingSince    Micros // since when every poll fails; 0: the last one was answered
+	failingSince    Micros // time since which all polls have failed; 0 if the last one was answered
 	orphanReported  bool
 }
 
-// checker goes through a history and collects the violations.
+// checker processes the events of a history in order and collects the violations.
 type checker struct {
-	rules         Rules
-	jobs          map[string]*job
-	machines      map[string]*Host                // rented ones
-	used          map[string]Limit                // by team
-	started       bool                            // whether any task has
-	lastPoll      Micros                          // the last poll that was answered
-	byMachine     map[string]map[placement]string // the placements on a machine, and their jobs
-	cancelPending map[string]*job                 // cancelled jobs with tasks on machines
-	violations    []Violation
+	rules            Rules
+	jobs             map[string]*job
+	machines         map[string]*Host                // rented machines, by name
+	used             map[string]Limit                // resource usage by team
+	started          bool                            // whether any task has started
+	lastAnsweredPoll Micros                          // time of the last answered poll for any job
+	byMachine        map[string]map[placement]string // job IDs by placement, by machine
+	cancelPending    map[string]*job                 // cancelled jobs with tasks on machines, by job ID
+	violations       []Violation
 }
 
-// Check returns the violations of the rules in a history, in the order of time. The end of the history
-// is the last time that is checked.
+// Check returns the violations of the rules in a history, in order of time. Time limits are checked up to
+// the last event.
 func Check(rules Rules, events []Event) []Violation {
 	c := &checker{
 		rules:         rules,
@@ -60,7 +61,7 @@
 		c.apply(&sorted[i])
 	}
 	if !c.started && len(sorted) > 0 {
-		c.report(ruleNothingRan, sorted[len(sorted)-1].At, "no task was started")
+		c.report(ruleNoTaskStarted, sorted[len(sorted)-1].At, "no task started")
 	}
 	slices.SortStableFunc(c.violations, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Detail, b.Detail))
@@ -72,7 +73,7 @@
 	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// job returns what is known of a job, which may be nothing yet.
+// job returns the state of a job. It adds an empty one for a new ID.
 func (c *checker) job(id string) *job {
 	j := c.jobs[id]
 	if j == nil {
@@ -82,7 +83,7 @@
 	return j
 }
 
-// apply checks an event against the history before it and adds it.
+// apply checks an event against the preceding events and updates the state.
 func (c *checker) apply(e *Event) {
 	switch e.Kind {
 	case JobSubmitted:
@@ -109,12 +110,12 @@
 	}
 }
 
-// checkAnswer checks an answer against the answers before and the tasks so far.
+// checkAnswer checks an answer to a user against the preceding answers and task events.
 func (c *checker) checkAnswer(e *Event) {
 	j := c.jobs[e.Job]
 	if j == nil || j.spec == nil {
 		if e.Status == http.StatusOK && e.Via != BySubmit {
-			c.report(ruleInvented, e.At, "%s is called %s and was never submitted", e.Job, e.Said)
+			c.report(ruleNeverSubmitted, e.At, "job %s: reported as %s but never submitted", e.Job, e.Said)
 		}
 		return
 	}
@@ -129,48 +130,50 @@
 		return
 	}
 	j.accepted = true
-	if j.final != "" && e.Said != j.final {
-		c.report(ruleWentBack, e.At, "%s was called %s and is now %s", e.Job, j.final, e.Said)
+	if j.finalState != "" && e.Said != j.finalState {
+		c.report(ruleInvalidFinalState, e.At, "job %s: final state changed from %s to %s", e.Job, j.finalState, e.Said)
 	}
 	switch e.Said {
-	case saidDone:
-		c.checkSaidDone(e, j)
-	case saidCancelled:
-		c.checkSaidCancelled(e, j)
-	case saidQueued, saidRunning:
-		c.checkOrphaned(e, j)
+	case statusDone:
+		c.checkReportedDone(e, j)
+	case statusCancelled:
+		c.checkReportedCancelled(e, j)
+	case statusQueued, statusRunning:
+		c.checkDependencies(e, j)
 	}
 }
 
-// checkStillKnown checks that an accepted job is not refused or unknown later.
+// checkStillKnown checks that an accepted job is not reported as unknown, and that a repeated submission is
+// not refused.
 func (c *checker) checkStillKnown(e *Event) {
 	switch e.Status {
 	case http.StatusNotFound:
 		if e.Via != BySubmit {
-			c.report(ruleForgotten, e.At, "%s was accepted and gets 404", e.Job)
+			c.report(ruleJobLost, e.At, "job %s: accepted, but a later request is answered with 404", e.Job)
 		}
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if e.Via == BySubmit {
-			c.report(ruleForgotten, e.At, "%s was accepted and its repetition gets %d", e.Job, e.Status)
+			c.report(ruleJobLost, e.At, "job %s: accepted, but a repeated submission is answered with %d", e.Job, e.Status)
 		}
 	}
 }
 
-// checkSaidDone checks that all tasks of a job that is called done have completed.
-func (c *checker) checkSaidDone(e *Event, j *job) {
+// checkReportedDone checks that all tasks of a job that is reported as done have completed.
+func (c *checker) checkReportedDone(e *Event, j *job) {
 	if len(j.done) < j.spec.Tasks {
-		c.report(ruleNotDone, e.At, "%s is called done with %d of %d tasks", e.Job, len(j.done), j.spec.Tasks)
+		c.report(ruleNotDone, e.At, "job %s: reported as done with %d of %d tasks completed",
+			e.Job, len(j.done), j.spec.Tasks)
 	}
-	j.final = saidDone
+	j.finalState = statusDone
 }
 
-// checkSaidCancelled checks that the cancellation was requested, and starts the time within which the
-// job's tasks must be gone.
-func (c *checker) checkSaidCancelled(e *Event, j *job) {
+// checkReportedCancelled checks that the cancellation was requested, and starts the time limit for stopping
+// the tasks of the job.
+func (c *checker) checkReportedCancelled(e *Event, j *job) {
 	if !c.mayBeCancelled(e.Job, map[string]bool{}) {
-		c.report(ruleWentBack, e.At, "%s is called cancelled and nobody has asked for it", e.Job)
+		c.report(ruleInvalidFinalState, e.At, "job %s: reported as cancelled without a request to cancel", e.Job)
 	}
-	j.final = saidCancelled
+	j.finalState = statusCancelled
 	if j.cancelledAt != 0 {
 		return
 	}
@@ -180,21 +183,24 @@
 	}
 }
 
-// checkOrphaned checks that a job which goes on depends on no job that was cancelled before.
-func (c *checker) checkOrphaned(e *Event, j *job) {
+// checkDependencies checks that a job that is reported as queued or running depends on no job that was
+// cancelled more than Rules.CancelIn before. Each job is reported once.
+func (c *checker) checkDependencies(e *Event, j *job) {
 	at := c.dependencyCancelledAt(e.Job, map[string]bool{})
 	if at != 0 && e.At-at > c.rules.CancelIn && !j.orphanReported {
 		j.orphanReported = true
-		c.report(ruleOrphaned, e.At, "%s is called %s, and a job before it was cancelled at %.3f s", e.Job, e.Said, seconds(at))
+		c.report(ruleOrphaned, e.At, "job %s: reported as %s, but a dependency was cancelled at %.3f s",
+			e.Job, e.Said, seconds(at))
 	}
 }
 
-// checkPoll finds jobs of which every poll fails for too long: at all once the faults are over, or
-// while polls for others are answered. A job is reported again after the same time.
+// checkPoll finds accepted jobs for which all polls have failed for too long: for Rules.Unanswered after
+// the end of the faults, or for Rules.Silence while polls for other jobs were answered. If the polls keep
+// failing, the job is reported again after the same time.
 func (c *checker) checkPoll(e *Event, j *job, success bool) {
 	if success || e.Status == http.StatusNotFound {
 		j.failingSince = 0
-		c.lastPoll = e.At
+		c.lastAnsweredPoll = e.At
 		return
 	}
 	if j.failingSince == 0 {
@@ -205,19 +211,21 @@
 	}
 	settledSince := max(j.failingSince, c.rules.Settled)
 	if c.rules.Unanswered != 0 && e.At-settledSince >= c.rules.Unanswered {
-		c.report(ruleForgotten, e.At, "no question about %s has been answered since %.3f s, with all troubles over", e.Job, seconds(settledSince))
+		c.report(ruleJobLost, e.At, "job %s: no poll answered since %.3f s, after the end of all faults",
+			e.Job, seconds(settledSince))
 		j.failingSince = e.At
 		return
 	}
-	othersAnswered := c.lastPoll >= j.failingSince
+	othersAnswered := c.lastAnsweredPoll >= j.failingSince
 	if c.rules.Silence != 0 && e.At-j.failingSince >= c.rules.Silence && othersAnswered {
-		c.report(ruleForgotten, e.At, "every poll for %s has failed since %.3f s while others were answered", e.Job, seconds(j.failingSince))
+		c.report(ruleJobLost, e.At, "job %s: all polls failed since %.3f s while others were answered",
+			e.Job, seconds(j.failingSince))
 		j.failingSince = e.At
 	}
 }
 
-// mayBeCancelled reports whether a user requested the cancellation of a job or of one that it depends
-// on, directly or not. seen holds the jobs that were examined before.
+// mayBeCancelled reports whether a user requested the cancellation of a job or of one of its direct or
+// transitive dependencies. seen holds the jobs already visited.
 func (c *checker) mayBeCancelled(id string, seen map[string]bool) bool {
 	j := c.jobs[id]
 	if j == nil || seen[id] {
@@ -230,8 +238,8 @@
 	return j.spec != nil && slices.ContainsFunc(j.spec.Needs, func(n string) bool { return c.mayBeCancelled(n, seen) })
 }
 
-// dependencyCancelledAt is when a user was first answered that a job which this one depends on,
-// directly or not, is cancelled; 0: never. seen holds the jobs that were examined before.
+// dependencyCancelledAt returns the time of the first answer that a direct or transitive dependency of a
+// job is cancelled, or 0 if there was none. seen holds the jobs already visited.
 func (c *checker) dependencyCancelledAt(id string, seen map[string]bool) Micros {
 	j := c.jobs[id]
 	if j == nil || j.spec == nil || seen[id] {
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -7,11 +7,11 @@
 
 const second = 1_000_000
 
-// rules are those that the histories are checked against.
+// rules is applied to the histories of the tests.
 var rules = Rules{CancelIn: 10 * second, Silence: 90 * second, Teams: map[string]Limit{"red": {GPUs: 4}}}
 
-// validHistory is a history without violations: two jobs, one after the other, and a third that is
-// cancelled with the one that depends on it.
+// validHistory returns a history without violations: two jobs that run one after the other, and a third
+// that is cancelled together with a job that depends on it.
 func validHistory() []Event {
 	spec := func(tasks int, needs ...string) *Spec {
 		return &Spec{Team: "red", Tasks: tasks, GPUs: 1, Types: []string{"t4"}, Zone: "", OneZone: true, Needs: needs}
@@ -50,21 +50,20 @@
 	}
 }
 
-// A history that follows the rules has no violations.
 func TestValidHistory(t *testing.T) {
 	if found := Check(rules, validHistory()); len(found) > 0 {
-		t.Errorf("%v", found)
+		t.Errorf("violations in a valid history: %v", found)
 	}
 }
 
-// Once all faults are over, a job is forgotten if no poll for it is answered for 75 s, although no poll
-// for another is answered either.
+// After the end of all faults, a job is lost if no poll for it is answered for 75 s, even if no poll for
+// another job is answered either.
 func TestUnanswered(t *testing.T) {
 	t.Parallel()
 	settled := rules
 	settled.Settled, settled.Unanswered = 300*second, 75*second
 	for _, tt := range []struct {
-		upTo float64 // seconds until which polls fail
+		upTo float64 // time in seconds until which polls fail
 		want int
 	}{{374, 0}, {376, 1}} {
 		events := validHistory()
@@ -72,12 +71,13 @@
 			events = append(events, Event{At: Micros(s * second), Kind: Answered, Job: "j-2", Via: ByPoll, Status: 503})
 		}
 		if got := Check(settled, events); len(got) != tt.want || tt.want > 0 && got[0].Rule != "forgotten" {
-			t.Errorf("polls fail until %v s: %v", tt.upTo, got)
+			t.Errorf("polls fail until %v s: violations %v, want %d", tt.upTo, got, tt.want)
 		}
 	}
 }
 
-// Every rule has histories that violate it, and it alone: the checker finds each kind of violation.
+// Every rule is violated by at least one of the mutations of a valid history. The checker must report that
+// rule and no other, except that a history without any start may also violate went_back.
 func TestMutatedHistories(t *testing.T) {
 	type mutation func([]Event) []Event
 	insert := func(e Event) mutation { return func(h []Event) []Event { return append(h, e) } }
@@ -116,12 +116,12 @@
 		"a spot machine":                    {"wrong_place", change(TaskStarted, "j-2", func(e *Event) { e.Machine = "m3" })},
 		"two zones": {"wrong_place", all(insert(Event{At: at(12.5), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m2"}),
 			insert(Event{At: at(12.6), Kind: TaskStopped, Job: "j-3", Task: 1, Attempt: 1, Machine: "m2"}))},
-		"no spread":                                 {"wrong_place", respec("j-1", func(s *Spec) { s.Spread, s.OneZone = true, false })},
+		"tasks not spread over zones":               {"wrong_place", respec("j-1", func(s *Spec) { s.Spread, s.OneZone = true, false })},
 		"a machine that was never rented":           {"wrong_place", change(TaskStarted, "j-2", func(e *Event) { e.Machine = "m9" })},
-		"remains after the cancellation":            {"ran_cancelled", remove(TaskStopped, "j-3")},
-		"starts after the cancellation":             {"ran_cancelled", insert(Event{At: at(30), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m1"})},
+		"task remains after the cancellation":       {"ran_cancelled", remove(TaskStopped, "j-3")},
+		"task starts after the cancellation":        {"ran_cancelled", insert(Event{At: at(30), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m1"})},
 		"404 for an accepted job":                   {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 404})},
-		"422 for a repetition":                      {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: BySubmit, Status: 422})},
+		"422 for a repeated submission":             {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: BySubmit, Status: 422})},
 		"a job that was never submitted":            {"invented", insert(Event{At: at(8), Kind: Answered, Job: "j-99", Via: ByPoll, Status: 200, Said: "queued"})},
 		"a task of a job that was never submitted":  {"invented", insert(Event{At: at(8), Kind: TaskStarted, Job: "j-99", Machine: "m1"})},
 		"done with a task missing":                  {"not_done", all(remove(TaskStarted, "j-2"), change(TaskDone, "j-1", func(e *Event) { e.Task = 1 }))},
@@ -129,7 +129,7 @@
 		"cancelled without request":                 {"went_back", remove(CancelRequested, "j-3")},
 		"started before a dependency is done":       {"too_early", change(TaskStarted, "j-2", func(e *Event) { e.At = at(5.5) })},
 		"queued although a dependency is cancelled": {"orphaned", all(remove(Answered, "j-4"), insert(Event{At: at(30), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, Said: "queued"}))},
-		"nothing ran": {"nothing_ran", func(h []Event) []Event {
+		"no task starts": {"nothing_ran", func(h []Event) []Event {
 			return slices.DeleteFunc(h, func(e Event) bool { return e.Kind != JobSubmitted && (e.Kind != Answered || e.Said == "done") })
 		}},
 		"every poll fails": {"forgotten", func(h []Event) []Event {
@@ -145,11 +145,11 @@
 			h = append(h, Event{At: 0, Kind: MachineAdded, Machine: "m3x", Host: &Host{"t4", "a", false}})
 			found := Check(rules, c.by(h))
 			if len(found) == 0 {
-				t.Fatalf("not found: %s", c.rule)
+				t.Fatalf("no violations, want one of %s", c.rule)
 			}
 			for _, v := range found {
 				if v.Rule != c.rule && (c.rule != "nothing_ran" || v.Rule != "went_back") {
-					t.Errorf("%v", v)
+					t.Errorf("unexpected violation: %v", v)
 				}
 			}
 		})
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -5,56 +5,56 @@
 // Micros is a time or a duration in whole microseconds.
 type Micros = int64
 
-// seconds converts microseconds.
+// seconds converts microseconds to seconds.
 func seconds(t Micros) float64 { return float64(t) / 1e6 }
 
 // Kind is the kind of an event.
 type Kind string
 
-// The kinds of events. A task is on its machine from when it has its image until it exits, is
-// killed, or the machine is gone.
+// The kinds of events. A task is on a machine from the time when its image is there until it exits, is
+// killed, or the machine is removed.
 const (
 	JobSubmitted    Kind = "submitted" // a user submits a job for the first time
 	CancelRequested Kind = "asked"     // a user requests the cancellation of a job
-	Answered        Kind = "told"      // a user is answered
+	Answered        Kind = "told"      // a user receives an answer, or a request fails without one
 	MachineAdded    Kind = "machine"   // a machine is rented
-	MachineGone     Kind = "gone"      // a machine and all tasks on it are gone
+	MachineGone     Kind = "gone"      // a machine is removed with all tasks on it
 	TaskStarted     Kind = "on"        // a task starts on a machine
-	TaskStopped     Kind = "off"       // a task is not on its machine any more
+	TaskStopped     Kind = "off"       // a task is no longer on its machine
 	TaskDone        Kind = "done"      // a task has completed
 )
 
-// The kinds of requests that a user is answered, in Event.Via.
+// The kinds of requests of users: values of Event.Via.
 const (
 	BySubmit = "submit"
 	ByPoll   = "poll"
 	ByCancel = "cancel"
 )
 
-// The states of a job that a user is answered, in Event.Said.
+// The states of a job in answers to users: values of Event.Said.
 const (
-	saidQueued    = "queued"
-	saidRunning   = "running"
-	saidDone      = "done"
-	saidCancelled = "cancelled"
+	statusQueued    = "queued"
+	statusRunning   = "running"
+	statusDone      = "done"
+	statusCancelled = "cancelled"
 )
 
-// The names of the rules, in Violation.Rule.
+// The names of the rules: values of Violation.Rule.
 const (
-	ruleForgotten    = "forgotten"     // an accepted job is unknown, or no poll for it is answered
-	ruleInvented     = "invented"      // there is a job or a task that nobody has submitted
-	ruleNotDone      = "not_done"      // a job is called done and tasks have not completed
-	ruleNothingRan   = "nothing_ran"   // no task was started at all
-	ruleOrphaned     = "orphaned"      // a job goes on though one that it depends on is cancelled
-	ruleQuota        = "quota"         // a team uses more than its quota
-	ruleRanCancelled = "ran_cancelled" // a task is on a machine too long after its job was cancelled
-	ruleRanTwice     = "ran_twice"     // a task is on two machines
-	ruleTooEarly     = "too_early"     // a task starts before the jobs that its job depends on are done
-	ruleWentBack     = "went_back"     // a final state changes, or a job is cancelled without request
-	ruleWrongPlace   = "wrong_place"   // a task starts on a machine that its job excludes
+	ruleJobLost           = "forgotten"     // an accepted job is unknown, refused again, or polls for it fail
+	ruleNeverSubmitted    = "invented"      // a job is reported, or a task starts, that was never submitted
+	ruleNotDone           = "not_done"      // a job is reported as done before all its tasks have completed
+	ruleNoTaskStarted     = "nothing_ran"   // no task started in the whole history
+	ruleOrphaned          = "orphaned"      // a job is queued or running although a dependency is cancelled
+	ruleQuota             = "quota"         // a team exceeds its quota
+	ruleRanCancelled      = "ran_cancelled" // a task is on a machine too long after its cancellation
+	ruleRanTwice          = "ran_twice"     // a task is on two machines at once
+	ruleDependencyNotDone = "too_early"     // a task starts before the dependencies of its job are done
+	ruleInvalidFinalState = "went_back"     // a final state changes, or a job is cancelled without request
+	ruleExcludedMachine   = "wrong_place"   // a task starts on an excluded or unrented machine
 )
 
-// Event is something that a user, a worker or the cloud saw.
+// Event is an observation of a user, a worker or the cloud.
 type Event struct {
 	At      Micros `json:"at"`
 	Kind    Kind   `json:"kind"`
@@ -65,11 +65,11 @@
 	Spec    *Spec  `json:"spec,omitempty"`   // of JobSubmitted
 	Host    *Host  `json:"host,omitempty"`   // of MachineAdded
 	Via     string `json:"via,omitempty"`    // of Answered: BySubmit, ByPoll or ByCancel
-	Status  int    `json:"status,omitempty"` // of Answered: the HTTP status; 0: no answer
-	Said    string `json:"said,omitempty"`   // of Answered: queued, running, done or cancelled
+	Status  int    `json:"status,omitempty"` // of Answered: the HTTP status; 0 if there was no answer
+	Said    string `json:"said,omitempty"`   // of Answered: the state of the job: queued, running, done or cancelled
 }
 
-// Spec is what the rules need to know of a job.
+// Spec holds the properties of a job that the rules depend on.
 type Spec struct {
 	Team    string   `json:"team"`
 	Tasks   int      `json:"tasks"`
@@ -83,34 +83,36 @@
 	Needs   []string `json:"needs,omitempty"`
 }
 
-// Host is what the rules need to know of a machine.
+// Host holds the properties of a machine that the rules depend on.
 type Host struct {
 	Type string `json:"type"`
 	Zone string `json:"zone"`
 	Spot bool   `json:"spot"`
 }
 
-// Limit is the quota of a team; 0: unlimited.
+// Limit is the quota of a team. 0 means unlimited.
 type Limit struct{ CPUs, GPUs float64 }
 
 // Rules are the parameters of the rules.
 type Rules struct {
-	CancelIn Micros // how long tasks may remain on machines after a user was answered that their job is cancelled
-	Silence  Micros // how long every poll for a job may fail while others are answered; 0: for any time
-	// Settled is when the last fault ended, and Unanswered how long every poll for a job may fail
-	// from then on, whether others are answered or not; 0: for any time.
+	// CancelIn is how long tasks may remain on machines after a user was answered that their job is cancelled.
+	CancelIn Micros
+	// Silence is how long all polls for a job may fail while others are answered; unlimited if 0.
+	Silence Micros
+	// Settled is when the last fault ended. Unanswered is how long all polls for a job may fail from then
+	// on, whether or not polls for others are answered; unlimited if 0.
 	Settled, Unanswered Micros
-	Teams               map[string]Limit // by name
+	Teams               map[string]Limit // quotas by team; teams that are not listed are unlimited
 }
 
-// Violation is a rule that a history violates.
+// Violation is a violation of a rule, found in a history.
 type Violation struct {
 	Rule   string `json:"rule"`
 	At     Micros `json:"at"`
 	Detail string `json:"what"`
 }
 
-// String is the violation in one line.
+// String returns the violation in one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3f s: %s", v.Rule, seconds(v.At), v.Detail)
 }
--- a/internal/invariants/tasks.go
+++ b/internal/invariants/tasks.go
@@ -2,29 +2,30 @@
 
 import "slices"
 
-// quotaTolerance is how far usage may exceed a quota, for rounding.
+// quotaTolerance is how far usage may exceed a quota, to allow for rounding errors.
 const quotaTolerance = 1e-6
 
-// taskStarted checks the start of a task and adds its placement.
+// taskStarted checks the start of a task and records its placement.
 func (c *checker) taskStarted(e *Event) {
 	c.started = true
 	j := c.job(e.Job)
 	if j.spec == nil {
-		c.report(ruleInvented, e.At, "task %s/%d of a job that was never submitted is on %s", e.Job, e.Task, e.Machine)
+		c.report(ruleNeverSubmitted, e.At, "task %s/%d: starts on %s, but its job was never submitted",
+			e.Job, e.Task, e.Machine)
 		return
 	}
 	for _, p := range j.placements {
 		if p.task == e.Task && p.machine != e.Machine {
-			c.report(ruleRanTwice, e.At, "%s/%d starts on %s and is on %s", e.Job, e.Task, e.Machine, p.machine)
+			c.report(ruleRanTwice, e.At, "task %s/%d: starts on %s while on %s", e.Job, e.Task, e.Machine, p.machine)
 		}
 	}
 	if j.cancelledAt != 0 && e.At-j.cancelledAt > c.rules.CancelIn {
-		c.report(ruleRanCancelled, e.At, "%s/%d starts on %s, %.3f s after its user was told that it is cancelled", e.Job, e.Task, e.Machine,
-			seconds(e.At-j.cancelledAt))
+		c.report(ruleRanCancelled, e.At, "task %s/%d: starts on %s, %.3f s after the cancellation was answered",
+			e.Job, e.Task, e.Machine, seconds(e.At-j.cancelledAt))
 	}
 	for _, n := range j.spec.Needs {
 		if dependency := c.job(n); dependency.spec == nil || len(dependency.done) < dependency.spec.Tasks {
-			c.report(ruleTooEarly, e.At, "%s/%d starts and %s is not done", e.Job, e.Task, n)
+			c.report(ruleDependencyNotDone, e.At, "task %s/%d: starts before dependency %s is done", e.Job, e.Task, n)
 		}
 	}
 	c.checkPlacement(e, j)
@@ -35,7 +36,7 @@
 	}
 }
 
-// addPlacement adds a placement and what it uses of its team's quota.
+// addPlacement records a placement and adds its resources to the usage of its team.
 func (c *checker) addPlacement(id string, j *job, p placement) {
 	j.placements = append(j.placements, p)
 	if c.byMachine[p.machine] == nil {
@@ -48,44 +49,46 @@
 	c.used[j.spec.Team] = used
 }
 
-// checkQuota checks what a team uses against its quota.
+// checkQuota checks the usage of a team against its quota.
 func (c *checker) checkQuota(now Micros, team string) {
 	used := c.used[team]
 	limit := c.rules.Teams[team]
 	overCPUs := limit.CPUs > 0 && used.CPUs > limit.CPUs+quotaTolerance
 	overGPUs := limit.GPUs > 0 && used.GPUs > limit.GPUs+quotaTolerance
 	if overCPUs || overGPUs {
-		c.report(ruleQuota, now, "team %s uses %v CPUs and %v GPUs of %v and %v", team, used.CPUs, used.GPUs, limit.CPUs, limit.GPUs)
+		c.report(ruleQuota, now, "team %s: usage of %v CPUs and %v GPUs exceeds quota of %v and %v",
+			team, used.CPUs, used.GPUs, limit.CPUs, limit.GPUs)
 	}
 }
 
-// checkPlacement checks the machine of a start against what the job allows, given its other tasks.
+// checkPlacement checks that the machine on which a task starts satisfies the constraints of its job,
+// including those relative to the job's other tasks.
 func (c *checker) checkPlacement(e *Event, j *job) {
 	m := c.machines[e.Machine]
 	if m == nil {
-		c.report(ruleWrongPlace, e.At, "%s/%d starts on %s, which is not rented", e.Job, e.Task, e.Machine)
+		c.report(ruleExcludedMachine, e.At, "task %s/%d: starts on %s, which is not rented", e.Job, e.Task, e.Machine)
 		return
 	}
 	inZone, elsewhere := c.countZones(e, j, m.Zone)
 	why := ""
 	switch s := j.spec; {
 	case len(s.Types) > 0 && !slices.Contains(s.Types, m.Type):
-		why = "its type is " + m.Type
+		why = "job excludes machine type " + m.Type
 	case s.Zone != "" && s.Zone != m.Zone:
-		why = "its zone is " + m.Zone
+		why = "job excludes zone " + m.Zone
 	case m.Spot && !s.Spot:
-		why = "it is a spot machine"
+		why = "job excludes spot machines"
 	case s.OneZone && elsewhere > 0:
-		why = "other tasks are in another zone"
+		why = "other tasks of the job are in another zone"
 	case s.Spread && inZone > (s.Tasks+1)/2:
-		why = "too many tasks are in its zone"
+		why = "too many tasks of the job are in its zone"
 	}
 	if why != "" {
-		c.report(ruleWrongPlace, e.At, "%s/%d starts on %s: %s", e.Job, e.Task, e.Machine, why)
+		c.report(ruleExcludedMachine, e.At, "task %s/%d: starts on %s: %s", e.Job, e.Task, e.Machine, why)
 	}
 }
 
-// countZones counts the tasks of a job in a zone, with the one that starts, and those in other zones.
+// countZones counts the tasks of a job in a zone, including the task that starts, and those in other zones.
 func (c *checker) countZones(e *Event, j *job, zone string) (inZone, elsewhere int) {
 	inZone = 1
 	for _, p := range j.placements {
@@ -101,7 +104,8 @@
 	return inZone, elsewhere
 }
 
-// taskStopped removes a placement, if there is such a one.
+// taskStopped removes a placement and its resources from the usage of its team. It ignores unknown
+// placements.
 func (c *checker) taskStopped(id string, p placement) {
 	j := c.job(id)
 	i := slices.Index(j.placements, p)
@@ -119,8 +123,8 @@
 	c.used[j.spec.Team] = used
 }
 
-// checkCancelDeadlines finds tasks that are on machines too long after their job was cancelled. Each
-// job is reported once.
+// checkCancelDeadlines finds cancelled jobs with tasks that are still on machines after Rules.CancelIn.
+// Each job is reported once.
 func (c *checker) checkCancelDeadlines(now Micros) {
 	for id, j := range c.cancelPending {
 		if now-j.cancelledAt <= c.rules.CancelIn {
@@ -128,7 +132,7 @@
 		}
 		delete(c.cancelPending, id)
 		p := j.placements[0]
-		c.report(ruleRanCancelled, now, "%s/%d is on %s, %.3f s after its user was told that it is cancelled", id, p.task, p.machine,
-			seconds(now-j.cancelledAt))
+		c.report(ruleRanCancelled, now, "task %s/%d: still on %s, %.3f s after the cancellation was answered",
+			id, p.task, p.machine, seconds(now-j.cancelledAt))
 	}
 }
