--- a/internal/faulttest/compare.go
+++ b/internal/faulttest/compare.go
@@ -12,14 +12,15 @@
 	Noise  = "noise"
 )
 
-// Comparison is a measure of a variant, compared with that of the first variant.
+// Comparison holds the values of one measure for a variant and compares them with those of the first
+// variant, the baseline.
 type Comparison struct {
 	Variant string    `json:"variant"`
 	Measure string    `json:"measure"`
-	Values  []float64 `json:"values"` // by seed
+	Values  []float64 `json:"values"` // one per seed
 	Median  float64   `json:"median"`
-	Spread  float64   `json:"spread"`  // between the quartiles
-	Against float64   `json:"against"` // median of the ratios to the first variant, pair by pair
+	Spread  float64   `json:"spread"`  // interquartile range
+	Against float64   `json:"against"` // median of the pairwise ratios to the baseline
 	Verdict string    `json:"verdict"`
 }
 
@@ -27,30 +28,30 @@
 type Table struct {
 	Name   string       `json:"name"`
 	Rows   []Comparison `json:"rows"`
-	Failed []string     `json:"failed,omitempty"` // runs that did not pass, and why
+	Failed []string     `json:"failed,omitempty"` // runs that did not pass, with the reasons
 }
 
 const (
-	// leastRatio is the relative difference below which nothing is called better or worse.
-	leastRatio = 0.05
-	// significance is the highest probability of a difference by chance at which it still counts.
-	significance = 0.1
+	// minRelativeDifference is the relative difference below which the verdict is always Noise.
+	minRelativeDifference = 0.05
+	// maxChanceProbability is the significance level of the sign test: above it, the verdict is Noise.
+	maxChanceProbability = 0.1
 )
 
-// compare compares a variant with the first one, pair by pair, and sets the verdict: it is better or worse if the median
-// ratio differs from 1 by leastRatio at least, and the signs of the pairs would come about by chance
-// with a probability of significance at most (sign test).
-func compare(c *Comparison, first []float64, moreIsBetter bool) {
+// compare compares the values of a variant with the baseline values of the same seeds and sets the
+// remaining fields of c. The verdict is Better or Worse if the median ratio differs from 1 by at least
+// minRelativeDifference and the sign test returns at most maxChanceProbability; otherwise it is Noise.
+func compare(c *Comparison, baseline []float64, moreIsBetter bool) {
 	var ratios []float64
 	above, below := 0, 0
 	for i, v := range c.Values {
-		if first[i] > 0 {
-			ratios = append(ratios, v/first[i])
+		if baseline[i] > 0 {
+			ratios = append(ratios, v/baseline[i])
 		}
 		switch {
-		case v > first[i]:
+		case v > baseline[i]:
 			above++
-		case v < first[i]:
+		case v < baseline[i]:
 			below++
 		}
 	}
@@ -59,7 +60,7 @@
 	sorted := slices.Sorted(slices.Values(c.Values))
 	c.Spread = sorted[len(sorted)*3/4] - sorted[len(sorted)/4]
 	c.Verdict = Noise
-	if math.Abs(c.Against-1) < leastRatio || signTest(above, below) > significance {
+	if math.Abs(c.Against-1) < minRelativeDifference || signTest(above, below) > maxChanceProbability {
 		return
 	}
 	c.Verdict = Worse
@@ -68,8 +69,8 @@
 	}
 }
 
-// signTest is the probability of signs that are at least as one-sided if both signs are equally
-// likely (two-sided sign test).
+// signTest returns the p-value of the two-sided sign test: the probability of a split at least as one-sided
+// as above to below if both signs are equally likely.
 func signTest(above, below int) float64 {
 	pairs := above + below
 	extreme := max(above, below)
@@ -77,7 +78,7 @@
 		return 1
 	}
 	sum := 0.0
-	probability := math.Exp2(-float64(pairs)) // of i signs of one kind
+	probability := math.Exp2(-float64(pairs)) // of exactly i signs of one kind
 	for i := 0; i <= pairs; i++ {
 		if i >= extreme || i <= pairs-extreme {
 			sum += probability
@@ -87,7 +88,7 @@
 	return min(sum, 1)
 }
 
-// median is the median of values; 1 if there are none, as of ratios.
+// median returns the median of values. It returns 1, a neutral ratio, if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 1
--- a/internal/faulttest/deployment.go
+++ b/internal/faulttest/deployment.go
@@ -11,7 +11,7 @@
 	"coralhub/wire"
 )
 
-// deployment is the deployment of the scenario as the platform describes it to the nodes.
+// deployment returns the description of the deployment that the platform gives to the nodes.
 func (s *Scenario) deployment() config.Cluster {
 	d := &s.Deploy
 	c := config.Cluster{
@@ -31,7 +31,8 @@
 	return c
 }
 
-// teams lists the teams of the classes, in the order of their first class.
+// teams lists the teams of the classes without duplicates, in the order in which the classes first name
+// them.
 func (s *Scenario) teams() []string {
 	var teams []string
 	for _, c := range s.Classes {
@@ -42,7 +43,8 @@
 	return teams
 }
 
-// clusterOptions says what cluster the scenario needs. What happens on it is not watched yet.
+// clusterOptions returns the options of the cluster that the scenario needs. The callbacks Watch and Failed
+// are not set.
 func (s *Scenario) clusterOptions(opt *Options) cluster.Options {
 	d := &s.Deploy
 	return cluster.Options{
--- a/internal/faulttest/evaluation.go
+++ b/internal/faulttest/evaluation.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// maxSilence is how long every poll for a job may fail while others are answered.
-	maxSilence = 90 * config.Second
-	// maxUnanswered is how long every poll for a job may fail once the last fault is over.
-	maxUnanswered = 75 * config.Second
-	// longestRun bounds the seconds that a result counts the load of.
-	longestRun = 24 * 3600
+	// maxPollFailure is how long all polls for a job may fail while polls for other jobs are answered.
+	maxPollFailure = 90 * config.Second
+	// maxPollFailureAfterFaults is how long all polls for a job may fail after the last fault has ended.
+	maxPollFailureAfterFaults = 75 * config.Second
+	// maxLoadSeconds bounds the length of the load series of a result, in seconds.
+	maxLoadSeconds = 24 * 3600
 )
 
-// evaluation evaluates the history of a run that has ended. It changes none of its fields once it is made.
+// evaluation evaluates the history of a run that has ended. Its fields don't change after newEvaluation.
 type evaluation struct {
 	scenario *Scenario
 	events   []invariants.Event
-	from     emulator.Micros // when the run began
-	end      float64         // when it ended, in seconds since it began
+	runStart emulator.Micros // when the run began
+	endS     float64         // when the run ended, in seconds since it began
 	outcomes map[string]*jobOutcome
 }
 
@@ -34,25 +34,25 @@
 	return &evaluation{
 		scenario: s,
 		events:   events,
-		from:     from,
-		end:      end,
+		runStart: from,
+		endS:     end,
 		outcomes: jobOutcomes(s, jobs, events, from, end),
 	}
 }
 
-// violations are the violations of the rules in the history.
+// violations returns the violations of the invariants in the history.
 func (e *evaluation) violations() []invariants.Violation {
 	return invariants.Check(e.rules(), e.events)
 }
 
-// rules are the parameters of the rules that the history must keep.
+// rules returns the parameters of the invariants that the history must satisfy.
 func (e *evaluation) rules() invariants.Rules {
 	d := &e.scenario.Deploy
 	rules := invariants.Rules{
 		CancelIn:   config.FromSeconds(d.CancelS),
-		Silence:    maxSilence,
-		Settled:    e.from + config.FromSeconds(e.scenario.settled()),
-		Unanswered: maxUnanswered,
+		Silence:    maxPollFailure,
+		Settled:    e.runStart + config.FromSeconds(e.scenario.lastFaultEndS()),
+		Unanswered: maxPollFailureAfterFaults,
 		Teams:      map[string]invariants.Limit{},
 	}
 	for _, name := range e.scenario.teams() {
@@ -61,10 +61,10 @@
 	return rules
 }
 
-// classResult is what became of the jobs of a class, by the history and by what its users experienced.
+// classResult summarizes the jobs of a class: from the history, and from the statistics of its users.
 func (e *evaluation) classResult(c *Class, stats userStats) ClassResult {
 	out := ClassResult{Class: c.Name, Submitted: stats.Submitted, Accepted: stats.Accepted, Errors: stats.Errors}
-	var submits, starts, ends []float64 // seconds
+	var submits, starts, ends []float64 // in seconds
 	for _, latency := range stats.latencies {
 		submits = append(submits, latency.Seconds())
 	}
@@ -90,41 +90,42 @@
 	return out
 }
 
-// quantiles reads quantiles of values in seconds from a histogram, in units of so many to a second.
+// quantiles returns quantiles of values in seconds, converted to a unit of which there are perSecond in a
+// second.
 func quantiles(values []float64, perSecond float64) quantile.Times {
-	const most = 24 * 3600 * 1_000_000 // microseconds
-	h := hdrhistogram.New(1, most, 3)
+	const maxMicros = 24 * 3600 * 1_000_000
+	h := hdrhistogram.New(1, maxMicros, 3)
 	for _, v := range values {
-		_ = h.RecordValue(min(max(int64(v*1e6), 1), most)) // is within the histogram's bounds
+		_ = h.RecordValue(min(max(int64(v*1e6), 1), maxMicros)) // never out of range
 	}
 	return quantile.Of(h, perSecond)
 }
 
-// load counts what happened in each second.
+// load counts the events of each second of the run.
 func (e *evaluation) load() []Second {
 	var out []Second
-	on := 0
+	running := 0
 	for i := range e.events {
 		event := &e.events[i]
-		second := int((event.At - e.from) / config.Second)
-		if second < 0 || second > longestRun {
+		second := int((event.At - e.runStart) / config.Second)
+		if second < 0 || second > maxLoadSeconds {
 			continue
 		}
 		for len(out) <= second {
-			out = append(out, Second{On: on})
+			out = append(out, Second{Running: running})
 		}
 		switch event.Kind {
 		case invariants.JobSubmitted:
 			out[second].Submitted++
 		case invariants.TaskStarted:
 			out[second].Started++
-			on++
+			running++
 		case invariants.TaskStopped:
-			on--
+			running--
 		case invariants.TaskDone:
 			out[second].Done++
 		}
-		out[second].On = on
+		out[second].Running = running
 	}
 	return out
 }
--- a/internal/faulttest/expectations.go
+++ b/internal/faulttest/expectations.go
@@ -2,30 +2,30 @@
 
 import "fmt"
 
-// The kinds of expectations, as scenario files name them in Expect.Kind.
+// The kinds of expectations: values of Expectation.Kind in scenario files.
 const (
-	expectAccepted = "accepted"
-	expectStarted  = "started"
-	expectDone     = "done"
-	expectDeadline = "deadline"
-	expectEnded    = "ended"
-	expectUp       = "up"
-	expectServed   = "served" // see StartedInTime
+	expectAccepted      = "accepted"
+	expectStarted       = "started"
+	expectDone          = "done"
+	expectDeadline      = "deadline"
+	expectEnded         = "ended"
+	expectUp            = "up"
+	expectStartedInTime = "served" // see StartedInTime
 )
 
-// tolerance is how far below its share an expectation is still met, for rounding.
+// tolerance allows for rounding errors: an expectation is met if its share is missed by no more than this.
 const tolerance = 1e-9
 
-// Finding is an expectation and how far it was met.
+// Finding is the result of evaluating an expectation.
 type Finding struct {
 	Expect string  `json:"expect"`
-	Found  float64 `json:"found"` // the share found
-	Of     int     `json:"of"`    // jobs that count
+	Found  float64 `json:"found"` // the share that met it
+	Of     int     `json:"of"`    // number of jobs counted
 	Met    bool    `json:"met"`
 }
 
-// String describes an expectation, as results name it.
-func (e *Expect) String() string {
+// String returns the description of the expectation in Finding.Expect.
+func (e *Expectation) String() string {
 	text := e.Kind
 	if e.Class != "" {
 		text = e.Class + " " + e.Kind
@@ -36,32 +36,32 @@
 	return fmt.Sprintf("%s at least %g", text, e.Share)
 }
 
-// inTime reports whether something happened at all, and within the time of the expectation if it
-// has one. Times are in seconds.
-func (e *Expect) inTime(at, since float64) bool {
+// inTime reports whether an event happened, and no later than WithinS after since if the expectation has
+// such a limit. Times are in seconds; at is negative if the event did not happen.
+func (e *Expectation) inTime(at, since float64) bool {
 	return at >= 0 && (e.WithinS == 0 || at-since <= e.WithinS)
 }
 
-// score is how much a job counts for an expectation, and how much of that is met.
+// score is the weight of a job in an expectation, and how much of that weight met it.
 type score struct {
-	applies     bool // the job counts at all
+	applies     bool // whether the expectation applies to the job
 	met, weight float64
 }
 
 // notCounted is the score of a job that an expectation doesn't apply to.
 var notCounted = score{}
 
-// wholeJob is the score of a job that counts once and either meets the expectation or doesn't.
-func wholeJob(met bool) score {
+// jobScore is the score of a job with weight 1 that either meets the expectation or doesn't.
+func jobScore(met bool) score {
 	if met {
 		return score{applies: true, met: 1, weight: 1}
 	}
 	return score{applies: true, weight: 1}
 }
 
-// scorers holds how a job scores for each kind of expectation; end is when the run ended, in
-// seconds.
-var scorers = map[string]func(e *Expect, o *jobOutcome, end float64) score{
+// scorers maps the kind of an expectation to the function that scores a job. end is when the run ended, in
+// seconds since it began. expectStartedInTime is not evaluated job by job and has no scorer.
+var scorers = map[string]func(e *Expectation, o *jobOutcome, end float64) score{
 	expectAccepted: scoreAccepted,
 	expectStarted:  scoreStarted,
 	expectDone:     scoreDone,
@@ -70,43 +70,43 @@
 	expectUp:       scoreUp,
 }
 
-func scoreAccepted(e *Expect, o *jobOutcome, _ float64) score {
-	return wholeJob(e.inTime(o.accepted, o.plannedAt()))
+func scoreAccepted(e *Expectation, o *jobOutcome, _ float64) score {
+	return jobScore(e.inTime(o.accepted, o.plannedAt()))
 }
 
-func scoreStarted(e *Expect, o *jobOutcome, end float64) score {
+func scoreStarted(e *Expectation, o *jobOutcome, end float64) score {
 	cancelledBefore := o.cancelled && o.started < 0
 	if cancelledBefore || end-o.plannedAt() < e.WithinS {
 		return notCounted
 	}
-	return wholeJob(e.inTime(o.started, o.plannedAt()))
+	return jobScore(e.inTime(o.started, o.plannedAt()))
 }
 
-func scoreDone(e *Expect, o *jobOutcome, end float64) score {
+func scoreDone(e *Expectation, o *jobOutcome, end float64) score {
 	if o.cancelled || o.planned.class.isService() || end-o.plannedAt() < e.WithinS {
 		return notCounted
 	}
-	return wholeJob(e.inTime(o.done, o.plannedAt()))
+	return jobScore(e.inTime(o.done, o.plannedAt()))
 }
 
-func scoreDeadline(_ *Expect, o *jobOutcome, _ float64) score {
+func scoreDeadline(_ *Expectation, o *jobOutcome, _ float64) score {
 	deadline := o.planned.job.DeadlineS
 	if o.cancelled || deadline == nil {
 		return notCounted
 	}
-	return wholeJob(o.done >= 0 && o.done-o.plannedAt() <= *deadline)
+	return jobScore(o.done >= 0 && o.done-o.plannedAt() <= *deadline)
 }
 
-func scoreEnded(_ *Expect, o *jobOutcome, _ float64) score {
+func scoreEnded(_ *Expectation, o *jobOutcome, _ float64) score {
 	if o.planned.class.isService() {
 		return notCounted
 	}
-	return wholeJob(o.done >= 0 || o.cancelled)
+	return jobScore(o.done >= 0 || o.cancelled)
 }
 
-// scoreUp weighs a service by the replica seconds that it should have had since its time to start
-// was over.
-func scoreUp(e *Expect, o *jobOutcome, end float64) score {
+// scoreUp weighs a service by the replica seconds that it should have run: from WithinS after its planned
+// submission until the end of the run, with all replicas.
+func scoreUp(e *Expectation, o *jobOutcome, end float64) score {
 	if !o.planned.class.isService() || o.cancelled {
 		return notCounted
 	}
@@ -114,18 +114,20 @@
 	return score{applies: true, met: min(o.replicaSeconds, weight), weight: weight}
 }
 
-// plannedAt is when the job was to be submitted, in seconds since the run began.
+// plannedAt returns the planned time of the submission, in seconds since the run began.
 func (o *jobOutcome) plannedAt() float64 { return o.planned.at.Seconds() }
 
-// unknownExpectationError is the error of an expectation of a kind that there isn't.
+// unknownExpectationError reports an expectation of an unknown kind.
 type unknownExpectationError struct{ kind string }
 
-func (e *unknownExpectationError) Error() string { return fmt.Sprintf("no expectation %q", e.kind) }
+func (e *unknownExpectationError) Error() string {
+	return fmt.Sprintf("unknown expectation kind %q", e.kind)
+}
 
-// evaluate compares an expectation with the outcomes of the jobs. It returns an unknownExpectationError
+// evaluate evaluates an expectation over the outcomes of the jobs. It returns an unknownExpectationError
 // for an unknown kind.
-func (e *evaluation) evaluate(expect *Expect) (Finding, error) {
-	if expect.Kind == expectServed {
+func (e *evaluation) evaluate(expect *Expectation) (Finding, error) {
+	if expect.Kind == expectStartedInTime {
 		return e.evaluateStartedInTime(expect), nil
 	}
 	scoreOf := scorers[expect.Kind]
@@ -139,7 +141,7 @@
 		if wrongClass || o.submitted < 0 {
 			continue
 		}
-		s := scoreOf(expect, o, e.end)
+		s := scoreOf(expect, o, e.endS)
 		if !s.applies {
 			continue
 		}
@@ -156,13 +158,13 @@
 	return f, nil
 }
 
-func (e *evaluation) evaluateStartedInTime(expect *Expect) Finding {
+func (e *evaluation) evaluateStartedInTime(expect *Expectation) Finding {
 	within := expect.WithinS
 	if within == 0 {
-		within = startWithin
+		within = defaultStartWithinS
 	}
 	shares, jobs := e.startedInTime(within)
-	f := Finding{Expect: expect.String(), Found: shares.least(expect.Class), Of: jobs}
+	f := Finding{Expect: expect.String(), Found: shares.minShare(expect.Class), Of: jobs}
 	f.Met = f.Found >= expect.Share-tolerance
 	return f
 }
--- a/internal/faulttest/experiment.go
+++ b/internal/faulttest/experiment.go
@@ -12,27 +12,27 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Experiment compares variants of one scenario that are played with the same seeds, each with the
-// first one, pair by pair.
+// Experiment runs variants of one scenario with the same seeds and compares each variant with the first
+// one, seed by seed.
 type Experiment struct {
 	Name     string    `toml:"name"`
 	Scenario string    `toml:"scenario"`
 	Seeds    []uint64  `toml:"seeds"`
 	Scale    float64   `toml:"scale"`
 	Variants []Variant `toml:"variant"`
-	Measures []string  `toml:"measures"` // see Measures
+	Measures []string  `toml:"measures"` // names from Measures
 }
 
-// Variant is what differs in the runs of an experiment: the operators' settings, the program (of an
+// Variant is what differs between the runs of an experiment: the operators' settings, the program (an
 // earlier version, for example), or the scale.
 type Variant struct {
 	Name     string         `toml:"name"`
-	Program  string         `toml:"program"` // "": that of the options
+	Program  string         `toml:"program"` // path; Options.Program if empty
 	Settings map[string]any `toml:"settings"`
-	Scale    float64        `toml:"scale"` // multiplies that of the experiment; 0: 1
+	Scale    float64        `toml:"scale"` // multiplies the scale of the experiment; 1 if 0
 }
 
-// LoadExperiment reads an experiment from a TOML file and checks it, with its scenario.
+// LoadExperiment reads an experiment from a TOML file and validates it and its scenario.
 func LoadExperiment(path string) (*Experiment, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -45,12 +45,13 @@
 	names := map[string]bool{}
 	for _, v := range e.Variants {
 		if v.Name == "" || names[v.Name] {
-			return nil, fmt.Errorf("experiment %s: a variant's name is missing or there twice", path)
+			return nil, fmt.Errorf("experiment %s: variant name %q is empty or used twice", path, v.Name)
 		}
 		names[v.Name] = true
 	}
 	if len(e.Variants) < 2 || len(e.Seeds) == 0 || len(e.Measures) == 0 || e.Scale <= 0 {
-		return nil, fmt.Errorf("experiment %s: it takes two variants, a seed and a measure at least", path)
+		return nil, fmt.Errorf("experiment %s: needs two variants, a seed, a measure and a scale above 0 at least; "+
+			"found %d, %d, %d and %g", path, len(e.Variants), len(e.Seeds), len(e.Measures), e.Scale)
 	}
 	for _, name := range e.Measures {
 		if _, err := measure(name, &Result{}); err != nil {
@@ -61,23 +62,22 @@
 	return e, err
 }
 
-// Play plays the scenario for each seed with every variant, one run after the other, and compares the
-// measures.
+// Play runs the scenario for each seed with every variant, one run at a time, and compares the measures.
 func (e *Experiment) Play(ctx context.Context, opt Options) (*Table, error) {
-	results := make([][]*Result, len(e.Variants)) // by variant and seed
+	results := make([][]*Result, len(e.Variants)) // indexed by variant, then by seed
 	table := &Table{Name: e.Name}
 	for _, seed := range e.Seeds {
 		for i := range e.Variants {
 			v := &e.Variants[i]
-			res, err := e.playVariant(ctx, v, seed, opt)
+			res, err := e.runVariant(ctx, v, seed, opt)
 			if err != nil {
 				return nil, err
 			}
 			if !res.Passed {
-				table.Failed = append(table.Failed, fmt.Sprintf("%s, seed %d: %s", v.Name, seed, res.Why))
+				table.Failed = append(table.Failed, fmt.Sprintf("variant %s, seed %d: %s", v.Name, seed, res.Why))
 			}
 			if opt.Say != nil {
-				opt.Say(fmt.Sprintf("%s, seed %d: %.0f s", v.Name, seed, res.TookS))
+				opt.Say(fmt.Sprintf("variant %s, seed %d: run took %.0f s", v.Name, seed, res.TookS))
 			}
 			results[i] = append(results[i], res)
 		}
@@ -92,8 +92,8 @@
 	return table, nil
 }
 
-// playVariant plays the scenario with a variant and a seed, in a directory of its own.
-func (e *Experiment) playVariant(ctx context.Context, v *Variant, seed uint64, opt Options) (*Result, error) {
+// runVariant runs the scenario with a variant and a seed, in a separate directory.
+func (e *Experiment) runVariant(ctx context.Context, v *Variant, seed uint64, opt Options) (*Result, error) {
 	s, err := Load(e.Scenario)
 	if err != nil {
 		return nil, err
@@ -113,12 +113,12 @@
 	}
 	res, err := Run(ctx, s, opt)
 	if err != nil {
-		return nil, fmt.Errorf("%s, seed %d: %w", v.Name, seed, err)
+		return nil, fmt.Errorf("variant %s, seed %d: %w", v.Name, seed, err)
 	}
 	return res, nil
 }
 
-// scaleOf is the scale of a variant's runs.
+// scaleOf returns the scale of the runs of a variant.
 func (e *Experiment) scaleOf(v *Variant) float64 {
 	if v.Scale > 0 {
 		return e.Scale * v.Scale
@@ -126,7 +126,7 @@
 	return e.Scale
 }
 
-// compareVariants compares a measure of each variant with that of the first.
+// compareVariants compares one measure of each variant with that of the first variant.
 func (e *Experiment) compareVariants(name string, results [][]*Result) ([]Comparison, error) {
 	var rows []Comparison
 	for i := range e.Variants {
--- a/internal/faulttest/experiment_test.go
+++ b/internal/faulttest/experiment_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases every run; -rapid.seed draws others.
+// Every run tests the same cases. The flag -rapid.seed selects others.
 var _ = flag.Set("rapid.seed", "1")
 
-// A variant is better or worse only by a difference that is neither small nor due to chance.
+// The verdict is better or worse only if the difference is neither small nor plausible by chance.
 func TestVerdicts(t *testing.T) {
 	first := []float64{10, 12, 11, 13, 10, 12}
 	times := func(by float64) []float64 {
@@ -34,13 +34,14 @@
 	} {
 		x := Comparison{Values: c.values}
 		if compare(&x, first, c.more); x.Verdict != c.want {
-			t.Errorf("%v: %s, want %s", c.values, x.Verdict, c.want)
+			t.Errorf("verdict on %v: %s, want %s", c.values, x.Verdict, c.want)
 		}
 	}
 }
 
-// A variant that differs by noise alone is called different with a probability of a tenth at most, and
-// the sign test returns a probability.
+// If both signs are equally likely, the sign test returns at most 0.1 with a probability of at most 0.1, so
+// that differences by noise alone rarely get another verdict than Noise. The result is always a
+// probability.
 func TestSignTest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 30).Draw(t, "pairs")
@@ -48,7 +49,7 @@
 		for above := range n + 1 {
 			p := signTest(above, n-above)
 			if p < 0 || p > 1 {
-				t.Fatalf("probability %v", p)
+				t.Fatalf("sign test of %d above and %d below: %v, want a probability", above, n-above, p)
 			}
 			way := math.Exp(lgamma(n) - lgamma(above) - lgamma(n-above) - float64(n)*math.Ln2)
 			if p <= 0.1 {
@@ -56,7 +57,7 @@
 			}
 		}
 		if sum > 0.1+1e-9 {
-			t.Fatalf("%d pairs: called different in %v of cases", n, sum)
+			t.Fatalf("%d pairs: probability of a result of at most 0.1 is %v, want at most 0.1", n, sum)
 		}
 	})
 }
@@ -66,12 +67,12 @@
 	return v
 }
 
-// An experiment that can't be played is refused with an error that names the reason.
-func TestBadExperiments(t *testing.T) {
-	const sound = "name = \"x\"\nscenario = \"surge\"\nseeds = [1]\nmeasures = [\"cpu\"]\n[[variant]]\nname = \"a\"\n[[variant]]\nname = \"b\"\n"
+// LoadExperiment rejects an invalid experiment with an error that names the reason.
+func TestInvalidExperiments(t *testing.T) {
+	const valid = "name = \"x\"\nscenario = \"surge\"\nseeds = [1]\nmeasures = [\"cpu\"]\n[[variant]]\nname = \"a\"\n[[variant]]\nname = \"b\"\n"
 	for _, c := range []struct{ text, want string }{
-		{sound, ""}, {strings.Replace(sound, "cpu", "luck", 1), "no measure"}, {strings.Replace(sound, "surge", "no-such", 1), "no scenario"},
-		{strings.Replace(sound, "\"b\"", "\"a\"", 1), "twice"}, {strings.Replace(sound, "[1]", "[]", 1), "a seed"}, {"name = [", "line 1"},
+		{valid, ""}, {strings.Replace(valid, "cpu", "luck", 1), "no measure"}, {strings.Replace(valid, "surge", "no-such", 1), "no scenario"},
+		{strings.Replace(valid, "\"b\"", "\"a\"", 1), "twice"}, {strings.Replace(valid, "[1]", "[]", 1), "a seed"}, {"name = [", "line 1"},
 	} {
 		path := filepath.Join(t.TempDir(), "e.toml")
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
@@ -79,7 +80,7 @@
 		}
 		_, err := LoadExperiment(path)
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-			t.Errorf("%q: %v, want %q", c.text, err, c.want)
+			t.Errorf("load %q: error %v, want %q", c.text, err, c.want)
 		}
 	}
 }
--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -20,7 +20,7 @@
 	"coralhub/wire"
 )
 
-// The nodes of a test's cluster run this test program with the argument "serve".
+// The nodes of the clusters in tests are processes of this test binary with the argument "serve".
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
 		if err := serve(os.Args); err != nil {
@@ -38,29 +38,30 @@
 		return err
 	}
 	go func() {
-		_, _ = io.Copy(io.Discard, os.Stdin) // ends with the test
+		_, _ = io.Copy(io.Discard, os.Stdin) // returns when the test process closes the pipe or exits
 		os.Exit(0)
 	}()
 	return node.New(cfg).Run(context.Background())
 }
 
-// work is the total run time of the jobs that are submitted after the initial ones, in task seconds.
-func work(s *Scenario) float64 {
+// taskSeconds returns the total run time of all tasks of the jobs that are submitted after the initial
+// ones, in seconds.
+func taskSeconds(s *Scenario) float64 {
 	sum := 0.0
 	for _, p := range s.plan(5) {
 		if p.at.Seconds() > 2 {
-			sum += float64(p.job.Tasks) * float64(p.run) / 1e6
+			sum += float64(p.job.Tasks) * float64(p.taskRunTime) / 1e6
 		}
 	}
 	return sum
 }
 
-// Every embedded scenario is valid, keeps its amount of work when sped up, and draws the same jobs from
-// the same seed.
-func TestScenariosAreSound(t *testing.T) {
+// Every embedded scenario is valid, keeps its amount of work when sped up, and plans the same jobs for the
+// same seed.
+func TestEmbeddedScenarios(t *testing.T) {
 	names := Names()
 	if len(names) < 10 {
-		t.Fatalf("%d scenarios", len(names))
+		t.Fatalf("%d embedded scenarios, want at least 10", len(names))
 	}
 	for _, name := range names {
 		s, err := Load(name)
@@ -68,47 +69,47 @@
 			t.Error(err)
 			continue
 		}
-		if s.Name != name || len(s.Expect) == 0 {
-			t.Errorf("%s is called %q and expects %d things", name, s.Name, len(s.Expect))
+		if s.Name != name || len(s.Expectations) == 0 {
+			t.Errorf("scenario %s: name %q, %d expectations", name, s.Name, len(s.Expectations))
 		}
-		if x := s.Sped(4); work(x) < 0.6*work(s) || work(x) > 1.7*work(s) {
-			t.Errorf("%s at four times the speed: %.0f task seconds, %.0f before", name, work(x), work(s))
+		if x := s.Sped(4); taskSeconds(x) < 0.6*taskSeconds(s) || taskSeconds(x) > 1.7*taskSeconds(s) {
+			t.Errorf("scenario %s sped up by 4: %.0f task seconds, %.0f before", name, taskSeconds(x), taskSeconds(s))
 		}
 		if a, b := s.plan(5), s.plan(5); !reflect.DeepEqual(a, b) || len(a) == 0 {
-			t.Errorf("%s: the same seed draws other jobs", name)
+			t.Errorf("scenario %s: plans of the same seed differ or have no jobs", name)
 		}
 	}
 }
 
-// A scenario that can't be played is refused with an error of one line that names the reason.
-func TestBadScenarios(t *testing.T) {
-	const sound = "name = \"x\"\nabout = \"y\"\nduration_s = 5\n[[class]]\nname = \"c\"\nshape = \"array\"\nrun_s = 1\n"
-	if _, err := Parse([]byte(sound)); err != nil {
+// Parse rejects an invalid scenario with a single-line error that names the reason.
+func TestInvalidScenarios(t *testing.T) {
+	const valid = "name = \"x\"\nabout = \"y\"\nduration_s = 5\n[[class]]\nname = \"c\"\nshape = \"array\"\nrun_s = 1\n"
+	if _, err := Parse([]byte(valid)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ text, want string }{
 		{"name = \"x\"\n", "missing"},
 		{"name = [", "line 1"},
-		{sound + "colour = 1\n", "colour"},
-		{strings.Replace(sound, "array", "heap", 1), "shape"},
-		{sound + "needs = \"d\"\n", "not a class before it"},
-		{sound + "tasks = [3, 1]\n", "tasks"},
-		{sound + "[[fault]]\nat_s = 1\nkind = \"flood\"\n", "kind"},
-		{sound + "[[fault]]\nat_s = 1\nkind = \"zone_cut\"\ntarget = \"z\"\n", "no zone"},
-		{sound + "[[fault]]\nat_s = -1\nkind = \"state_out\"\n", "at_s"},
-		{sound + "[[fault]]\nat_s = 1\nfor_s = -2\nkind = \"state_out\"\n", "for_s"},
-		{sound + "[[fault]]\nat_s = 1\nkind = \"node_kill\"\ntarget = \"n9\"\n", "n9"},
-		{sound + "[[fault]]\nat_s = 1\nkind = \"zone_cut\"\n", "no zone"},
-		{sound + "[[fault]]\nat_s = 1\nfor_s = 900\nkind = \"state_out\"\n", "beyond the end"},
-		{sound + "[[expect]]\nkind = \"done\"\nshare = 1\nclass = \"d\"\n", "no class"},
+		{valid + "colour = 1\n", "colour"},
+		{strings.Replace(valid, "array", "heap", 1), "shape"},
+		{valid + "needs = \"d\"\n", "not a class before it"},
+		{valid + "tasks = [3, 1]\n", "tasks"},
+		{valid + "[[fault]]\nat_s = 1\nkind = \"flood\"\n", "kind"},
+		{valid + "[[fault]]\nat_s = 1\nkind = \"zone_cut\"\ntarget = \"z\"\n", "no zone"},
+		{valid + "[[fault]]\nat_s = -1\nkind = \"state_out\"\n", "at_s"},
+		{valid + "[[fault]]\nat_s = 1\nfor_s = -2\nkind = \"state_out\"\n", "for_s"},
+		{valid + "[[fault]]\nat_s = 1\nkind = \"node_kill\"\ntarget = \"n9\"\n", "n9"},
+		{valid + "[[fault]]\nat_s = 1\nkind = \"zone_cut\"\n", "no zone"},
+		{valid + "[[fault]]\nat_s = 1\nfor_s = 900\nkind = \"state_out\"\n", "beyond the end"},
+		{valid + "[[expect]]\nkind = \"done\"\nshare = 1\nclass = \"d\"\n", "no class"},
 	} {
 		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want one line with %q", c.text, err, c.want)
+			t.Errorf("parse %q: error %v, want one line with %q", c.text, err, c.want)
 		}
 	}
 }
 
-const short = `
+const shortScenario = `
 name = "short"
 about = "A few jobs of each shape, and the leader is killed"
 duration_s = 8
@@ -151,9 +152,9 @@
 share = 1
 `
 
-// play plays a scenario on a cluster of its own and returns the result, which must be readable from
-// the run's directory as well.
-func play(t *testing.T, text string, wrap func(http.RoundTripper) http.RoundTripper) *Result {
+// runScenario runs a scenario on a new cluster and returns the result. It checks that the result can be
+// read back from the directory of the run.
+func runScenario(t *testing.T, text string, wrap func(http.RoundTripper) http.RoundTripper) *Result {
 	t.Helper()
 	s, err := Parse([]byte(text))
 	if err != nil {
@@ -169,65 +170,67 @@
 		t.Fatal(err)
 	}
 	if again, err := Open(dir); err != nil || again.Passed != res.Passed {
-		t.Errorf("what was kept: %+v, %v", again, err)
+		t.Errorf("result read back: %+v, error %v", again, err)
 	}
 	return res
 }
 
-// A short run on real processes and sockets passes although the leader is killed in the middle.
+// A short run with real processes and sockets passes although the leader is killed in the middle.
 func TestShortRun(t *testing.T) {
 	t.Parallel()
-	res := play(t, short, nil)
+	res := runScenario(t, shortScenario, nil)
 	if !res.Passed {
-		t.Errorf("%s", res.Why)
+		t.Errorf("run failed: %s", res.Why)
 	}
 	restarts := 0
 	for _, n := range res.Nodes {
 		restarts += n.Restarts
 	}
 	if restarts != 1 || res.Machines == 0 || len(res.Load) == 0 {
-		t.Errorf("%d restarts, %d machines, %d seconds", restarts, res.Machines, len(res.Load))
+		t.Errorf("%d restarts (want 1), %d machines, %d seconds of load", restarts, res.Machines, len(res.Load))
 	}
 	var page bytes.Buffer
 	if err := Report(&page, res); err != nil || !strings.Contains(page.String(), "PASS") {
-		t.Errorf("report: %v", err)
+		t.Errorf("report without PASS, or error: %v", err)
 	}
 }
 
-// exhausted is the transport of a process that can open no more files after some requests.
-type exhausted struct {
+// limitedTransport is the transport of a process that reaches its limit of open files after a number of
+// requests.
+type limitedTransport struct {
 	next      http.RoundTripper
 	remaining atomic.Int32
 }
 
-func (x *exhausted) RoundTrip(req *http.Request) (*http.Response, error) {
+func (x *limitedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if x.remaining.Add(-1) < 0 {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	}
 	return x.next.RoundTrip(req)
 }
 
-// A run whose own process can open no more files says so, ends at once, and reports no violation.
-func TestOutOfFiles(t *testing.T) {
+// If the test process reaches its limit of open files, the run ends at once, names the limit as the reason
+// for failing, and reports no violations.
+func TestFileDescriptorsExhausted(t *testing.T) {
 	t.Parallel()
-	res := play(t, short, func(next http.RoundTripper) http.RoundTripper {
-		x := &exhausted{next: next}
+	res := runScenario(t, shortScenario, func(next http.RoundTripper) http.RoundTripper {
+		x := &limitedTransport{next: next}
 		x.remaining.Store(20)
 		return x
 	})
-	if res.Passed || !strings.Contains(res.Why, "run out of files") || len(res.Violations) > 0 {
-		t.Errorf("why %q, broken %v", res.Why, res.Violations)
+	if res.Passed || !strings.Contains(res.Why, "open files of the test process reached") || len(res.Violations) > 0 {
+		t.Errorf("passed %t, reason %q, violations %v", res.Passed, res.Why, res.Violations)
 	}
 	if res.TookS > 4 {
-		t.Errorf("it went on for %.1f s", res.TookS)
+		t.Errorf("run took %.1f s, want at most 4", res.TookS)
 	}
 }
 
-// tamperingTransport is a transport that changes the answers to users.
+// tamperingTransport changes the answers to users.
 type tamperingTransport struct {
 	next   http.RoundTripper
 	tamper func(req *http.Request, status int, st wire.JobStatus) (int, wire.JobStatus)
-	skip   func(req *http.Request) (wire.JobStatus, bool) // answered without reaching the service
+	skip   func(req *http.Request) (wire.JobStatus, bool) // answers a request instead of the service
 }
 
 func (x *tamperingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -256,8 +259,8 @@
 	return answer(x.tamper(req, res.StatusCode, st))
 }
 
-// Each wrong answer of a broken service is reported as a violation, on real processes: the checker is not
-// told which answers are wrong.
+// Each kind of wrong answer is reported as a violation in a run with real processes. The transport changes
+// the answers, and the checker has no knowledge of it.
 func TestWrongAnswersAreViolations(t *testing.T) {
 	id := func(req *http.Request) string {
 		return strings.Split(strings.TrimPrefix(req.URL.Path, wire.PathJobs+"/"), "/")[0]
@@ -323,7 +326,7 @@
 		},
 		"ran_cancelled": func() *tamperingTransport {
 			var mu sync.Mutex
-			cancelled := map[string]bool{} // the service never learns of the cancellation
+			cancelled := map[string]bool{} // the cancellation is not forwarded to the service
 			return &tamperingTransport{skip: func(req *http.Request) (wire.JobStatus, bool) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -337,19 +340,19 @@
 		t.Run(rule, func(t *testing.T) {
 			t.Parallel()
 			transport := newTransport()
-			res := play(t, quiet, func(next http.RoundTripper) http.RoundTripper {
+			res := runScenario(t, quiet, func(next http.RoundTripper) http.RoundTripper {
 				transport.next = next
 				return transport
 			})
 			if res.Passed {
-				t.Fatal("passed")
+				t.Fatal("run passed, want a violation")
 			}
 			found := false
 			for _, b := range res.Violations {
 				found = found || b.Rule == rule
 			}
 			if !found {
-				t.Errorf("%s not found: %s", rule, res.Why)
+				t.Errorf("no violation of %s: %s", rule, res.Why)
 			}
 		})
 	}
--- a/internal/faulttest/harness.go
+++ b/internal/faulttest/harness.go
@@ -7,27 +7,28 @@
 	"coralhub/internal/process"
 )
 
-// harness keeps the failures of the harness itself, as opposed to those of the service under test. It is
-// safe for concurrent use.
+// harness records failures of the test harness, as opposed to those of the service under test. It is safe
+// for concurrent use.
 type harness struct {
-	aborted chan struct{} // is closed when this process has run out of files
+	aborted chan struct{} // closed when this process has reached its limit of open files
 
 	mu         sync.Mutex
 	err        error // the first failure
-	outOfFiles bool  // this process could not open all the files it had to: the history proves nothing
+	outOfFiles bool  // this process could not open a file that it needed, so violations in the history are no evidence
 }
 
 func newHarness() *harness { return &harness{aborted: make(chan struct{})} }
 
-// outOfFilesError is the failure of a run whose own process may open no more files.
-type outOfFilesError struct{ limit int }
+// fileLimitError reports that this process has reached its limit of open files. limit is 0 if it is
+// unknown.
+type fileLimitError struct{ limit int }
 
-func (e *outOfFilesError) Error() string {
-	return fmt.Sprintf("this process has run out of files: it may open %d; play fewer machines at a time", e.limit)
+func (e *fileLimitError) Error() string {
+	return fmt.Sprintf("limit of %d open files of the test process reached; run with fewer machines", e.limit)
 }
 
-// failed notes the first error of the harness itself; a nil error is none.
-func (h *harness) failed(err error) {
+// recordError records an error of the harness. Only the first one is kept; nil is ignored.
+func (h *harness) recordError(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.err == nil {
@@ -35,10 +36,10 @@
 	}
 }
 
-// connectionFailed is called with the reason why a connection of this process was not made. Once
-// the process can open no more files, its users and workers fall silent by themselves, and the
-// service must not be blamed for what follows: the run is aborted.
-func (h *harness) connectionFailed(err error) {
+// recordConnectionError is called with the error of each connection that this process failed to make. At
+// the limit of open files, the emulated users and workers can no longer reach the service, and what follows
+// is not a fault of the service: the run is aborted. Other errors are ignored.
+func (h *harness) recordConnectionError(err error) {
 	if !process.OutOfFiles(err) {
 		return
 	}
@@ -49,14 +50,15 @@
 	}
 	h.outOfFiles = true
 	if h.err == nil {
-		limit, _ := process.FileLimit() // 0 if it is unknown
-		h.err = &outOfFilesError{limit}
+		limit, _ := process.FileLimit()
+		h.err = &fileLimitError{limit}
 	}
 	close(h.aborted)
 }
 
-// failure returns the first failure, or nil, and whether it makes the history worthless.
-func (h *harness) failure() (err error, outOfFiles bool) {
+// firstError returns the first error of the harness, or nil, and whether this process reached its limit of
+// open files, which makes the history unusable for finding violations.
+func (h *harness) firstError() (err error, outOfFiles bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.err, h.outOfFiles
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -8,41 +8,39 @@
 
 // Mark is the beginning or the end of a fault in a run.
 type Mark struct {
-	At   float64 `json:"at_s"` // seconds since the run began
+	At   float64 `json:"at_s"` // seconds since the run began; in history, seconds of the clock of the emulated services
 	What string  `json:"what"`
 }
 
-// history is what happens in a run, as users, the cloud and the workers see it, and which faults are
+// history records the events of a run as observed by users, the cloud and the workers, and the faults
 // injected. It is safe for concurrent use.
 type history struct {
 	mu     sync.Mutex
 	events []invariants.Event
-	marks  []Mark // in seconds of the emulated services
+	marks  []Mark // times are in seconds of the clock of the emulated services
 }
 
-// record appends an event.
 func (h *history) record(e invariants.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.events = append(h.events, e)
 }
 
-// mark appends the beginning or the end of a fault.
-func (h *history) mark(m Mark) {
+func (h *history) addMark(m Mark) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.marks = append(h.marks, m)
 }
 
-// eventsFrom returns the events from an index on. They must not be changed.
+// eventsFrom returns the events from index i on. The caller must not change them.
 func (h *history) eventsFrom(i int) []invariants.Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.events[i:len(h.events):len(h.events)]
 }
 
-// marksSoFar returns a copy of the marks; nil if there are none.
-func (h *history) marksSoFar() []Mark {
+// copyOfMarks returns a copy of the marks, or nil if there are none.
+func (h *history) copyOfMarks() []Mark {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]Mark(nil), h.marks...)
--- a/internal/faulttest/inject.go
+++ b/internal/faulttest/inject.go
@@ -11,7 +11,7 @@
 	"coralhub/internal/wait"
 )
 
-// The kinds of faults, as scenario files name them in Fault.Kind.
+// The kinds of faults: values of Fault.Kind in scenario files.
 const (
 	faultNodeKill           = "node_kill"
 	faultNodeStop           = "node_stop"
@@ -37,13 +37,13 @@
 	faultMachineRecall      = "drain"
 )
 
-// undoFault ends a fault. It is nil if the fault can't be undone.
+// undoFault ends a fault. It is nil for a fault that can't be undone.
 type undoFault func()
 
-// applyFault applies a fault.
+// applyFault applies a fault and returns the function that ends it.
 type applyFault func(f *Fault) undoFault
 
-// injectors returns how each kind of fault is applied.
+// injectors maps the kind of a fault to the function that applies it.
 func injectors(nodes *nodeFaults, services *serviceFaults, machines *machineFaults) map[string]applyFault {
 	return map[string]applyFault{
 		faultNodeKill:           nodes.killNodes,
@@ -71,12 +71,12 @@
 	}
 }
 
-// faultInjector injects the faults of a scenario.
+// faultInjector applies the faults of a scenario at their times and records them in the history.
 type faultInjector struct {
 	faults   []Fault
 	apply    map[string]applyFault // by kind
 	history  *history
-	now      func() emulator.Micros // the time of the emulated services
+	now      func() emulator.Micros // clock of the emulated services
 	progress progress
 }
 
@@ -93,7 +93,8 @@
 	}
 }
 
-// inject applies a fault and returns the function that undoes it; nil if there is none.
+// inject applies a fault and returns the function that undoes it. It returns nil if the kind is unknown or
+// the fault can't be undone.
 func (i *faultInjector) inject(f *Fault) undoFault {
 	apply := i.apply[f.Kind]
 	if apply == nil {
@@ -104,11 +105,12 @@
 
 // scheduledAction is the beginning or the end of a fault.
 type scheduledAction struct {
-	at time.Duration // since the run began
+	at time.Duration // time since the run began
 	do func()
 }
 
-// injectAll applies and undoes the faults of the scenario at their times, until ctx ends.
+// injectAll applies and undoes the faults of the scenario at their times. It returns when all are done or
+// ctx ends.
 func (i *faultInjector) injectAll(ctx context.Context, began time.Time) {
 	for _, action := range i.schedule() {
 		if !wait.For(ctx, time.Until(began.Add(action.at))) {
@@ -118,8 +120,8 @@
 	}
 }
 
-// schedule lists the beginnings and ends of all faults in the order of their times; those
-// of the same time stay in the order of the scenario.
+// schedule returns the beginnings and ends of all faults in order of time. Actions at the same time keep
+// the order of the scenario.
 func (i *faultInjector) schedule() []scheduledAction {
 	var schedule []scheduledAction
 	for n := range i.faults {
@@ -136,12 +138,12 @@
 	return schedule
 }
 
-// scheduleFault returns the beginning of a fault at a time, and its end if it lasts; both times
-// are in seconds.
+// scheduleFault returns the beginning of a fault and, if its duration is above 0, its end. at and lasts are
+// in seconds.
 func (i *faultInjector) scheduleFault(f *Fault, at, lasts float64) []scheduledAction {
 	var undo undoFault
 	begin := scheduledAction{wait.Seconds(at), func() {
-		i.mark(f, "begins")
+		i.recordMark(f, "begins")
 		undo = i.inject(f)
 	}}
 	if lasts <= 0 {
@@ -149,22 +151,23 @@
 	}
 	end := scheduledAction{wait.Seconds(at + lasts), func() {
 		if undo != nil {
-			i.mark(f, "ends")
+			i.recordMark(f, "ends")
 			undo()
 		}
 	}}
 	return []scheduledAction{begin, end}
 }
 
-// mark notes in the history that a fault begins or ends.
-func (i *faultInjector) mark(f *Fault, what string) {
+// recordMark reports the beginning or the end of a fault to the progress output and records it in the
+// history.
+func (i *faultInjector) recordMark(f *Fault, what string) {
 	text := f.Kind
 	if f.Target != "" {
 		text += " " + f.Target
 	}
 	i.progress.logf("%s %s", text, what)
-	i.history.mark(Mark{At: inSeconds(i.now()), What: fmt.Sprint(text, " ", what)})
+	i.history.addMark(Mark{At: inSeconds(i.now()), What: fmt.Sprint(text, " ", what)})
 }
 
-// inSeconds converts microseconds.
+// inSeconds converts microseconds to seconds.
 func inSeconds(micros int64) float64 { return float64(micros) / 1e6 }
--- a/internal/faulttest/inject_machines.go
+++ b/internal/faulttest/inject_machines.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// restartAtLeast and restartSpread bound how long a machine that restarts is away, in
-	// microseconds: at least the first, and less than both together.
-	restartAtLeast = 100_000
-	restartSpread  = 800_000
+	// minDowntime and downtimeRange bound how long a machine that restarts is down, in microseconds: at
+	// least minDowntime, and less than the sum of both.
+	minDowntime   = 100_000
+	downtimeRange = 800_000
 
-	// spotNotice is how long before a spot machine of a wave is taken back, and silentOneIn the
-	// share of these machines that get no notice: one in so many.
-	spotNotice  = 2 * config.Second
-	silentOneIn = 3
+	// spotNotice is the time between the fault spot_wave and the recall of the machines. On average one in
+	// noNoticeOneIn of them gets no notice.
+	spotNotice    = 2 * config.Second
+	noNoticeOneIn = 3
 
-	// recallNotice is the notice of an announced recall.
+	// recallNotice is the time between the fault drain and the recall of the machines, which get notice.
 	recallNotice = 4 * config.Second
 )
 
-// machineEffect changes a machine at a time.
+// machineEffect changes a machine at the time now.
 type machineEffect func(m *emulator.Machine, now emulator.Micros)
 
-// machineFaults are the faults of machines and their workers.
+// machineFaults applies the faults of machines and their workers.
 type machineFaults struct {
 	servers  *emulator.Servers
-	leaseS   float64 // of workers
+	leaseS   float64 // lease of the workers, in seconds
 	progress progress
 }
 
@@ -38,7 +38,7 @@
 		func(m *emulator.Machine) { m.Hang = false })
 }
 
-// cutMachinesInbound has nothing reach the machines while their heartbeats still arrive.
+// cutMachinesInbound blocks all data to the machines, while their heartbeats still reach the nodes.
 func (mf *machineFaults) cutMachinesInbound(f *Fault) undoFault {
 	mode := string(f.proxyMode())
 	return mf.affectMachines(f,
@@ -49,11 +49,11 @@
 func (mf *machineFaults) restartMachines(f *Fault) undoFault {
 	environment := mf.servers.Environment
 	return mf.affectMachines(f, func(m *emulator.Machine, now emulator.Micros) {
-		environment.Restart(now, restartAtLeast+rand.Int64N(restartSpread), m, false)
+		environment.Restart(now, minDowntime+rand.Int64N(downtimeRange), m, false)
 	}, nil)
 }
 
-// failTasksOnMachines has every task fail that starts on the machines from now on.
+// failTasksOnMachines makes every task fail that starts on the machines after the fault begins.
 func (mf *machineFaults) failTasksOnMachines(f *Fault) undoFault {
 	environment := mf.servers.Environment
 	return mf.affectMachines(f,
@@ -71,7 +71,7 @@
 	return mf.affectMachines(f, func(m *emulator.Machine, now emulator.Micros) { m.Recall(now, true) }, nil)
 }
 
-// repeatHeartbeats has copies of heartbeats arrive, up to so many leases late, at any node.
+// repeatHeartbeats delivers copies of heartbeats to any node, up to Factor leases late.
 func (mf *machineFaults) repeatHeartbeats(f *Fault) undoFault {
 	mf.servers.Repeat(f.Factor * mf.leaseS)
 	return func() { mf.servers.Repeat(0) }
@@ -80,7 +80,7 @@
 func (mf *machineFaults) recallSpotMachines(f *Fault) undoFault {
 	return mf.affectMachines(f, func(m *emulator.Machine, now emulator.Micros) {
 		if m.Spot {
-			m.Recall(now+spotNotice, rand.IntN(silentOneIn) == 0)
+			m.Recall(now+spotNotice, rand.IntN(noNoticeOneIn) == 0)
 		}
 	}, nil)
 }
@@ -89,8 +89,9 @@
 	return mf.affectMachines(f, func(m *emulator.Machine, now emulator.Micros) { m.Recall(now+recallNotice, false) }, nil)
 }
 
-// affectMachines applies an effect to as many busy machines as the fault says, to all machines if
-// it gives no number, and returns the function that undoes it; nil if undo is.
+// affectMachines applies an effect to the first Count machines of the target that have tasks, or to all
+// machines of the target if Count is 0. Machines that are still booting are skipped. It returns the
+// function that undoes the effect, or nil if undo is nil.
 func (mf *machineFaults) affectMachines(f *Fault, apply machineEffect, undo func(*emulator.Machine)) undoFault {
 	var affected []string
 	mf.servers.With(func() {
@@ -104,7 +105,7 @@
 			}
 		}
 	})
-	mf.progress.logf("%s: %d machines", f.Kind, len(affected))
+	mf.progress.logf("%s: %d machines affected", f.Kind, len(affected))
 	if undo == nil {
 		return nil
 	}
--- a/internal/faulttest/inject_nodes.go
+++ b/internal/faulttest/inject_nodes.go
@@ -8,14 +8,14 @@
 	"coralhub/internal/faults"
 )
 
-// The targets of a fault other than a zone, as scenario files name them in Fault.Target.
+// Values of Fault.Target in scenario files, besides the names of zones.
 const (
 	targetLeader = "leader"
 	targetOther  = "other"
 	targetAll    = "all"
 )
 
-// nodeFaults are the faults of nodes and of the links between them and others.
+// nodeFaults applies the faults of nodes and of their network links.
 type nodeFaults struct {
 	cluster *cluster.Cluster
 	harness *harness
@@ -34,7 +34,7 @@
 
 func (nf *nodeFaults) signalNodes(nodes []*cluster.Node, sig syscall.Signal) {
 	for _, node := range nodes {
-		nf.harness.failed(node.Signal(sig))
+		nf.harness.recordError(node.Signal(sig))
 	}
 }
 
@@ -74,8 +74,8 @@
 	return nf.cut(f, links)
 }
 
-// cutZone cuts the nodes of a zone off from those of the others, the state service, the cloud
-// and users.
+// cutZone cuts the nodes of a zone off from the nodes of other zones, the state service, the cloud and the
+// users.
 func (nf *nodeFaults) cutZone(f *Fault) undoFault {
 	var links []*faults.Proxy
 	for _, node := range nf.cluster.Nodes {
@@ -92,21 +92,20 @@
 	return nf.cut(f, links)
 }
 
-// cut disturbs links in the mode and the direction that a fault gives, and returns the function
-// that restores them.
+// cut sets links to the mode and the direction of a fault, and returns the function that restores them.
 func (nf *nodeFaults) cut(f *Fault, links []*faults.Proxy) undoFault {
 	mode := f.proxyMode()
 	for _, l := range links {
-		nf.harness.failed(l.Set(mode, faults.Direction(f.Way)))
+		nf.harness.recordError(l.Set(mode, faults.Direction(f.Direction)))
 	}
 	return func() {
 		for _, l := range links {
-			nf.harness.failed(l.Set(faults.Pass, faults.Both))
+			nf.harness.recordError(l.Set(faults.Pass, faults.Both))
 		}
 	}
 }
 
-// proxyMode is the mode of a fault that cuts links; one that gives none drops data.
+// proxyMode returns the mode of a fault that cuts links. The default is faults.Drop.
 func (f *Fault) proxyMode() faults.Mode {
 	if f.Mode == "" {
 		return faults.Drop
@@ -114,8 +113,8 @@
 	return faults.Mode(f.Mode)
 }
 
-// targetNodes resolves a target: the leader (also if there is no target), the node after it, all
-// nodes, or those of a zone. Without a leader the first node counts as it.
+// targetNodes returns the nodes of a target: the leader (also if the target is empty), the node after it,
+// all nodes, or those of a zone. If there is no leader, the first node is used instead.
 func (nf *nodeFaults) targetNodes(target string) []*cluster.Node {
 	nodes := nf.cluster.Nodes
 	leader := leaderOf(nf.cluster.Servers)
--- a/internal/faulttest/inject_services.go
+++ b/internal/faulttest/inject_services.go
@@ -7,13 +7,14 @@
 	"coralhub/internal/emulator"
 )
 
-// stateDelayUnit is the delay of each answer of the state service at a factor of 1.
+// stateDelayUnit is the delay of each answer of the state service for the fault state_slow with a factor of
+// 1.
 const stateDelayUnit = 100 * time.Millisecond
 
-// serviceFaults are the faults of the state service and the cloud.
+// serviceFaults applies the faults of the state service and the cloud.
 type serviceFaults struct {
 	servers *emulator.Servers
-	quotas  config.Cluster // the deployment that gives the usual quotas
+	quotas  config.Cluster // the deployment with the regular quotas
 }
 
 func (sf *serviceFaults) takeStateDown(*Fault) undoFault {
@@ -41,8 +42,8 @@
 	}
 }
 
-// exhaustCloud has the cloud rent no more ordinary machines. What is released meanwhile is
-// available again at once.
+// exhaustCloud sets the capacity of the cloud for ordinary machines to 0. Capacity that is released during
+// the fault can be rented again at once.
 func (sf *serviceFaults) exhaustCloud(*Fault) undoFault {
 	withheld := map[string]int{}
 	sf.withEnvironment(func(e *emulator.Environment) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// withEnvironment calls f while nothing else happens to the emulated environment.
+// withEnvironment calls f with exclusive access to the emulated environment.
 func (sf *serviceFaults) withEnvironment(f func(*emulator.Environment)) {
 	sf.servers.With(func() { f(sf.servers.Environment) })
 }
--- a/internal/faulttest/kinds_test.go
+++ b/internal/faulttest/kinds_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// kindsInSchema returns the kinds that the schema allows in the tables of a name.
+// kindsInSchema returns the sorted values that the schema allows for the key kind in the tables of the
+// given name.
 func kindsInSchema(t *testing.T, table string) []string {
 	t.Helper()
 	type property struct {
@@ -26,36 +27,37 @@
 	}
 	kinds := schema.Properties[table].Items.Properties["kind"].Enum
 	if len(kinds) == 0 {
-		t.Fatalf("the schema has no kinds of %s", table)
+		t.Fatalf("schema allows no kinds of %s", table)
 	}
 	slices.Sort(kinds)
 	return kinds
 }
 
-// Every kind of fault that a scenario may name has an injector, and no injector is left over.
+// There is an injector for each kind of fault in the schema, and for no other kind.
 func TestEveryFaultHasInjector(t *testing.T) {
 	applied := injectors(&nodeFaults{}, &serviceFaults{}, &machineFaults{})
 	if want, got := kindsInSchema(t, "fault"), slices.Sorted(maps.Keys(applied)); !slices.Equal(got, want) {
-		t.Errorf("injectors of %v, want %v", got, want)
+		t.Errorf("kinds with an injector: %v, want %v", got, want)
 	}
 }
 
-// Every kind of expectation that a scenario may name has a scorer, but the one that counts all jobs
-// together.
+// There is a scorer for each kind of expectation in the schema, and for no other kind. expectStartedInTime
+// is evaluated over all jobs together and has none.
 func TestEveryExpectationHasScorer(t *testing.T) {
-	got := append(slices.Collect(maps.Keys(scorers)), expectServed)
+	got := append(slices.Collect(maps.Keys(scorers)), expectStartedInTime)
 	slices.Sort(got)
 	if want := kindsInSchema(t, "expect"); !slices.Equal(got, want) {
-		t.Errorf("scorers of %v, want %v", got, want)
+		t.Errorf("kinds with a scorer: %v, want %v", got, want)
 	}
 }
 
-// An expectation of a kind that there isn't is an error, also where no schema has excluded it.
+// evaluate returns an error for an unknown kind of expectation, in a scenario that was not validated by the
+// schema.
 func TestUnknownExpectation(t *testing.T) {
 	e := newEvaluation(&Scenario{}, nil, nil, 0, 0)
-	_, err := e.evaluate(&Expect{Kind: "luck"})
+	_, err := e.evaluate(&Expectation{Kind: "luck"})
 	var unknown *unknownExpectationError
 	if !errors.As(err, &unknown) || unknown.kind != "luck" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want an unknownExpectationError", err)
 	}
 }
--- a/internal/faulttest/leader.go
+++ b/internal/faulttest/leader.go
@@ -10,7 +10,8 @@
 // leaderKey is the key of the leader lease in the state service.
 const leaderKey = "ch/leader"
 
-// leaderOf names the node that holds the leader lease; "" if none does.
+// leaderOf returns the name of the node that holds the leader lease, or "" if no node holds it or the
+// record is unreadable.
 func leaderOf(servers *emulator.Servers) string {
 	var lease election.LeaseRecord
 	var raw []byte
--- a/internal/faulttest/leak_test.go
+++ b/internal/faulttest/leak_test.go
@@ -10,9 +10,10 @@
 	"coralhub/internal/leaktest"
 )
 
-// A run that is interrupted leaves nothing running. It isn't parallel: others would be found.
+// All goroutines of an interrupted run have ended when Run returns. The test isn't parallel, since the
+// check would find the goroutines of runs in other tests.
 func TestInterruptedRunLeavesNothingRunning(t *testing.T) {
-	s, err := Parse([]byte(short))
+	s, err := Parse([]byte(shortScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,12 +25,12 @@
 	defer interrupt()
 	opt := Options{Program: program, Dir: t.TempDir(), Seed: 3, Log: "error", Watch: func(Status) {}}
 	opt.Say = func(line string) {
-		if strings.Contains(line, "no more jobs come") {
+		if strings.Contains(line, "all jobs submitted") {
 			time.AfterFunc(time.Second, interrupt)
 		}
 	}
 	if _, err := Run(ctx, s, opt); err == nil {
-		t.Fatal("an interrupted run has a result")
+		t.Fatal("interrupted run returned a result, want an error")
 	}
 	leaktest.Check(t, "faulttest.(*run)", "faulttest.(*faultInjector)", "faulttest.(*users)",
 		"faulttest.(*watcher)", "emulator.(*Servers)")
--- a/internal/faulttest/measures.go
+++ b/internal/faulttest/measures.go
@@ -2,16 +2,17 @@
 
 import "fmt"
 
-// measureMet is the measure of which more is better.
+// measureMet is the only measure for which a higher value is better.
 const measureMet = "met"
 
-// Measures names the measures of a result. Less is better of all but measureMet.
+// Measures lists the names of the measures of a result. For all but measureMet, a lower value is better.
 var Measures = []string{
 	"start_p50", "start_p90", "done_p50", "done_p90", "submit_p99",
 	"cpu", "memory", "requests", "changes", "machines", measureMet,
 }
 
-// measure reads a measure from a result: of times, the worst of all classes.
+// measure returns the value of a measure in a result. For latencies this is the highest value of all
+// classes.
 func measure(name string, res *Result) (float64, error) {
 	switch name {
 	case "start_p50":
@@ -37,10 +38,9 @@
 	case measureMet:
 		return res.meanFound(), nil
 	}
-	return 0, fmt.Errorf("no measure %q; there are %v", name, Measures)
+	return 0, fmt.Errorf("no measure named %q; known measures: %v", name, Measures)
 }
 
-// worstClass is the highest value of all classes.
 func (r *Result) worstClass(value func(*ClassResult) float64) float64 {
 	worst := 0.0
 	for i := range r.Classes {
@@ -49,7 +49,7 @@
 	return worst
 }
 
-// totalCPU is the processor time of all nodes, in seconds.
+// totalCPU returns the CPU time of all nodes together, in seconds.
 func (r *Result) totalCPU() float64 {
 	total := 0.0
 	for _, n := range r.Nodes {
@@ -58,7 +58,7 @@
 	return total
 }
 
-// peakMemory is the highest memory of any node, in MB.
+// peakMemory returns the highest peak memory of any node, in MB.
 func (r *Result) peakMemory() float64 {
 	peak := 0.0
 	for _, n := range r.Nodes {
@@ -67,7 +67,7 @@
 	return peak
 }
 
-// meanFound is the mean of the shares found for the expectations.
+// meanFound returns the mean of the shares found for the expectations, or 0 if there are none.
 func (r *Result) meanFound() float64 {
 	sum := 0.0
 	for _, f := range r.Findings {
--- a/internal/faulttest/outcomes.go
+++ b/internal/faulttest/outcomes.go
@@ -8,41 +8,41 @@
 	"coralhub/wire"
 )
 
-// never is the time of what has not happened.
+// never stands for the time of an event that has not happened.
 const never = -1
 
-// jobOutcome is what became of a job, by the history. Times are in seconds since the run began, or
+// jobOutcome is the outcome of a job according to the history. Times are in seconds since the run began, or
 // never.
 type jobOutcome struct {
 	planned        *plannedJob
 	submitted      float64
 	accepted       float64
-	started        float64 // when as many tasks as can run at a time had started
+	started        float64 // when the number of started tasks reached tasksToStart
 	done           float64
 	startedTasks   map[int]bool
 	doneTasks      map[int]bool
-	replicaSeconds float64 // of all tasks together, on machines
+	replicaSeconds float64 // total time of all tasks on machines
 	cancelled      bool
 }
 
-// outcomeRecorder follows the history of a run and keeps the outcome of each job.
+// outcomeRecorder derives the outcome of each job from the events of a run.
 type outcomeRecorder struct {
-	scenario *Scenario
-	from     emulator.Micros // when the run began
-	outcomes map[string]*jobOutcome
-	onSince  map[string]map[int]float64 // by job and task: the start of a task that is on a machine
+	scenario  *Scenario
+	runStart  emulator.Micros // when the run began
+	outcomes  map[string]*jobOutcome
+	startedAt map[string]map[int]float64 // start times of the tasks that are on a machine, by job and task
 }
 
-// jobOutcomes reads the outcomes of all planned jobs from the history of a run, which began at from and
-// ended so many seconds later.
+// jobOutcomes derives the outcomes of all planned jobs from the history of a run, which began at from and
+// ended end seconds later.
 func jobOutcomes(
 	s *Scenario, jobs []plannedJob, events []invariants.Event, from emulator.Micros, end float64,
 ) map[string]*jobOutcome {
 	rec := &outcomeRecorder{
-		scenario: s,
-		from:     from,
-		outcomes: map[string]*jobOutcome{},
-		onSince:  map[string]map[int]float64{},
+		scenario:  s,
+		runStart:  from,
+		outcomes:  map[string]*jobOutcome{},
+		startedAt: map[string]map[int]float64{},
 	}
 	for i := range jobs {
 		rec.outcomes[jobs[i].job.ID] = &jobOutcome{
@@ -58,7 +58,7 @@
 	for i := range events {
 		rec.observe(&events[i])
 	}
-	rec.closeOpenTasks(end)
+	rec.countRunningTasks(end)
 	return rec.outcomes
 }
 
@@ -67,7 +67,7 @@
 	if o == nil {
 		return
 	}
-	at := inSeconds(e.At - rec.from)
+	at := inSeconds(e.At - rec.runStart)
 	switch e.Kind {
 	case invariants.JobSubmitted:
 		o.submitted = at
@@ -76,9 +76,9 @@
 	case invariants.TaskStarted:
 		rec.taskStarted(o, e, at)
 	case invariants.TaskStopped:
-		if since, ok := rec.onSince[e.Job][e.Task]; ok {
+		if since, ok := rec.startedAt[e.Job][e.Task]; ok {
 			o.replicaSeconds += at - since
-			delete(rec.onSince[e.Job], e.Task)
+			delete(rec.startedAt[e.Job], e.Task)
 		}
 	case invariants.TaskDone:
 		o.doneTasks[e.Task] = true
@@ -103,23 +103,23 @@
 	if o.started < 0 && len(o.startedTasks) >= rec.scenario.tasksToStart(o.planned) {
 		o.started = at
 	}
-	if rec.onSince[e.Job] == nil {
-		rec.onSince[e.Job] = map[int]float64{}
+	if rec.startedAt[e.Job] == nil {
+		rec.startedAt[e.Job] = map[int]float64{}
 	}
-	rec.onSince[e.Job][e.Task] = at
+	rec.startedAt[e.Job][e.Task] = at
 }
 
-// closeOpenTasks counts the tasks that are still on machines up to the end of the run.
-func (rec *outcomeRecorder) closeOpenTasks(end float64) {
-	for id, tasks := range rec.onSince {
+// countRunningTasks adds the replica seconds of the tasks that are still on machines at the end of the run.
+func (rec *outcomeRecorder) countRunningTasks(end float64) {
+	for id, tasks := range rec.startedAt {
 		for _, since := range tasks {
 			rec.outcomes[id].replicaSeconds += end - since
 		}
 	}
 }
 
-// tasksToStart is how many tasks of a job must have started for it to count as started: all, or of
-// an array or a service as many as the team's quota allows at a time.
+// tasksToStart returns how many tasks of a job must have started for the job to count as started: all of
+// them, or for an array or a service at most as many as the team's GPU quota allows at a time.
 func (s *Scenario) tasksToStart(p *plannedJob) int {
 	n := p.job.Tasks
 	if limit := s.Deploy.TeamGPUs; limit > 0 && p.job.GPUs > 0 && p.class.Shape != shapeGang {
@@ -128,7 +128,7 @@
 	return max(n, 1)
 }
 
-// isSuccess reports whether the status of an answer says that the request was accepted.
+// isSuccess reports whether an HTTP status means that the request was accepted.
 func isSuccess(status int) bool {
 	return status == http.StatusOK || status == http.StatusCreated
 }
--- a/internal/faulttest/plan.go
+++ b/internal/faulttest/plan.go
@@ -14,33 +14,35 @@
 )
 
 const (
-	// initialWithinS is when the initial jobs of a class have been submitted, in seconds.
+	// initialWithinS is the time from the beginning of the run over which the initial jobs of a class are
+	// submitted, in seconds.
 	initialWithinS = 2
-	// estimateSpread is the standard deviation of the logarithm of estimate to run time.
+	// estimateSpread is the standard deviation of the logarithm of the ratio of estimate to run time.
 	estimateSpread = 0.4
 	// deadlineSlackS is added to each deadline, in seconds.
 	deadlineSlackS = 10
-	// A user who cancels does so within these bounds after the acceptance, in seconds.
-	cancelAfterLeastS  = 1
-	cancelAfterSpreadS = 10
+	// A job that is cancelled is cancelled at least minCancelDelayS after its acceptance, and less than
+	// cancelDelayRangeS later than that; in seconds.
+	minCancelDelayS   = 1
+	cancelDelayRangeS = 10
 )
 
-// plannedJob is a job that is to be submitted at a set time.
+// plannedJob is a job with the time of its submission.
 type plannedJob struct {
-	at       time.Duration // since the run began
-	class    *Class
-	job      wire.Job
-	run      emulator.Micros // how long a task runs
-	cancelIn time.Duration   // after its acceptance; 0: never
+	at          time.Duration // time since the run began
+	class       *Class
+	job         wire.Job
+	taskRunTime emulator.Micros // run time of each task
+	cancelDelay time.Duration   // from acceptance to cancellation; 0 if it isn't cancelled
 }
 
-// planner draws the jobs of a scenario.
+// planner generates the jobs of a scenario.
 type planner struct {
 	scenario *Scenario
 	jobs     []plannedJob
 }
 
-// plan draws the jobs of a scenario in the order of their times. The same seed draws the same jobs.
+// plan generates the jobs of a scenario in order of submission time. The same seed gives the same jobs.
 func (s *Scenario) plan(seed uint64) []plannedJob {
 	p := &planner{scenario: s}
 	for i := range s.Classes {
@@ -53,7 +55,7 @@
 	return p.jobs
 }
 
-// planInitial draws the jobs that a class begins with.
+// planInitial generates the initial jobs of a class.
 func (p *planner) planInitial(c *Class, random *rand.Rand) {
 	for range c.Initial {
 		at := initialWithinS * random.Float64()
@@ -61,7 +63,7 @@
 	}
 }
 
-// planArrivals draws the arrivals of a class: a Poisson process of a varying rate, by thinning.
+// planArrivals generates the arrivals of a class: an inhomogeneous Poisson process, by thinning.
 func (p *planner) planArrivals(c *Class, random *rand.Rand) {
 	highest := c.highestRate()
 	if highest <= 0 {
@@ -79,7 +81,7 @@
 	}
 }
 
-// rateAt is the submission rate at a time, with its bursts.
+// rateAt returns the submission rate, including bursts, at a time in seconds since the run began.
 func (c *Class) rateAt(at float64) float64 {
 	rate := c.RatePerS
 	for _, b := range c.Bursts {
@@ -90,7 +92,7 @@
 	return rate
 }
 
-// highestRate bounds the submission rate, given that bursts don't overlap.
+// highestRate returns an upper bound of the submission rate, provided that bursts don't overlap.
 func (c *Class) highestRate() float64 {
 	highest := c.RatePerS
 	for _, b := range c.Bursts {
@@ -99,13 +101,13 @@
 	return highest
 }
 
-// add draws a job of a class for a time in seconds. The order of the draws must not change: a seed
-// gives the same jobs in every version.
+// add generates a job of a class to be submitted at a time in seconds. The order of the calls of random
+// must not change, so that a seed gives the same jobs in every version.
 func (p *planner) add(c *Class, random *rand.Rand, at float64) {
 	runS := c.RunS * math.Exp(c.RunSpread*random.NormFloat64())
 	tasks := c.Tasks[0] + random.IntN(c.Tasks[1]-c.Tasks[0]+1)
 	image := random.IntN(max(c.Images, 1))
-	planned := plannedJob{at: wait.Seconds(at), class: c, run: config.FromSeconds(runS)}
+	planned := plannedJob{at: wait.Seconds(at), class: c, taskRunTime: config.FromSeconds(runS)}
 	planned.job = wire.Job{
 		ID:          fmt.Sprintf("j-%06d", len(p.jobs)+1),
 		Class:       c.Name,
@@ -127,20 +129,20 @@
 	if !c.isService() {
 		planned.job.EstimateS = runS * math.Exp(estimateSpread*random.NormFloat64())
 	}
-	if c.DueTimes > 0 {
-		deadline := deadlineSlackS + c.DueTimes*planned.job.EstimateS
+	if c.DeadlineFactor > 0 {
+		deadline := deadlineSlackS + c.DeadlineFactor*planned.job.EstimateS
 		planned.job.DeadlineS = &deadline
 	}
 	if random.Float64() < c.Cancelled {
-		planned.cancelIn = wait.Seconds(cancelAfterLeastS + cancelAfterSpreadS*random.Float64())
+		planned.cancelDelay = wait.Seconds(minCancelDelayS + cancelDelayRangeS*random.Float64())
 	}
 	p.jobs = append(p.jobs, planned)
 }
 
-// linkDependencies has each job of a class that needs another depend on the last job of that one
-// before it.
+// linkDependencies makes each job of a class that needs another class depend on the preceding job of that
+// class, if there is one.
 func linkDependencies(jobs []plannedJob) {
-	last := map[string]string{} // job by class
+	last := map[string]string{} // job ID by class
 	for i := range jobs {
 		p := &jobs[i]
 		if needs := p.class.Needs; needs != "" && last[needs] != "" {
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -12,7 +12,7 @@
 	"coralhub/internal/quantile"
 )
 
-// ClassResult is what became of the jobs of a class.
+// ClassResult summarizes the jobs of a class.
 type ClassResult struct {
 	Class     string         `json:"class"`
 	Submitted int            `json:"submitted"`
@@ -23,7 +23,7 @@
 	SubmitMS  quantile.Times `json:"submit_ms"`
 	StartS    quantile.Times `json:"start_s"`
 	DoneS     quantile.Times `json:"done_s"`
-	Errors    map[string]int `json:"errors,omitempty"` // by the HTTP status of the answer
+	Errors    map[string]int `json:"errors,omitempty"` // counts by HTTP status, as text; 0 if there was no answer
 }
 
 // Result is the result of a run.
@@ -32,7 +32,7 @@
 	About         string                 `json:"about"`
 	Seed          uint64                 `json:"seed"`
 	Passed        bool                   `json:"passed"`
-	Why           string                 `json:"why,omitempty"` // the first reason for which it didn't pass
+	Why           string                 `json:"why,omitempty"` // first reason for not passing; empty if Passed
 	TookS         float64                `json:"took_s"`
 	Machines      int                    `json:"machines_rented"`
 	Violations    []invariants.Violation `json:"rules_broken"`
@@ -47,15 +47,15 @@
 	Load          []Second               `json:"load"`
 }
 
-// Second is what happened in one second of a run.
+// Second counts the events in one second of a run.
 type Second struct {
 	Submitted int `json:"submitted"`
 	Started   int `json:"started"` // tasks
 	Done      int `json:"done"`    // tasks
-	On        int `json:"on"`      // tasks on machines at its end
+	Running   int `json:"on"`      // tasks on machines at the end of the second
 }
 
-// Files of a run, in Options.Dir.
+// Names of the files of a run in Options.Dir.
 const (
 	resultFile  = "result.json"
 	historyFile = "events.jsonl"
@@ -77,13 +77,13 @@
 		res.Refused = s.Refused
 		res.Changes = s.State.Revision()
 	})
-	e := newEvaluation(r.scenario, r.jobs, r.history.eventsFrom(0), r.from, r.cluster.Servers.Now())
-	harnessErr, outOfFiles := r.harness.failure()
+	e := newEvaluation(r.scenario, r.jobs, r.history.eventsFrom(0), r.startedAt, r.cluster.Servers.Now())
+	harnessErr, outOfFiles := r.harness.firstError()
 	if !outOfFiles {
 		res.Violations = append(res.Violations, e.violations()...)
 	}
-	for i := range r.scenario.Expect {
-		finding, err := e.evaluate(&r.scenario.Expect[i])
+	for i := range r.scenario.Expectations {
+		finding, err := e.evaluate(&r.scenario.Expectations[i])
 		if err != nil {
 			return nil, err
 		}
@@ -93,35 +93,35 @@
 		c := &r.scenario.Classes[i]
 		res.Classes = append(res.Classes, e.classResult(c, r.users.statsOf(c.Name)))
 	}
-	res.StartedInTime, _ = e.startedInTime(startWithin)
+	res.StartedInTime, _ = e.startedInTime(defaultStartWithinS)
 	res.Load = e.load()
-	res.Marks = r.history.marksSoFar()
+	res.Marks = r.history.copyOfMarks()
 	for i := range res.Marks {
-		res.Marks[i].At -= inSeconds(r.from)
+		res.Marks[i].At -= inSeconds(r.startedAt)
 	}
-	res.Why = res.failure(harnessErr)
+	res.Why = res.failureReason(harnessErr)
 	res.Passed = res.Why == ""
 	return res, nil
 }
 
-// failure says why a run did not pass: because the harness failed, rules were broken, or else by
+// failureReason returns why a run did not pass: a failure of the harness, violations of invariants, or else
 // the first expectation that was missed. It returns "" if the run passed.
-func (r *Result) failure(harnessErr error) string {
+func (r *Result) failureReason(harnessErr error) string {
 	switch {
 	case harnessErr != nil:
-		return "the fault test itself: " + harnessErr.Error()
+		return "test harness: " + harnessErr.Error()
 	case len(r.Violations) > 0:
-		return fmt.Sprintf("%d rules broken, first %s", len(r.Violations), r.Violations[0])
+		return fmt.Sprintf("%d invariant violations, first: %s", len(r.Violations), r.Violations[0])
 	}
 	for _, f := range r.Findings {
 		if !f.Met {
-			return fmt.Sprintf("%s: %.3f of %d", f.Expect, f.Found, f.Of)
+			return fmt.Sprintf("expectation missed: %s; found %.3f of %d jobs", f.Expect, f.Found, f.Of)
 		}
 	}
 	return ""
 }
 
-// save writes the result and the history of a run into its directory.
+// save writes the result and the history of a run to the directory dir.
 func save(dir string, res *Result, events []invariants.Event) (err error) {
 	raw, err := json.MarshalIndent(res, "", " ")
 	if err != nil {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Open reads the result of a run from its directory.
+// Open reads the result of the run in the directory dir.
 func Open(dir string) (*Result, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, resultFile))
 	if err != nil {
@@ -152,7 +152,7 @@
 	}
 	res := &Result{}
 	if err := json.Unmarshal(raw, res); err != nil {
-		return nil, fmt.Errorf("%s: %w", dir, err)
+		return nil, fmt.Errorf("decode %s: %w", filepath.Join(dir, resultFile), err)
 	}
 	return res, nil
 }
--- a/internal/faulttest/run.go
+++ b/internal/faulttest/run.go
@@ -12,20 +12,20 @@
 	"coralhub/internal/wait"
 )
 
-// Options say how a scenario is played.
+// Options holds the parameters of a run.
 type Options struct {
-	Program  string // path of the program that the nodes run
-	Dir      string // for settings, logs and results
+	Program  string // path of the executable of the nodes
+	Dir      string // directory for settings, logs and results
 	Seed     uint64
-	Settings string       // a file of the operators' settings; "": none
-	Log      string       // LOG_LEVEL of the nodes
-	Say      func(string) // is called with a line about what happens; may be nil
-	Watch    func(Status) // is called with the status of the run every statusInterval; may be nil
+	Settings string       // path of a file with operators' settings; none if empty
+	Log      string       // value of LOG_LEVEL for the nodes
+	Say      func(string) // called with each line of progress output; may be nil
+	Watch    func(Status) // called with the status of the run every statusInterval; may be nil
 
-	wrap func(http.RoundTripper) http.RoundTripper // wraps the transport of the users, for tests; may be nil
+	wrap func(http.RoundTripper) http.RoundTripper // wraps the HTTP transport of the users, for tests; may be nil
 }
 
-// progress takes lines about what happens; it may be nil.
+// progress is called with each line of progress output. A nil progress discards them.
 type progress func(line string)
 
 func (p progress) logf(format string, args ...any) {
@@ -34,25 +34,25 @@
 	}
 }
 
-// run is one play of a scenario on a cluster.
+// run is one execution of a scenario on a cluster.
 type run struct {
-	scenario *Scenario
-	opt      Options
-	progress progress
-	jobs     []plannedJob
-	history  *history
-	harness  *harness
-	cluster  *cluster.Cluster
-	users    *users
-	from     int64 // when it began, in microseconds of the emulated services
+	scenario  *Scenario
+	opt       Options
+	progress  progress
+	jobs      []plannedJob
+	history   *history
+	harness   *harness
+	cluster   *cluster.Cluster
+	users     *users
+	startedAt int64 // when the run began, in microseconds of the clock of the emulated services
 }
 
-// readyTimeout is how long a cluster may take until every node serves.
+// readyTimeout bounds the wait for all nodes of a started cluster to become ready.
 const readyTimeout = 60 * time.Second
 
-// Run plays a scenario on a cluster of its own and saves the result and the history in
-// Options.Dir. It returns an error if the cluster does not start or ctx ends; a run that fails
-// otherwise has a result that is not passed.
+// Run executes a scenario on a new cluster and saves the result and the history in Options.Dir. It returns
+// an error if the cluster does not start, ctx ends, or the result can't be evaluated or saved. A failure of
+// the scenario is no error: the result is returned with Passed false.
 func Run(ctx context.Context, s *Scenario, opt Options) (*Result, error) {
 	if err := os.MkdirAll(opt.Dir, 0o700); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	}
 	clusterOptions := s.clusterOptions(&opt)
 	clusterOptions.Watch = r.history.record
-	clusterOptions.Failed = r.harness.connectionFailed
+	clusterOptions.Failed = r.harness.recordConnectionError
 	c, err := cluster.Start(clusterOptions)
 	if err != nil {
 		return nil, err
@@ -81,11 +81,11 @@
 	}
 	uploadJobs(c.Servers, r.jobs)
 	began := time.Now()
-	r.from = c.Servers.Now()
-	r.progress.logf("%d nodes serve; %d jobs over %.0f s", len(c.Nodes), len(r.jobs), s.DurationS)
-	r.play(ctx, began)
+	r.startedAt = c.Servers.Now()
+	r.progress.logf("%d nodes ready; submitting %d jobs over %.0f s", len(c.Nodes), len(r.jobs), s.DurationS)
+	r.execute(ctx, began)
 	if err := ctx.Err(); err != nil {
-		return nil, fmt.Errorf("interrupted: %w", err)
+		return nil, fmt.Errorf("run interrupted: %w", err)
 	}
 	res, err := r.result()
 	if err != nil {
@@ -95,12 +95,12 @@
 	return res, save(opt.Dir, res, r.history.eventsFrom(0))
 }
 
-// play submits the jobs and injects the faults at their times, and waits for jobs to end. When it
-// returns, all its goroutines have ended.
-func (r *run) play(ctx context.Context, began time.Time) {
+// execute submits the jobs, injects the faults at their times, and waits for the jobs to end. All
+// goroutines that it starts have ended when it returns.
+func (r *run) execute(ctx context.Context, began time.Time) {
 	ctx, stop := context.WithCancel(ctx)
-	var background sync.WaitGroup // what goes on until stop, and users of services
-	var finite sync.WaitGroup     // users whose jobs end by themselves
+	var background sync.WaitGroup // goroutines that run until stop, including users of services
+	var finite sync.WaitGroup     // users of all other jobs
 	background.Go(func() {
 		select {
 		case <-r.harness.aborted:
@@ -115,8 +115,8 @@
 		r.users.client.HTTP.CloseIdleConnections()
 	}()
 	r.users = newUsers(r.cluster, r.history.record, r.opt.wrap)
-	r.users.client.Failed = r.harness.connectionFailed
-	background.Go(func() { r.users.balance(ctx) })
+	r.users.client.Failed = r.harness.recordConnectionError
+	background.Go(func() { r.users.probeNodes(ctx) })
 	background.Go(func() { r.users.pollUnknown(ctx) })
 	injector := newFaultInjector(r.cluster, r.scenario, r.history, r.harness, r.progress)
 	background.Go(func() { injector.injectAll(ctx, began) })
@@ -129,7 +129,7 @@
 	if !r.users.submitAll(ctx, began, r.jobs, &finite, &background) {
 		return
 	}
-	r.progress.logf("no more jobs come")
+	r.progress.logf("all jobs submitted")
 	ended := make(chan struct{})
 	background.Go(func() {
 		finite.Wait()
@@ -138,8 +138,8 @@
 	r.awaitEnd(ctx, began, ended)
 }
 
-// awaitEnd waits for the scenario's duration, over which services are watched, and then until ended is
-// closed, since the jobs that end by themselves have ended, or the time to settle is over.
+// awaitEnd waits for the duration of the scenario, over which services are observed. It then waits until
+// ended is closed, after all jobs but services have ended, or until SettleS is over.
 func (r *run) awaitEnd(ctx context.Context, began time.Time, ended <-chan struct{}) {
 	until := func(seconds float64) time.Duration { return time.Until(began.Add(wait.Seconds(seconds))) }
 	if !wait.For(ctx, until(r.scenario.DurationS)) {
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -1,5 +1,5 @@
-// Package faulttest is a fault-testing kit: it plays scripted scenarios, with load and injected
-// faults, on a cluster of real processes, and evaluates whether they passed.
+// Package faulttest runs scripted scenarios, with load and injected faults, on a cluster of real processes,
+// and evaluates whether they passed.
 package faulttest
 
 import (
@@ -17,101 +17,101 @@
 	"coralhub/internal/schema"
 )
 
-// Scenario is a script: a deployment, load over time, faults at set times, and expectations.
-// Times are in seconds.
+// Scenario describes a fault test: a deployment, load over time, faults at set times, and expectations.
+// Times are in seconds since the run began, and durations in seconds.
 type Scenario struct {
-	Name      string   `toml:"name"`
-	About     string   `toml:"about"`
-	DurationS float64  `toml:"duration_s"`
-	SettleS   float64  `toml:"settle_s"` // how long jobs may take to end after the duration
-	Deploy    Deploy   `toml:"deploy"`
-	Classes   []Class  `toml:"class"`
-	Faults    []Fault  `toml:"fault"`
-	Expect    []Expect `toml:"expect"`
+	Name         string        `toml:"name"`
+	About        string        `toml:"about"`
+	DurationS    float64       `toml:"duration_s"`
+	SettleS      float64       `toml:"settle_s"` // maximum time after DurationS for jobs to end
+	Deploy       Deploy        `toml:"deploy"`
+	Classes      []Class       `toml:"class"`
+	Faults       []Fault       `toml:"fault"`
+	Expectations []Expectation `toml:"expect"`
 }
 
-// Deploy describes the deployment and the emulated services that it runs on.
+// Deploy describes the deployment and the emulated services that it uses.
 type Deploy struct {
 	Nodes          int      `toml:"nodes"`
 	Zones          []string `toml:"zones"`
-	Machines       int      `toml:"machines"`        // ordinary ones that the cloud can rent out, over all zones
-	Spot           int      `toml:"spot"`            // spot instances that it can rent out
-	GPUs           float64  `toml:"gpus"`            // of a machine
-	BootS          float64  `toml:"boot_s"`          // how long a machine takes to boot
+	Machines       int      `toml:"machines"`        // ordinary machines in the cloud, all zones together
+	Spot           int      `toml:"spot"`            // spot machines in the cloud, all zones together
+	GPUs           float64  `toml:"gpus"`            // per machine
+	BootS          float64  `toml:"boot_s"`          // boot time of a machine
 	ReportS        float64  `toml:"report_s"`        // heartbeat interval of the workers
 	LeaseS         float64  `toml:"lease_s"`         // lease of the workers
-	CancelS        float64  `toml:"cancel_s"`        // how long tasks may remain after a cancellation is answered
-	WriteRPS       float64  `toml:"write_rps"`       // quota of the state service, in changes a second
-	RPS            float64  `toml:"rps"`             // quota of the state service, in requests a second
-	TeamGPUs       float64  `toml:"team_gpus"`       // the quota of each team; 0: unlimited
-	Guaranteed     float64  `toml:"guaranteed_gpus"` // of each team
-	RestartAfterS  float64  `toml:"restart_after_s"` // how long a node that has ended stays down
-	ListLagS       float64  `toml:"list_lag_s"`      // how old the cloud's lists of machines are
-	SpeedSpread    float64  `toml:"speed_spread"`    // machines are faster or slower by up to this share
-	BootNeverShare float64  `toml:"boot_never"`      // share of the machines that never start
+	CancelS        float64  `toml:"cancel_s"`        // how long tasks may run after a cancellation is answered
+	WriteRPS       float64  `toml:"write_rps"`       // quota of the state service, in changes per second
+	RPS            float64  `toml:"rps"`             // quota of the state service, in requests per second
+	TeamGPUs       float64  `toml:"team_gpus"`       // quota of each team; 0 for unlimited
+	Guaranteed     float64  `toml:"guaranteed_gpus"` // guaranteed GPUs of each team
+	RestartAfterS  float64  `toml:"restart_after_s"` // time from the end of a node to its restart
+	ListLagS       float64  `toml:"list_lag_s"`      // age of the cloud's lists of machines
+	SpeedSpread    float64  `toml:"speed_spread"`    // maximum relative deviation of the speed of a machine
+	BootNeverShare float64  `toml:"boot_never"`      // share of the machines that never finish booting
 }
 
-// Class describes jobs of one kind, and when they are submitted.
+// Class describes jobs of one kind and the times of their submission.
 type Class struct {
-	Name        string  `toml:"name"`
-	Team        string  `toml:"team"`
-	Shape       string  `toml:"shape"`
-	Priority    string  `toml:"priority"`
-	Tasks       [2]int  `toml:"tasks"` // the least and the most of a job
-	GPUs        float64 `toml:"gpus"`
-	ImageGB     float64 `toml:"image_gb"`
-	Images      int     `toml:"images"`     // number of different images
-	RunS        float64 `toml:"run_s"`      // median of a task
-	RunSpread   float64 `toml:"run_spread"` // standard deviation of its logarithm
-	CheckpointS float64 `toml:"checkpoint_s"`
-	Spot        bool    `toml:"spot"`
-	OneZone     bool    `toml:"one_zone"`
-	Spread      bool    `toml:"spread"`
-	Initial     int     `toml:"initial"`    // jobs that are submitted at the beginning
-	RatePerS    float64 `toml:"rate_per_s"` // jobs submitted a second
-	Cancelled   float64 `toml:"cancelled"`  // share of the jobs that their users cancel
-	DueTimes    float64 `toml:"due_times"`  // the deadline is so many times the estimate, and ten seconds; 0: none
-	Needs       string  `toml:"needs"`      // the name of a class: each job depends on the last job of it
-	Bursts      []Burst `toml:"burst"`
+	Name           string  `toml:"name"`
+	Team           string  `toml:"team"`
+	Shape          string  `toml:"shape"`
+	Priority       string  `toml:"priority"`
+	Tasks          [2]int  `toml:"tasks"` // minimum and maximum number of tasks of a job
+	GPUs           float64 `toml:"gpus"`
+	ImageGB        float64 `toml:"image_gb"`
+	Images         int     `toml:"images"`     // number of distinct images
+	RunS           float64 `toml:"run_s"`      // median run time of a task
+	RunSpread      float64 `toml:"run_spread"` // standard deviation of the logarithm of the run time
+	CheckpointS    float64 `toml:"checkpoint_s"`
+	Spot           bool    `toml:"spot"`
+	OneZone        bool    `toml:"one_zone"`
+	Spread         bool    `toml:"spread"`
+	Initial        int     `toml:"initial"`    // number of jobs submitted at the beginning of the run
+	RatePerS       float64 `toml:"rate_per_s"` // jobs submitted per second
+	Cancelled      float64 `toml:"cancelled"`  // share of the jobs that are cancelled by their users
+	DeadlineFactor float64 `toml:"due_times"`  // deadline = factor * estimate + deadlineSlackS; 0 for none
+	Needs          string  `toml:"needs"`      // earlier class; a job depends on the latest job of it
+	Bursts         []Burst `toml:"burst"`
 }
 
-// Burst multiplies the submission rate of a class by a factor for a while.
+// Burst multiplies the submission rate of a class by Factor from AtS for ForS.
 type Burst struct {
 	AtS    float64 `toml:"at_s"`
 	ForS   float64 `toml:"for_s"`
 	Factor float64 `toml:"factor"`
 }
 
-// Fault is a fault to inject, see injectors.
+// Fault describes a fault to inject; see injectors.
 type Fault struct {
-	AtS    float64 `toml:"at_s"`
-	ForS   float64 `toml:"for_s"`
-	EveryS float64 `toml:"every_s"` // repeats the fault for ForS; 0: it begins once and lasts for ForS
-	Kind   string  `toml:"kind"`
-	Target string  `toml:"target"` // leader, other, all, or a zone; see targetNodes
-	Mode   string  `toml:"mode"`   // of cuts: hold, drop (the default), reset or refuse
-	Way    string  `toml:"way"`    // of cuts: forward or back; both if empty
-	Count  int     `toml:"count"`  // of machines; 0: all of the target
-	Factor float64 `toml:"factor"`
-	Class  string  `toml:"class"`
+	AtS       float64 `toml:"at_s"`
+	ForS      float64 `toml:"for_s"`
+	EveryS    float64 `toml:"every_s"` // interval of repetition over ForS; if 0, the fault lasts for ForS
+	Kind      string  `toml:"kind"`
+	Target    string  `toml:"target"` // leader, other, all, or a zone; see targetNodes
+	Mode      string  `toml:"mode"`   // of link faults: hold, drop (the default), reset or refuse
+	Direction string  `toml:"way"`    // of link faults: forward or back; both if empty
+	Count     int     `toml:"count"`  // number of machines; all of the target if 0
+	Factor    float64 `toml:"factor"`
+	Class     string  `toml:"class"`
 }
 
-// Expect is a condition for a scenario to pass: at least this share of the jobs that count meets
-// it. That no invariant is violated is a condition of every scenario.
-type Expect struct {
+// Expectation is a condition for a scenario to pass: at least the given share of the jobs that it applies
+// to must meet it. In addition, every scenario requires that no invariant is violated.
+type Expectation struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"` // 0: at any time
+	WithinS float64 `toml:"within_s"` // no time limit if 0
 	Share   float64 `toml:"share"`    // between 0 and 1
 }
 
-// The shapes of jobs, as scenario files name them in Class.Shape.
+// The shapes of jobs that the package distinguishes: values of Class.Shape in scenario files.
 const (
 	shapeGang    = "gang"
 	shapeService = "service"
 )
 
-// isService reports whether the jobs of the class are services, which don't end by themselves.
+// isService reports whether the jobs of the class are services, which run until they are cancelled.
 func (c *Class) isService() bool { return c.Shape == shapeService }
 
 //go:embed scenario.schema.json
@@ -120,11 +120,11 @@
 //go:embed scenarios/*.toml
 var embedded embed.FS
 
-// Names lists the scenarios that are embedded in the program.
+// Names returns the names of the embedded scenarios.
 func Names() []string {
 	files, err := fs.Glob(embedded, "scenarios/*.toml")
 	if err != nil {
-		panic(err) // the pattern is malformed
+		panic(err) // malformed pattern, a programming error
 	}
 	for i := range files {
 		files[i] = strings.TrimSuffix(path.Base(files[i]), ".toml")
@@ -132,14 +132,15 @@
 	return files
 }
 
-// Load reads an embedded scenario by its name, or a scenario from a file.
+// Load returns the embedded scenario of the given name. If there is none, it reads a scenario from the file
+// of that path.
 func Load(name string) (*Scenario, error) {
 	raw, err := embedded.ReadFile("scenarios/" + name + ".toml")
 	if errors.Is(err, fs.ErrNotExist) {
 		raw, err = os.ReadFile(name)
 	}
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("no scenario or file %q; there are %s", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("no scenario or file named %q; scenarios are %s", name, strings.Join(Names(), ", "))
 	}
 	if err != nil {
 		return nil, err
@@ -151,7 +152,7 @@
 	return s, nil
 }
 
-// defaultScenario holds the values of what a scenario leaves out.
+// defaultScenario returns the defaults of the fields that a scenario leaves out.
 func defaultScenario() *Scenario {
 	return &Scenario{
 		SettleS: 60,
@@ -173,10 +174,10 @@
 	}
 }
 
-// defaultTeam is the team of a class that names none.
+// defaultTeam is the team of a class without a team.
 const defaultTeam = "team"
 
-// Parse reads and checks a scenario in TOML. Its errors are one line each.
+// Parse parses and validates a scenario in TOML. The text of an error is a single line.
 func Parse(raw []byte) (*Scenario, error) {
 	var doc any
 	if err := toml.Unmarshal(raw, &doc); err != nil {
@@ -201,8 +202,8 @@
 	return s, s.check()
 }
 
-// settled is when the last fault ends, in seconds since the run began.
-func (s *Scenario) settled() float64 {
+// lastFaultEndS returns the time at which the last fault ends, in seconds since the run began.
+func (s *Scenario) lastFaultEndS() float64 {
 	last := 0.0
 	for i := range s.Faults {
 		last = max(last, s.Faults[i].AtS+s.Faults[i].ForS)
@@ -210,8 +211,8 @@
 	return last
 }
 
-// Scaled returns the scenario with so many times the machines and the load. The quotas of the
-// state service grow to a quarter of that, and never shrink.
+// Scaled returns a copy of the scenario with machines, team quotas, load and machine counts of faults
+// multiplied by times. The quotas of the state service are multiplied by times/4, and at least by 1.
 func (s *Scenario) Scaled(times float64) *Scenario {
 	scaled := *s
 	scale := func(n int) int { return int(float64(n)*times + 0.5) }
@@ -235,9 +236,10 @@
 	return &scaled
 }
 
-// Sped returns the scenario with the work of a so many times longer day: so many times the jobs,
-// with runs, fetches, checkpoint intervals and boots shorter by that factor. What the protocol sets
-// in seconds stays the same, and so do the faults, which must outlast leases, and the expectations.
+// Sped returns a copy of the scenario that compresses the work of a longer period into the same duration:
+// the submission rates are multiplied by times; run times, image sizes, checkpoint intervals and boot times
+// are divided by it. The times of the protocol stay the same, and so do the expectations and the faults,
+// since faults must outlast leases.
 func (s *Scenario) Sped(times float64) *Scenario {
 	sped := *s
 	sped.Deploy.BootS /= times
--- a/internal/faulttest/scenario_check.go
+++ b/internal/faulttest/scenario_check.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// check finds the errors of a scenario that a schema can't express.
+// check validates what the JSON schema can't express.
 func (s *Scenario) check() error {
 	known, err := s.checkClasses()
 	if err != nil {
@@ -16,26 +16,26 @@
 			return err
 		}
 	}
-	for i, e := range s.Expect {
+	for i, e := range s.Expectations {
 		if e.Class != "" && !known[e.Class] {
-			return fmt.Errorf("expectation %d: no class %q", i, e.Class)
+			return fmt.Errorf("expectation %d: no class named %q", i, e.Class)
 		}
 	}
 	return nil
 }
 
-// checkClasses checks the classes and returns their names.
+// checkClasses validates the classes and returns the set of their names.
 func (s *Scenario) checkClasses() (known map[string]bool, err error) {
 	known = map[string]bool{}
 	for _, c := range s.Classes {
 		if c.Needs != "" && !known[c.Needs] {
-			return nil, fmt.Errorf("class %s needs %q, which is not a class before it", c.Name, c.Needs)
+			return nil, fmt.Errorf("class %s: needs %q, which is not a class before it", c.Name, c.Needs)
 		}
 		if known[c.Name] {
-			return nil, fmt.Errorf("class %s is there twice", c.Name)
+			return nil, fmt.Errorf("class %s: defined twice", c.Name)
 		}
 		if c.Tasks[0] > c.Tasks[1] {
-			return nil, fmt.Errorf("class %s: tasks %v", c.Name, c.Tasks)
+			return nil, fmt.Errorf("class %s: tasks from %d to %d: minimum above maximum", c.Name, c.Tasks[0], c.Tasks[1])
 		}
 		known[c.Name] = true
 	}
@@ -45,15 +45,16 @@
 func (s *Scenario) checkFault(i int) error {
 	f := &s.Faults[i]
 	if f.AtS+f.ForS > s.DurationS+s.SettleS {
-		return fmt.Errorf("fault %d (%s) lasts beyond the end", i, f.Kind)
+		return fmt.Errorf("fault %d (%s): ends at %g s, beyond the end of the run at %g s",
+			i, f.Kind, f.AtS+f.ForS, s.DurationS+s.SettleS)
 	}
 	isZone := slices.Contains(s.Deploy.Zones, f.Target)
 	isNodes := f.Target == "" || slices.Contains([]string{targetLeader, targetOther, targetAll}, f.Target)
 	if !isNodes && !isZone {
-		return fmt.Errorf("fault %d (%s): target %q is no zone", i, f.Kind, f.Target)
+		return fmt.Errorf("fault %d (%s): no zone or group of nodes is named %q", i, f.Kind, f.Target)
 	}
 	if f.Kind == faultZoneCut && !isZone {
-		return fmt.Errorf("fault %d (%s): target %q is no zone", i, faultZoneCut, f.Target)
+		return fmt.Errorf("fault %d (%s): no zone is named %q", i, faultZoneCut, f.Target)
 	}
 	return nil
 }
--- a/internal/faulttest/status.go
+++ b/internal/faulttest/status.go
@@ -9,40 +9,40 @@
 	"coralhub/wire"
 )
 
-// Status is the status of a run at a moment.
+// Status is a snapshot of the progress of a run.
 type Status struct {
 	ElapsedS, DurationS float64
-	Leader              string // name of the node; "" if there is none
+	Leader              string // name of the node; "" if there is no leader
 	Nodes               []NodeStatus
 	Classes             []ClassStatus
-	Machines            map[string]int // number by state: up, booting or hanging
-	OnMachines          int            // tasks
+	Machines            map[string]int // counts by state: up, booting or hanging
+	RunningTasks        int            // on machines
 	Marks               []Mark
 }
 
-// NodeStatus is the status of a node.
+// NodeStatus is the state of a node and its resource usage so far.
 type NodeStatus struct {
 	Name, Zone string
 	Ready      bool
-	CPUS       float64 // processor time taken, in seconds
+	CPUS       float64 // CPU time used, in seconds
 	PeakMB     float64
 	Restarts   int
 }
 
 // ClassStatus counts the jobs of a class.
 type ClassStatus struct {
-	Class                                   string
-	Submitted, Accepted, Started, Done, Off int // Off: cancelled
+	Class                                         string
+	Submitted, Accepted, Started, Done, Cancelled int
 }
 
-// statusInterval is how often Options.Watch is called.
+// statusInterval is the interval between calls of Options.Watch.
 const statusInterval = 500 * time.Millisecond
 
-// taskSet is a set of tasks by job.
+// taskSet holds sets of task indices by job ID.
 type taskSet map[string]map[int]bool
 
-// add adds a task of a job with so many tasks, and reports whether the job's tasks are complete with
-// it for the first time.
+// add adds a task of a job that has the given number of tasks. It reports whether this was the last task
+// missing.
 func (s taskSet) add(job string, task, tasks int) (completes bool) {
 	if s[job] == nil {
 		s[job] = map[int]bool{}
@@ -52,19 +52,19 @@
 	return before < tasks && len(s[job]) == tasks
 }
 
-// watcher counts the jobs of each class from the history as it grows.
+// watcher counts the jobs of each class from the history of a run in progress.
 type watcher struct {
-	scenario   *Scenario
-	history    *history
-	cluster    *cluster.Cluster
-	users      *users
-	seen       int // events
-	jobs       map[string]*plannedJob
-	counts     map[string]*ClassStatus // by class
-	onMachines int                     // tasks
-	started    taskSet
-	done       taskSet
-	cancelled  map[string]bool // jobs
+	scenario       *Scenario
+	history        *history
+	cluster        *cluster.Cluster
+	users          *users
+	observedEvents int // number of events of the history already counted
+	jobs           map[string]*plannedJob
+	counts         map[string]*ClassStatus // counts by class
+	runningTasks   int                     // number of tasks on machines
+	started        taskSet
+	done           taskSet
+	cancelled      map[string]bool // IDs of jobs
 }
 
 func newWatcher(s *Scenario, jobs []plannedJob, h *history, c *cluster.Cluster, u *users) *watcher {
@@ -99,12 +99,12 @@
 	case invariants.JobSubmitted:
 		counts.Submitted++
 	case invariants.TaskStarted:
-		w.onMachines++
+		w.runningTasks++
 		if w.started.add(e.Job, e.Task, p.job.Tasks) {
 			counts.Started++
 		}
 	case invariants.TaskStopped:
-		w.onMachines--
+		w.runningTasks--
 	case invariants.TaskDone:
 		if w.done.add(e.Job, e.Task, p.job.Tasks) {
 			counts.Done++
@@ -115,7 +115,7 @@
 		}
 		if e.Said == wire.Cancelled && !w.cancelled[e.Job] {
 			w.cancelled[e.Job] = true
-			counts.Off++
+			counts.Cancelled++
 		}
 	}
 }
@@ -128,13 +128,13 @@
 		Leader:    leaderOf(servers),
 		Machines:  map[string]int{},
 	}
-	events := w.history.eventsFrom(w.seen)
-	w.seen += len(events)
+	events := w.history.eventsFrom(w.observedEvents)
+	w.observedEvents += len(events)
 	for i := range events {
 		w.observe(&events[i])
 	}
-	s.Marks = w.history.marksSoFar()
-	s.OnMachines = w.onMachines
+	s.Marks = w.history.copyOfMarks()
+	s.RunningTasks = w.runningTasks
 	for i := range w.scenario.Classes {
 		s.Classes = append(s.Classes, *w.counts[w.scenario.Classes[i].Name])
 	}
@@ -157,7 +157,7 @@
 	return s
 }
 
-// machineState names the state of a machine in Status.Machines.
+// machineState returns the state of a machine, a key of Status.Machines.
 func machineState(m *emulator.Machine, now emulator.Micros) string {
 	switch {
 	case m.Hang:
--- a/internal/faulttest/users.go
+++ b/internal/faulttest/users.go
@@ -18,51 +18,51 @@
 )
 
 const (
-	// unknownPollInterval is how often a user polls for a job that nobody has submitted.
+	// unknownPollInterval is the interval between polls for jobs that were never submitted.
 	unknownPollInterval = 3 * time.Second
-	// probeInterval is how often the balancer probes a node, and probesToSwitch how many
-	// probes in a row must agree for a node to change between healthy and unhealthy.
+	// probeInterval is the interval between the load balancer's probes of a node. A node changes between
+	// healthy and unhealthy after probesToSwitch equal results in a row.
 	probeInterval  = time.Second
 	probesToSwitch = 2
 )
 
-// users submits jobs, polls for them and cancels them, through a load balancer that knows which
-// nodes are healthy.
+// users emulates users that submit, poll and cancel jobs through a load balancer that probes the health of
+// the nodes.
 type users struct {
 	cluster *cluster.Cluster
 	record  func(invariants.Event)
-	now     func() emulator.Micros // the time of the emulated services
+	now     func() emulator.Micros // clock of the emulated services
 	client  *jobclient.Client
 
 	mu      sync.Mutex
-	healthy []bool                // by node
+	healthy []bool                // by index of the node
 	stats   map[string]*userStats // by class
 	decided map[string]*decision  // by job
 }
 
-// decision is the answer to the submission of a job, for the jobs that depend on it.
+// decision is the outcome of the submission of a job, which jobs that depend on it wait for.
 type decision struct {
-	known    chan struct{} // is closed once accepted is set
+	done     chan struct{} // closed when accepted is set
 	accepted bool
 }
 
-// decision returns the decision on a job, which may not be known yet.
+// decision returns the decision on a job, which may be pending.
 func (u *users) decision(id string) *decision {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.decided[id] == nil {
-		u.decided[id] = &decision{known: make(chan struct{})}
+		u.decided[id] = &decision{done: make(chan struct{})}
 	}
 	return u.decided[id]
 }
 
-// awaitDependencies waits until all the jobs that a job depends on are accepted: the service refuses a
-// job that names another which was not. It returns false if one is refused or ctx ends.
+// awaitDependencies waits until all jobs that a job depends on are accepted, since the service refuses a
+// job with a dependency that was not accepted. It returns false if one of them is refused or ctx ends.
 func (u *users) awaitDependencies(ctx context.Context, j *wire.Job) bool {
 	for _, id := range j.Needs {
 		d := u.decision(id)
 		select {
-		case <-d.known:
+		case <-d.done:
 			if !d.accepted {
 				return false
 			}
@@ -73,15 +73,15 @@
 	return true
 }
 
-// userStats is what the users of a class have experienced.
+// userStats holds the statistics of the users of a class.
 type userStats struct {
 	Submitted, Accepted int
-	latencies           []time.Duration // from the planned submission to the acceptance
-	Errors              map[string]int  // by the HTTP status of the answer
+	latencies           []time.Duration // from the due time of the submission to the acceptance
+	Errors              map[string]int  // counts by HTTP status, as text; 0 if there was no answer
 }
 
-// newUsers returns the users of a cluster. record takes what they see, and wrap, if not nil, wraps their
-// transport.
+// newUsers returns the users of a cluster. record is called with the events that they observe. wrap, if not
+// nil, wraps their HTTP transport.
 func newUsers(
 	c *cluster.Cluster, record func(invariants.Event), wrap func(http.RoundTripper) http.RoundTripper,
 ) *users {
@@ -104,8 +104,7 @@
 	return u
 }
 
-// balance probes the health of the nodes until ctx ends.
-func (u *users) balance(ctx context.Context) {
+func (u *users) probeNodes(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i := range u.cluster.Nodes {
 		wg.Go(func() { u.probeNode(ctx, i) })
@@ -113,7 +112,8 @@
 	wg.Wait()
 }
 
-// probeNode probes a node until ctx ends. A node whose first probe succeeds is healthy at once.
+// probeNode probes the health of a node until ctx ends. A node whose first probe succeeds is healthy at
+// once.
 func (u *users) probeNode(ctx context.Context, i int) {
 	failures, successes := 0, 1
 	probe := func() {
@@ -137,7 +137,7 @@
 	wait.Every(ctx, probeInterval, probe)
 }
 
-// pickNode picks a node for a connection at random: a healthy one, if there is any.
+// pickNode returns a random healthy node, or any node if none is healthy.
 func (u *users) pickNode() *cluster.Node {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -159,7 +159,8 @@
 	return u.healthy[i]
 }
 
-// pollUnknown polls for jobs that nobody has submitted, until ctx ends: the service must not know them.
+// pollUnknown polls for jobs that were never submitted, until ctx ends. The answers are recorded, since a
+// service that knows such a job violates an invariant.
 func (u *users) pollUnknown(ctx context.Context) {
 	wait.Every(ctx, unknownPollInterval, func() {
 		id := fmt.Sprintf("j-9%08d", rand.IntN(1e8))
@@ -169,7 +170,7 @@
 	})
 }
 
-// updateStats calls f on the statistics of a class, which it must not keep.
+// updateStats calls f with the statistics of a class while holding the lock. f must not retain the pointer.
 func (u *users) updateStats(class string, f func(*userStats)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -181,7 +182,7 @@
 	f(s)
 }
 
-// statsOf returns the statistics of a class. Its users have ended.
+// statsOf returns the statistics of a class. It must be called after the users of the class have ended.
 func (u *users) statsOf(class string) userStats {
 	var stats userStats
 	u.updateStats(class, func(s *userStats) { stats = *s })
@@ -192,18 +193,18 @@
 	u.record(invariants.Event{At: u.now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
 }
 
-// uploadJobs hands the descriptions of all jobs to the workers, as users do before they submit.
+// uploadJobs makes the descriptions of all jobs available to the workers, as users do before they submit.
 func uploadJobs(servers *emulator.Servers, jobs []plannedJob) {
 	servers.With(func() {
 		for i := range jobs {
 			p := &jobs[i]
-			servers.Environment.Jobs[p.job.ID] = &emulator.SubmittedJob{Job: p.job, Run: p.run}
+			servers.Environment.Jobs[p.job.ID] = &emulator.SubmittedJob{Job: p.job, Run: p.taskRunTime}
 		}
 	})
 }
 
-// submitAll starts the user of each job at its time, of services in the group of services and
-// of all others in finite. It returns false if ctx ends before.
+// submitAll starts a user for each job at its submission time: in the group services for services, and in
+// finite for all other jobs. It returns false if ctx ends before the last job.
 func (u *users) submitAll(ctx context.Context, began time.Time, jobs []plannedJob, finite, services *sync.WaitGroup) bool {
 	for i := range jobs {
 		p := &jobs[i]
@@ -215,60 +216,61 @@
 		if p.class.isService() {
 			group = services
 		}
-		group.Go(func() { u.follow(ctx, p, due) })
+		group.Go(func() { u.simulateUser(ctx, p, due) })
 	}
 	return true
 }
 
-// follow is a user with one job: it submits the job, polls until it is over, and cancels it if that
-// is planned. due is when the job was to be submitted.
-func (u *users) follow(ctx context.Context, p *plannedJob, due time.Time) {
+// simulateUser emulates the user of one job: it submits the job, polls until the job has ended, and cancels
+// it if that is planned. due is the planned time of the submission; for a job with dependencies, it is
+// postponed until they are accepted.
+func (u *users) simulateUser(ctx context.Context, p *plannedJob, due time.Time) {
 	raw, err := wire.Marshal(&p.job)
 	if err != nil {
 		return
 	}
 	if len(p.job.Needs) > 0 {
 		if !u.awaitDependencies(ctx, &p.job) {
-			u.decide(p.job.ID, false)
+			u.publishDecision(p.job.ID, false)
 			return
 		}
-		due = latest(due, time.Now())
+		due = later(due, time.Now())
 	}
 	u.record(invariants.Event{At: u.now(), Kind: invariants.JobSubmitted, Job: p.job.ID, Spec: specOf(&p.job)})
 	u.updateStats(p.class.Name, func(s *userStats) { s.Submitted++ })
 	accepted := u.request(ctx, p, invariants.BySubmit, http.MethodPost, wire.PathJobs, raw)
-	u.decide(p.job.ID, accepted)
+	u.publishDecision(p.job.ID, accepted)
 	if !accepted {
 		return
 	}
 	u.updateStats(p.class.Name, func(s *userStats) {
 		s.Accepted++
-		s.latencies = append(s.latencies, time.Since(due)) // since the planned time: a slow answer delays no other submission
+		s.latencies = append(s.latencies, time.Since(due)) // from due: slow answers delay no other submission
 	})
 	polled := func(a *jobclient.Answer) { u.recordAnswer(p.job.ID, invariants.ByPoll, a) }
 	cancel := func() {
 		u.record(invariants.Event{At: u.now(), Kind: invariants.CancelRequested, Job: p.job.ID})
 		u.request(ctx, p, invariants.ByCancel, http.MethodPost, wire.PathJobs+"/"+p.job.ID+"/"+wire.CancelVerb, nil)
 	}
-	u.client.Follow(ctx, p.job.ID, p.cancelIn, polled, cancel)
+	u.client.Follow(ctx, p.job.ID, p.cancelDelay, polled, cancel)
 }
 
-// decide publishes whether a job was accepted. It is called once a job.
-func (u *users) decide(id string, accepted bool) {
+// publishDecision publishes whether a job was accepted. It must be called only once per job.
+func (u *users) publishDecision(id string, accepted bool) {
 	d := u.decision(id)
 	d.accepted = accepted
-	close(d.known)
+	close(d.done)
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// request repeats a request until it is accepted or refused for good, and records each answer. It
-// reports whether it was accepted.
+// request retries a request until it is accepted or refused, or jobclient.TryFor would be exceeded, or ctx
+// ends. It records each answer and reports whether the request was accepted.
 func (u *users) request(ctx context.Context, p *plannedJob, via, method, path string, body []byte) bool {
 	return u.client.Repeat(ctx, method, path, body, func(a *jobclient.Answer) {
 		u.recordAnswer(p.job.ID, via, a)
@@ -278,7 +280,7 @@
 	})
 }
 
-// specOf is what the invariants need to know of a job.
+// specOf returns the properties of a job that the invariants depend on.
 func specOf(j *wire.Job) *invariants.Spec {
 	return &invariants.Spec{
 		Team:    j.Team,
--- a/internal/view/leak_test.go
+++ b/internal/view/leak_test.go
@@ -9,7 +9,7 @@
 	"coralhub/internal/leaktest"
 )
 
-// Close waits for the program that draws the screen.
+// Close returns after the goroutines that draw the screen have ended.
 func TestCloseLeavesNothingRunning(t *testing.T) {
 	f, err := os.Create(filepath.Join(t.TempDir(), "terminal"))
 	if err != nil {
@@ -19,7 +19,7 @@
 	s := Open(t.Context(), f, func() {}, "title")
 	s.Show(faulttest.Status{})
 	if err := s.Close(); err != nil {
-		t.Logf("the terminal could not be used: %v", err) // as on a machine without one
+		t.Logf("terminal not usable: %v", err) // expected on machines without a terminal
 	}
 	leaktest.Check(t, "coralhub/internal/view.Open", "bubbletea/v2.(*Program)")
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -15,15 +15,16 @@
 	"coralhub/internal/faulttest"
 )
 
-// Screen is a terminal that shows a fault test.
+// Screen displays the progress of a fault test in a terminal.
 type Screen struct {
 	program *tea.Program
 	running sync.WaitGroup
-	err     error // why the program has ended, other than by Close or a key
+	err     error // error that ended the program; nil after Close or a key
 }
 
-// Open takes over the terminal f until ctx ends or the screen is closed. It calls stop if somebody presses
-// q or Ctrl-C there. If the terminal can't be used, the test continues unseen, and Close says why.
+// Open takes control of the terminal f until ctx ends or the screen is closed. It calls stop if the user
+// presses q or Ctrl-C. If the terminal can't be used, the test continues without display and Close returns
+// the error.
 func Open(ctx context.Context, f *os.File, stop func(), title string) *Screen {
 	s := &Screen{program: tea.NewProgram(model{title: title, stop: stop}, tea.WithContext(ctx), tea.WithOutput(f))}
 	s.running.Go(func() {
@@ -34,11 +35,11 @@
 	return s
 }
 
-// Show shows the status of a test.
+// Show replaces the displayed status. It is safe for concurrent use.
 func (s *Screen) Show(st faulttest.Status) { s.program.Send(st) }
 
-// Close releases the terminal and waits until nothing draws on it any more. The error says why the
-// terminal could not be used. It does nothing for a nil Screen.
+// Close releases the terminal and waits until drawing has ended. It returns the error if the terminal could
+// not be used. It does nothing for a nil Screen.
 func (s *Screen) Close() error {
 	if s == nil {
 		return nil
@@ -48,17 +49,17 @@
 	return s.err
 }
 
-// model is the state of the view.
+// model is the bubbletea model of the screen.
 type model struct {
 	title  string
 	stop   func()
 	status faulttest.Status
 }
 
-// Init is part of tea.Model.
+// Init implements tea.Model.
 func (m model) Init() tea.Cmd { return nil }
 
-// Update is part of tea.Model.
+// Update implements tea.Model.
 func (m model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch x := msg.(type) {
 	case faulttest.Status:
@@ -72,22 +73,22 @@
 	return m, nil
 }
 
-// View is part of tea.Model.
+// View implements tea.Model.
 func (m model) View() tea.View { return tea.NewView(render(m.title, &m.status)) }
 
 const (
-	barWidth   = 40
-	shownMarks = 6
+	barWidth = 40
+	maxMarks = 6
 )
 
-// render returns the view of a status.
+// render returns the text that displays a status.
 func render(title string, s *faulttest.Status) string {
 	var b strings.Builder
 	renderProgress(&b, title, s)
 	renderNodes(&b, s)
 	renderClasses(&b, s)
 	renderMachines(&b, s)
-	for _, m := range s.Marks[max(0, len(s.Marks)-shownMarks):] {
+	for _, m := range s.Marks[max(0, len(s.Marks)-maxMarks):] {
 		fmt.Fprintf(&b, "  %s\n", m.What)
 	}
 	return b.String()
@@ -118,7 +119,7 @@
 func renderClasses(b *strings.Builder, s *faulttest.Status) {
 	fmt.Fprintf(b, "\n%-20s %9s %9s %9s %9s %9s\n", "class", "submitted", "accepted", "started", "done", "cancelled")
 	for _, c := range s.Classes {
-		fmt.Fprintf(b, "%-20s %9d %9d %9d %9d %9d\n", c.Class, c.Submitted, c.Accepted, c.Started, c.Done, c.Off)
+		fmt.Fprintf(b, "%-20s %9d %9d %9d %9d %9d\n", c.Class, c.Submitted, c.Accepted, c.Started, c.Done, c.Cancelled)
 	}
 }
 
@@ -127,5 +128,5 @@
 	for _, state := range slices.Sorted(maps.Keys(s.Machines)) {
 		fmt.Fprintf(b, " %d %s", s.Machines[state], state)
 	}
-	fmt.Fprintf(b, "; %d tasks on them\n\n", s.OnMachines)
+	fmt.Fprintf(b, "; %d tasks on them\n\n", s.RunningTasks)
 }
