--- a/internal/estimate/answer.go
+++ b/internal/estimate/answer.go
@@ -2,24 +2,26 @@
 
 import "math"
 
-// Intervals are the fractions of runs that the three intervals of an Answer are to contain.
+// Intervals are the nominal coverages of the three intervals of an Answer: the fraction of runs that each one is
+// meant to contain.
 var Intervals = [3]float64{0.5, 0.8, 0.95}
 
-// Answer is an estimate of a run time.
+// Answer is an estimate of a run time, with prediction intervals.
 type Answer struct {
-	Level   Level // Unknown: there is nothing to estimate from
+	Level   Level // Unknown if there is no data to estimate from
 	Median  Micros
-	Low     [3]Micros // lower ends of Intervals
-	High    [3]Micros // upper ends of Intervals
-	Samples float64   // effective number of runs that the level has learned from
-	// Trust is the fraction of recent outcomes that fell into the intervals stated for
-	// them; negative as long as too few were stated.
+	Low     [3]Micros // lower bounds, in the order of Intervals
+	High    [3]Micros // upper bounds, in the order of Intervals
+	Samples float64   // effective number of runs in the group of the level
+	// Trust is the observed coverage of each interval: the fraction of recent run times of the class that were
+	// inside the interval predicted for them. It is negative until enough predictions have been compared.
 	Trust [3]float64
 
 	distribution distribution
 }
 
-// Estimate returns an estimate of how long work with these features runs.
+// Estimate returns an estimate of the run time of a run with these features. Its level is Unknown if there are no
+// past runs and no user estimate to derive it from.
 func (m *Model) Estimate(f *Features) Answer {
 	estimate, level, samples := m.walk(f, nil)
 	a := Answer{Level: level, Samples: samples, Trust: [3]float64{-1, -1, -1}}
@@ -37,7 +39,7 @@
 	return a
 }
 
-// setIntervals sets the median and the intervals from the distribution.
+// setIntervals derives the median and the intervals from the distribution.
 func (a *Answer) setIntervals() {
 	a.Median = fromLogSeconds(a.distribution[medianIndex])
 	for i := range Intervals {
@@ -46,19 +48,20 @@
 	}
 }
 
-// shortestRemaining is the least that is estimated to remain of a run, in microseconds.
-const shortestRemaining = 10_000
+// minimumRemainingMicros is the lower bound of estimated remaining times, in microseconds.
+const minimumRemainingMicros = 10_000
 
-// Left returns the estimate of the remaining time of a run that has run for the given time.
+// Left returns the estimate of the remaining time of a run that has been running for the given time. It is the
+// distribution of run times, conditioned on exceeding that time.
 func (a *Answer) Left(ran Micros) Answer {
 	if a.Level == Unknown || ran <= 0 {
 		return *a
 	}
 	remaining := *a
-	elapsed := a.distribution.probabilityBelow(logSeconds(ran))
+	elapsedProbability := a.distribution.probabilityBelow(logSeconds(ran))
 	for i, p := range probabilities {
-		total := a.distribution.quantile(elapsed + p*(1-elapsed))
-		remaining.distribution[i] = logSeconds(max(fromLogSeconds(total)-ran, shortestRemaining))
+		total := a.distribution.quantile(elapsedProbability + p*(1-elapsedProbability))
+		remaining.distribution[i] = logSeconds(max(fromLogSeconds(total)-ran, minimumRemainingMicros))
 	}
 	for i := 1; i < len(remaining.distribution); i++ {
 		remaining.distribution[i] = max(remaining.distribution[i], remaining.distribution[i-1])
@@ -67,14 +70,13 @@
 	return remaining
 }
 
-// Overdue reports whether a run that has run for the given time is beyond its widest
-// interval.
+// Overdue reports whether the given running time exceeds the upper bound of the widest interval. It returns false if
+// the level is Unknown.
 func (a *Answer) Overdue(ran Micros) bool {
 	return a.Level != Unknown && ran > a.High[len(a.High)-1]
 }
 
-// Within returns the probability that the run takes no longer than d; NaN if the level is
-// Unknown.
+// Within returns the probability that the run time is at most d, or NaN if the level is Unknown.
 func (a *Answer) Within(d Micros) float64 {
 	if a.Level == Unknown {
 		return math.NaN()
--- a/internal/estimate/change.go
+++ b/internal/estimate/change.go
@@ -5,95 +5,97 @@
 	"slices"
 )
 
-// detector distinguishes a sudden change from noise by two sums of log-likelihood ratios
-// (Page, 1954): up for the ranks of new errors among the earlier ones having moved up,
-// down for their having moved down. Without a change the mean time to a false alarm is at
-// least exp(alarmThreshold) = 665 ends, for each side.
-type detector struct {
+// changeDetector detects sudden changes of run times by two cumulative sums of log-likelihood ratios (CUSUM: Page,
+// 1954). The input is the rank of each new error among the earlier errors: up tests whether ranks have increased, down
+// whether they have decreased. Without a change, the mean time to a false alarm of each test is at least
+// exp(alarmThreshold) = 665 completed runs.
+type changeDetector struct {
 	up, down float64
-	recent   [recentRuns]recentRun // a ring
+	recent   [recentWindow]recentRun // ring buffer
 	next     int
 }
 
 const (
-	recentRuns     = 8
+	recentWindow   = 8
 	alarmThreshold = 6.5
-	// rankExponent is the exponent of the density that ranks u are assumed to have after
-	// a change: rankExponent*u^(rankExponent-1).
+	// rankExponent is the parameter of the assumed density of ranks u after a change:
+	// rankExponent*u^(rankExponent-1).
 	rankExponent = 4.0
-	// minimumMove is how far off a run has to be to be evidence of a change: 16%.
-	minimumMove = 0.15
-	// minimumErrors is how many errors have to be known before their ranks say anything.
+	// minimumLogError is the least absolute error, in natural logarithms, that is evidence of a change: 16%.
+	minimumLogError = 0.15
+	// minimumErrors is the number of recorded errors from which ranks among them are significant.
 	minimumErrors = 10
-	// changedFraction is the part of the change that the error of a run has to reach for
-	// the run to count as one after the change.
-	changedFraction = 0.6
+	// minimumChangeFraction is the least ratio of a run's error to the size of the change at which the run is
+	// attributed to the time after the change.
+	minimumChangeFraction = 0.6
 )
 
-// recentRun is a run that may belong to the time after a change.
+// recentRun is a recent run, which may have taken place after a change that is not detected yet.
 type recentRun struct {
 	logRun, logError float64
 	user             userEstimate
 }
 
-// rank returns the fraction of earlier errors below an error.
+// rank returns the fraction of the earlier errors that are less than logError. Errors in the same bin count half.
 func (g *group) rank(logError float64) float64 {
 	bin := errorBin(logError)
 	below := 0.0
 	for i := range bin {
-		below += float64(g.Ends[i])
+		below += float64(g.Completed[i])
 	}
-	below += float64(g.Ends[bin]) / 2
+	below += float64(g.Completed[bin]) / 2
 	return (below + 0.5) / (float64(g.Errors) + 1)
 }
 
-// detectChange takes the error of a run that ended and reports whether the work has
-// changed suddenly.
+// detectChange adds the error of a completed run to the detector and reports whether it detects a sudden change of the
+// run times.
 func (g *group) detectChange(logError, logRun float64, user userEstimate) bool {
 	if g.level < Class || g.Errors < minimumErrors {
 		return false
 	}
 	d := &g.detector
 	rank := g.rank(logError)
-	if math.Abs(logError) < minimumMove {
-		rank = 0.5 // for work of constant run time a few per cent are no change
+	if math.Abs(logError) < minimumLogError {
+		rank = 0.5 // if run times are nearly constant, a deviation of a few per cent has an extreme rank
 	}
 	d.recent[d.next] = recentRun{logRun, logError, user}
-	d.next = (d.next + 1) % recentRuns
+	d.next = (d.next + 1) % recentWindow
 	d.up = addLikelihood(d.up, rank)
 	d.down = addLikelihood(d.down, 1-rank)
 	return max(d.up, d.down) > alarmThreshold
 }
 
-// addLikelihood adds the log-likelihood ratio of a rank to a sum that doesn't fall below 0.
+// addLikelihood adds the log-likelihood ratio of a rank to a cumulative sum, which is at least 0.
 func addLikelihood(sum, rank float64) float64 {
 	return math.Max(0, sum+math.Log(rankExponent)+(rankExponent-1)*math.Log(rank))
 }
 
-// last returns the i-th newest recent run; 1 is the newest.
-func (d *detector) last(i int) recentRun { return d.recent[(d.next-i+recentRuns)%recentRuns] }
+// newest returns the i-th newest recent run, counted from 1.
+func (d *changeDetector) newest(i int) recentRun {
+	return d.recent[(d.next-i+recentWindow)%recentWindow]
+}
 
-// restart forgets what was learned before a change. The group that detected it keeps the
-// runs since the change began.
-func (g *group) restart(detected bool) {
+// resetAfterChange discards the data from before a change. The group that detected the change (detected is true) keeps
+// the runs since the change began.
+func (g *group) resetAfterChange(detected bool) {
 	d := g.detector
 	g.tally = tally{}
 	g.base = tally{}
 	g.errorDistribution = distribution{}
 	g.rebuiltErrors = 0
 	g.errorsSinceRebuild = 0
-	g.detector = detector{}
+	g.detector = changeDetector{}
 	g.generation++
-	g.noticedChange = detected
+	g.detectedChange = detected
 	if !detected {
 		return
 	}
-	newest := []float64{d.last(1).logError, d.last(2).logError, d.last(3).logError}
+	newest := []float64{d.newest(1).logError, d.newest(2).logError, d.newest(3).logError}
 	slices.Sort(newest)
-	change := newest[1]                // the median
-	for i := 1; i <= recentRuns; i++ { // the newest first
-		run := d.last(i)
-		if i > 1 && run.logError/change < changedFraction {
+	change := newest[1]                  // median
+	for i := 1; i <= recentWindow; i++ { // from the newest to the oldest
+		run := d.newest(i)
+		if i > 1 && run.logError/change < minimumChangeFraction {
 			return
 		}
 		g.add(run.logRun, run.user)
--- a/internal/estimate/coverage.go
+++ b/internal/estimate/coverage.go
@@ -2,19 +2,19 @@
 
 import "strings"
 
-// coverage counts which part of recent outcomes fell into the intervals stated for them.
+// coverage counts how many recent outcomes were inside the intervals predicted for them.
 type coverage struct {
-	stated  float64
-	covered [3]float64
-	lastUse uint64
+	outcomes float64
+	covered  [3]float64
+	lastUse  uint64
 }
 
-// coverageWindow is the number of outcomes at which the counts are halved, so that recent
-// ones weigh most.
+// coverageWindow is the number of outcomes at which the counts are halved, so that recent outcomes have the most
+// weight.
 const coverageWindow = 128
 
-// recordCoverage records whether an outcome fell into the intervals stated for it, given
-// its error and the distribution of errors that the intervals were made of.
+// recordCoverage records whether an outcome of the class was inside the intervals predicted for it, given its error and
+// the distribution of errors from which the intervals were derived.
 func (m *Model) recordCoverage(class string, logError float64, errors *distribution) {
 	c := m.coverage[class]
 	if c == nil {
@@ -27,13 +27,13 @@
 }
 
 func (c *coverage) record(logError float64, errors *distribution) {
-	if c.stated >= coverageWindow {
-		c.stated /= 2
+	if c.outcomes >= coverageWindow {
+		c.outcomes /= 2
 		for i := range c.covered {
 			c.covered[i] /= 2
 		}
 	}
-	c.stated++
+	c.outcomes++
 	for i := range c.covered {
 		if logError >= errors[medianIndex-1-i] && logError <= errors[medianIndex+1+i] {
 			c.covered[i]++
@@ -41,14 +41,13 @@
 	}
 }
 
-// fractions returns the covered fraction for each interval, or -1 if too few outcomes
-// were recorded.
+// fractions returns the observed coverage of each interval, or -1 if fewer than minimumSamples outcomes were recorded.
 func (c *coverage) fractions() [3]float64 {
 	var fractions [3]float64
 	for i := range fractions {
 		fractions[i] = -1
-		if c.stated >= minimumSamples {
-			fractions[i] = c.covered[i] / c.stated
+		if c.outcomes >= minimumSamples {
+			fractions[i] = c.covered[i] / c.outcomes
 		}
 	}
 	return fractions
--- a/internal/estimate/distribution.go
+++ b/internal/estimate/distribution.go
@@ -2,42 +2,41 @@
 
 import "math"
 
-// probabilities are those whose quantiles a distribution keeps.
+// probabilities are the probabilities at which a distribution holds its quantiles.
 var probabilities = [...]float64{0.025, 0.1, 0.25, 0.5, 0.75, 0.9, 0.975}
 
 // medianIndex is the index of the median in probabilities.
 const medianIndex = 3
 
-// distribution is a distribution of the logarithm of a run time, or of its error, given by
+// distribution is the distribution of the logarithm of a run time, or of the error of such a logarithm, represented by
 // its quantiles at probabilities.
 type distribution [len(probabilities)]float64
 
-// defaultUserErrors is the distribution of the errors of users' estimates that is assumed
-// before any was observed.
+// defaultUserErrors is the distribution of the errors of users' estimates that is assumed until errors are observed.
 var defaultUserErrors = distribution{-1.6, -1, -0.5, 0, 0.5, 1, 1.6}
 
 const (
-	// minTail is the least width of a tail, in natural logarithms: a distribution that
-	// is a single point has tails too.
+	// minTail is the least width of a tail per halving of the probability, in natural logarithms. It gives tails to a
+	// distribution that is a single point.
 	minTail = 0.02
-	// minProbability is the distance from 0 and 1 that a quantile's probability is kept at.
+	// minProbability is the least distance of a quantile's probability from 0 and 1; closer ones are clamped.
 	minProbability = 1e-6
 )
 
-// lowerTail returns how far the distribution goes on below the lowest quantile for each
-// halving of the remaining probability: from 0.1 to 0.025 there are two halvings.
+// lowerTail returns by how much a value below the lowest quantile decreases for each halving of its probability. It is
+// extrapolated from the two lowest quantiles: from 0.1 to 0.025 there are two halvings.
 func (d *distribution) lowerTail() float64 {
 	return math.Max((d[1]-d[0])/2, minTail)
 }
 
-// upperTail returns the same above the highest quantile.
+// upperTail is the counterpart of lowerTail above the highest quantile.
 func (d *distribution) upperTail() float64 {
 	last := len(d) - 1
 	return math.Max((d[last]-d[last-1])/2, minTail)
 }
 
-// quantile interpolates between the kept quantiles; beyond them the tails fall off
-// exponentially.
+// quantile returns the quantile at probability p. It interpolates linearly between the stored quantiles; beyond them
+// the tails are exponential.
 func (d *distribution) quantile(p float64) float64 {
 	p = math.Min(math.Max(p, minProbability), 1-minProbability)
 	last := len(probabilities) - 1
--- a/internal/estimate/duration.go
+++ b/internal/estimate/duration.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Duration is a time that is not known exactly, by its mean in seconds and its variance in square seconds.
+// Duration is a random duration, described by its mean in seconds and its variance in square seconds.
 type Duration struct{ Mean, Variance float64 }
 
-// negligibleLogVariance is the variance of the logarithm below which a duration counts as known exactly.
+// negligibleLogVariance is the variance of the logarithm below which a duration is treated as a constant.
 const negligibleLogVariance = 1e-9
 
 // Plus returns the sum of two independent durations.
@@ -13,7 +13,7 @@
 	return Duration{d.Mean + other.Mean, d.Variance + other.Variance}
 }
 
-// ProbabilityWithin returns the probability that it takes no longer than so many seconds: sums of run times
+// ProbabilityWithin returns the probability that the duration is at most the given number of seconds. Sums of run times
 // are assumed to be lognormal (Fenton and Wilkinson).
 func (d Duration) ProbabilityWithin(seconds float64) float64 {
 	if seconds <= 0 || d.Mean <= 0 {
@@ -30,18 +30,19 @@
 	return 0.5 * math.Erfc(-(math.Log(seconds)-logMean)/math.Sqrt(2*logVariance))
 }
 
-// sigmasBetweenDeciles is the distance between the 0.1 and the 0.9 quantile of a normal distribution,
-// in standard deviations.
+// sigmasBetweenDeciles is the distance between the 0.1 and the 0.9 quantile of a normal distribution, in standard
+// deviations.
 const sigmasBetweenDeciles = 2.563
 
-// leastQuantileSeconds bounds the quantiles whose logarithms are taken.
-const leastQuantileSeconds = 0.01
+// minimumQuantileSeconds is the lower bound of quantiles, so that their logarithms are defined.
+const minimumQuantileSeconds = 0.01
 
-// Longest returns how long the longest of n independent runs takes.
+// Longest returns the duration of the longest of n independent runs. It fits a lognormal distribution to the
+// 0.1, 0.5 and 0.9 quantiles of the maximum.
 func (a *Answer) Longest(n int) Duration {
 	root := 1 / float64(max(n, 1))
 	quantile := func(p float64) float64 {
-		return math.Max(float64(a.Quantile(math.Pow(p, root)))/microsPerSecond, leastQuantileSeconds)
+		return math.Max(float64(a.Quantile(math.Pow(p, root)))/microsPerSecond, minimumQuantileSeconds)
 	}
 	median := quantile(0.5)
 	sigma := math.Log(quantile(0.9)/quantile(0.1)) / sigmasBetweenDeciles
@@ -49,7 +50,8 @@
 	return Duration{mean, mean * mean * (math.Exp(sigma*sigma) - 1)}
 }
 
-// InWaves returns how long n runs take, so many at a time.
+// InWaves returns the duration of n runs of which atATime run concurrently, in consecutive waves. Each wave but the
+// last adds the duration of one run; the last one adds that of the longest of atATime runs.
 func (a *Answer) InWaves(n, atATime int) Duration {
 	atATime = max(min(n, atATime), 1)
 	one := a.Longest(1)
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,12 +1,11 @@
-// Package estimate learns how long jobs run from past runs of similar work, and states
-// how far each estimate can be trusted. It is deterministic: it reads no clock, does no
-// I/O, and no result depends on the iteration order of a map. Durations are whole
-// microseconds in the API and natural logarithms of seconds internally.
+// Package estimate predicts the run times of jobs from past runs of similar work, with prediction intervals and their
+// observed coverage. It is deterministic: it reads no clock, does no I/O, and no result depends on the iteration order
+// of a map. Durations are whole microseconds in the API and natural logarithms of seconds internally.
 //
-// Similar work forms a hierarchy, from all work down to the same image and shape. Each
-// level corrects the estimate of the level above by as much as its evidence is worth, and
-// keeps the errors of its own earlier estimates. An interval is made of quantiles of those
-// errors, so its coverage is right by construction as long as the work doesn't change.
+// Groups of similar work form a hierarchy, from all work down to the same image and shape. Each level corrects the
+// estimate of the level above, weighted by its number of runs, and records the errors of its own earlier estimates. The
+// bounds of an interval are quantiles of those errors, so that its coverage is correct by construction as long as the
+// run times of the work don't change.
 // See docs/notes/runtime-estimates.md.
 package estimate
 
@@ -24,15 +23,15 @@
 // Features are the attributes of a run that its estimate depends on.
 type Features struct {
 	Image, Shape, Class, Team string
-	Expect                    Micros // the user's own estimate; 0: none
-	Machine                   string // where it runs; "": not placed yet
+	Expect                    Micros // the user's estimate; 0 if there is none
+	Machine                   string // the machine that it runs on; empty if it is not placed yet
 }
 
-// Level is the level of the hierarchy that an estimate comes from.
+// Level is the level of the hierarchy that an estimate is derived from.
 type Level uint8
 
-// The levels, from the widest to the narrowest. User means that nothing has been learned:
-// the estimate is the user's own.
+// The levels, from the widest to the narrowest. Unknown means that there is no estimate. User means that no group has
+// enough past runs, so that the estimate is the user's.
 const (
 	Unknown Level = iota
 	User
@@ -46,34 +45,35 @@
 
 var levelNames = [levels]string{"unknown", "owner", "everything", "team", "class", "class and shape", "image and shape"}
 
-// String returns the name of the level as it is shown to users.
+// String returns the name of the level that is shown to users.
 func (l Level) String() string { return levelNames[min(l, levels-1)] }
 
-// Evidence is how a run ended.
+// Evidence is the observed outcome of a run.
 type Evidence struct {
 	Features
-	Ran  Micros // time worked, without restarts and waiting
-	Done bool   // false: it ended otherwise or was not observed from its start, so it takes longer than Ran
+	Ran Micros // time spent on the work, without restarts and waiting
+	// Done is true for a run that completed and was observed from its start. Otherwise the observation is censored:
+	// the run time is greater than Ran.
+	Done bool
 }
 
 // Settings bound the memory of a Model.
 type Settings struct {
-	Groups   int // groups of similar work that are kept at a time
-	Machines int // machines whose speed is kept
+	Groups   int // maximum number of groups of similar work; the least recently used ones are evicted
+	Machines int // maximum number of machines with a recorded speed
 }
 
-// DefaultSettings returns settings that suit a node with little memory.
+// DefaultSettings returns settings for a node with little memory.
 func DefaultSettings() Settings { return Settings{Groups: 512, Machines: 4096} }
 
-// groupKey identifies a group of similar work: a level and the features that its runs
-// have in common.
+// groupKey identifies a group of similar work by its level and the features that its runs have in common.
 type groupKey struct {
 	level Level
 	name  string // team, class or image
 	shape string
 }
 
-// Model is what has been learned. It is not safe for concurrent use.
+// Model is the statistical model of run times. It is not safe for concurrent use.
 type Model struct {
 	settings  Settings
 	epoch     uint64
@@ -81,13 +81,13 @@
 	groups    map[groupKey]*group
 	coverage  map[string]*coverage // by class
 	machines  map[string]*speed
-	clock     uint64 // counts observations; orders groups by their last use, for eviction
-	baseEpoch uint64 // the last epoch whose evidence is in the groups' base
+	clock     uint64 // logical clock, advanced by each observation; orders groups by last use, for eviction
+	baseEpoch uint64 // the last epoch whose data is in the groups' base
 	changes   int
 }
 
-// New returns a Model that has learned nothing. The epoch distinguishes what it learns
-// from what other epochs have learned; a leader passes its fencing token.
+// New returns an empty Model. The epoch distinguishes the data that it records from that of other epochs; a leader
+// passes its fencing token. If a setting is not positive, DefaultSettings apply.
 func New(s Settings, epoch uint64) *Model {
 	if s.Groups <= 0 || s.Machines <= 0 {
 		s = DefaultSettings()
@@ -101,13 +101,13 @@
 	}
 }
 
-// Changes returns the number of sudden changes that were detected.
+// Changes returns the number of sudden changes of run times that were detected.
 func (m *Model) Changes() int { return m.changes }
 
-// Observed returns the number of runs that were learned from in this epoch.
+// Observed returns the number of runs that were recorded in this epoch.
 func (m *Model) Observed() uint64 { return m.observed }
 
-// keys returns the group of each level that a run with these features belongs to.
+// keys returns, for each level, the key of the group that a run with these features belongs to.
 func (f *Features) keys() [levels]groupKey {
 	var k [levels]groupKey
 	k[Everything] = groupKey{level: Everything}
@@ -118,33 +118,34 @@
 	return k
 }
 
-// userEstimate is the logarithm of a user's own estimate, if there is one.
+// userEstimate is the logarithm of a user's estimate, if one is given.
 type userEstimate struct {
 	given      bool
 	logSeconds float64
 }
 
-// shortestRun is the duration in seconds that shorter runs count as, so that a run that
-// ends at once has a logarithm.
-const shortestRun = 0.01
+// minimumRunSeconds is the lower bound of run times, so that the logarithm of a run time near 0 is defined.
+const minimumRunSeconds = 0.01
 
-// Bounds of the logarithm of seconds that are turned back into a duration: far outside
-// any run, and within the range of Micros.
+// Bounds of the logarithms of seconds that are converted to a duration: far beyond the run time of any run, and within
+// the range of Micros.
 const (
 	minLogSeconds = -20
 	maxLogSeconds = 25
 )
 
-// logSeconds converts a duration to the logarithm of its seconds.
-func logSeconds(d Micros) float64 { return math.Log(math.Max(float64(d)/microsPerSecond, shortestRun)) }
+// logSeconds converts a duration to the natural logarithm of its seconds.
+func logSeconds(d Micros) float64 {
+	return math.Log(math.Max(float64(d)/microsPerSecond, minimumRunSeconds))
+}
 
-// fromLogSeconds converts a logarithm of seconds to a duration.
+// fromLogSeconds converts a natural logarithm of seconds to a duration.
 func fromLogSeconds(y float64) Micros {
 	return Micros(math.Round(math.Exp(math.Min(math.Max(y, minLogSeconds), maxLogSeconds)) * microsPerSecond))
 }
 
-// Kinds calls f with the features of each known group of work that has a class, until f
-// returns false.
+// Kinds calls f with the features of each group at the levels Class, ClassShape and ImageShape that has runs, in the
+// order of level, name and shape, until f returns false.
 func (m *Model) Kinds(f func(Features) bool) {
 	for _, k := range sortedGroups(m.groups) {
 		g := m.groups[k]
@@ -170,7 +171,7 @@
 	return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.name, b.name), cmp.Compare(a.shape, b.shape))
 }
 
-// sortedGroups returns the keys of groups in order.
+// sortedGroups returns the keys of groups, sorted by compareKeys.
 func sortedGroups(groups map[groupKey]*group) []groupKey {
 	keys := make([]groupKey, 0, len(groups))
 	for k := range groups {
@@ -180,15 +181,15 @@
 	return keys
 }
 
-// group returns the group of a key. If it doesn't exist it is created, in place of the
-// least recently used one if there are as many as allowed.
+// group returns the group of a key. It creates the group if there is none, and evicts the least recently used one if
+// the maximum number is reached.
 func (m *Model) group(k groupKey, class string) *group {
 	if g := m.groups[k]; g != nil {
 		return g
 	}
 	evictOldest(m.groups, max(m.settings.Groups, int(levels)), func(g *group) uint64 {
 		if g.level == Everything {
-			return math.MaxUint64 // never evicted: every estimate uses it
+			return math.MaxUint64 // never evicted, because every estimate uses it
 		}
 		return g.lastUse
 	}, compareKeys)
@@ -197,8 +198,8 @@
 	return g
 }
 
-// evictOldest deletes the least recently used entry if there are limit entries or more;
-// of several with the same last use, the first by compare.
+// evictOldest deletes the least recently used entry if there are at least limit entries. Of several entries with the
+// same last use, it deletes the first by compare.
 func evictOldest[K comparable, V any](m map[K]V, limit int, lastUse func(V) uint64, compare func(a, b K) int) {
 	if len(m) < limit {
 		return
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -13,44 +13,52 @@
 	"pgregory.net/rapid"
 )
 
-// Every run draws the same cases; -rapid.seed draws others.
+// A fixed seed makes each test run draw the same cases; the flag -rapid.seed overrides it.
 var _ = flag.Set("rapid.seed", "1")
 
 const second = 1_000_000
 
 func drawFeatures(t *rapid.T) Features {
-	return Features{Image: fmt.Sprint("i", rapid.IntRange(0, 3).Draw(t, "image")), Shape: rapid.SampledFrom([]string{"array", "gang"}).Draw(t, "shape"),
-		Class: fmt.Sprint("c", rapid.IntRange(0, 2).Draw(t, "class")), Team: "t", Machine: rapid.SampledFrom([]string{"", "m1", "m2"}).Draw(t, "machine"),
-		Expect: rapid.Int64Range(-1, 1<<40).Draw(t, "expect")}
+	return Features{
+		Image:   fmt.Sprint("i", rapid.IntRange(0, 3).Draw(t, "image")),
+		Shape:   rapid.SampledFrom([]string{"array", "gang"}).Draw(t, "shape"),
+		Class:   fmt.Sprint("c", rapid.IntRange(0, 2).Draw(t, "class")),
+		Team:    "t",
+		Machine: rapid.SampledFrom([]string{"", "m1", "m2"}).Draw(t, "machine"),
+		Expect:  rapid.Int64Range(-1, 1<<40).Draw(t, "expect"),
+	}
 }
 
 func drawEvidence(t *rapid.T) *Evidence {
-	return &Evidence{Features: drawFeatures(t), Ran: rapid.Int64Range(-1, 1<<45).Draw(t, "ran"), Done: rapid.Bool().Draw(t, "done")}
+	return &Evidence{
+		Features: drawFeatures(t),
+		Ran:      rapid.Int64Range(-1, 1<<45).Draw(t, "ran"),
+		Done:     rapid.Bool().Draw(t, "done"),
+	}
 }
 
-// checkAnswer returns an error if the intervals of an answer don't nest or a number is
-// not finite.
+// checkAnswer returns an error if the intervals of an answer are not nested or a quantile is not finite.
 func checkAnswer(a *Answer) error {
 	if a.Level == Unknown {
 		return nil
 	}
 	for _, y := range a.distribution {
 		if math.IsNaN(y) || math.IsInf(y, 0) {
-			return fmt.Errorf("curve %v", a.distribution)
+			return fmt.Errorf("distribution %v has a quantile that is not finite", a.distribution)
 		}
 	}
 	low, high := a.Median, a.Median
 	for i := range Intervals {
 		if a.Low[i] > low || a.High[i] < high || a.Low[i] < 0 {
-			return fmt.Errorf("interval %v is %d to %d inside of %d to %d", Intervals[i], a.Low[i], a.High[i], low, high)
+			return fmt.Errorf("the %v interval, %d to %d, does not contain the next narrower one, %d to %d",
+				Intervals[i], a.Low[i], a.High[i], low, high)
 		}
 		low, high = a.Low[i], a.High[i]
 	}
 	return nil
 }
 
-// Whatever was observed, intervals nest and all numbers are finite, for the remaining time
-// of a run too.
+// Intervals are nested and all quantiles are finite after any observations, also for the remaining time of a run.
 func TestIntervalsNest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(Settings{Groups: 8, Machines: 2}, 1)
@@ -64,16 +72,15 @@
 		}
 		left := a.Left(rapid.Int64Range(0, 1<<45).Draw(t, "for"))
 		if err := checkAnswer(&left); err != nil {
-			t.Fatal("left: ", err)
+			t.Fatal("remaining time: ", err)
 		}
 		if p := a.Within(rapid.Int64Range(-1, 1<<45).Draw(t, "due")); a.Level != Unknown && !(p >= 0 && p <= 1) {
-			t.Fatalf("probability %v", p)
+			t.Fatalf("probability %v is not between 0 and 1", p)
 		}
 	})
 }
 
-// Merging what several epochs have learned, in any order and any number of times, gives
-// the same model.
+// Merging the chunks of several epochs gives the same model in any order and with duplicates.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []*Chunk
@@ -97,19 +104,23 @@
 		b := Restore(DefaultSettings(), 9, append(shuffled, shuffled[0])...)
 		for n := range Chunks {
 			if x, y := a.Chunk(n, 0), b.Chunk(n, 0); !reflect.DeepEqual(x, y) {
-				t.Fatalf("chunk %d:\n%+v\n%+v", n, x, y)
+				t.Fatalf("chunk %d depends on the order of merging:\n%+v\n%+v", n, x, y)
 			}
 		}
 	})
 }
 
-// A successor that has restored all values estimates as the previous leader would have.
+// A successor that has restored all values gives nearly the same estimates as the previous leader.
 func TestSuccessorRestoresEstimates(t *testing.T) {
 	m := New(DefaultSettings(), 5)
 	f := Features{Image: "i", Shape: "array", Class: "c", Team: "t", Expect: 90 * second}
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		m.Observe(&Evidence{Features: f, Ran: int64(60 * second * math.Exp(0.3*rnd.NormFloat64())), Done: rnd.IntN(5) > 0})
+		m.Observe(&Evidence{
+			Features: f,
+			Ran:      int64(60 * second * math.Exp(0.3*rnd.NormFloat64())),
+			Done:     rnd.IntN(5) > 0,
+		})
 	}
 	var chunks []*Chunk
 	encodedBytes := 0
@@ -130,22 +141,27 @@
 	}
 	successor := Restore(DefaultSettings(), 6, chunks...)
 	a, b := m.Estimate(&f), successor.Estimate(&f)
-	if math.Abs(math.Log(float64(a.Median)/float64(b.Median))) > 0.03 || math.Abs(math.Log(float64(a.High[1])/float64(b.High[1]))) > 0.1 {
-		t.Errorf("%v, and its successor %v", a, b)
+	if math.Abs(math.Log(float64(a.Median)/float64(b.Median))) > 0.03 ||
+		math.Abs(math.Log(float64(a.High[1])/float64(b.High[1]))) > 0.1 {
+		t.Errorf("median or 0.8 interval of the successor differs: %v, of the previous leader %v", b, a)
 	}
 	if a.Samples != b.Samples || a.Level != b.Level || b.Trust[1] < 0 {
-		t.Errorf("%v, and its successor %v", a, b)
+		t.Errorf("samples, level or coverage of the successor differ: %v, of the previous leader %v", b, a)
 	}
 	if encodedBytes > 4000 {
-		t.Errorf("%d bytes for one kind of work", encodedBytes)
+		t.Errorf("%d bytes for a single group of work, want at most 4000", encodedBytes)
 	}
 }
 
-// Values that are damaged or of a later version are rejected.
+// Values that are damaged or in a later format version are rejected.
 func TestDamagedValuesAreRejected(t *testing.T) {
 	m := New(DefaultSettings(), 1)
 	for i := range 50 {
-		m.Observe(&Evidence{Features: Features{Class: "c", Shape: "array", Image: fmt.Sprint(i % 5)}, Ran: second * int64(i+1), Done: true})
+		m.Observe(&Evidence{
+			Features: Features{Class: "c", Shape: "array", Image: fmt.Sprint(i % 5)},
+			Ran:      second * int64(i+1),
+			Done:     true,
+		})
 	}
 	raw, err := m.Chunk(0, 0).Encode()
 	if err != nil {
@@ -153,25 +169,29 @@
 	}
 	later := append([]byte(nil), raw...)
 	for i := range later {
-		if later[i] == 'v' && later[i+1] == version {
-			later[i+1] = version + 1
+		if later[i] == 'v' && later[i+1] == formatVersion {
+			later[i+1] = formatVersion + 1
 			break
 		}
 	}
 	if _, err := Decode(later); !errors.Is(err, ErrVersion) {
-		t.Errorf("later version: %v", err)
+		t.Errorf("decode value in a later version: got error %v, want %v", err, ErrVersion)
 	}
 	damaged := append([]byte(nil), raw...)
 	damaged[len(damaged)-20] ^= 4
 	if _, err := Decode(damaged); !errors.Is(err, ErrDamaged) {
-		t.Errorf("damaged: %v", err)
+		t.Errorf("decode damaged value: got error %v, want %v", err, ErrDamaged)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
 	m := New(DefaultSettings(), 1)
 	for i := range 50 {
-		m.Observe(&Evidence{Features: Features{Class: "c", Shape: "array", Image: fmt.Sprint(i % 5)}, Ran: second * int64(i+1), Done: i%3 > 0})
+		m.Observe(&Evidence{
+			Features: Features{Class: "c", Shape: "array", Image: fmt.Sprint(i % 5)},
+			Ran:      second * int64(i+1),
+			Done:     i%3 > 0,
+		})
 	}
 	for n := range Chunks {
 		raw, err := m.Chunk(n, 0).Encode()
@@ -193,34 +213,35 @@
 	})
 }
 
-// Repeating the same evidence makes an estimate no less certain: an interval gets no wider
-// than it was, or than the range of the runs. One run in nine that takes longer than the
-// others is at the very edge of the 0.8 interval, and may be in or out.
+// Observing the same runs again doesn't widen an interval beyond its earlier width or the range of the runs, whichever
+// is larger. The range is allowed because one run in nine that takes longer than the others is at the edge of the 0.8
+// interval, and may be inside or outside.
 func TestRepeatedEvidenceDoesNotWidenIntervals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOfN(rapid.Int64Range(40*second, 80*second), 6, 12).Draw(t, "runs")
 		m := New(DefaultSettings(), 1)
 		f := Features{Image: "i", Shape: "array", Class: "c", Team: "t"}
-		feed := func() {
+		observeAll := func() {
 			for _, ran := range runs {
 				m.Observe(&Evidence{Features: f, Ran: ran, Done: true})
 			}
 		}
 		for range 8 {
-			feed()
+			observeAll()
 		}
 		before, changes := m.Estimate(&f), m.Changes()
 		for range 24 {
-			feed()
+			observeAll()
 		}
 		after := m.Estimate(&f)
 		if m.Changes() != changes {
 			return // the order of the runs was detected as a change
 		}
-		// A bin of errors is 6% wide, and the location still moves by as much.
+		// A bin of errors is 6% wide, and the location may still change by as much.
 		spread := math.Log(float64(slices.Max(runs)) / float64(slices.Min(runs)))
 		if width(&after) > max(width(&before), spread)+2.0/binsPerLog {
-			t.Fatalf("%v to %v, before %v to %v", after.Low[1], after.High[1], before.Low[1], before.High[1])
+			t.Fatalf("0.8 interval is %v to %v, before the repetitions %v to %v",
+				after.Low[1], after.High[1], before.Low[1], before.High[1])
 		}
 	})
 }
@@ -228,17 +249,21 @@
 // width returns the width of the 0.8 interval, in natural logarithms.
 func width(a *Answer) float64 { return math.Log(float64(a.High[1]) / float64(a.Low[1])) }
 
-// Work that suddenly takes three times as long is estimated correctly again after at most
-// eight ends, and the interval is wide until then.
+// If run times suddenly triple, the change is detected and the estimate is correct again after eight completed runs,
+// with an interval that is no narrower than before. There are few false alarms.
 func TestSuddenChangeIsDetected(t *testing.T) {
 	correct, falseAlarms := 0, 0
-	const days = 60
-	for seed := range uint64(days) {
+	const seeds = 60
+	for seed := range uint64(seeds) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		m := New(DefaultSettings(), 1)
 		f := Features{Image: "i", Shape: "array", Class: "c", Team: "t"}
-		run := func(times float64) {
-			m.Observe(&Evidence{Features: f, Ran: int64(60 * second * times * math.Exp(0.25*rnd.NormFloat64())), Done: true})
+		run := func(factor float64) {
+			m.Observe(&Evidence{
+				Features: f,
+				Ran:      int64(60 * second * factor * math.Exp(0.25*rnd.NormFloat64())),
+				Done:     true,
+			})
 		}
 		for range 100 {
 			run(1)
@@ -246,33 +271,34 @@
 		falseAlarms += m.Changes()
 		before := m.Estimate(&f)
 		if !before.Overdue(180 * second) {
-			t.Errorf("seed %d: a run of three times its usual length is not overdue: %v", seed, before.High)
+			t.Errorf("seed %d: a run of three times the usual time is not overdue: upper bounds %v", seed, before.High)
 		}
 		for range 8 {
 			run(3)
 		}
 		after := m.Estimate(&f)
 		if m.Changes() == 0 {
-			t.Errorf("seed %d: no change found", seed)
+			t.Errorf("seed %d: no change detected", seed)
 		}
 		if off := float64(after.Median) / (180 * second); off > 1/1.25 && off < 1.25 {
 			correct++
 		}
 		if width(&after) < width(&before) {
-			t.Errorf("seed %d: interval %v after the change, %v before", seed, width(&after), width(&before))
+			t.Errorf("seed %d: width of the 0.8 interval is %v after the change, %v before",
+				seed, width(&after), width(&before))
 		}
 	}
-	// With this spread the median of eight runs is off by more in one case of a hundred.
-	if correct < days*95/100 {
-		t.Errorf("median within 25%% after eight ends on %d of %d days", correct, days)
+	// With this spread of run times, the median of eight runs deviates by more than 25% in one case of a hundred.
+	if correct < seeds*95/100 {
+		t.Errorf("median within 25%% after eight runs for %d of %d seeds", correct, seeds)
 	}
-	if falseAlarms > days/5 {
-		t.Errorf("%d false alarms in %d times 100 runs", falseAlarms, days)
+	if falseAlarms > seeds/5 {
+		t.Errorf("%d false alarms in %d times 100 runs", falseAlarms, seeds)
 	}
 }
 
-// That runs on a slow machine take longer is attributed to the machine, not to the work.
-func TestSlowMachineDoesNotChangeTheWorksEstimate(t *testing.T) {
+// Longer runs on a slow machine are attributed to the machine: the estimate of the work doesn't change.
+func TestSlowMachineDoesNotAffectWorkEstimate(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(4, 3))
 	m := New(DefaultSettings(), 1)
 	f := Features{Image: "i", Shape: "array", Class: "c", Team: "t"}
@@ -285,26 +311,26 @@
 		m.Observe(&Evidence{Features: f, Ran: int64(ran * second), Done: true})
 	}
 	if s := m.Slowness("m7"); s < 3 || s > 5 {
-		t.Errorf("the slow machine is known as %v times as slow", s)
+		t.Errorf("slowness of the slow machine is %v, want 3 to 5", s)
 	}
 	for i := range 7 {
 		if s := m.Slowness(fmt.Sprint("m", i)); s > 1.3 || s < 0.75 {
-			t.Errorf("m%d is known as %v times as slow", i, s)
+			t.Errorf("slowness of m%d is %v, want 0.75 to 1.3", i, s)
 		}
 	}
 	f.Machine = "m1"
 	if a := m.Estimate(&f); a.Median < 52*second || a.Median > 68*second {
-		t.Errorf("the work is thought to take %v s", a.Median/second)
+		t.Errorf("median is %v s, want 52 to 68", a.Median/second)
 	}
 }
 
-// Runs that were cut off are evidence that the work takes longer; without them only the
-// short runs would count.
+// Censored runs are taken into account. If they were ignored, long runs would be missing from the data and the median
+// would be too low.
 func TestCensoredRunsCount(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(4, 9))
 	m, uncensored := New(DefaultSettings(), 1), New(DefaultSettings(), 1)
 	f := Features{Image: "i", Shape: "array", Class: "c", Team: "t"}
-	for range 400 { // everything is stopped after a random time
+	for range 400 { // each run is stopped after a random time, if it is still running
 		ran, stop := int64(100*second*math.Exp(0.4*rnd.NormFloat64())), int64(rnd.IntN(300))*second
 		if e := (&Evidence{Features: f, Ran: min(ran, stop), Done: ran <= stop}); e.Ran > 0 {
 			m.Observe(e)
@@ -315,11 +341,12 @@
 	}
 	a, b := m.Estimate(&f), uncensored.Estimate(&f)
 	if a.Median < 88*second || a.Median > 114*second || b.Median >= a.Median {
-		t.Errorf("median %v s, without the cut runs %v s, truly 100", a.Median/second, b.Median/second)
+		t.Errorf("median %v s, without the censored runs %v s; the true median is 100 s",
+			a.Median/second, b.Median/second)
 	}
 }
 
-// Without evidence the answer is unknown, or the user's estimate with wide intervals.
+// Without observed runs the level is Unknown, or the estimate is the user's with wide intervals.
 func TestNoEvidence(t *testing.T) {
 	m := New(DefaultSettings(), 1)
 	if a := m.Estimate(&Features{Class: "c"}); a.Level != Unknown || a.Median != 0 || !math.IsNaN(a.Within(second)) {
@@ -329,33 +356,47 @@
 	if a.Level != User || a.Median != 60*second || a.High[1] < 2*a.Median || a.Trust[0] >= 0 {
 		t.Errorf("%+v", a)
 	}
-	// The general error of users' estimates is corrected in work that was never observed.
+	// The mean error of users' estimates is also corrected for work that was never observed.
 	for i := range 100 {
-		m.Observe(&Evidence{Features: Features{Class: fmt.Sprint("o", i%10), Shape: "array", Expect: int64(i+10) * second}, Ran: 2 * int64(i+10) * second, Done: true})
-	}
-	if a := m.Estimate(&Features{Class: "c", Team: "new", Expect: 60 * second}); a.Level != Everything || a.Median < 100*second || a.Median > 140*second {
+		m.Observe(&Evidence{
+			Features: Features{Class: fmt.Sprint("o", i%10), Shape: "array", Expect: int64(i+10) * second},
+			Ran:      2 * int64(i+10) * second,
+			Done:     true,
+		})
+	}
+	if a := m.Estimate(&Features{Class: "c", Team: "new", Expect: 60 * second}); a.Level != Everything ||
+		a.Median < 100*second || a.Median > 140*second {
 		t.Errorf("%+v", a)
 	}
 }
 
-// The memory of a model is bounded, and an estimate allocates nothing.
+// The numbers of groups, machines and classes of a model are bounded, and Estimate doesn't allocate.
 func TestMemoryIsBounded(t *testing.T) {
 	m := New(Settings{Groups: 64, Machines: 32}, 1)
 	for i := range 5000 {
-		m.Observe(&Evidence{Features: Features{Image: fmt.Sprint("i", i), Class: fmt.Sprint("c", i%700), Shape: "array", Team: fmt.Sprint("t", i%90),
-			Machine: fmt.Sprint("m", i)}, Ran: second, Done: true})
+		m.Observe(&Evidence{
+			Features: Features{
+				Image:   fmt.Sprint("i", i),
+				Class:   fmt.Sprint("c", i%700),
+				Shape:   "array",
+				Team:    fmt.Sprint("t", i%90),
+				Machine: fmt.Sprint("m", i),
+			},
+			Ran:  second,
+			Done: true,
+		})
 	}
 	if len(m.groups) > 64 || len(m.machines) > 32 || len(m.coverage) > 64 {
 		t.Errorf("%d groups, %d machines, %d classes", len(m.groups), len(m.machines), len(m.coverage))
 	}
 	f := Features{Image: "i4999", Class: "c99", Shape: "array", Team: "t49", Expect: second, Machine: "m4999"}
 	if n := testing.AllocsPerRun(100, func() { m.Estimate(&f) }); n != 0 {
-		t.Errorf("an estimate takes %v allocations", n)
+		t.Errorf("Estimate makes %v allocations, want 0", n)
 	}
 }
 
 func BenchmarkObserve(b *testing.B) {
-	m, f := busyModel()
+	m, f := newTrainedModel()
 	e := &Evidence{Features: f, Ran: 50 * second, Done: true}
 	for b.Loop() {
 		m.Observe(e)
@@ -363,13 +404,13 @@
 }
 
 func BenchmarkEstimate(b *testing.B) {
-	m, f := busyModel()
+	m, f := newTrainedModel()
 	for b.Loop() {
 		m.Estimate(&f)
 	}
 }
 
-func busyModel() (*Model, Features) {
+func newTrainedModel() (*Model, Features) {
 	rnd := rand.New(rand.NewPCG(1, 9))
 	m := New(DefaultSettings(), 1)
 	f := Features{Shape: "array", Team: "t", Expect: 60 * second}
--- a/internal/estimate/learn.go
+++ b/internal/estimate/learn.go
@@ -1,27 +1,27 @@
 package estimate
 
-// levelPriorWeights are how many runs of a level are worth as much as the estimate of the
-// level above. A team's runs say little of its next job: its work is of many kinds.
+// levelPriorWeights are the weights of the estimate of the level above, as equivalent numbers of runs of the level. The
+// weight is large for a team because its jobs differ, so that its runs predict its next job poorly.
 var levelPriorWeights = [levels]float64{Everything: 1, Team: 12, Class: 2, ClassShape: 2, ImageShape: 2}
 
-// errorsPriorWeight is the same for the errors of a level.
+// errorsPriorWeight is the corresponding weight of the errors of the level above.
 const errorsPriorWeight = 6
 
-// minimumSamples is the number of runs from which on an answer names a level as its own,
-// and coverage is stated.
+// minimumSamples is the number of runs of a level from which an estimate is attributed to it, and the number of
+// outcomes from which the coverage is reported.
 const minimumSamples = 4
 
-// levelEstimate is the estimate at one level: a location and the errors around it, in
-// logarithms of seconds.
+// levelEstimate is the estimate at one level: a location, and the distribution of errors around it, in logarithms of
+// seconds.
 type levelEstimate struct {
 	location float64
 	errors   distribution
-	known    bool
+	known    bool // false if there is no estimate
 }
 
-// walk descends the hierarchy and returns the estimate of the narrowest level, the level
-// that it is attributed to and that level's number of runs. If visit isn't nil it is
-// called at each level with the estimate there; the group is nil if it doesn't exist.
+// walk descends the hierarchy and returns the estimate of the narrowest level, the level that it is attributed to and
+// that level's number of runs. If visit isn't nil, it is called at each level with the estimate at that level; the
+// group is nil if it doesn't exist.
 func (m *Model) walk(
 	f *Features, visit func(l Level, g *group, estimate levelEstimate),
 ) (estimate levelEstimate, attributed Level, samples float64) {
@@ -38,7 +38,7 @@
 			runs = g.runs()
 		}
 		if runs > 0 {
-			estimate = g.improve(estimate, user)
+			estimate = g.refine(estimate, user)
 		}
 		if visit != nil {
 			visit(l, g, estimate)
@@ -50,8 +50,8 @@
 	return estimate, attributed, samples
 }
 
-// attributable reports whether a level with so many runs replaces the level that an
-// answer is attributed to so far.
+// attributable reports whether an estimate that is attributed to a wider level so far is attributed to level l, which
+// has the given number of runs.
 func attributable(l Level, runs float64, attributed Level) bool {
 	if runs >= minimumSamples || attributed == Unknown {
 		return true
@@ -59,9 +59,8 @@
 	return attributed == User && runs >= 1 && l >= Class
 }
 
-// improve corrects the estimate of the level above by what the group has learned. The
-// group must have runs.
-func (g *group) improve(above levelEstimate, user userEstimate) levelEstimate {
+// refine corrects the estimate of the level above by the statistics of the group. The group must have runs.
+func (g *group) refine(above levelEstimate, user userEstimate) levelEstimate {
 	location := g.predict(user)
 	errors := defaultUserErrors
 	if above.known {
@@ -84,7 +83,7 @@
 	return levelEstimate{location, errors, true}
 }
 
-// Observe learns from the end of a run. Evidence without a run time is ignored.
+// Observe updates the model with the outcome of a run. An outcome with a run time of 0 or less is ignored.
 func (m *Model) Observe(e *Evidence) {
 	if e.Ran <= 0 {
 		return
@@ -98,7 +97,7 @@
 	if e.Expect > 0 {
 		user = userEstimate{true, logSeconds(e.Expect)}
 	}
-	changed := Unknown // the widest level that detects a change
+	changed := Unknown // the widest level that detects a change, or Unknown
 	estimate, level, _ := m.walk(&e.Features, func(l Level, g *group, estimate levelEstimate) {
 		if g == nil {
 			g = m.group(keys[l], e.Class)
@@ -109,7 +108,7 @@
 		}
 	})
 	if changed >= Class {
-		m.restart(changed, keys, e.Class)
+		m.resetAfterChange(changed, keys, e.Class)
 	}
 	if e.Done && level > User {
 		m.recordCoverage(e.Class, logRun-estimate.location, &estimate.errors)
@@ -120,9 +119,9 @@
 	}
 }
 
-// learn records a run at the group, given the estimate that the group made of it, and
-// reports whether the group detects a sudden change. A run that was cut off counts in the
-// location as the median of what it would have taken, if that says anything.
+// learn records a run in the group, given the estimate of the run at the group's level, and reports whether the group
+// detects a sudden change. A censored run is added to the location with its conditional median run time, if that is
+// informative (see medianBeyond).
 func (g *group) learn(logRun float64, user userEstimate, estimate *levelEstimate, done bool) (changed bool) {
 	if estimate.known {
 		logError := logRun - estimate.location
@@ -141,34 +140,32 @@
 	return changed
 }
 
-// minimumElapsed is the part of the known runs that a run has to outlast before what it
-// would have taken says anything new.
-const minimumElapsed = 0.2
+// minimumElapsedProbability is the least fraction of the distribution of run times that a censored run has to exceed
+// for its conditional median to be informative.
+const minimumElapsedProbability = 0.2
 
-// medianBeyond returns the median run time, as a logarithm of seconds, of runs that take
-// longer than y. It returns false if that says nothing new, because nearly all runs of the
-// group take longer.
+// medianBeyond returns the median run time of the runs that take longer than y, both as logarithms of seconds. It
+// returns false if that is not informative because nearly all runs of the group take longer than y.
 func (e *levelEstimate) medianBeyond(y float64) (float64, bool) {
 	d := e.errors
 	for i := range d {
 		d[i] += e.location
 	}
-	elapsed := d.probabilityBelow(y)
-	if elapsed < minimumElapsed {
+	elapsedProbability := d.probabilityBelow(y)
+	if elapsedProbability < minimumElapsedProbability {
 		return 0, false
 	}
-	return d.quantile(elapsed + (1-elapsed)/2), true
+	return d.quantile(elapsedProbability + (1-elapsedProbability)/2), true
 }
 
-// restart forgets what was learned of work that has changed: at the level that detected
-// it and at the narrower levels of the same class. The detecting group keeps the runs
-// since the change began.
-func (m *Model) restart(changed Level, keys [levels]groupKey, class string) {
+// resetAfterChange discards the data of work whose run times have changed: of the group that detected the change, and
+// of the groups of the same class at narrower levels. The detecting group keeps the runs since the change began.
+func (m *Model) resetAfterChange(changed Level, keys [levels]groupKey, class string) {
 	m.changes++
-	for k, g := range m.groups { // the groups are independent: the order doesn't matter
+	for k, g := range m.groups { // in any order, because the groups are independent
 		detected := k == keys[changed]
 		if detected || g.class == class && k.level > changed {
-			g.restart(detected)
+			g.resetAfterChange(detected)
 		}
 	}
 }
--- a/internal/estimate/restore.go
+++ b/internal/estimate/restore.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Restore returns a Model of a new epoch that knows what the chunks contain, in whichever
-// order they come and however often: of several chunks of one epoch the one with the most
-// evidence counts, and what one of them has taken over from an epoch is not added again.
+// Restore returns a Model of a new epoch with the data of the chunks. The result doesn't depend on their order or on
+// duplicates: of several chunks of the same epoch only the one with the most data is used, and the data of an epoch
+// that is already contained in the base of a chunk is not added again.
 func Restore(s Settings, epoch uint64, chunks ...*Chunk) *Model {
 	m := New(s, epoch)
 	m.baseEpoch = epoch - 1
@@ -20,7 +20,7 @@
 	return m
 }
 
-// restoreGroups merges what the chunks contain of the groups of the n-th value.
+// restoreGroups merges the groups of the n-th value from all chunks.
 func (m *Model) restoreGroups(n int, chunks []*Chunk) {
 	base, ownByEpoch := newestContributions(n, chunks)
 	merged := []contribution{base}
@@ -37,14 +37,15 @@
 	}
 }
 
-// contribution is the evidence of one origin: of an epoch itself, or of all epochs up to it.
+// contribution is the data of one origin: that of a single epoch, or of all epochs up to it.
 type contribution struct {
 	epoch, observed uint64
 	groups          []storedGroup
 }
 
-// newer orders contributions of the same kind.
-func (c *contribution) newer(other *contribution) bool {
+// newerThan reports whether c replaces another contribution of the same kind: by its epoch, then by its number of
+// observed runs, then by its number of groups.
+func (c *contribution) newerThan(other *contribution) bool {
 	if c.epoch != other.epoch {
 		return c.epoch > other.epoch
 	}
@@ -54,20 +55,20 @@
 	return len(c.groups) > len(other.groups)
 }
 
-// newestContributions returns the newest base that the chunks contain for the n-th value,
-// and the newest evidence of each epoch itself.
+// newestContributions returns the newest base of the n-th value among the chunks, and the newest data of each single
+// epoch.
 func newestContributions(n int, chunks []*Chunk) (base contribution, ownByEpoch map[uint64]contribution) {
 	ownByEpoch = map[uint64]contribution{}
 	for _, c := range chunks {
 		if groups := groupsOfChunk(c.Base, n); len(groups) > 0 {
 			candidate := contribution{c.UpTo, c.Seen, groups}
-			if base.groups == nil || candidate.newer(&base) {
+			if base.groups == nil || candidate.newerThan(&base) {
 				base = candidate
 			}
 		}
 		if groups := groupsOfChunk(c.Own, n); len(groups) > 0 {
 			candidate := contribution{c.Epoch, c.Seen, groups}
-			if known, ok := ownByEpoch[c.Epoch]; !ok || candidate.newer(&known) {
+			if known, ok := ownByEpoch[c.Epoch]; !ok || candidate.newerThan(&known) {
 				ownByEpoch[c.Epoch] = candidate
 			}
 		}
@@ -85,12 +86,12 @@
 	return selected
 }
 
-// mergeGroup adds the evidence of a stored group. After a sudden change only the evidence
-// since the change counts.
+// mergeGroup adds the data of a stored group. Only data of the latest generation is kept: that since the last sudden
+// change.
 func (m *Model) mergeGroup(s *storedGroup) {
 	k, t, err := s.restore()
 	if err != nil {
-		return // Decode has checked it
+		return // not reached for a decoded chunk, which Decode has validated
 	}
 	m.clock = max(m.clock, s.LastUse)
 	g := m.group(k, s.Class)
@@ -102,60 +103,60 @@
 		g.tally = tally{}
 		g.base = tally{}
 		g.generation = s.Generation
-		g.noticedChange = s.NoticedChange
+		g.detectedChange = s.DetectedChange
 	}
-	g.noticedChange = g.noticedChange || s.NoticedChange
+	g.detectedChange = g.detectedChange || s.DetectedChange
 	g.combine(&t, 1)
 	g.base = g.tally
 	g.rebuildDistribution()
 }
 
-// evidence is a stored value of which several chunks may hold versions, under one name.
-type evidence[T any] interface {
+// mergeable is a stored value of which several chunks may contain a version, identified by its name.
+type mergeable[T any] interface {
 	name() string
-	fuller(other T) bool // whether it is to be preferred to another value of the same name
+	preferredTo(other T) bool // reports whether it replaces another value of the same name
 }
 
-// fullestByName returns the fullest of the values that the chunks contain under each name. A value that is
-// not fuller than the zero value is left out.
-func fullestByName[T evidence[T]](chunks []*Chunk, values func(*Chunk) []T) map[string]T {
-	fullest := map[string]T{}
+// preferredByName returns, for each name, the preferred one of the values in the chunks. A value that is not preferred
+// to the zero value is left out.
+func preferredByName[T mergeable[T]](chunks []*Chunk, values func(*Chunk) []T) map[string]T {
+	preferred := map[string]T{}
 	for _, c := range chunks {
 		for _, stored := range values(c) {
-			if stored.fuller(fullest[stored.name()]) {
-				fullest[stored.name()] = stored
+			if stored.preferredTo(preferred[stored.name()]) {
+				preferred[stored.name()] = stored
 			}
 		}
 	}
-	return fullest
+	return preferred
 }
 
-// restoreCoverage takes the fullest coverage of each class, for as many as are allowed.
+// restoreCoverage restores the coverage with the most outcomes of each class, up to the maximum number of groups.
 func (m *Model) restoreCoverage(chunks []*Chunk) {
-	fullest := fullestByName(chunks, func(c *Chunk) []storedTrust { return c.Trust })
-	for class, stored := range fullest {
-		if len(m.coverage) >= m.settings.Groups || stored.Stated == 0 {
+	preferred := preferredByName(chunks, func(c *Chunk) []storedCoverage { return c.Trust })
+	for class, stored := range preferred {
+		if len(m.coverage) >= m.settings.Groups || stored.Outcomes == 0 {
 			continue
 		}
-		restored := &coverage{stated: float64(stored.Stated)}
-		for i, covered := range stored.Inside {
-			restored.covered[i] = math.Min(float64(covered), restored.stated)
+		restored := &coverage{outcomes: float64(stored.Outcomes)}
+		for i, covered := range stored.Covered {
+			restored.covered[i] = math.Min(float64(covered), restored.outcomes)
 		}
 		m.coverage[class] = restored
 	}
 }
 
-func (s storedTrust) name() string { return s.Class }
+func (s storedCoverage) name() string { return s.Class }
 
-// fuller reports whether the coverage is to be preferred to another of the same class.
-func (s storedTrust) fuller(other storedTrust) bool {
-	return cmp.Or(cmp.Compare(s.Stated, other.Stated), slices.Compare(s.Inside[:], other.Inside[:])) > 0
+// preferredTo reports whether the coverage has more outcomes than another of the same class; covered counts break ties.
+func (s storedCoverage) preferredTo(other storedCoverage) bool {
+	return cmp.Or(cmp.Compare(s.Outcomes, other.Outcomes), slices.Compare(s.Covered[:], other.Covered[:])) > 0
 }
 
-// restoreSpeeds takes the fullest speed of each machine, for as many as are allowed.
+// restoreSpeeds restores the speed with the most runs of each machine, up to the maximum number of machines.
 func (m *Model) restoreSpeeds(chunks []*Chunk) {
-	fullest := fullestByName(chunks, func(c *Chunk) []storedSpeed { return c.Speeds })
-	for name, stored := range fullest {
+	preferred := preferredByName(chunks, func(c *Chunk) []storedSpeed { return c.Speeds })
+	for name, stored := range preferred {
 		if len(m.machines) >= m.settings.Machines || stored.N == 0 {
 			continue
 		}
@@ -169,7 +170,8 @@
 
 func (s storedSpeed) name() string { return s.Machine }
 
-// fuller reports whether the speed is to be preferred to another of the same machine.
-func (s storedSpeed) fuller(other storedSpeed) bool {
+// preferredTo reports whether the speed has more runs than another of the same machine; the sums and spreads break
+// ties.
+func (s storedSpeed) preferredTo(other storedSpeed) bool {
 	return cmp.Or(cmp.Compare(s.N, other.N), cmp.Compare(s.Sum, other.Sum), cmp.Compare(s.Spread, other.Spread)) > 0
 }
--- a/internal/estimate/speed.go
+++ b/internal/estimate/speed.go
@@ -6,37 +6,36 @@
 	"strings"
 )
 
-// speed is what is known of a machine's speed: the mean of how much longer its runs took
-// than estimated, in natural logarithms.
+// speed is the recorded speed of a machine: the errors of the estimates of its runs, in natural logarithms. An error is
+// positive if the run took longer than estimated.
 type speed struct {
-	n, sum  float64
-	spread  float64 // usual standard deviation of the errors of such runs
+	n, sum  float64 // effective number of runs, and the sum of their errors
+	spread  float64 // moving average of the standard deviations that the estimates of these runs implied
 	lastUse uint64
 }
 
 const (
-	maximumSpeedRuns = 32 // at which the counts are halved
-	minimumSpeedRuns = 3  // before a machine's speed is known
-	// significantDeviations is how many standard errors a machine's mean error has to
-	// differ from 0.
+	maximumSpeedRuns = 32 // number of runs at which the count and the sum are halved
+	minimumSpeedRuns = 3  // number of runs from which a machine's speed is used
+	// significantDeviations is the number of standard errors by which a machine's mean error has to differ from 0 to be
+	// significant.
 	significantDeviations = 2.5
-	// minimumSpread bounds the spread from below.
+	// minimumSpread is the lower bound of the spread in the test of significance.
 	minimumSpread = 0.05
-	// An error of a run counts for its machine between these bounds.
+	// Errors are clamped to these bounds, in natural logarithms.
 	minimumSpeedError = -2
 	maximumSpeedError = 3
 	// spreadRuns is the number of runs that the spread is averaged over.
 	spreadRuns = 8
-	// deviationsIn80 is the width of the 0.8 interval of a normal distribution, in
-	// standard deviations.
-	deviationsIn80 = 2.56
+	// deviationsIn80Interval is the width of the 0.8 interval of a normal distribution, in standard deviations.
+	deviationsIn80Interval = 2.56
 )
 
-// Slowness returns how many times as long as usual runs take on a machine; 1 unless it is
-// known to differ.
+// Slowness returns the ratio of run times on a machine to the usual run times, or 1 unless the ratio differs
+// significantly from 1.
 func (m *Model) Slowness(machine string) float64 { return math.Exp(m.slowness(machine)) }
 
-// slowness returns the logarithm of Slowness.
+// slowness returns the natural logarithm of Slowness.
 func (m *Model) slowness(machine string) float64 {
 	if machine == "" {
 		return 0
@@ -48,8 +47,7 @@
 	return s.slowness()
 }
 
-// slowness returns the logarithm of how many times as long as usual runs take, 0 unless
-// that is significant.
+// slowness returns the mean error, shrunk towards 0 by one run's weight, or 0 if it is not significant.
 func (s *speed) slowness() float64 {
 	if s.n < minimumSpeedRuns {
 		return 0
@@ -61,12 +59,11 @@
 	return mean * s.n / (s.n + 1)
 }
 
-// Slow calls f with the machines that are known to take at least the given multiple of the
-// usual time, in the order of their names.
-func (m *Model) Slow(times float64, f func(machine string)) {
+// Slow calls f with each machine whose Slowness is at least the given factor, in the order of their names.
+func (m *Model) Slow(factor float64, f func(machine string)) {
 	var slow []string
 	for name, s := range m.machines {
-		if s.slowness() >= math.Log(times) {
+		if s.slowness() >= math.Log(factor) {
 			slow = append(slow, name)
 		}
 	}
@@ -76,8 +73,8 @@
 	}
 }
 
-// recordSpeed records the error of a run's estimate for its machine; width is that of the
-// 0.8 interval stated for it.
+// recordSpeed records the error of the estimate of a run on a machine; width is the width of the 0.8 interval predicted
+// for the run.
 func (m *Model) recordSpeed(machine string, logError, width float64) {
 	s := m.machines[machine]
 	if s == nil {
@@ -91,6 +88,6 @@
 	}
 	s.n++
 	s.sum += math.Min(math.Max(logError, minimumSpeedError), maximumSpeedError)
-	s.spread += (width/deviationsIn80 - s.spread) / math.Min(s.n, spreadRuns)
+	s.spread += (width/deviationsIn80Interval - s.spread) / math.Min(s.n, spreadRuns)
 	s.lastUse = m.clock
 }
