--- a/internal/estimate/stored.go
+++ b/internal/estimate/stored.go
@@ -129,7 +129,8 @@
 	k := groupKey{Level(s.Level), s.Name, s.Shape}
 	var t tally
 	if k.level < Everything || k.level >= levels || len(s.Errors)%fieldsPerBin != 0 {
-		return k, t, fmt.Errorf("%w: group %q, shape %q: level %d out of range, or %d error fields not a multiple of %d",
+		return k, t, fmt.Errorf(
+			"%w: group %q, shape %q: level %d out of range, or %d error fields not a multiple of %d",
 			ErrDamaged, s.Name, s.Shape, s.Level, len(s.Errors), fieldsPerBin)
 	}
 	if err := s.restoreSums(&t); err != nil {
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,6 +1,5 @@
-// Package history reads histories of past runs, and replays them to measure how good
-// estimates of run times are. A history has one JSON object per line, in the order in
-// which the runs ended.
+// Package history reads histories of past runs, and replays them to measure the accuracy of run-time estimates. A
+// history is a text of JSON objects, one per line, in the order in which the runs ended.
 package history
 
 import (
@@ -46,37 +45,37 @@
 
 var outcomes = []string{Done, Cancelled, Preempted, Lost, Error}
 
-// required are the fields without which a line says nothing about a run time.
-var required = []string{"class", "started_s", "ended_s", "outcome"}
+// requiredFields are the fields without which a line has no information about a run time.
+var requiredFields = []string{"class", "started_s", "ended_s", "outcome"}
 
-// known are all fields of a line.
-var known = []string{"ref", "class", "team", "shape", "tasks", "cpus", "gpus", "memory_gb", "image", "expect_s", "submitted_s",
-	"started_s", "ended_s", "outcome", "machine", "type"}
+// knownFields are the names of all fields of a Line.
+var knownFields = []string{"ref", "class", "team", "shape", "tasks", "cpus", "gpus", "memory_gb", "image", "expect_s",
+	"submitted_s", "started_s", "ended_s", "outcome", "machine", "type"}
 
-// Problem is what is wrong with a line. Each skipped line has one; others may have some.
+// Problem is a defect of a line. A skipped line has exactly one; a usable line may have any number.
 type Problem struct {
-	Line    int
-	What    string
+	Line    int // number of the line, counted from 1
+	Message string
 	Skipped bool
 }
 
-// String returns the problem as it is shown to users.
+// String returns the problem as a text for users.
 func (p Problem) String() string {
-	s := fmt.Sprintf("line %d: %s", p.Line, p.What)
+	s := fmt.Sprintf("line %d: %s", p.Line, p.Message)
 	if p.Skipped {
 		s += " (skipped)"
 	}
 	return s
 }
 
-// maxLineBytes bounds the length of a line.
+// maxLineBytes is the maximum length of a line.
 const maxLineBytes = 1 << 20
 
-// ErrNoHistory is returned for a file in which no line is a run.
+// ErrNoHistory is returned for a text without a usable line.
 var ErrNoHistory = errors.New("not a history of runs")
 
-// Parse reads a line. Its error says why the line is unusable; the strings name fields that
-// are missing or unknown in a usable line.
+// Parse parses a line. For a usable line it also returns warnings about fields that are missing or unknown. The error
+// is the reason why the line is unusable.
 func Parse(raw []byte) (*Line, []string, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil {
@@ -90,7 +89,8 @@
 	if err := json.Unmarshal(raw, &l); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
-			return nil, nil, fmt.Errorf("field %s is no %s", typeError.Field, typeError.Type)
+			return nil, nil, fmt.Errorf("field %s: expected %s, found %s",
+				typeError.Field, typeError.Type, typeError.Value)
 		}
 		return nil, nil, err
 	}
@@ -100,13 +100,13 @@
 	return &l, warnings, nil
 }
 
-// checkFields returns warnings of missing and unknown fields, and an error if a required
-// field is missing.
+// checkFields returns warnings about missing and unknown fields, and an error if a required field is missing. A field
+// with the value null is missing.
 func checkFields(fields map[string]json.RawMessage) ([]string, error) {
 	var warnings []string
-	for _, name := range known {
+	for _, name := range knownFields {
 		if v, ok := fields[name]; !ok || string(v) == "null" {
-			if slices.Contains(required, name) {
+			if slices.Contains(requiredFields, name) {
 				return nil, fmt.Errorf("field %s is missing", name)
 			}
 			warnings = append(warnings, "field "+name+" is missing")
@@ -114,7 +114,7 @@
 	}
 	var unknown []string
 	for name := range fields {
-		if !slices.Contains(known, name) {
+		if !slices.Contains(knownFields, name) {
 			unknown = append(unknown, fmt.Sprintf("field %q is unknown", name))
 		}
 	}
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// maxSeconds bounds times.
+// maxSeconds is the upper bound of the absolute values of times.
 const maxSeconds = 1e11
 
 func inRange(seconds ...float64) bool {
@@ -149,12 +149,11 @@
 	return true
 }
 
-// Read reads a history and returns its runs, ordered by their end, and the number of
-// skipped lines. Unusable lines are skipped; report is called with each problem. A line
-// that is out of order is reported and used all the same. The error is ErrNoHistory if no
-// line is usable, or that of the reader.
+// Read reads a history and returns its runs, ordered by their end, and the number of skipped lines. It skips unusable
+// lines and calls report with each problem. A line that is out of order is reported but not skipped. The error is
+// ErrNoHistory if no line is usable, or that of the reader.
 func Read(r io.Reader, report func(Problem)) ([]Line, int, error) {
-	p := parser{report: report, latest: math.Inf(-1)}
+	p := parser{report: report, latestEnd: math.Inf(-1)}
 	br := bufio.NewReaderSize(r, 64<<10)
 	for number := 1; ; number++ {
 		raw, tooLong, err := readLine(br)
@@ -177,13 +176,13 @@
 
 // parser collects the lines of a history.
 type parser struct {
-	report  func(Problem)
-	lines   []Line
-	skipped int
-	latest  float64 // end of a run so far
+	report    func(Problem)
+	lines     []Line
+	skipped   int
+	latestEnd float64 // latest end of the runs so far
 }
 
-// parse takes the line of a number, counted from 1.
+// parse parses the line with the given number and collects its run and its problems.
 func (p *parser) parse(number int, raw []byte, tooLong bool) {
 	l, warnings, err := Parse(raw)
 	if tooLong {
@@ -194,17 +193,17 @@
 		p.report(Problem{number, err.Error(), true})
 		return
 	}
-	for _, what := range warnings {
-		p.report(Problem{Line: number, What: what})
+	for _, warning := range warnings {
+		p.report(Problem{Line: number, Message: warning})
 	}
-	if l.Ended < p.latest {
-		p.report(Problem{Line: number, What: "out of order by ended_s"})
+	if l.Ended < p.latestEnd {
+		p.report(Problem{Line: number, Message: "out of order by ended_s"})
 	}
-	p.latest = max(p.latest, l.Ended)
+	p.latestEnd = max(p.latestEnd, l.Ended)
 	p.lines = append(p.lines, *l)
 }
 
-// readLine returns a line, and whether it is longer than maxLineBytes and incomplete.
+// readLine reads a line. If tooLong is true, the line exceeds maxLineBytes and is returned incompletely.
 func readLine(br *bufio.Reader) (line []byte, tooLong bool, err error) {
 	for {
 		fragment, err := br.ReadSlice('\n')
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -12,16 +12,16 @@
 	"testing"
 )
 
-// workload describes a generated history: how long runs really take, and what else happens.
+// workload is the specification of a generated history.
 type workload struct {
-	name   string
-	median float64
-	spread float64                  // of the logarithm of run times
-	user   float64                  // spread of the logarithm of the errors of users' estimates
-	bias   float64                  // mean of the logarithm of these errors
-	change func(at float64) float64 // what is added to the logarithm at a fraction of the history
-	rare   bool                     // many classes with few runs
-	cut    float64                  // fraction of the runs that don't end as done
+	name             string
+	median           float64                  // of the run times, in seconds
+	spread           float64                  // standard deviation of the logarithms of run times
+	user             float64                  // standard deviation of the logarithms of the errors of users' estimates
+	bias             float64                  // mean of these logarithms
+	change           func(at float64) float64 // change of the logarithm of run times at a fraction of the history
+	rareClasses      bool                     // many classes with few runs
+	censoredFraction float64                  // fraction of the runs with an outcome other than Done
 }
 
 const ln2 = math.Ln2
@@ -36,8 +36,8 @@
 		}
 		return 0
 	}},
-	{name: "rare", median: 60, spread: 0.3, user: 0.3, rare: true},
-	{name: "censored", median: 120, spread: 0.4, user: 0.35, cut: 0.25},
+	{name: "rare", median: 60, spread: 0.3, user: 0.3, rareClasses: true},
+	{name: "censored", median: 120, spread: 0.4, user: 0.35, censoredFraction: 0.25},
 }
 
 // generate returns a history of n runs, some of them concurrent.
@@ -49,7 +49,7 @@
 		at += rnd.ExpFloat64() * 12
 		class := fmt.Sprint("class-", i%2)
 		shift := float64(i%2) * 0.8
-		if w.rare {
+		if w.rareClasses {
 			class = fmt.Sprint("class-", rnd.IntN(1+rnd.IntN(60)))
 			shift = float64(len(class)) / 10
 		}
@@ -59,13 +59,24 @@
 			y += w.change(float64(i) / float64(n))
 		}
 		ran := math.Exp(y)
-		l := Line{Ref: fmt.Sprint("j-", i), Class: class, Team: "t", Shape: "array", Tasks: 1, Image: fmt.Sprint(class, "-img-", image),
-			ExpectS: ran * math.Exp(w.bias+w.user*rnd.NormFloat64()), Submitted: at, Started: at, Ended: at + ran, Outcome: Done,
-			Machine: fmt.Sprint("m-", rnd.IntN(40))}
-		if l.Machine == "m-3" { // a slow machine: its runs are no evidence of the work
+		l := Line{
+			Ref:       fmt.Sprint("j-", i),
+			Class:     class,
+			Team:      "t",
+			Shape:     "array",
+			Tasks:     1,
+			Image:     fmt.Sprint(class, "-img-", image),
+			ExpectS:   ran * math.Exp(w.bias+w.user*rnd.NormFloat64()),
+			Submitted: at,
+			Started:   at,
+			Ended:     at + ran,
+			Outcome:   Done,
+			Machine:   fmt.Sprint("m-", rnd.IntN(40)),
+		}
+		if l.Machine == "m-3" { // slow machine: the run times differ from those of the work
 			l.Ended = at + 3*ran
 		}
-		if rnd.Float64() < w.cut {
+		if rnd.Float64() < w.censoredFraction {
 			l.Outcome = []string{Cancelled, Preempted, Lost, Error}[rnd.IntN(4)]
 			l.Ended = at + ran*rnd.Float64()
 		}
@@ -75,7 +86,7 @@
 	return lines
 }
 
-// total returns the means over the classes, weighted by their runs.
+// total returns the means over the classes, weighted by their numbers of runs with similar runs.
 func total(r *Result) (within, coverage, logError, userLogError float64, jobs int) {
 	for _, c := range r.Classes {
 		n := float64(c.WithSimilar)
@@ -89,9 +100,9 @@
 	return within / n, coverage / n, logError / n, userLogError / n, jobs
 }
 
-// Estimates are accurate for six workloads, three seeds each. Required within a factor of
-// 1.5 of the run time are 0.8 of the estimates, or nearly what is possible where the
-// workload's spread, given the user's estimate, allows less.
+// Estimates are accurate for six workloads, three seeds each. A fraction of 0.8 of the estimates has to be within a
+// factor of 1.5 of the run time, or nearly the attainable fraction if that is less because of the spread of the run
+// times, given the user's estimates.
 func TestReplayAccuracy(t *testing.T) {
 	for _, w := range workloads {
 		t.Run(w.name, func(t *testing.T) {
@@ -99,24 +110,25 @@
 				r := Replay(generate(w, seed, 1500), 0)
 				within, coverage, logError, userLogError, jobs := total(r)
 				spread := 1 / math.Sqrt(1/(w.spread*w.spread)+1/(w.user*w.user))
-				possible := math.Erf(math.Log(1.5) / spread / math.Sqrt2)
-				t.Logf("seed %d: %d jobs, %.3f within 1.5 (possible %.3f), coverage %.3f, error %.3f, users' %.3f, %d changes",
-					seed, jobs, within, possible, coverage, logError, userLogError, r.Changes)
-				if within < min(0.8, possible-0.06) {
-					t.Errorf("%.3f within a factor of 1.5 of possible %.3f", within, possible)
+				attainable := math.Erf(math.Log(1.5) / spread / math.Sqrt2)
+				t.Logf("seed %d: %d jobs, %.3f within 1.5 (attainable %.3f), coverage %.3f, log error %.3f, "+
+					"users' %.3f, %d changes",
+					seed, jobs, within, attainable, coverage, logError, userLogError, r.Changes)
+				if within < min(0.8, attainable-0.06) {
+					t.Errorf("%.3f of the estimates within a factor of 1.5, %.3f is attainable", within, attainable)
 				}
 				if coverage < 0.77 || coverage > 0.87 {
-					t.Errorf("0.8 intervals cover %.3f", coverage)
+					t.Errorf("coverage of the 0.8 intervals is %.3f, want 0.77 to 0.87", coverage)
 				}
 				if w.bias > 0 && logError > userLogError/2 {
-					t.Errorf("error %.3f beside the users' %.3f", logError, userLogError)
+					t.Errorf("log error is %.3f, want at most half of the users' %.3f", logError, userLogError)
 				}
 			}
 		})
 	}
 }
 
-// Estimates don't depend on later runs: they are the same for the first half of a history.
+// Estimates don't depend on later runs: those of the first half of a history are the same without the second half.
 func TestReplayUsesOnlyEarlierRuns(t *testing.T) {
 	lines := generate(workloads[0], 1, 400)
 	firstHalf := slices.Clone(lines[:200])
@@ -124,13 +136,14 @@
 	for i, c := range b.Classes {
 		for j, p := range c.Points {
 			if a.Classes[i].Points[j] != p {
-				t.Fatalf("%s: %+v and %+v", c.Class, p, a.Classes[i].Points[j])
+				t.Fatalf("class %s: estimate %+v of the first half alone, %+v of the whole history",
+					c.Class, p, a.Classes[i].Points[j])
 			}
 		}
 	}
 }
 
-// Unusable lines are skipped, and every problem is reported.
+// Read skips unusable lines and reports every problem.
 func TestReadReportsProblems(t *testing.T) {
 	text := strings.Join([]string{
 		`{"ref":"a","class":"c","team":"t","shape":"array","tasks":1,"cpus":1,"gpus":1,"memory_gb":1,"image":"i","expect_s":2,"submitted_s":0,"started_s":1,"ended_s":3,"outcome":"done","machine":"m","type":"g"}`,
@@ -145,18 +158,25 @@
 	var reported []string
 	lines, skipped, err := Read(strings.NewReader(text), func(p Problem) { reported = append(reported, p.String()) })
 	if err != nil || len(lines) != 3 || skipped != 5 {
-		t.Fatalf("%d lines, %d skipped, %v", len(lines), skipped, err)
+		t.Fatalf("%d lines, %d skipped, error %v, want 3 lines, 5 skipped", len(lines), skipped, err)
 	}
 	all := strings.Join(reported, "\n")
-	for _, want := range []string{`line 2: field "colour" is unknown`, "line 2: field image is missing", `line 3: outcome "melted" is unknown (skipped)`,
-		"line 4: ended_s is before started_s (skipped)", "line 5: field class is no string (skipped)", "line 6: field ended_s is missing (skipped)",
-		"line 7: not a JSON object (skipped)", "line 9: out of order"} {
+	for _, want := range []string{
+		`line 2: field "colour" is unknown`,
+		"line 2: field image is missing",
+		`line 3: outcome "melted" is unknown (skipped)`,
+		"line 4: ended_s is before started_s (skipped)",
+		"line 5: field class: expected string, found number (skipped)",
+		"line 6: field ended_s is missing (skipped)",
+		"line 7: not a JSON object (skipped)",
+		"line 9: out of order",
+	} {
 		if !strings.Contains(all, want) {
 			t.Errorf("%q not reported in\n%s", want, all)
 		}
 	}
 	if _, _, err := Read(strings.NewReader("hello\nworld\n"), func(Problem) {}); !errors.Is(err, ErrNoHistory) {
-		t.Errorf("no history: %v", err)
+		t.Errorf("read text without a run: got error %v, want %v", err, ErrNoHistory)
 	}
 }
 
@@ -175,7 +195,9 @@
 			return
 		}
 		for _, c := range Replay(lines, skipped).Classes {
-			for _, v := range []float64{c.LogError, c.UserLogError, c.Within["2"], c.Coverage["0.8"], c.FirstSeen.LogError} {
+			for _, v := range []float64{
+				c.LogError, c.UserLogError, c.Within["2"], c.Coverage["0.8"], c.FirstSeen.LogError,
+			} {
 				if math.IsNaN(v) || math.IsInf(v, 0) {
 					t.Fatalf("%+v", c)
 				}
--- a/internal/history/replay.go
+++ b/internal/history/replay.go
@@ -9,35 +9,36 @@
 	"coralhub/internal/estimate"
 )
 
-// minimumSimilar is the number of earlier ends of the same class and shape from which on a
-// run counts as one with similar runs.
+// minimumSimilar is the number of earlier completed runs of the same class and shape from which a run is counted as one
+// with similar runs.
 const minimumSimilar = 20
 
-// ClassResult is how accurate the estimates of a class were.
+// ClassResult is the accuracy of the estimates of a class.
 type ClassResult struct {
 	Class        string             `json:"class"`
-	Jobs         int                `json:"jobs"` // that ended as done
-	WithSimilar  int                `json:"with_kin"`
+	Jobs         int                `json:"jobs"`     // number of runs with the outcome Done
+	WithSimilar  int                `json:"with_kin"` // those with an estimate and at least minimumSimilar similar runs
 	Within       map[string]float64 `json:"within"`
 	Coverage     map[string]float64 `json:"coverage"`
 	LogError     float64            `json:"log_error"`
 	UserLogError float64            `json:"owner_log_error"`
-	// FirstSeen are the runs before whose start no run of the class and shape had ended.
+	// FirstSeen is about the runs before whose start no run of the same class and shape had completed.
 	FirstSeen FirstSeen `json:"first_seen"`
 
 	Points []Point `json:"-"`
 }
 
-// FirstSeen is how accurate the estimates of runs without similar ones were.
+// FirstSeen is the accuracy of the estimates of runs without similar earlier runs.
 type FirstSeen struct {
 	Jobs     int     `json:"jobs"`
-	Unknown  int     `json:"unknown"` // without an estimate
+	Unknown  int     `json:"unknown"` // number of them without an estimate
 	Within2  float64 `json:"within_2"`
 	LogError float64 `json:"log_error"`
 }
 
-// Point is an estimate with the actual run time, in seconds.
-type Point struct{ Ended, Ran, Median, Low, High, User float64 }
+// Point is an estimate with the end and the actual run time of the run, in seconds. Low and High are the bounds of the
+// 0.8 interval.
+type Point struct{ Ended, RunTime, Median, Low, High, UserEstimate float64 }
 
 // Result is the outcome of a replay.
 type Result struct {
@@ -46,17 +47,17 @@
 	Changes int           `json:"sudden_changes"`
 }
 
-// factors are the factors of the actual run time that Within counts the estimates in.
+// factors are the factors of the actual run time for which Within has the fraction of estimates.
 var factors = []struct {
-	name string
-	by   float64
+	name   string
+	factor float64
 }{{"1.25", 1.25}, {"1.5", 1.5}, {"2", 2}}
 
-// intervals are the names of estimate.Intervals.
+// intervals are the names of estimate.Intervals, in the same order.
 var intervals = [...]string{"0.5", "0.8", "0.95"}
 
-// runningHeap is a heap of the indices of running runs. The lines are sorted by their end: the first
-// to end is on top.
+// runningHeap is a heap of the indices of the lines of active runs. As lines are sorted by their end, the run that ends
+// first is at the top.
 type runningHeap struct{ indices []int }
 
 func (h *runningHeap) Len() int           { return len(h.indices) }
@@ -69,16 +70,16 @@
 	return x
 }
 
-// prediction is the estimate that was made when a run started.
+// prediction is the estimate of a run at its start.
 type prediction struct {
 	answer  estimate.Answer
-	similar int // runs of the same class and shape that had ended by then
+	similar int // number of runs of the same class and shape that had completed before
 }
 
-// classScore adds up the accuracy of a class's estimates.
+// classScore accumulates the accuracy of the estimates of a class.
 type classScore struct {
 	ClassResult
-	within, covered  [3]int // by factors, by intervals
+	within, covered  [3]int // counts, in the order of factors and of intervals
 	logErrors        float64
 	userLogErrors    float64
 	withUserEstimate int
@@ -87,19 +88,18 @@
 	firstLogErrors   float64
 }
 
-// replay is the state of a replay between two events.
+// replay is the state of a replay.
 type replay struct {
 	lines       []Line
 	model       *estimate.Model
 	scores      map[string]*classScore // by class
-	similar     map[[2]string]int      // runs that ended, by class and shape
+	similar     map[[2]string]int      // number of completed runs, by class and shape
 	predictions []prediction           // by line
 	running     *runningHeap
 }
 
-// Replay feeds a history to a model of run times. Each run is estimated when it starts,
-// from the runs that have ended by then: never from a later one. The skipped lines are
-// only passed on to the result.
+// Replay replays a history, whose lines are sorted by their end, with a new model of run times. Each run is estimated
+// at its start, only from runs that have ended by then. The number of skipped lines is only copied to the result.
 func Replay(lines []Line, skipped int) *Result {
 	r := &replay{
 		lines:       lines,
@@ -121,7 +121,7 @@
 	return r.result(skipped)
 }
 
-// startOrder returns the indices of the lines, ordered by their start.
+// startOrder returns the indices of the lines, sorted by their start.
 func startOrder(lines []Line) []int {
 	order := make([]int, len(lines))
 	for i := range lines {
@@ -131,7 +131,7 @@
 	return order
 }
 
-// start estimates a run and adds it to the running ones.
+// start estimates a run and adds it to the active runs.
 func (r *replay) start(i int) {
 	l := &r.lines[i]
 	f := l.features()
@@ -139,7 +139,7 @@
 	heap.Push(r.running, i)
 }
 
-// endNext ends the running run that ends first: it is scored, then learned from.
+// endNext ends the active run that ends first. Its estimate is scored before the model observes its run time.
 func (r *replay) endNext() {
 	i := heap.Pop(r.running).(int)
 	l := &r.lines[i]
@@ -153,7 +153,7 @@
 		r.similar[[2]string{l.Class, l.Shape}]++
 	}
 	r.model.Observe(&estimate.Evidence{Features: l.features(), Ran: l.runTime(), Done: l.Outcome == Done})
-	r.predictions[i] = prediction{} // may be garbage collected
+	r.predictions[i] = prediction{} // not needed any more
 }
 
 func (r *replay) result(skipped int) *Result {
@@ -165,20 +165,27 @@
 	return result
 }
 
-// features returns what the estimate of the run depends on.
+// features returns the features of the run that its estimate depends on.
 func (l *Line) features() estimate.Features {
-	return estimate.Features{Image: l.Image, Shape: l.Shape, Class: l.Class, Team: l.Team, Expect: micros(l.ExpectS), Machine: l.Machine}
+	return estimate.Features{
+		Image:   l.Image,
+		Shape:   l.Shape,
+		Class:   l.Class,
+		Team:    l.Team,
+		Expect:  micros(l.ExpectS),
+		Machine: l.Machine,
+	}
 }
 
 func (l *Line) runTime() estimate.Micros { return micros(l.Ended - l.Started) }
 
 func micros(s float64) estimate.Micros { return estimate.Micros(math.Round(s * 1e6)) }
 
-// logError returns by how many natural logarithms two times in seconds differ. Times below a
-// hundredth of a second count as that.
+// logError returns the absolute difference of the natural logarithms of two times in seconds. Times below a hundredth
+// of a second are replaced by a hundredth of a second.
 func logError(a, b float64) float64 { return math.Abs(math.Log(math.Max(a, 0.01) / math.Max(b, 0.01))) }
 
-// add scores the estimate of a run that ended as done.
+// add scores the estimate of a run with the outcome Done.
 func (s *classScore) add(l *Line, p *prediction) {
 	s.Jobs++
 	ran := l.Ended - l.Started
@@ -190,10 +197,10 @@
 		return
 	}
 	s.WithSimilar++
-	off := logError(median, ran)
-	s.logErrors += off
+	absLogError := logError(median, ran)
+	s.logErrors += absLogError
 	for i, f := range factors {
-		if off <= math.Log(f.by)+rounding {
+		if absLogError <= math.Log(f.factor)+roundingTolerance {
 			s.within[i]++
 		}
 	}
@@ -207,32 +214,31 @@
 		s.userLogErrors += logError(l.ExpectS, ran)
 	}
 	s.Points = append(s.Points, Point{
-		Ended:  l.Ended,
-		Ran:    ran,
-		Median: median,
-		Low:    float64(p.answer.Low[1]) / 1e6,
-		High:   float64(p.answer.High[1]) / 1e6,
-		User:   l.ExpectS,
+		Ended:        l.Ended,
+		RunTime:      ran,
+		Median:       median,
+		Low:          float64(p.answer.Low[1]) / 1e6,
+		High:         float64(p.answer.High[1]) / 1e6,
+		UserEstimate: l.ExpectS,
 	})
 }
 
-// addFirstSeen scores the estimate of a run without similar ones, by its error if there
-// was an estimate.
-func (s *classScore) addFirstSeen(a *estimate.Answer, off float64) {
+// addFirstSeen scores the estimate of a run without similar earlier runs. The error is ignored if there is no estimate.
+func (s *classScore) addFirstSeen(a *estimate.Answer, absLogError float64) {
 	s.FirstSeen.Jobs++
 	if a.Level == estimate.Unknown {
 		s.FirstSeen.Unknown++
 		return
 	}
 	s.firstEstimated++
-	s.firstLogErrors += off
-	if off <= math.Ln2 {
+	s.firstLogErrors += absLogError
+	if absLogError <= math.Ln2 {
 		s.firstWithin++
 	}
 }
 
-// rounding is what an error may exceed a factor by.
-const rounding = 1e-12
+// roundingTolerance is the amount by which an error may exceed the logarithm of a factor because of rounding.
+const roundingTolerance = 1e-12
 
 func (s *classScore) result() ClassResult {
 	r := s.ClassResult
@@ -251,10 +257,10 @@
 	return r
 }
 
-// share returns a fraction rounded to four places.
-func share(n, of int) float64 { return mean(float64(n), of) }
+// share returns the fraction n/total, rounded to four decimal places, or 0 if total is 0.
+func share(n, total int) float64 { return mean(float64(n), total) }
 
-// mean returns a mean rounded to four places, 0 of nothing.
+// mean returns sum/n, rounded to four decimal places, or 0 if n is 0.
 func mean(sum float64, n int) float64 {
 	if n == 0 {
 		return 0
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -1,4 +1,4 @@
-// Package recorder writes the runs that end in a running service to a history.
+// Package recorder records the runs that end in a running service as a history.
 package recorder
 
 import (
@@ -17,26 +17,27 @@
 )
 
 const (
-	pollInterval = time.Second // while there is nothing new
-	maxPageBytes = 8 << 20
-	// reportAfter is after how many rounds of the nodes without a leader that is reported.
-	reportAfter = 10
+	pollInterval = time.Second // delay between polls while no runs end
+	maxPageBytes = 8 << 20     // maximum size of a response
+	// reportAfterRounds is the number of consecutive rounds of failed polls of all nodes after which each report that
+	// there is no leader is made.
+	reportAfterRounds = 10
 )
 
-// Recorder polls the leader for the runs that have ended since the last poll.
+// Recorder polls the leader for the runs that have ended since the last poll. If a poll fails, it tries the next node.
 type Recorder struct {
-	Nodes  []string // HOST:PORT
+	Nodes  []string // addresses, as HOST:PORT
 	Client *http.Client
-	Report func(string) // called with problems that don't end the recording
+	Report func(string) // called with each problem that doesn't end the recording
 
-	current int    // index of the node that is polled
-	next    uint64 // number of the first run that wasn't received
-	leader  string // the node that answered last as the leader
+	currentNode int    // index of the polled node in Nodes
+	nextRun     uint64 // number of the first run that has not been received
+	leader      string // node that most recently answered as the leader
 }
 
 var errNotLeader = errors.New("not the leader")
 
-// Run records until ctx ends, which is no error, or writing fails.
+// Run writes the runs to w, as lines of JSON, until ctx is done or writing fails. It returns nil if ctx is done.
 func (r *Recorder) Run(ctx context.Context, w io.Writer) error {
 	enc := json.NewEncoder(w)
 	failures := 0
@@ -47,10 +48,10 @@
 				return nil
 			}
 			failures++
-			if failures%(reportAfter*len(r.Nodes)) == 0 {
-				r.Report(fmt.Sprintf("no node answers as the leader; the last: %v", err))
+			if failures%(reportAfterRounds*len(r.Nodes)) == 0 {
+				r.Report(fmt.Sprintf("no node answered as the leader; last error: %v", err))
 			}
-			r.current = (r.current + 1) % len(r.Nodes)
+			r.currentNode = (r.currentNode + 1) % len(r.Nodes)
 			wait.For(ctx, pollInterval/time.Duration(len(r.Nodes)))
 			continue
 		}
@@ -65,7 +66,8 @@
 	return nil
 }
 
-// write writes the runs of a page and reports those that the leader no longer had.
+// write writes the runs of a page. It reports the number of runs that were missed because the leader no longer has
+// them.
 func (r *Recorder) write(enc *json.Encoder, page *query.Runs) error {
 	if page.Missed > 0 {
 		r.Report(fmt.Sprintf("%d runs were missed", page.Missed))
@@ -75,18 +77,19 @@
 			return err
 		}
 	}
-	r.next = page.Next
+	r.nextRun = page.Next
 	return nil
 }
 
-// fetch gets the next page of runs from the current node. It returns errNotLeader if the
-// node doesn't lead.
+// fetch requests the next page of runs from the current node. Its error wraps errNotLeader if the status of the
+// response isn't 200, as that of a node that is not the leader.
 func (r *Recorder) fetch(ctx context.Context) (*query.Runs, error) {
-	node := r.Nodes[r.current]
+	node := r.Nodes[r.currentNode]
 	if node != r.leader {
-		r.next = 0 // each leader numbers its runs from 0
+		r.nextRun = 0 // each leader numbers its runs from 0
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node+httpapi.PathRuns+"?from="+strconv.FormatUint(r.next, 10), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet,
+		"http://"+node+httpapi.PathRuns+"?from="+strconv.FormatUint(r.nextRun, 10), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +111,7 @@
 	}
 	page := &query.Runs{}
 	if err := json.Unmarshal(raw, page); err != nil {
-		return nil, fmt.Errorf("%s: %w", node, err)
+		return nil, fmt.Errorf("decode page of runs from %s: %w", node, err)
 	}
 	r.leader = node
 	return page, nil
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -15,14 +15,14 @@
 	"coralhub/internal/history"
 )
 
-// server simulates a node, which leads or not and has the runs from first on.
+// server simulates a node. If it is the leader, it has the runs from number first on.
 type server struct {
-	leads func() bool
-	runs  func() (first uint64, lines []history.Line)
+	isLeader func() bool
+	runs     func() (first uint64, lines []history.Line)
 }
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !s.leads() {
+	if !s.isLeader() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_ = json.NewEncoder(w).Encode(query.Error{Error: "not the leader"})
 		return
@@ -42,22 +42,29 @@
 func lines(prefix string, n int) []history.Line {
 	var out []history.Line
 	for i := range n {
-		out = append(out, history.Line{Ref: fmt.Sprint(prefix, i), Class: "c", Started: 1, Ended: 2, Outcome: history.Done})
+		out = append(out, history.Line{
+			Ref:     fmt.Sprint(prefix, i),
+			Class:   "c",
+			Started: 1,
+			Ended:   2,
+			Outcome: history.Done,
+		})
 	}
 	return out
 }
 
-// The recorder finds the leader, records each run once, reports the runs that it missed,
-// and continues with the next leader after a change.
+// The recorder finds the leader, records each run once and reports the number of missed runs. After a change of the
+// leader it continues with the new one.
 func TestRecorderFollowsTheLeader(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	polls := 0
-	first := &server{leads: func() bool { return polls < 4 }, runs: func() (uint64, []history.Line) {
+	first := &server{isLeader: func() bool { return polls < 4 }, runs: func() (uint64, []history.Line) {
 		polls++
-		return 3, lines("a", min(polls, 2)) // three are no longer kept, and one more ends with each poll
+		// Runs 0 to 2 are no longer available. One run ends before each of the first two polls.
+		return 3, lines("a", min(polls, 2))
 	}}
-	second := &server{leads: func() bool { return polls >= 4 }, runs: func() (uint64, []history.Line) {
+	second := &server{isLeader: func() bool { return polls >= 4 }, runs: func() (uint64, []history.Line) {
 		if polls++; polls > 7 {
 			cancel()
 		}
@@ -77,13 +84,13 @@
 	}
 	got, skipped, err := history.Read(&out, func(history.Problem) {})
 	if err != nil || skipped > 0 {
-		t.Fatal(got, skipped, err)
+		t.Fatalf("read recorded history: %d runs, %d lines skipped, error %v", len(got), skipped, err)
 	}
 	var refs []string
 	for _, l := range got {
 		refs = append(refs, l.Ref)
 	}
 	if strings.Join(refs, " ") != "a0 a1 b0" || len(reported) == 0 || reported[0] != "3 runs were missed" {
-		t.Errorf("recorded %v, reported %q", refs, reported)
+		t.Errorf("recorded %v, want a0 a1 b0; reported %q, want 3 missed runs first", refs, reported)
 	}
 }
