--- a/internal/startbound/bound.go
+++ b/internal/startbound/bound.go
@@ -1,8 +1,7 @@
-// Package startbound computes which fraction of the jobs of a workload any scheduler could
-// have started in time, if it had known all arrivals from the beginning. The start-time
-// attainment of a run is compared with this bound. It is an upper bound: machines are one
-// pool of GPUs, jobs may be split, and an array or a service has started with its first
-// task.
+// Package startbound computes an upper bound of the fraction of a workload's jobs that any scheduler could have started
+// in time, given all arrivals in advance. The start-time attainment of a run is compared with this bound. It is an
+// upper bound because machines are modelled as a single pool of GPUs, jobs may be split, and an array or a service
+// counts as started with its first task.
 package startbound
 
 import (
@@ -17,58 +16,60 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Job is a job that was accepted. Times are in seconds.
+// Job is an accepted job. Times are in seconds.
 type Job struct {
-	Class string
-	At    float64 // when it was accepted
-	Tasks int
-	GPUs  float64 // of each task
-	RunS  float64
-	Gang  bool
-	Ends  bool // false for a service
+	Class      string
+	AcceptedAt float64
+	Tasks      int
+	GPUs       float64 // of each task
+	RunS       float64
+	Gang       bool
+	Ends       bool // false for a service
 }
 
-// Workload is the jobs that arrived and the GPUs that were available, by period.
+// Workload is the jobs that arrived and the GPUs that were available in each period.
 type Workload struct {
-	PeriodS float64   // length of a period
-	WithinS float64   // time within which a job is to start
-	GPUs    []float64 // of each period
+	PeriodS float64   // length of a period, in seconds
+	WithinS float64   // time after its acceptance within which a job is to start, in seconds
+	GPUs    []float64 // available GPUs, by period
 	Jobs    []Job
 }
 
-// Bound is the largest fraction of the jobs of each class of gangs that could have started
-// in time, both of all its jobs and of its largest ones.
+// Bound holds, for each class of gangs, the largest fraction that could have started in time both of all its jobs and
+// of its largest jobs.
 type Bound struct{ StartShare map[string]float64 }
 
-// largestFraction is the fraction of a class's jobs that counts as its largest ones.
+// largestFraction is the fraction of a class's jobs that are counted as its largest jobs.
 const largestFraction = 0.1
 
-// group is jobs of a class that are equal for the bound and arrived in the same period.
+// group is a number of jobs of a class that are equivalent for the bound and arrived in the same period.
 type group struct {
 	class      string
 	largest    bool
 	tasks      int
 	gpus       float64 // of each task
 	runPeriods int
-	arrival    int // period
-	count      float64
+	arrival    int     // index of the period
+	count      float64 // number of jobs
 }
 
-// gpusToStart returns the GPUs that a job of the group takes.
+// gpusToStart returns the GPUs that a job of the group requires to start.
 func (g *group) gpusToStart() float64 { return float64(g.tasks) * g.gpus }
 
-// ErrTooLarge is returned by Solve for a workload with too many different jobs.
-var ErrTooLarge = errors.New("too many kinds of jobs")
+// ErrTooLarge is returned by Solve for a workload with too many different jobs for the linear program.
+var ErrTooLarge = errors.New("too many different jobs for the linear program")
 
-// maxColumns bounds the size of the linear program.
+// maxColumns is the maximum number of columns of the linear program, apart from that of the share.
 const maxColumns = 6000
 
-// Solve returns the bound for each class of gangs. Other jobs have priority and start on
+// Solve returns the bound for each class of gangs. Other jobs are assumed to have priority over gangs and to start on
 // arrival, with one task.
 func Solve(w *Workload) (Bound, error) {
 	bound := Bound{StartShare: map[string]float64{}}
 	if w.PeriodS <= 0 || w.WithinS <= 0 || len(w.GPUs) == 0 {
-		return bound, fmt.Errorf("planner: a day needs periods, a time to begin and machines")
+		return bound, fmt.Errorf(
+			"start bound: period length (%v s), time to start (%v s) and number of periods (%d) must be positive",
+			w.PeriodS, w.WithinS, len(w.GPUs))
 	}
 	free := slices.Clone(w.GPUs)
 	gangs := map[string][]Job{}
@@ -77,17 +78,17 @@
 			gangs[j.Class] = append(gangs[j.Class], j)
 			continue
 		}
-		w.startAtOnce(free, &j)
+		w.reserveFromArrival(free, &j)
 	}
-	// Classes are solved one by one, the least demanding first, each with what those before
-	// leave: the bound of a burst of one class beside ordinary work.
+	// Classes are solved one by one, in ascending order of their GPU seconds, each with the GPUs that the previous
+	// classes leave. So the bound of a class with a burst takes the regular work of the other classes into account.
 	classes := slices.SortedFunc(maps.Keys(gangs), func(a, b string) int {
 		return cmp.Or(cmp.Compare(gpuSeconds(gangs[a]), gpuSeconds(gangs[b])), cmp.Compare(a, b))
 	})
 	for _, class := range classes {
 		share, used, err := w.solveClass(gangs[class], free)
 		if err != nil {
-			return bound, fmt.Errorf("planner: class %s: %w", class, err)
+			return bound, fmt.Errorf("start bound of class %s: %w", class, err)
 		}
 		bound.StartShare[class] = share
 		for t := range free {
@@ -105,9 +106,10 @@
 	return sum
 }
 
-// startAtOnce subtracts what a job that is no gang takes from its arrival on.
-func (w *Workload) startAtOnce(free []float64, j *Job) {
-	first := int(j.At / w.PeriodS)
+// reserveFromArrival subtracts the GPUs of a job that is not a gang from the free GPUs, from its arrival on. A job that
+// ends uses those of one task for its run time, a service those of all its tasks until the last period.
+func (w *Workload) reserveFromArrival(free []float64, j *Job) {
+	first := int(j.AcceptedAt / w.PeriodS)
 	end := len(free)
 	gpus := j.GPUs
 	if j.Ends {
@@ -120,21 +122,21 @@
 	}
 }
 
-// groupJobs groups the jobs of a class by size and arrival. Users' estimates differ from
-// job to job: to keep groups few, all jobs run for the mean of the class.
+// groupJobs groups the jobs of a class by size and arrival. All jobs are given the mean run time of the class, because
+// users' estimates differ from job to job and would produce too many groups.
 func (w *Workload) groupJobs(jobs []Job) []*group {
-	leastTasks := leastOfLargest(jobs)
+	minimumTasks := minimumTasksOfLargest(jobs)
 	run := w.meanRunPeriods(jobs)
 	byKey := map[group]*group{}
 	var groups []*group
 	for _, j := range jobs {
 		key := group{
 			class:      j.Class,
-			largest:    j.Tasks >= leastTasks,
+			largest:    j.Tasks >= minimumTasks,
 			tasks:      j.Tasks,
 			gpus:       j.GPUs,
 			runPeriods: run,
-			arrival:    int(j.At / w.PeriodS),
+			arrival:    int(j.AcceptedAt / w.PeriodS),
 		}
 		g := byKey[key]
 		if g == nil {
@@ -146,17 +148,21 @@
 		g.count++
 	}
 	slices.SortFunc(groups, func(a, b *group) int {
-		return cmp.Or(cmp.Compare(a.arrival, b.arrival), cmp.Compare(a.tasks, b.tasks), cmp.Compare(a.runPeriods, b.runPeriods), cmp.Compare(a.gpus, b.gpus))
+		return cmp.Or(
+			cmp.Compare(a.arrival, b.arrival),
+			cmp.Compare(a.tasks, b.tasks),
+			cmp.Compare(a.runPeriods, b.runPeriods),
+			cmp.Compare(a.gpus, b.gpus),
+		)
 	})
 	return groups
 }
 
-// largestCount returns how many of a number of jobs count as the largest ones.
+// largestCount returns the number of jobs that are counted as the largest ones, of the given number of jobs.
 func largestCount(jobs int) int { return max(1, int(float64(jobs)*largestFraction)) }
 
-// leastOfLargest returns the number of tasks from which on a job counts as one of the
-// largest.
-func leastOfLargest(jobs []Job) int {
+// minimumTasksOfLargest returns the number of tasks from which a job is counted as one of the largest.
+func minimumTasksOfLargest(jobs []Job) int {
 	sorted := slices.Clone(jobs)
 	slices.SortStableFunc(sorted, func(a, b Job) int { return cmp.Compare(b.Tasks, a.Tasks) })
 	return sorted[largestCount(len(sorted))-1].Tasks
@@ -170,21 +176,20 @@
 	return max(1, int(math.Round(sum/float64(len(jobs))/w.PeriodS)))
 }
 
-// column is a variable of the linear program: how many jobs of a group start in a period.
+// column is a variable of the linear program: the number of jobs of a group that start in a period.
 type column struct {
 	*group
-	start int
+	start int // index of the period
 }
 
-// end returns the period in which the jobs have ended.
+// end returns the first period in which the jobs occupy no GPUs, at most periods.
 func (c *column) end(periods int) int { return min(periods, c.start+c.runPeriods) }
 
 // simplexTolerance is the tolerance of the linear program.
 const simplexTolerance = 1e-9
 
-// solveClass returns the largest share such that this share of the class's largest jobs
-// and of all its jobs start in time, and no more GPUs are used in any period than are
-// free. It also returns the GPUs that this takes of each period.
+// solveClass returns the largest share such that this share of all jobs of a class and of its largest jobs start in
+// time without using more than the free GPUs in any period. It also returns the GPUs that are used in each period.
 func (w *Workload) solveClass(jobs []Job, free []float64) (share float64, used []float64, err error) {
 	groups := w.groupJobs(jobs)
 	columns, err := w.columns(groups, len(free))
@@ -205,7 +210,8 @@
 	return min(x[len(columns)], 1), used, nil
 }
 
-// columns returns a column for each group and each period in which its jobs start in time.
+// columns returns a column for each group and each period in which its jobs would start in time. Its error is
+// ErrTooLarge if there are more than maxColumns.
 func (w *Workload) columns(groups []*group, periods int) ([]column, error) {
 	within := int(w.WithinS / w.PeriodS)
 	var columns []column
@@ -220,10 +226,13 @@
 	return columns, nil
 }
 
-// buildConstraints returns the constraints of the linear program, all of the kind "at most
-// the limit". The rows are the GPUs of each period, the jobs of each group, and for all
-// jobs and for the largest ones: the share of the jobs less those that start is at most 0.
-// The last row bounds the share, which is the last column, by 1.
+// buildConstraints returns the constraints of the linear program. Each row requires a linear combination of the columns
+// to be at most its limit:
+//   - one row per period: the GPUs in use are at most the free ones;
+//   - one row per group: the jobs that start are at most those of the group;
+//   - one row for all jobs, and one for the largest ones: share times the number of jobs, minus the number of jobs that
+//     start, is at most 0;
+//   - the last row: the share, which is the last column, is at most 1.
 func buildConstraints(groups []*group, columns []column, free []float64) (constraints *mat.Dense, limits []float64) {
 	var (
 		share      = len(columns)
@@ -262,9 +271,8 @@
 	return constraints, limits
 }
 
-// maximizeLast returns the variables, none below 0, that maximize the last one within the
-// constraints. The program is solved in standard form: each row has a slack variable, and
-// the slack variables are the initial basis.
+// maximizeLast returns the non-negative values of the variables that maximize the last variable under the constraints.
+// The program is solved in standard form: each row has a slack variable, and the slack variables are the initial basis.
 func maximizeLast(constraints *mat.Dense, limits []float64) ([]float64, error) {
 	rows, variables := constraints.Dims()
 	cost := make([]float64, variables+rows)
--- a/internal/startbound/log.go
+++ b/internal/startbound/log.go
@@ -16,35 +16,35 @@
 	"coralhub/wire"
 )
 
-// Row is a class in a log: the fraction of its jobs that could have started in time, and
-// the fraction that did.
+// Row is the result of a class in a log: the bound of the fraction of its jobs that start in time, and the fraction
+// that did start in time.
 type Row struct {
 	Class            string
 	Jobs             int
 	Gang             bool
-	Bound            float64 // for gangs; 1 for others, which start with one task
-	Started, Largest float64 // of all its jobs, of its largest ones
+	Bound            float64 // 1 for a class that is not of gangs, whose jobs start with one task
+	Started, Largest float64 // fractions that started in time: of all its jobs, and of its largest jobs
 }
 
-// Log is what the debug logs of the nodes contain of a workload.
+// Log is the data about a workload from the debug logs of nodes.
 type Log struct {
 	jobs             map[string]*Job
-	firstPlacedAfter map[string]float64 // seconds from the acceptance of a job to its first placement
+	firstPlacedAfter map[string]float64 // seconds from the acceptance of a job to its first placement, by job
 	machines         []machineCount
-	start            time.Time // of the first line
+	start            time.Time // time of the first line
 }
 
-// machineCount is the number of usable machines at a time, in seconds from the start.
+// machineCount is the number of usable machines at a time.
 type machineCount struct {
-	atS   float64
+	atS   float64 // seconds since the start of the log
 	count int
 }
 
-// maxLineBytes bounds the length of a line.
+// maxLineBytes is the maximum length of a line.
 const maxLineBytes = 1 << 20
 
-// Read reads a node's debug log; it may be called for several nodes. Other lines and
-// whatever precedes the time of a line are ignored.
+// Read reads the debug log of a node. It may be called for several nodes. It ignores lines that are not log lines, and
+// any text before the time of a log line.
 func (l *Log) Read(r io.Reader) error {
 	if l.jobs == nil {
 		l.jobs = map[string]*Job{}
@@ -59,12 +59,12 @@
 		}
 	}
 	if err := s.Err(); err != nil {
-		return fmt.Errorf("debug log: %w", err)
+		return fmt.Errorf("read debug log: %w", err)
 	}
 	return nil
 }
 
-// parseLine takes a line from its time on.
+// parseLine parses the part of a log line that begins with the time. It ignores lines that can't be parsed.
 func (l *Log) parseLine(text string) {
 	values, err := parseLogfmt(text)
 	at, timeErr := time.Parse(time.RFC3339Nano, values["time"])
@@ -76,30 +76,30 @@
 	}
 	now := at.Sub(l.start).Seconds()
 	number := func(key string) float64 {
-		x, _ := strconv.ParseFloat(values[key], 64) // 0 if it is absent
+		x, _ := strconv.ParseFloat(values[key], 64) // 0 if the key is missing
 		return x
 	}
 	switch values["msg"] {
 	case "accepted":
 		l.jobs[values["job"]] = &Job{
-			Class: values["class"],
-			At:    max(now, 0),
-			Tasks: max(1, int(number("tasks"))),
-			GPUs:  number("gpus"),
-			RunS:  number("estimate_s"),
-			Gang:  values["shape"] == wire.Gang,
-			Ends:  values["shape"] != wire.Service,
+			Class:      values["class"],
+			AcceptedAt: max(now, 0),
+			Tasks:      max(1, int(number("tasks"))),
+			GPUs:       number("gpus"),
+			RunS:       number("estimate_s"),
+			Gang:       values["shape"] == wire.Gang,
+			Ends:       values["shape"] != wire.Service,
 		}
 	case "placing":
 		if _, placed := l.firstPlacedAfter[values["job"]]; !placed {
 			l.firstPlacedAfter[values["job"]] = number("age_ms") / 1000
 		}
-	case "leader statistics", "leader": // earlier versions wrote the latter
+	case "leader statistics", "leader": // earlier versions log "leader"
 		l.machines = append(l.machines, machineCount{now, int(number("usable"))})
 	}
 }
 
-// parseLogfmt returns the values of a line by their keys.
+// parseLogfmt returns the values of a log line, by key.
 func parseLogfmt(text string) (map[string]string, error) {
 	d := logfmt.NewDecoder(strings.NewReader(text))
 	values := map[string]string{}
@@ -112,19 +112,21 @@
 }
 
 const (
-	// periodS is the length of a period in seconds.
+	// periodS is the length of a period, in seconds.
 	periodS = 20.0
-	// openPeriods are added after the end of the log: jobs that arrived last may start in
-	// time after it.
-	openPeriods = 1
+	// trailingPeriods is the number of periods that are added after the end of the log, because the last jobs may start
+	// in time after it.
+	trailingPeriods = 1
 )
 
-// Rows returns the classes by name, for machines with the given number of GPUs each and
-// jobs that are to start within so many seconds. It fails if the log contains no jobs or
-// no statistics of a leader.
+// Rows returns the results of the classes, sorted by name, for machines with the given number of GPUs each and jobs
+// that are to start within the given number of seconds. It returns an error if the log contains no accepted jobs or no
+// statistics of a leader.
 func (l *Log) Rows(gpus, within float64) ([]Row, error) {
 	if len(l.machines) == 0 || len(l.jobs) == 0 {
-		return nil, fmt.Errorf("the log has no lines of a leader, or of accepted jobs: was LOG_LEVEL debug?")
+		return nil, fmt.Errorf(
+			"the log has %d lines of leader statistics and %d accepted jobs, expected some of each: was LOG_LEVEL debug?",
+			len(l.machines), len(l.jobs))
 	}
 	workload := Workload{PeriodS: periodS, WithinS: within, GPUs: l.gpusByPeriod(gpus)}
 	rowOf := map[string]*Row{}
@@ -159,7 +161,7 @@
 // gpusByPeriod returns the GPUs of the usable machines in each period.
 func (l *Log) gpusByPeriod(gpus float64) []float64 {
 	end := l.machines[len(l.machines)-1].atS
-	byPeriod := make([]float64, int(end/periodS)+openPeriods)
+	byPeriod := make([]float64, int(end/periodS)+trailingPeriods)
 	k := 0
 	for t := range byPeriod {
 		for k+1 < len(l.machines) && l.machines[k+1].atS <= float64(t+1)*periodS {
@@ -170,7 +172,7 @@
 	return byPeriod
 }
 
-// startedShare returns the fraction of jobs that started in time.
+// startedShare returns the fraction of the jobs that were first placed in time.
 func (l *Log) startedShare(ids []string, within float64) float64 {
 	started := 0
 	for _, id := range ids {
--- a/internal/startbound/log_test.go
+++ b/internal/startbound/log_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// Rows are computed from logs of this and earlier versions, here of a day with twice the
-// gangs that there is capacity for.
+// Rows are computed from a log with lines of this and of earlier versions, in which there is capacity for half of the
+// gangs.
 func TestRowsFromLog(t *testing.T) {
 	var b strings.Builder
 	line := func(at, rest string) {
 		b.WriteString("  12.5 n1 time=2026-09-21T14:" + at + ".000Z level=DEBUG msg=" + rest + "\n")
 	}
-	line("00:00", "leader passes=1 usable=10") // the form of earlier versions
+	line("00:00", "leader passes=1 usable=10") // format of earlier versions
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		line("00:00", "accepted job=j-"+id+" class=train team=north tasks=5 shape=group gpus=1 estimate_s=120")
 	}
@@ -29,13 +29,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(rows) != 2 || rows[1].Class != "train" || rows[1].Jobs != 8 || rows[1].Bound < 0.45 || rows[1].Bound > 0.55 || rows[1].Started != 0.125 || rows[1].Largest != 1 {
-		t.Errorf("%+v", rows)
+	if len(rows) != 2 || rows[1].Class != "train" || rows[1].Jobs != 8 ||
+		rows[1].Bound < 0.45 || rows[1].Bound > 0.55 || rows[1].Started != 0.125 || rows[1].Largest != 1 {
+		t.Errorf("got %+v, want 2 rows, the second of train: 8 jobs, bound 0.5, started 0.125, largest 1", rows)
 	}
 	if rows[0].Bound != 1 || rows[0].Started != 0 {
-		t.Errorf("%+v", rows[0])
+		t.Errorf("got %+v, want bound 1 and no jobs started", rows[0])
 	}
 	if _, err := new(Log).Rows(1, 240); err == nil {
-		t.Error("an empty log has rows")
+		t.Error("Rows returned no error for an empty log")
 	}
 }
