--- a/internal/estimate/group.go
+++ b/internal/estimate/group.go
@@ -130,8 +130,8 @@
 	maxSlope = 1.2
 )
 
-// predict returns the expected logarithm of the run time, by linear regression on the logarithm of the user's estimate,
-// or the mean if there are no users' estimates. The group must have runs.
+// predict returns the expected logarithm of the run time, by linear regression on the logarithm of the user's estimate.
+// It returns the mean if no estimate is given or the group has no runs with one. The group must have runs.
 func (g *group) predict(user userEstimate) float64 {
 	mean := float64(g.Y) * sumUnit / g.runs()
 	if !user.given || g.Nx == 0 {
