--- a/internal/scenario/burst_test.go
+++ b/internal/scenario/burst_test.go
@@ -11,14 +11,14 @@
 	"coralhub/wire"
 )
 
-// A burst of jobs for 1,250 machines, more than they can run within seconds, with a write quota of
-// the state service and a leader whose loop is blocked for longer than its lease meanwhile:
-// leadership doesn't change, every job is accepted and done, every poll is answered, and a job
-// costs no more than four changes.
+// A burst of jobs arrives for 1,250 machines, more than they can run within seconds. The state service
+// has a write quota, and the leader's loop is blocked for longer than its lease meanwhile. The leader
+// doesn't change, every job is accepted and done, every poll is answered, and a job takes no more than
+// four changes of the state service.
 func TestBurstAtFleetSize(t *testing.T) {
 	t.Parallel()
 	const (
-		scale = 208 // of 6 machines, with 4 GPUs each
+		scale = 208 // multiple of 6 machines with 4 GPUs each
 		jobs  = 400
 		tasks = 16
 	)
@@ -28,8 +28,8 @@
 	startRevision := s.state.Revision()
 	submit := func(i int) bool {
 		j := &emulator.SubmittedJob{Run: 3 * emulator.Second}
-		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i+1), Class: "flood", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: tasks,
-			CPUs: 1, GPUs: 1, MemoryGB: 1, Image: fmt.Sprint("i", i%3), ImageGB: 1, EstimateS: 3}
+		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i+1), Class: "flood", Team: "red", Shape: wire.Array, Priority: wire.Low,
+			Tasks: tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: fmt.Sprint("i", i%3), ImageGB: 1, EstimateS: 3}
 		a := s.submit(s.nodes[i%3], j)
 		return a.Status == 201 || a.Status == 200
 	}
@@ -56,24 +56,25 @@
 	seconds := 0
 	for ; unfinished() > 0 && seconds < 60; seconds++ {
 		s.run(emulator.Second)
-		rejected = slices.DeleteFunc(rejected, submit) // as users retry who were rejected
+		rejected = slices.DeleteFunc(rejected, submit) // rejected submissions are retried
 		for i, n := range s.nodes {
 			id := fmt.Sprintf("j-%d", (seconds*3+i)%jobs+1)
 			if a := s.request(n, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} }); a.Status != 200 {
-				t.Errorf("poll of %s: %d", id, a.Status)
+				t.Errorf("poll of %s at %s: status %d, want 200", id, n.name, a.Status)
 			}
 		}
 	}
 	if n := unfinished(); n > 0 {
-		t.Errorf("%d jobs are not done after %d s", n, seconds)
+		t.Errorf("%d of %d jobs are not done after %d s", n, jobs, seconds)
 	}
 	if s.leader() != firstLeader || s.state.Get(job.KeyRoot+"leader").Version > startRevision {
-		t.Errorf("%s leads by revision %d; %s did by one before %d", s.leader(), s.state.Get(job.KeyRoot+"leader").Version, firstLeader, startRevision)
+		t.Errorf("leader %s with leader key at revision %d, want %s with leader key at revision %d or before", s.leader(),
+			s.state.Get(job.KeyRoot+"leader").Version, firstLeader, startRevision)
 	}
 	if changes := float64(s.state.Revision()-startRevision) / jobs; changes > 4 {
-		t.Errorf("%.1f changes a job", changes)
+		t.Errorf("%.1f changes per job, want at most 4", changes)
 	}
-	t.Logf("%d jobs in %d s, %.1f changes each", jobs, seconds, float64(s.state.Revision()-startRevision)/jobs)
+	t.Logf("%d jobs done in %d s, %.1f changes per job", jobs, seconds, float64(s.state.Revision()-startRevision)/jobs)
 	for _, b := range s.env.Broken {
 		t.Error(b)
 	}
--- a/internal/scenario/chaos_test.go
+++ b/internal/scenario/chaos_test.go
@@ -13,8 +13,8 @@
 	"coralhub/wire"
 )
 
-// TestChaos runs random faults, several at a time, with fixed seeds: no invariant may be
-// violated meanwhile, and once the faults have ended every accepted job must end.
+// TestChaos injects random faults, several at a time, with fixed seeds. No invariant may be
+// violated, and every accepted job must end once the faults have ended.
 func TestChaos(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -24,9 +24,9 @@
 	}
 }
 
-// TestChaosAtScale does the same with some two hundred machines, jobs of up to seventy
-// tasks, thirty of them before the first fault, and a state service that accepts 25 changes
-// per second in total.
+// TestChaosAtScale does the same with some two hundred machines, jobs of up to seventy tasks,
+// thirty jobs before the first fault, and a state service that accepts 25 changes per second in
+// total.
 func TestChaosAtScale(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -37,8 +37,8 @@
 }
 
 // TestChaosOfLinks adds machines whose heartbeats arrive though nothing reaches them, copies
-// of heartbeats up to three leases late, nodes and machines that restart at once, and nodes
-// that reach nothing but their workers.
+// of heartbeats that arrive up to three leases late, nodes and machines that restart at once, and
+// nodes that reach only their workers.
 func TestChaosOfLinks(t *testing.T) {
 	for seed := range uint64(*linkFaultSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -50,25 +50,26 @@
 	}
 }
 
-// linkFaultSeeds is the number of seeds of TestChaosOfLinks; the default takes a few seconds.
+// linkFaultSeeds is the number of seeds of TestChaosOfLinks. The default takes a few seconds.
 var linkFaultSeeds = flag.Int("links", 40, "days of TestChaosOfLinks")
 
-// TestChaosInUpgrade starts with every node held to the older format. They are upgraded one
-// by one during the faults, jobs with dependencies are submitted throughout, and the state
-// service's limits are lowered some time after that.
+// TestChaosInUpgrade starts with every node held to the older format. The nodes are upgraded one by
+// one during the faults, and jobs with dependencies are submitted throughout. Some time after the
+// last upgrade the limits of the state service are lowered.
 func TestChaosInUpgrade(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			quota := []float64{0, 25}[seed%2]
-			runRandomFaults(t, newSimWithUpgrade(3, 2, quota, []string{"n1", "n2", "n3"}), rand.New(rand.NewPCG(seed, 55)), 5, 120, 70)
+			runRandomFaults(t, newSimWithUpgrade(3, 2, quota, []string{"n1", "n2", "n3"}), rand.New(rand.NewPCG(seed, 55)), 5,
+				120, 70)
 		})
 	}
 }
 
-// TestSameInputsSameEffects runs each seed twice: nothing that a node does may depend on the
-// iteration order of a map or on anything else but its inputs. The digests also show whether
-// a change of the code has changed what nodes do (go test -run SameInputs -v).
+// TestSameInputsSameEffects runs each seed twice: the effects of a node may depend on nothing but its
+// inputs, and not on the iteration order of a map, for example. The digests also show whether a code
+// change has altered the effects of nodes (go test -run SameInputs -v).
 func TestSameInputsSameEffects(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -81,9 +82,9 @@
 				sums[i] = s.effects.Sum64()
 			}
 			if sums[0] != sums[1] {
-				t.Errorf("%x and %x", sums[0], sums[1])
+				t.Errorf("digests of the effects of two runs differ: %x and %x", sums[0], sums[1])
 			}
-			t.Logf("effects %x", sums[0])
+			t.Logf("digest of the effects: %x", sums[0])
 		})
 	}
 }
@@ -91,44 +92,44 @@
 // chaosRun is the state of a run of random faults.
 type chaosRun struct {
 	*Sim
-	rnd       *rand.Rand
-	maxTasks  int
-	needable  []string        // accepted jobs that others may depend on: no services
-	submitted map[string]bool // whether a job is known to be accepted; if not it may be all the same
-	services  map[string]bool
+	rnd                  *rand.Rand
+	maxTasks             int
+	possibleDependencies []string        // accepted jobs that others may depend on, so no services
+	submitted            map[string]bool // true if a job is known to be accepted; if false it may be accepted too
+	services             map[string]bool
 }
 
-// runRandomFaults submits some jobs without faults, runs random events, ends all faults and
+// runRandomFaults submits the initial jobs without faults, runs random events, ends all faults and
 // checks that every accepted job ends.
-func runRandomFaults(t *testing.T, s *Sim, rnd *rand.Rand, early, events, maxTasks int) {
+func runRandomFaults(t *testing.T, s *Sim, rnd *rand.Rand, initialJobs, events, maxTasks int) {
 	t.Helper()
 	s.run(2 * emulator.Second)
 	c := &chaosRun{Sim: s, rnd: rnd, maxTasks: maxTasks, submitted: map[string]bool{}, services: map[string]bool{}}
-	for i := range early + events {
+	for i := range initialJobs + events {
 		n := s.nodes[rnd.IntN(3)]
 		kinds := 14
 		if s.heartbeatCopies != nil {
 			kinds = 20
 		}
 		kind := rnd.IntN(kinds)
-		if s.limitsAnnounced && i >= early {
-			s.advanceUpgrade(n, i-early, events)
+		if s.limitsAnnounced && i >= initialJobs {
+			s.advanceUpgrade(n, i-initialJobs, events)
 		}
-		if i < early { // submissions only, without any time between them
+		if i < initialJobs { // only submissions, with no time between them
 			kind = 0
 		}
 		c.event(kind, i, n)
-		if i >= early {
+		if i >= initialJobs {
 			s.run(emulator.Micros(rnd.IntN(30)) * tick)
 		}
 	}
 	c.healAll()
-	s.requireAnswers(t, c.submitted)
+	s.requireResponses(t, c.submitted)
 	c.cancelServices()
 	c.checkEnded(t)
 }
 
-// event runs the random event with number i, of a kind and at a node.
+// event runs random event number i, of the given kind and at the given node.
 func (c *chaosRun) event(kind, i int, n *node) {
 	rnd := c.rnd
 	switch kind {
@@ -172,21 +173,21 @@
 
 func (c *chaosRun) submitRandomJob(id string, n *node) {
 	j := randomJob(c.rnd, id, c.maxTasks)
-	for c.limitsAnnounced && len(c.needable) > 0 && len(j.Needs) < 4 && c.rnd.IntN(2) == 0 {
-		j.Needs = append(j.Needs, c.needable[c.rnd.IntN(len(c.needable))])
+	for c.limitsAnnounced && len(c.possibleDependencies) > 0 && len(j.Needs) < 4 && c.rnd.IntN(2) == 0 {
+		j.Needs = append(j.Needs, c.possibleDependencies[c.rnd.IntN(len(c.possibleDependencies))])
 	}
 	c.services[j.ID] = j.Shape == wire.Service
 	if a := c.submit(n, j); a.Status == 201 || a.Status == 200 {
 		c.submitted[j.ID] = true
 		if j.Shape != wire.Service {
-			c.needable = append(c.needable, j.ID)
+			c.possibleDependencies = append(c.possibleDependencies, j.ID)
 		}
 	} else if j.Cancelled == 0 {
 		c.submitted[j.ID] = false
 	}
 }
 
-// healAll ends all faults, but for machines that hang, and upgrades the remaining nodes.
+// healAll ends all faults except hanging machines, and upgrades the remaining nodes.
 func (c *chaosRun) healAll() {
 	c.state.SetDown(c.now, false)
 	c.env.CloudOff = false
@@ -209,7 +210,7 @@
 	}
 }
 
-// cancelServices waits a minute and cancels the services, which don't end by themselves.
+// cancelServices runs the simulation for a minute and cancels the services, which never complete.
 func (c *chaosRun) cancelServices() {
 	c.run(60 * emulator.Second)
 	for _, id := range slices.Sorted(maps.Keys(c.submitted)) {
@@ -219,8 +220,8 @@
 	}
 }
 
-// checkEnded checks after two minutes that all accepted jobs have ended, that the nodes'
-// usage records agree and that no invariant was violated.
+// checkEnded runs the simulation for two minutes and checks that all accepted jobs have ended, that
+// the usage records of the nodes agree and that no invariant was violated.
 func (c *chaosRun) checkEnded(t *testing.T) {
 	t.Helper()
 	c.run(120 * emulator.Second)
@@ -236,7 +237,7 @@
 		t.Error(problem)
 	}
 	if c.state.Refused > 0 {
-		t.Errorf("%d transactions refused for their size", c.state.Refused)
+		t.Errorf("%d transactions were refused for their size, want none", c.state.Refused)
 	}
 	t.Logf("%d machines rented, %d changes", c.env.Rented, c.state.Revision())
 	if t.Failed() {
@@ -244,26 +245,26 @@
 	}
 }
 
-// compareUsage compares the usage records of all nodes with those of a node that has just
-// restarted and read them from the state service. It returns the differences.
+// compareUsage restarts the first node, so that it reads its usage records from the state service, and
+// compares them with those of all other nodes. It returns the differences.
 func (s *Sim) compareUsage() (problems []string) {
 	s.start(s.nodes[0])
 	s.run(5 * emulator.Second)
 	for _, n := range s.nodes[1:] {
 		if !n.core.UsageLedger().Equal(s.nodes[0].core.UsageLedger()) {
-			problems = append(problems, fmt.Sprintf("accounts of %s and of one that has just begun differ: %s and %s", n.name, formatUsage(n), formatUsage(s.nodes[0])))
+			problems = append(problems, fmt.Sprintf("usage records of %s and of a restarted node differ: %s and %s", n.name,
+				formatUsage(n), formatUsage(s.nodes[0])))
 		}
 	}
 	return problems
 }
 
-// maxUnanswered is how long users may be without an answer about a job once all faults have
-// ended.
+// maxUnanswered is how long users may get no response about a job once all faults have ended.
 const maxUnanswered = 75 * emulator.Second
 
-// requireAnswers polls every accepted job, each time at the next node, until there is an
-// answer.
-func (s *Sim) requireAnswers(t *testing.T, accepted map[string]bool) {
+// requireResponses polls every accepted job, each time at the next node, until there is a response
+// with status 200.
+func (s *Sim) requireResponses(t *testing.T, accepted map[string]bool) {
 	t.Helper()
 	faultsEnded := s.now
 	var unanswered []string
@@ -279,16 +280,16 @@
 			return a.Status == 200
 		})
 		if s.now-faultsEnded > maxUnanswered {
-			t.Errorf("nobody answers for %v", unanswered)
+			t.Errorf("no response about %v within %d s after the faults ended", unanswered, maxUnanswered/emulator.Second)
 			return
 		}
 		s.run(emulator.Second)
 	}
-	t.Logf("all answered for after %d ms", (s.now-faultsEnded)/1000)
+	t.Logf("every poll was answered %d ms after the faults ended", (s.now-faultsEnded)/1000)
 }
 
-// advanceUpgrade upgrades a node if it is time for the next one, which is once in each seventh
-// of the events, and lowers the limits of the state service after the last.
+// advanceUpgrade upgrades a node if the next upgrade is due, which happens once in each seventh of
+// the events, and lowers the limits of the state service after the last upgrade.
 func (s *Sim) advanceUpgrade(n *node, at, events int) {
 	upgraded := 0
 	for _, x := range s.nodes {
@@ -305,7 +306,7 @@
 	}
 }
 
-// randomJob draws a job.
+// randomJob draws a job of at most the given number of tasks.
 func randomJob(rnd *rand.Rand, id string, tasks int) *emulator.SubmittedJob {
 	j := &emulator.SubmittedJob{Run: emulator.Micros(1+rnd.IntN(8)) * emulator.Second}
 	j.Job = wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[rnd.IntN(2)],
--- a/internal/scenario/client_requests_test.go
+++ b/internal/scenario/client_requests_test.go
@@ -9,12 +9,12 @@
 	"coralhub/wire"
 )
 
-// Requests of users, and the checks of their answers.
+// Requests of users, and checks of the responses.
 
-// answerTicks is how many ticks a request without a timeout of its own waits for the answer.
-const answerTicks = 40
+// responseTicks is how many ticks a request without a timeout of its own waits for the response.
+const responseTicks = 40
 
-// request makes a request to a node and returns the answer; the zero value if there is none
+// request makes a request to a node and returns the response, or the zero value if there is none
 // within four seconds.
 func (s *Sim) request(n *node, input func(req uint64) msg.Input) msg.Respond {
 	if !n.alive {
@@ -24,9 +24,9 @@
 	req := s.lastRequestID
 	s.post(n, input(req))
 	s.deliverAll()
-	for range answerTicks {
-		if a, ok := n.answers[req]; ok {
-			delete(n.answers, req)
+	for range responseTicks {
+		if a, ok := n.responses[req]; ok {
+			delete(n.responses, req)
 			return a
 		}
 		s.run(tick)
@@ -34,54 +34,54 @@
 	return msg.Respond{}
 }
 
-// submit has a user submit a job.
+// submit submits a job as a user would and checks the response.
 func (s *Sim) submit(n *node, j *emulator.SubmittedJob) msg.Respond {
 	if s.env.Jobs[j.ID] == nil {
 		s.env.Jobs[j.ID] = j
 	}
 	knownStatus := s.lastStatus[j.ID]
 	a := s.request(n, s.submission(j))
-	s.checkAnswer(j.ID, knownStatus, a)
+	s.checkResponse(j.ID, knownStatus, a)
 	return a
 }
 
-// submission returns the input that submits a job, for a request id.
+// submission returns a function that returns the input that submits a job with a request ID.
 func (s *Sim) submission(j *emulator.SubmittedJob) func(req uint64) msg.Input {
 	raw, err := wire.Marshal(&j.Job)
 	if err != nil {
-		panic(err) // impossible: the runner made it
+		panic(err) // impossible for a job that the simulation has created
 	}
 	return func(req uint64) msg.Input { return msg.SubmitIn{RequestID: req, WallClock: s.now, Body: raw} }
 }
 
-// cancel has a user cancel a job.
+// cancel cancels a job as a user would and checks the response.
 func (s *Sim) cancel(n *node, id string) msg.Respond {
 	if j := s.env.Jobs[id]; j != nil {
 		j.Asked = true
 	}
 	knownStatus := s.lastStatus[id]
 	a := s.request(n, func(req uint64) msg.Input { return msg.CancelIn{RequestID: req, JobID: id} })
-	s.checkAnswer(id, knownStatus, a)
+	s.checkResponse(id, knownStatus, a)
 	return a
 }
 
-// poll has a user poll a job.
+// poll polls a job as a user would and checks the response.
 func (s *Sim) poll(n *node, id string) msg.Respond {
 	knownStatus := s.lastStatus[id]
 	a := s.request(n, func(req uint64) msg.Input { return msg.PollIn{RequestID: req, JobID: id} })
-	s.checkAnswer(id, knownStatus, a)
+	s.checkResponse(id, knownStatus, a)
 	return a
 }
 
-// isFinal reports whether a status is final.
 func isFinal(status string) bool { return status == wire.Done || status == wire.Cancelled }
 
-// checkAnswer checks what a user is told. knownStatus is what any user had been told of the job
-// before the request was made: no node may answer something older, whichever node told it.
-// The answer to an earlier request may be older.
-func (s *Sim) checkAnswer(id, knownStatus string, a msg.Respond) {
+// checkResponse checks the response to a user's request about a job. knownStatus is the latest status
+// that any user had been told before the request was made: no node may respond with an older one,
+// whichever node had told it. The response to an earlier request may be older.
+func (s *Sim) checkResponse(id, knownStatus string, a msg.Respond) {
 	violated := func(rule string) {
-		s.env.Broken = append(s.env.Broken, fmt.Sprintf("%s %s: %s after %q", rule, id, strings.TrimSpace(formatResponse(a)), knownStatus))
+		s.env.Broken = append(s.env.Broken, fmt.Sprintf("%s %s: %s after %q", rule, id,
+			strings.TrimSpace(formatResponse(a)), knownStatus))
 	}
 	if knownStatus != "" && (a.Status == 404 || a.Status == 400 || a.Status == 422) {
 		violated("forgotten")
@@ -99,12 +99,12 @@
 		return
 	}
 	changedAfterEnd := isFinal(knownStatus) && st.Status != knownStatus
-	endsDiffer := isFinal(s.lastStatus[id]) && isFinal(st.Status) && st.Status != s.lastStatus[id]
-	if changedAfterEnd || endsDiffer {
+	finalStatusesDiffer := isFinal(s.lastStatus[id]) && isFinal(st.Status) && st.Status != s.lastStatus[id]
+	if changedAfterEnd || finalStatusesDiffer {
 		violated("went_back")
 	}
 	if st.Status == wire.Cancelled && !s.env.MayBeCancelled(id) {
-		violated("went_back (nobody has asked for it)")
+		violated("went_back (cancellation not requested)")
 	}
 	if at := s.env.CancelledAt(id); at != 0 && s.now-at > s.env.CancelIn && !isFinal(st.Status) {
 		violated("orphaned")
@@ -118,8 +118,8 @@
 	s.recordStatus(id, st.Status)
 }
 
-// recordStatus records what a user was told, unless a final status is known already. Users poll
-// closely after the first answer and after the final one.
+// recordStatus records the status that a user was told, unless a final status is known already. The
+// first status and the final one trigger the requests of concurrentRequests.
 func (s *Sim) recordStatus(id, status string) {
 	if isFinal(s.lastStatus[id]) {
 		return
@@ -130,6 +130,6 @@
 	changed := s.lastStatus[id] == "" || isFinal(status)
 	s.lastStatus[id] = status
 	if changed {
-		s.pollClosely(id)
+		s.addConcurrentUsers(id)
 	}
 }
--- a/internal/scenario/concurrent_faults_test.go
+++ b/internal/scenario/concurrent_faults_test.go
@@ -14,23 +14,24 @@
 	"coralhub/wire"
 )
 
-// combinationSeeds is the number of seeds of TestConcurrentFaults for each kind of combination; the
+// combinationSeeds is the number of seeds of TestConcurrentFaults for each kind of combination. The
 // default takes a few seconds.
-var combinationSeeds = flag.Int("days", 4, "days of TestConcurrentFaults, of each kind")
+var combinationSeeds = flag.Int("days", 4, "number of days of TestConcurrentFaults for each kind of combination")
 
-// firstSeed is the first of these seeds.
+// firstSeed is the first seed of TestConcurrentFaults.
 var firstSeed = flag.Int("from", 0, "first seed of TestConcurrentFaults")
 
-// maxShrinkTries is how often a failing day is run with lines left out, to make it smaller.
-var maxShrinkTries = flag.Int("shrink", 300, "tries to make a failing day of TestConcurrentFaults smaller")
+// maxShrinkTries is the maximum number of runs with lines left out to shrink a failing day.
+var maxShrinkTries = flag.Int("shrink", 300, "maximum number of runs to shrink a failing day of TestConcurrentFaults")
 
-// replayFile is a day as TestConcurrentFaults prints it, to be run instead of generated ones.
-var replayFile = flag.String("replay", "", "file with a day for TestConcurrentFaults to play again")
+// replayFile is a file with a day as TestConcurrentFaults prints it, to be run instead of generated
+// days.
+var replayFile = flag.String("replay", "", "file with a day for TestConcurrentFaults to run instead of generated ones")
 
-// TestConcurrentFaults generates days on which two or three combinations of faults coincide. No
-// invariant may be violated meanwhile; once the faults have ended every poll is answered
-// within 75 s, every cancellation is confirmed, and every job that isn't cancelled ends. A
-// failing day is made as small as possible and printed as a scenario.
+// TestConcurrentFaults generates days, which are scripts in which up to three combinations of faults
+// coincide. No invariant may be violated. Once the faults have ended every poll is answered within
+// 75 s, every cancellation is confirmed, and every job that isn't cancelled ends. A failing day is
+// shrunk to a small script that fails in the same way and printed as a scenario.
 func TestConcurrentFaults(t *testing.T) {
 	if *replayFile != "" {
 		script, err := os.ReadFile(*replayFile)
@@ -53,13 +54,13 @@
 					return
 				}
 				script = shrink(t, script, problems[0])
-				t.Errorf("%s\n\nthe smallest day found:\n\n%s", strings.Join(problems, "\n"), asScenario(script))
+				t.Errorf("%s\n\nshrunk day:\n\n%s", strings.Join(problems, "\n"), asScenario(script))
 			})
 		}
 	}
 }
 
-// runDay runs a script, ends all faults, and returns what is wrong then.
+// runDay runs a script, ends all faults and returns the problems found.
 func runDay(t *testing.T, script string) (problems []string) {
 	t.Helper()
 	var s *Sim
@@ -79,7 +80,7 @@
 		out := executeCommand(t, s, d)
 		if cmd == "submit" {
 			if strings.HasPrefix(out, "400") {
-				t.Fatalf("%s: a drawn submission is malformed", line)
+				t.Fatalf("%s: generated submission is malformed: %s", line, out)
 			}
 			id := ""
 			d.ScanArgs(t, "id", &id)
@@ -89,36 +90,38 @@
 	return s.settle()
 }
 
-// maxProblems bounds the problems that are reported: a task that isn't stopped violates an
-// invariant with every tick.
+// maxProblems bounds the problems that are reported: a task that isn't stopped violates an invariant
+// in every tick.
 const maxProblems = 8
 
 const (
-	// maxSettling is how long jobs may take to end once all faults have ended.
-	maxSettling = 250 * emulator.Second
-	// cancelEndlessAfter is when jobs that wouldn't end in time are cancelled.
-	cancelEndlessAfter = 40 * emulator.Second
-	// longRun is the run time of a job that wouldn't end in time.
+	// settleTimeout is the maximum time from the end of all faults to the end of all jobs.
+	settleTimeout = 250 * emulator.Second
+	// cancelLongJobsAfter is the time from the end of all faults until jobs are cancelled that
+	// wouldn't end before settleTimeout.
+	cancelLongJobsAfter = 40 * emulator.Second
+	// longRun is the run time beyond which cancelLongJobs cancels a job.
 	longRun = 10 * emulator.Second
 )
 
-// settle ends all faults, waits until the jobs have ended and returns what is wrong then.
+// settle ends all faults, runs the simulation until the jobs have ended and returns the problems
+// found.
 func (s *Sim) settle() (problems []string) {
 	s.endFaults()
 	faultsEnded := s.now
 	s.run(emulator.Second)
 	waiting := waitingSince{}
-	for ; s.now-faultsEnded < maxSettling; s.run(emulator.Second) {
+	for ; s.now-faultsEnded < settleTimeout; s.run(emulator.Second) {
 		problems = append(problems, s.unansweredUsers(faultsEnded)...)
 		problems = append(problems, waiting.check(s)...)
 		if len(problems) > 0 {
 			break
 		}
 		if !slices.ContainsFunc(s.users, func(u *user) bool { return s.lastStatus[u.id] != "" }) {
-			break // every accepted job has ended, and its users were told
+			break // the users of every accepted job have got its final status
 		}
-		if s.now-faultsEnded > cancelEndlessAfter && len(waiting) == 0 {
-			s.cancelEndless()
+		if s.now-faultsEnded > cancelLongJobsAfter && len(waiting) == 0 {
+			s.cancelLongJobs()
 		}
 	}
 	for _, u := range s.users {
@@ -133,7 +136,7 @@
 	return problems[:min(len(problems), maxProblems)]
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults, starts the nodes that are down and delivers what was held back.
 func (s *Sim) endFaults() {
 	s.messageFaults = nil
 	s.crash = crashTrigger{}
@@ -156,22 +159,22 @@
 	s.releaseHeld()
 }
 
-// unansweredUsers returns a problem for each user of an accepted job without an answer for
-// too long.
+// unansweredUsers returns a problem for each user of an accepted job who has got no response for too
+// long.
 func (s *Sim) unansweredUsers(faultsEnded emulator.Micros) (problems []string) {
 	for _, u := range s.users {
 		if s.lastStatus[u.id] == "" {
-			continue // it may never have been accepted
+			continue // possibly never accepted
 		}
 		if s.now-max(faultsEnded, u.answeredAt, s.acceptedAt[u.id]) > maxUnanswered {
-			problems = append(problems, fmt.Sprintf("forgotten %s: no answer for 75 s", u.id))
+			problems = append(problems, fmt.Sprintf("forgotten %s: no response for 75 s", u.id))
 		}
 	}
 	return problems
 }
 
-// cancelEndless cancels the accepted jobs that never end by themselves, or not in time.
-func (s *Sim) cancelEndless() {
+// cancelLongJobs cancels accepted jobs that never complete or would take too long.
+func (s *Sim) cancelLongJobs() {
 	for _, id := range s.jobIDs() {
 		j := s.env.Jobs[id]
 		if s.lastStatus[id] != "" && (j.Shape == wire.Service || j.RunOf(j.Tasks) > longRun) {
@@ -180,8 +183,8 @@
 	}
 }
 
-// shrink leaves out lines of a script as long as it fails in the same way, with a bounded
-// number of tries.
+// shrink leaves out lines of a script as long as the remaining script fails in the same way. It makes
+// at most maxShrinkTries runs.
 func shrink(t *testing.T, script, problem string) string {
 	t.Helper()
 	kind := violatedRule(problem)
@@ -202,9 +205,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// violatedRule returns the rule that a problem is about, or the problem itself.
+// violatedRule returns the rule that a problem violates, or the problem itself if it names none.
 func violatedRule(problem string) string {
-	for _, rule := range []string{"ran_twice", "quota", "wrong_place", "ran_cancelled", "started_cancelled", "forgotten", "idle_room", "invented", "not_done", "went_back", "orphaned", "not ended", "survey", "accounts", "placed twice", "without a claim"} {
+	for _, rule := range []string{"ran_twice", "quota", "wrong_place", "ran_cancelled", "started_cancelled", "forgotten",
+		"idle_room", "invented", "not_done", "went_back", "orphaned", "not ended", "audit", "usage records",
+		"placed twice", "not conditional on leadership"} {
 		if strings.Contains(problem, rule) {
 			return rule
 		}
@@ -212,7 +217,7 @@
 	return problem
 }
 
-// asScenario returns a script in the form of the files in testdata.
+// asScenario returns a script in the format of the files in testdata.
 func asScenario(script string) string {
 	return strings.ReplaceAll(strings.TrimSpace(script), "\n", "\n----\n\n") + "\n----\n"
 }
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -10,32 +10,33 @@
 	"coralhub/internal/core/msg"
 )
 
-// effectNumbers are the numbers of the effects in digests. The names of types and fields are not
-// part of a digest, nor is the log: a digest shows what nodes do, whatever the code calls it.
+// effectNumbers are the numbers by which digests identify the types of effects. Names of types and
+// fields aren't part of a digest, nor are log messages: renaming them in the code changes no digest.
 var effectNumbers = map[reflect.Type]int{}
 
 func init() {
-	for i, e := range []msg.Effect{msg.Commit{}, msg.Read{}, msg.GrantLease{}, msg.RenewLease{}, msg.ReleaseLease{}, msg.PollWatchFast{}, msg.Relist{}, msg.Respond{},
-		msg.Command{}, msg.FetchCatalog{}, msg.ListMachines{}, msg.ScaleOut{}, msg.ScaleIn{}, msg.SendPeerUpdate{}, msg.Forward{}, msg.HeartbeatBatch{}, msg.StopServing{}} {
+	for i, e := range []msg.Effect{msg.Commit{}, msg.Read{}, msg.GrantLease{}, msg.RenewLease{}, msg.ReleaseLease{},
+		msg.PollWatchFast{}, msg.Relist{}, msg.Respond{}, msg.Command{}, msg.FetchCatalog{}, msg.ListMachines{},
+		msg.ScaleOut{}, msg.ScaleIn{}, msg.SendPeerUpdate{}, msg.Forward{}, msg.HeartbeatBatch{}, msg.StopServing{}} {
 		effectNumbers[reflect.TypeOf(e)] = i + 1
 	}
 }
 
-// digestEffect writes the fields of an effect in their order.
+// digestEffect writes the time, the node, the type and the fields of an effect. It omits log messages.
 func digestEffect(w io.Writer, at int64, node string, e msg.Effect) {
 	if _, ok := e.(msg.Log); ok {
 		return
 	}
 	number := effectNumbers[reflect.TypeOf(e)]
 	if number == 0 {
-		panic(fmt.Sprintf("effect %T has no number", e))
+		panic(fmt.Sprintf("effect type %T is missing from effectNumbers", e))
 	}
 	fmt.Fprintf(w, "%d %s %d ", at, node, number)
 	digestValue(w, reflect.ValueOf(e))
 	fmt.Fprintln(w)
 }
 
-// digestValue writes a value, without the names of types and fields.
+// digestValue writes the exported fields of a value recursively, without the names of types and fields.
 func digestValue(w io.Writer, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Invalid:
--- a/internal/scenario/direct_calls_test.go
+++ b/internal/scenario/direct_calls_test.go
@@ -8,9 +8,10 @@
 	"coralhub/wire"
 )
 
-// The execution of nodes' effects: requests to the state service, the cloud, workers and peers.
+// Execution of the effects of nodes: requests to the state service, the cloud, workers and peers.
 
-// outcome returns the outcome of a request to the state service or a worker by its answer.
+// outcome returns the outcome of a request to the state service or a worker from the status and the
+// error text of the response.
 func outcome(status int, text string) msg.Outcome {
 	switch {
 	case status == 200:
@@ -52,67 +53,68 @@
 	case msg.Relist:
 		n.relist = true
 	case msg.Respond:
-		n.answers[e.RequestID] = e
+		n.responses[e.RequestID] = e
 	case msg.Command:
-		s.command(n, e)
+		s.sendCommands(n, e)
 	case msg.Forward:
 		s.forward(n, e)
 	case msg.HeartbeatBatch:
 		s.sendBatch(n, e)
 	case msg.SendPeerUpdate:
-		if to := s.node(e.Node); to.alive && s.peers(n, to) == "" {
+		if to := s.node(e.Node); to.alive && s.peerCutMode(n, to) == "" {
 			s.post(to, msg.PeerUpdate{Change: e.Change})
 		}
 	default:
-		s.cloud(n, e)
+		s.requestCloud(n, e)
 	}
 }
 
-// forward forwards a heartbeat to another node, which handles it at once.
+// forward delivers a forwarded heartbeat to another node, which handles it at once.
 func (s *Sim) forward(n *node, f msg.Forward) {
 	d := msg.ForwardDone{RequestID: f.RequestID, Heartbeat: f.Heartbeat}
-	if to := s.node(f.Node); to.alive && s.peers(n, to) == "" {
+	if to := s.node(f.Node); to.alive && s.peerCutMode(n, to) == "" {
 		s.lastRequestID++
 		req := s.lastRequestID
 		for _, e := range s.step(to, msg.HeartbeatIn{RequestID: req, Heartbeat: f.Heartbeat, Forwarded: true}) {
 			s.execute(to, e)
 		}
-		if response, ok := to.answers[req].Body.(wire.HeartbeatResponse); ok {
+		if response, ok := to.responses[req].Body.(wire.HeartbeatResponse); ok {
 			d.Response = &response
 		}
 		d.Busy = s.now < to.busyUntil
-		delete(to.answers, req)
+		delete(to.responses, req)
 	}
 	s.post(n, d)
 }
 
-// sendBatch sends a batch of heartbeats to another node, which handles it at once. Over a held
-// link it arrives late, and the answer is lost.
+// sendBatch sends a batch of heartbeats to another node, which handles it at once. Over a link that
+// holds messages back the batch arrives late, and the response is lost.
 func (s *Sim) sendBatch(n *node, batch msg.HeartbeatBatch) {
 	to := s.node(batch.Node)
-	if to.alive && s.peers(n, to) == "" {
+	if to.alive && s.peerCutMode(n, to) == "" {
 		s.lastRequestID++
 		req := s.lastRequestID
 		in := msg.HeartbeatBatchIn{RequestID: req, Node: n.name, Revision: batch.Revision, Acks: batch.Acks}
 		for _, e := range s.step(to, in) {
-			s.execute(to, e) // may make requests of its own
+			s.execute(to, e) // the effects may include further requests
 		}
-		response, _ := to.answers[req].Body.(msg.HeartbeatBatchResponse)
-		delete(to.answers, req)
+		response, _ := to.responses[req].Body.(msg.HeartbeatBatchResponse)
+		delete(to.responses, req)
 		s.reply(n, s.messageFaults.batchDelay(), msg.HeartbeatBatchDone{Batch: batch, HeartbeatBatchResponse: response})
 		return
 	}
-	if s.peers(n, to) == "hold" {
+	if s.peerCutMode(n, to) == "hold" {
 		s.heldMessages = append(s.heldMessages, func() {
 			if to.alive {
 				s.lastRequestID++
-				s.post(to, msg.HeartbeatBatchIn{RequestID: s.lastRequestID, Node: n.name, Revision: batch.Revision, Acks: batch.Acks})
+				s.post(to, msg.HeartbeatBatchIn{RequestID: s.lastRequestID, Node: n.name, Revision: batch.Revision,
+					Acks: batch.Acks})
 			}
 		})
 	}
 }
 
-// commit carries out a transaction. Over a held link it is carried out late.
+// commit executes a transaction of a node. Over a link that holds messages back it is executed late.
 func (s *Sim) commit(n *node, x msg.Commit) {
 	d := msg.CommitDone{ID: x.ID, Outcome: msg.Refused}
 	if s.crash.matches(&x.Transaction) {
@@ -123,7 +125,7 @@
 		}
 		s.crash = crashTrigger{}
 	}
-	places := s.checkCommit(&x.Transaction)
+	placesTasks := s.checkCommit(&x.Transaction)
 	if changes := float64(len(x.Transaction.Changes)); s.writeQuota > 0 && changes > 0 {
 		if s.writeTokens < changes {
 			s.post(n, d)
@@ -133,7 +135,7 @@
 	}
 	switch n.cutLinks["state"] {
 	case "":
-		fate, after := s.messageFaults.commit(&x.Transaction)
+		fate, after := s.messageFaults.commitFate(&x.Transaction)
 		if fate == executedLate && !s.state.Down {
 			s.schedule(after, func() { s.commitLate(x.Transaction) })
 			s.reply(n, stateTimeout, msg.CommitDone{ID: x.ID, Outcome: msg.Unknown})
@@ -145,22 +147,22 @@
 		}
 		status, a := s.state.Commit(x.Transaction)
 		d.Outcome, d.Revision, d.Failed = outcome(status, a.Error), a.Revision, a.Failed
-		if n.cutLinks["answer"] != "" && places { // this one answer is lost
+		if n.cutLinks["answer"] != "" && placesTasks { // only this response is lost
 			d = msg.CommitDone{ID: x.ID, Outcome: msg.Unknown}
 			delete(n.cutLinks, "answer")
 		}
-		if fate == answerLost {
+		if fate == responseLost {
 			s.reply(n, stateTimeout, msg.CommitDone{ID: x.ID, Outcome: msg.Unknown})
 			return
 		}
-		if fate == answerSlow {
+		if fate == responseSlow {
 			s.reply(n, after, d)
 			return
 		}
 	case "hold", "stall":
 		d.Outcome = msg.Unknown
 		s.heldMessages = append(s.heldMessages, func() { s.state.Commit(x.Transaction) })
-		if n.cutLinks["state"] == "stall" { // the node waits for its timeout, as on real links
+		if n.cutLinks["state"] == "stall" { // the node waits until its timeout, as on real links
 			s.reply(n, stateTimeout, d)
 			return
 		}
@@ -168,8 +170,8 @@
 	s.post(n, d)
 }
 
-// cutZone partitions a zone: its nodes reach neither the state service, the cloud nor nodes and
-// machines elsewhere, and its machines no nodes elsewhere.
+// cutZone partitions a zone: its nodes reach neither the state service nor the cloud, and its nodes
+// and machines reach no nodes and machines in other zones.
 func (s *Sim) cutZone(name, mode string) {
 	s.isolatedZone = name
 	for _, n := range s.nodes {
@@ -188,8 +190,8 @@
 	s.isolatedZone = ""
 }
 
-// peers returns "" if two nodes have a link, or else the mode of the cut.
-func (s *Sim) peers(n, to *node) (mode string) {
+// peerCutMode returns the mode of the cut between two nodes, "" if their link works.
+func (s *Sim) peerCutMode(n, to *node) (mode string) {
 	switch {
 	case n.cutLinks["peers"] != "":
 		return n.cutLinks["peers"]
@@ -201,7 +203,7 @@
 	return ""
 }
 
-// reaches reports whether a node and a machine have a link.
+// reaches reports whether the link between a node and a machine works.
 func (s *Sim) reaches(n *node, m *emulator.Machine) bool {
 	if s.isolatedZone != "" && (location(n.name) == s.isolatedZone) != (m.Zone == s.isolatedZone) {
 		return false
@@ -210,8 +212,8 @@
 	return only == nil || only == n
 }
 
-// command sends direct commands to a worker.
-func (s *Sim) command(n *node, x msg.Command) {
+// sendCommands sends direct commands to a worker.
+func (s *Sim) sendCommands(n *node, x msg.Command) {
 	m := s.env.Machines[x.Addr]
 	d := msg.CommandDone{ID: x.ID, Machine: x.Machine, Outcome: msg.Refused}
 	run := func() (int, wire.Heartbeat) {
@@ -226,16 +228,16 @@
 		d.Outcome = msg.Unknown
 		s.heldMessages = append(s.heldMessages, func() { run() })
 	case n.cutLinks["workers"] == "" && m != nil && s.now >= m.Up && m.InboundLost == "":
-		switch fate, after := s.messageFaults.command(); fate {
+		switch fate, after := s.messageFaults.commandFate(); fate {
 		case executedLate:
 			s.schedule(after, func() { s.commandLate(m.Name, run) })
 			s.reply(n, commandTimeout, msg.CommandDone{ID: x.ID, Machine: x.Machine, Outcome: msg.Unknown})
 			return
-		case answerLost:
+		case responseLost:
 			run()
 			s.reply(n, commandTimeout, msg.CommandDone{ID: x.ID, Machine: x.Machine, Outcome: msg.Unknown})
 			return
-		case answerSlow:
+		case responseSlow:
 			status, r := run()
 			d.Heartbeat = &r
 			if status == 200 {
@@ -253,8 +255,8 @@
 	s.post(n, d)
 }
 
-// cloud makes a request to the cloud.
-func (s *Sim) cloud(n *node, e msg.Effect) {
+// requestCloud executes a request of a node to the cloud.
+func (s *Sim) requestCloud(n *node, e msg.Effect) {
 	off := s.env.CloudOff || n.cutLinks["cloud"] != ""
 	if r, ok := e.(msg.ScaleIn); ok && n.cutLinks["cloud"] == "hold" {
 		s.heldMessages = append(s.heldMessages, func() { s.env.Release(s.now, r.Machines) })
@@ -294,7 +296,7 @@
 	}
 }
 
-// sendHeartbeats sends the heartbeats of the workers that are due, as in the protocol.
+// sendHeartbeats sends the heartbeats of workers that are due, as the protocol requires.
 func (s *Sim) sendHeartbeats() {
 	for _, name := range s.env.Names() {
 		m := s.env.Machines[name]
@@ -306,8 +308,8 @@
 		m.Reported(s.now, s.env.ReportEvery)
 		s.heartbeatCopies.add(s.now, &h)
 		s.scheduleCopy(&h)
-		if there, back := s.messageFaults.heartbeat(); there+back > 0 {
-			s.sendSlowHeartbeat(n, m, h, there, back)
+		if requestDelay, responseDelay := s.messageFaults.heartbeatDelays(); requestDelay+responseDelay > 0 {
+			s.sendSlowHeartbeat(n, m, h, requestDelay, responseDelay)
 			continue
 		}
 		var a msg.Respond
@@ -317,13 +319,14 @@
 		if s.env.Machines[name] == nil {
 			continue
 		}
-		s.answerHeartbeat(n, m, &h, s.now, a)
+		s.deliverHeartbeatResponse(n, m, &h, s.now, a)
 	}
 }
 
-// scheduleCopy has a copy of a heartbeat arrive again at a random node, if it is to.
+// scheduleCopy schedules the arrival of a copy of a heartbeat at a random node, if the message faults
+// draw one.
 func (s *Sim) scheduleCopy(h *wire.Heartbeat) {
-	arrives, after := s.messageFaults.copyAgain(s.env.Lease)
+	arrives, after := s.messageFaults.copyFate(s.env.Lease)
 	if !arrives {
 		return
 	}
@@ -335,9 +338,10 @@
 	})
 }
 
-// answerHeartbeat delivers the answer to a heartbeat to the worker; the zero value means that it
-// timed out. The worker follows redirections and tries the next node after a failure.
-func (s *Sim) answerHeartbeat(n *node, m *emulator.Machine, h *wire.Heartbeat, sent emulator.Micros, a msg.Respond) {
+// deliverHeartbeatResponse delivers the response to a heartbeat to the worker; the zero value means
+// that the heartbeat timed out. The worker follows redirects and tries the next node after a failure.
+func (s *Sim) deliverHeartbeatResponse(n *node, m *emulator.Machine, h *wire.Heartbeat, sent emulator.Micros,
+	a msg.Respond) {
 	if m.InboundLost != "" {
 		a = msg.Respond{}
 	}
--- a/internal/scenario/idle_capacity_test.go
+++ b/internal/scenario/idle_capacity_test.go
@@ -8,19 +8,20 @@
 	"coralhub/wire"
 )
 
-// waitingSince is since when jobs wait though there is free capacity for them. It is computed from
-// the stored records and the machines alone: what nodes know of machines doesn't count.
+// waitingSince is the time since which jobs wait though there is free capacity for them, by job. It is
+// computed from the stored records and the machines alone, not from the state of nodes.
 type waitingSince map[string]emulator.Micros
 
-// maxIdleWait is how long that may last once all faults have ended.
+// maxIdleWait is how long a job may wait while there is free capacity for it, once all faults have
+// ended.
 const maxIdleWait = 90 * emulator.Second
 
-// check updates all jobs and returns a problem for each that has waited too long.
+// check updates all jobs and returns a problem for each that has waited longer than maxIdleWait.
 func (w waitingSince) check(s *Sim) (problems []string) {
-	open := s.recordedJobs()
-	free := s.freeGPUs(open)
+	recorded := s.recordedJobs()
+	free := s.freeGPUs(recorded)
 	for _, id := range s.jobIDs() {
-		if !s.couldStart(id, open, free) {
+		if !s.couldStart(id, recorded, free) {
 			delete(w, id)
 			continue
 		}
@@ -28,19 +29,20 @@
 			w[id] = s.now
 		}
 		if s.now-w[id] > maxIdleWait {
-			problems = append(problems, fmt.Sprintf("idle_room %s (%s, %d tasks) waits while there is room", id, s.env.Jobs[id].Shape, s.env.Jobs[id].Tasks))
+			problems = append(problems, fmt.Sprintf("idle_room %s (%s, %d tasks) waits while there is free capacity", id,
+				s.env.Jobs[id].Shape, s.env.Jobs[id].Tasks))
 		}
 	}
 	return problems
 }
 
-// recordedJob is what the stored records contain of a job.
+// recordedJob is the state of a job according to its stored record and shards.
 type recordedJob struct {
 	accepted, ended bool
 	placements      []job.Placement
 }
 
-// recordedJobs reads all stored records.
+// recordedJobs reads all stored records and shards, and returns the jobs by ID.
 func (s *Sim) recordedJobs() map[string]*recordedJob {
 	jobs := map[string]*recordedJob{}
 	for _, it := range s.state.List(job.KeyRoot) {
@@ -68,17 +70,18 @@
 	return jobs
 }
 
-// freeGPUs returns the GPUs of each machine that is up, without those of the recorded placements.
-func (s *Sim) freeGPUs(open map[string]*recordedJob) map[string]float64 {
+// freeGPUs returns the GPUs of each machine that is up and on which tasks don't fail, less those of the
+// recorded placements.
+func (s *Sim) freeGPUs(recorded map[string]*recordedJob) map[string]float64 {
 	free := map[string]float64{}
 	for _, name := range s.env.Names() {
 		if m := s.env.Machines[name]; s.now >= m.Up && s.env.Fails[name] == 0 {
 			free[name] = s.env.Types[0].GPUs
 		}
 	}
-	for id, o := range open {
+	for id, r := range recorded {
 		if j := s.env.Jobs[id]; j != nil {
-			for _, p := range o.placements {
+			for _, p := range r.placements {
 				free[p.Machine] -= j.GPUs
 			}
 		}
@@ -86,8 +89,9 @@
 	return free
 }
 
-// couldStart reports whether more of a job could start: one task of an array or service, or all of a
-// gang without placements. Jobs whose existing placements constrain the others are left out.
+// couldStart reports whether there is free capacity for more of a job: for one more task of an array or
+// service, or for all tasks of a gang without placements. It returns false if the existing placements
+// of a job constrain further ones.
 func (s *Sim) couldStart(id string, recorded map[string]*recordedJob, free map[string]float64) bool {
 	j, r := s.env.Jobs[id], recorded[id]
 	if r == nil || !r.accepted || r.ended || s.env.Done(id) {
@@ -118,7 +122,7 @@
 	return max(len(r.placements), len(s.env.On(id, true)))
 }
 
-// usedByTeam returns the GPUs of a team's placed tasks.
+// usedByTeam returns the number of GPUs of a team's placed tasks.
 func (s *Sim) usedByTeam(team string, recorded map[string]*recordedJob) float64 {
 	used := 0.0
 	for id, r := range recorded {
@@ -129,7 +133,7 @@
 	return used
 }
 
-// fittingTasks returns how many tasks of a job the free capacity suffices for.
+// fittingTasks returns the number of tasks of a job for which there are free GPUs.
 func (s *Sim) fittingTasks(j *emulator.SubmittedJob, free map[string]float64) int {
 	byZone := map[string]int{}
 	for name, gpus := range free {
--- a/internal/scenario/lossy_links_test.go
+++ b/internal/scenario/lossy_links_test.go
@@ -9,23 +9,23 @@
 	"coralhub/wire"
 )
 
-// heartbeatCopies are heartbeats as they were sent. The network may deliver one again, seconds or
-// some leases later, to any node.
+// heartbeatCopies are copies of the heartbeats that were sent. The network may deliver one again to any
+// node, seconds or some leases later.
 type heartbeatCopies struct {
 	kept   []heartbeatCopy
-	maxAge emulator.Micros // of a copy that may still arrive
+	maxAge emulator.Micros // of a copy that can still arrive
 }
 
-// heartbeatCopy is a heartbeat and when it was sent.
+// heartbeatCopy is a copy of a heartbeat and the time at which the heartbeat was sent.
 type heartbeatCopy struct {
 	sentAt    emulator.Micros
 	heartbeat wire.Heartbeat
 }
 
-// maxCopies bounds the copies of a large fleet.
+// maxCopies bounds the number of copies that are kept, for large fleets.
 const maxCopies = 20_000
 
-// add adds a copy and drops those that are too old or too many.
+// add adds a copy, and drops copies that are older than maxAge and the oldest beyond maxCopies.
 func (c *heartbeatCopies) add(now emulator.Micros, r *wire.Heartbeat) {
 	if c == nil {
 		return
@@ -38,7 +38,7 @@
 	c.kept = append(slices.Delete(c.kept, 0, drop), heartbeatCopy{now, *r})
 }
 
-// deliverCopies delivers random copies to a node. Its answers reach nobody.
+// deliverCopies delivers random copies to a node. The responses are discarded.
 func (s *Sim) deliverCopies(n *node, rnd *rand.Rand, count int) {
 	for range count {
 		if len(s.heartbeatCopies.kept) == 0 || !n.alive {
@@ -48,7 +48,7 @@
 	}
 }
 
-// deliverCopiesToAll delivers random copies, each to every node.
+// deliverCopiesToAll delivers random copies, each to every node that is alive.
 func (s *Sim) deliverCopiesToAll(rnd *rand.Rand, count int) {
 	for range count {
 		if len(s.heartbeatCopies.kept) == 0 {
@@ -63,21 +63,21 @@
 	}
 }
 
-// deliverCopy delivers a heartbeat once more. The answer reaches nobody.
+// deliverCopy delivers a copy of a heartbeat to a node. The response is discarded.
 func (s *Sim) deliverCopy(n *node, h *wire.Heartbeat) { _, _ = s.postHeartbeat(n, h) }
 
-// postHeartbeat delivers a heartbeat to a node, and returns its answer if there is one.
-func (s *Sim) postHeartbeat(n *node, h *wire.Heartbeat) (answer msg.Respond, ok bool) {
+// postHeartbeat delivers a heartbeat to a node and returns the response; ok is false if there is none.
+func (s *Sim) postHeartbeat(n *node, h *wire.Heartbeat) (response msg.Respond, ok bool) {
 	s.lastRequestID++
 	req := s.lastRequestID
 	s.post(n, msg.HeartbeatIn{RequestID: req, Heartbeat: *h})
 	s.deliverAll()
-	answer, ok = n.answers[req]
-	delete(n.answers, req)
-	return answer, ok
+	response, ok = n.responses[req]
+	delete(n.responses, req)
+	return response, ok
 }
 
-// injectLinkFault injects a random fault of those that TestChaosOfLinks adds.
+// injectLinkFault injects one of the faults that TestChaosOfLinks adds, at random.
 func (s *Sim) injectLinkFault(n *node, rnd *rand.Rand) {
 	names := s.env.Names()
 	machine := func() *emulator.Machine { return s.env.Machines[names[rnd.IntN(len(names))]] }
@@ -109,7 +109,7 @@
 			s.start(s.nodes[i])
 			s.deliverCopies(s.nodes[i], rnd, rnd.IntN(10))
 		}
-	case 4: // a node reaches nothing but its workers
+	case 4: // a node reaches neither the state service nor its peers
 		mode := []string{"drop", "hold"}[rnd.IntN(2)]
 		n.cutLinks["state"], n.cutLinks["peers"] = mode, mode
 	case 5: // a machine restarts within a second
--- a/internal/scenario/message_faults_test.go
+++ b/internal/scenario/message_faults_test.go
@@ -12,24 +12,26 @@
 	"coralhub/wire"
 )
 
-// messageFaults delays and loses messages: fractions of them by kind. Without it the runner
-// delivers everything at once; with it, up to well over a lease later.
+// messageFaults delays and loses fractions of the messages, by kind. Without it messages are delivered
+// at once; with it, some arrive more than a lease late.
 type messageFaults struct {
 	rnd *rand.Rand
 
-	lateWrites     float64 // transactions carried out 2 to 12 s later, without an answer
-	lostWrites     float64 // transactions carried out at once, without an answer
-	slowWrites     float64 // transactions carried out at once, answered up to 2 s later
-	slowCommits    float64 // transactions carried out and checked up to 2 s later, and answered then
-	slowWatch      float64 // results of listings and watches that arrive up to 2 s later
-	lateCopies     float64 // heartbeats of which a copy arrives 2 s to three leases later, at any node
-	slowHeartbeats float64 // heartbeats that take up to 6 s, together with the answer
-	slowBatches    float64 // answers to heartbeat batches that arrive up to 2 s later
-	lateCommands   float64 // direct commands carried out 1 to 9 s later, without an answer
-	lostCommands   float64 // direct commands carried out at once, without an answer
+	lateWrites     float64 // transactions executed 2 to 12 s late, without a response
+	lostWrites     float64 // transactions executed at once, without a response
+	slowWrites     float64 // transactions executed at once, with a response up to 2 s late
+	slowCommits    float64 // transactions checked and executed up to 2 s late, with a response at that time
+	slowWatch      float64 // results of listings and watches that arrive up to 2 s late
+	lateCopies     float64 // heartbeats of which a copy arrives 2 s to three leases later, at a random node
+	slowHeartbeats float64 // heartbeats that take up to 6 s including the response
+	slowBatches    float64 // responses to heartbeat batches that arrive up to 2 s late
+	// lateCommands is the fraction of direct commands that are executed 1 to 9 s late without a response,
+	// and the fraction of those that are executed at once with a response up to 2 s late.
+	lateCommands float64
+	lostCommands float64 // direct commands executed at once, without a response
 }
 
-// messageFaultsArg returns the faults that a command names.
+// messageFaultsArg returns the message faults that a message_faults command sets.
 func messageFaultsArg(t *testing.T, d *datadriven.TestData) *messageFaults {
 	t.Helper()
 	seed := uint64(1)
@@ -54,108 +56,109 @@
 }
 
 const (
-	stateTimeout     = 2 * emulator.Second // of a node for the state service
-	commandTimeout   = 3 * emulator.Second // of a node for a worker
-	heartbeatTimeout = 4 * emulator.Second // of a worker for a node
+	stateTimeout     = 2 * emulator.Second // of a request of a node to the state service
+	commandTimeout   = 3 * emulator.Second // of a call of a node to a worker
+	heartbeatTimeout = 4 * emulator.Second // of a heartbeat of a worker to a node
 )
 
-// messageFate is what happens to a message.
+// messageFate is how a request and its response are delivered.
 type messageFate int
 
 const (
 	onTime         messageFate = iota
-	executedLate               // after the sender gave up
-	answerLost                 // executed at once
-	answerSlow                 // executed at once
-	executedSlowly             // and answered then
+	executedLate               // the request arrives after the timeout, without a response
+	responseLost               // executed at once, without a response
+	responseSlow               // executed at once, with a late response
+	executedSlowly             // executed late but before the timeout, with a response at that time
 )
 
-// drawFate draws a fate by the fraction of each, and its delay.
-func (f *messageFaults) drawFate(late, lost, slow float64, least, most emulator.Micros) (messageFate, emulator.Micros) {
+// drawFate draws a fate by the given fractions, and its delay. A late execution is delayed by low to
+// high, a slow response by less than stateTimeout.
+func (f *messageFaults) drawFate(late, lost, slow float64, low, high emulator.Micros) (messageFate, emulator.Micros) {
 	switch x := f.rnd.Float64(); {
 	case x < late:
-		return executedLate, f.duration(least, most)
+		return executedLate, f.drawDuration(low, high)
 	case x < late+lost:
-		return answerLost, 0
+		return responseLost, 0
 	case x < late+lost+slow:
-		return answerSlow, f.duration(tick, stateTimeout-tick)
+		return responseSlow, f.drawDuration(tick, stateTimeout-tick)
 	}
 	return onTime, 0
 }
 
-// duration draws a duration in whole ticks.
-func (f *messageFaults) duration(least, most emulator.Micros) emulator.Micros {
-	return least + f.rnd.Int64N((most-least)/tick+1)*tick
+// drawDuration draws a duration from low to high in whole ticks.
+func (f *messageFaults) drawDuration(low, high emulator.Micros) emulator.Micros {
+	return low + f.rnd.Int64N((high-low)/tick+1)*tick
 }
 
-// commit draws the fate of a transaction.
-func (f *messageFaults) commit(t *wire.Transaction) (messageFate, emulator.Micros) {
+// commitFate draws the fate of a transaction.
+func (f *messageFaults) commitFate(t *wire.Transaction) (messageFate, emulator.Micros) {
 	if f == nil {
 		return onTime, 0
 	}
 	if f.slowCommits > 0 && f.rnd.Float64() < f.slowCommits {
-		return executedSlowly, f.duration(tick, stateTimeout-tick)
+		return executedSlowly, f.drawDuration(tick, stateTimeout-tick)
 	}
-	if len(t.Changes) == 0 { // a late one without an answer would have no effect
+	if len(t.Changes) == 0 { // executed late and without a response it would have no effect
 		return f.drawFate(0, f.lostWrites, f.slowWrites, 0, 0)
 	}
 	return f.drawFate(f.lateWrites, f.lostWrites, f.slowWrites, 2*emulator.Second, 12*emulator.Second)
 }
 
-// command draws the fate of a direct command.
-func (f *messageFaults) command() (messageFate, emulator.Micros) {
+// commandFate draws the fate of a direct command.
+func (f *messageFaults) commandFate() (messageFate, emulator.Micros) {
 	if f == nil {
 		return onTime, 0
 	}
 	return f.drawFate(f.lateCommands, f.lostCommands, f.lateCommands, emulator.Second, 9*emulator.Second)
 }
 
-// heartbeat draws how long a heartbeat and its answer take.
-func (f *messageFaults) heartbeat() (there, back emulator.Micros) {
+// heartbeatDelays draws the delays of a heartbeat and of the response to it; both are 0 if they aren't
+// delayed.
+func (f *messageFaults) heartbeatDelays() (requestDelay, responseDelay emulator.Micros) {
 	if f == nil || f.rnd.Float64() >= f.slowHeartbeats {
 		return 0, 0
 	}
-	return f.duration(0, 3*emulator.Second), f.duration(tick, 3*emulator.Second)
+	return f.drawDuration(0, 3*emulator.Second), f.drawDuration(tick, 3*emulator.Second)
 }
 
-// copyAgain draws whether a copy of a heartbeat arrives, and after which time.
-func (f *messageFaults) copyAgain(lease emulator.Micros) (again bool, after emulator.Micros) {
+// copyFate draws whether a copy of a heartbeat arrives, and how long after the heartbeat.
+func (f *messageFaults) copyFate(lease emulator.Micros) (arrives bool, after emulator.Micros) {
 	if f == nil || f.lateCopies == 0 || f.rnd.Float64() >= f.lateCopies {
 		return false, 0
 	}
-	return true, f.duration(2*emulator.Second, 3*lease)
+	return true, f.drawDuration(2*emulator.Second, 3*lease)
 }
 
-// watchDelay draws the delay of the result of a listing or watch.
+// watchDelay draws the delay of a result of a listing or watch, 0 if it isn't delayed.
 func (f *messageFaults) watchDelay() emulator.Micros {
 	if f == nil || f.rnd.Float64() >= f.slowWatch {
 		return 0
 	}
-	return f.duration(tick, stateTimeout)
+	return f.drawDuration(tick, stateTimeout)
 }
 
-// batchDelay draws the delay of the answer to a heartbeat batch.
+// batchDelay draws the delay of the response to a heartbeat batch, 0 if it isn't delayed.
 func (f *messageFaults) batchDelay() emulator.Micros {
 	if f == nil || f.rnd.Float64() >= f.slowBatches {
 		return 0
 	}
-	return f.duration(tick, stateTimeout)
+	return f.drawDuration(tick, stateTimeout)
 }
 
-// scheduledEvent is an event at a later time.
+// scheduledEvent is an event that is to run at a later time.
 type scheduledEvent struct {
 	at  emulator.Micros
 	run func()
 }
 
-// watchResult is a result of a listing or watch in flight.
+// watchResult is a result of a listing or watch that is in flight until a given time.
 type watchResult struct {
 	at    emulator.Micros
 	input msg.Input
 }
 
-// schedule schedules an event after a while. Events of the same time run in the order in which
-// they were scheduled.
+// schedule schedules an event. Events of the same time run in the order in which they were scheduled.
 func (s *Sim) schedule(after emulator.Micros, do func()) {
 	at := s.now + after
 	i, _ := slices.BinarySearchFunc(s.scheduled, at, func(e scheduledEvent, at emulator.Micros) int {
@@ -167,7 +170,7 @@
 	s.scheduled = slices.Insert(s.scheduled, i, scheduledEvent{at, do})
 }
 
-// reply posts an answer to a node after a while, unless its process has ended by then.
+// reply posts a response to a node after a delay, unless the process of the node has ended by then.
 func (s *Sim) reply(n *node, after emulator.Micros, in msg.Input) {
 	if after <= 0 {
 		s.post(n, in)
@@ -191,7 +194,7 @@
 	}
 }
 
-// commitLate carries out a transaction whose sender has timed out.
+// commitLate executes a transaction whose sender has timed out, once the state service is up.
 func (s *Sim) commitLate(t wire.Transaction) {
 	if s.state.Down {
 		s.schedule(emulator.Second, func() { s.commitLate(t) })
@@ -201,7 +204,7 @@
 	s.state.Commit(t)
 }
 
-// commitSlowly carries out a transaction after a while, and answers then.
+// commitSlowly executes a transaction after a delay and responds at that time.
 func (s *Sim) commitSlowly(n *node, x msg.Commit, after emulator.Micros) {
 	core := n.core
 	s.schedule(after, func() {
@@ -214,8 +217,8 @@
 	})
 }
 
-// commandLate carries out a direct command whose sender has timed out, once its machine is
-// awake and reachable.
+// commandLate executes a direct command whose sender has timed out, once its machine neither hangs nor
+// has its messages held back. The command is lost if messages to the machine are dropped by then.
 func (s *Sim) commandLate(machine string, run func() (int, wire.Heartbeat)) {
 	m := s.env.Machines[machine]
 	if m == nil {
@@ -230,43 +233,44 @@
 	}
 }
 
-// sendSlowHeartbeat delivers a heartbeat after a while, and its answer after another. The worker
-// times out, and the heartbeat arrives all the same.
-func (s *Sim) sendSlowHeartbeat(n *node, m *emulator.Machine, heartbeat wire.Heartbeat, there, back emulator.Micros) {
-	sent, core, open := s.now, n.core, true
+// sendSlowHeartbeat delivers a heartbeat after a delay, and the response to it after another delay. If
+// the worker has timed out meanwhile, the heartbeat arrives all the same.
+func (s *Sim) sendSlowHeartbeat(n *node, m *emulator.Machine, heartbeat wire.Heartbeat, requestDelay,
+	responseDelay emulator.Micros) {
+	sent, core, waiting := s.now, n.core, true
 	m.Wait(true)
-	// stopWaiting ends the worker's wait for the answer. It returns false if the worker no longer
-	// waits, or hangs: then it goes on when it is awake again.
+	// stopWaiting ends the worker's wait for the response. It returns false if the worker no longer
+	// waits, or if it hangs: then it still waits when it resumes.
 	stopWaiting := func() bool {
-		if !open || s.env.Machines[m.Name] != m || m.Hang {
+		if !waiting || s.env.Machines[m.Name] != m || m.Hang {
 			return false
 		}
-		open = false
+		waiting = false
 		m.Wait(false)
 		return true
 	}
 	var timeOut func()
 	timeOut = func() {
-		if m.Hang && open {
+		if m.Hang && waiting {
 			s.schedule(tick, timeOut)
 			return
 		}
 		if stopWaiting() {
-			s.answerHeartbeat(n, m, &heartbeat, sent, msg.Respond{})
+			s.deliverHeartbeatResponse(n, m, &heartbeat, sent, msg.Respond{})
 		}
 	}
 	s.schedule(heartbeatTimeout, timeOut)
-	s.schedule(there, func() {
+	s.schedule(requestDelay, func() {
 		if !n.alive || n.core != core || n.cutLinks["workers"] != "" || !s.reaches(n, m) || m.OutboundLost {
 			return
 		}
-		answer, answered := s.postHeartbeat(n, &heartbeat)
-		if !answered {
+		response, ok := s.postHeartbeat(n, &heartbeat)
+		if !ok {
 			return
 		}
-		s.schedule(back, func() {
+		s.schedule(responseDelay, func() {
 			if s.now-sent < heartbeatTimeout && stopWaiting() {
-				s.answerHeartbeat(n, m, &heartbeat, sent, answer)
+				s.deliverHeartbeatResponse(n, m, &heartbeat, sent, response)
 			}
 		})
 	})
--- a/internal/scenario/preemption_test.go
+++ b/internal/scenario/preemption_test.go
@@ -11,45 +11,46 @@
 )
 
 // Urgent gangs are submitted to a full cluster whose leaders crash repeatedly while tasks are
-// preempted for them: before a decision is committed, after it, while tasks save checkpoints,
-// while machines are reserved. As many tasks are preempted as the gangs have, and none in vain.
-func TestNobodyYieldsInVain(t *testing.T) {
-	inVain := 0
+// preempted for the gangs: before or after a decision is committed, while tasks save checkpoints, or
+// while machines are reserved. No more tasks may be preempted than the gangs need.
+func TestNoUnnecessaryPreemptions(t *testing.T) {
+	unnecessary := 0
 	for seed := range uint64(60) {
-		inVain += preemptedInVain(t, seed, nil)
+		unnecessary += unnecessaryPreemptions(t, seed, nil)
 	}
-	if inVain > 0 {
-		t.Errorf("%d tasks preempted in vain", inVain)
+	if unnecessary > 0 {
+		t.Errorf("%d unnecessary preemptions, want none", unnecessary)
 	}
 	uncommitted := 0
 	for seed := range uint64(60) {
-		uncommitted += preemptedInVain(t, seed, []string{"n1", "n2", "n3", "n4", "n5"})
+		uncommitted += unnecessaryPreemptions(t, seed, []string{"n1", "n2", "n3", "n4", "n5"})
 	}
-	t.Logf("%d preempted in vain while decisions aren't committed, as in the format before", uncommitted)
+	t.Logf("%d unnecessary preemptions in the first format, in which decisions aren't committed", uncommitted)
 	if uncommitted == 0 {
-		t.Error("none were in the format before: the leaders crash where it doesn't matter")
+		t.Error("no unnecessary preemptions in the first format: the test doesn't crash leaders at critical times")
 	}
 }
 
-// preemptedInVain runs one such day and returns how many tasks were preempted in vain. Nodes that
-// are held to the first format don't commit their decisions.
-func preemptedInVain(t *testing.T, seed uint64, held []string) int {
+// unnecessaryPreemptions runs the simulation of TestNoUnnecessaryPreemptions with a seed and returns the
+// number of tasks that were preempted beyond those that the gangs need. Nodes that are held to the first
+// format don't commit their decisions.
+func unnecessaryPreemptions(t *testing.T, seed uint64, held []string) int {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	s := newSimWithUpgrade(5, 1, 0, held)
 	s.limitsAnnounced = false
-	s.env.Lease = 12 * emulator.Second // tasks that end without a leader would count as preempted
+	s.env.Lease = 12 * emulator.Second // so that no task ends for lack of a leader, which would count as a preemption
 	for _, n := range s.nodes {
 		s.start(n)
 	}
 	s.run(3 * emulator.Second)
 	filler := &emulator.SubmittedJob{Run: 900 * emulator.Second}
-	filler.Job = wire.Job{ID: "j-1", Class: "idle", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 16, CPUs: 16, MemoryGB: 1,
-		Image: "i", ImageGB: 1, EstimateS: 900, CheckpointS: 3, SaveS: 3}
+	filler.Job = wire.Job{ID: "j-1", Class: "idle", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 16,
+		CPUs: 16, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 900, CheckpointS: 3, SaveS: 3}
 	s.submit(s.nodes[0], filler)
 	for try := 0; len(s.env.On("j-1", true)) < 16; try++ {
 		if try > 200 {
-			t.Fatalf("seed %d: machines are not full", seed)
+			t.Fatalf("seed %d: %d tasks placed after %d ticks, want 16", seed, len(s.env.On("j-1", true)), try)
 		}
 		s.run(tick)
 	}
@@ -58,13 +59,14 @@
 	gangTasks := 0
 	for i := range 1 + rnd.IntN(3) {
 		g := &emulator.SubmittedJob{Run: 900 * emulator.Second}
-		g.Job = wire.Job{ID: fmt.Sprintf("j-2%d", i), Class: "urgent", Team: "red", Shape: wire.Gang, Priority: wire.Production, Tasks: 1 + rnd.IntN(4),
+		g.Job = wire.Job{ID: fmt.Sprintf("j-2%d", i), Class: "urgent", Team: "red", Shape: wire.Gang,
+			Priority: wire.Production, Tasks: 1 + rnd.IntN(4),
 			CPUs: 16, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 900}
 		gangs = append(gangs, g.ID)
 		gangTasks += g.Tasks
 		s.submit(s.nodes[rnd.IntN(5)], g)
 	}
-	// Two of the five nodes crash, so that there is always a leader.
+	// At most two of the five nodes are down at a time, so that a leader can be elected.
 	for range 2 {
 		if rnd.IntN(2) == 0 {
 			s.crash = crashTrigger{preemption.KeyPrefix, rnd.IntN(2) == 0}
@@ -90,7 +92,7 @@
 			break
 		}
 		if try > 600 {
-			t.Errorf("seed %d: %d of %d tasks of the gangs run after a minute\n%s", seed, running, gangTasks, s.show())
+			t.Errorf("seed %d: %d of %d tasks of the gangs are placed after a minute\n%s", seed, running, gangTasks, s.show())
 			break
 		}
 		s.run(tick)
--- a/internal/scenario/runner_test.go
+++ b/internal/scenario/runner_test.go
@@ -1,8 +1,8 @@
 // Package scenario tests clusters in a discrete-time simulation: a few nodes that run the
-// real core, with an emulated key-value store, cloud and workers, a simulated clock and
-// links that can be cut. Scripts in testdata and randomly generated days of faults drive
-// the simulation; the invariants of the emulator and of this package are checked all the
-// time.
+// real core, with an emulated state service (key-value store), cloud and workers, a simulated
+// clock and links that can be cut. The simulation is driven by the scripts in testdata and by
+// randomly generated scripts of faults, called days. The invariants of the emulator and of this
+// package are checked throughout.
 package scenario
 
 import (
@@ -24,7 +24,7 @@
 
 const tick = emulator.Second / 10
 
-// Sim is a simulated cluster with its environment.
+// Sim is a simulated cluster with its environment. It is not safe for concurrent use.
 type Sim struct {
 	now           emulator.Micros
 	state         *emulator.State
@@ -32,39 +32,41 @@
 	nodes         []*node
 	lastRequestID uint64
 	inFlight      []delivery
-	heldMessages  []func()                   // what cut links hold back until they heal
-	lastStatus    map[string]string          // the last status that any user was told, by job
-	acceptedAt    map[string]emulator.Micros // when a user was first told that a job is accepted
+	heldMessages  []func()                   // messages over cut links, delivered once the links are healed
+	lastStatus    map[string]string          // the latest status that any user was told, by job
+	acceptedAt    map[string]emulator.Micros // when a user was first told that a job was accepted
 	teamLimits    map[string]float64         // GPUs
 	scale         int                        // multiple of the usual machines and team limits
-	writeQuota    float64                    // changes per second that the state service accepts; 0: unlimited
-	writeTokens   float64                    // of the write quota's token bucket
-	// limitsAnnounced means that the settings announce coming limits of the state service.
-	limitsAnnounced bool
-	coresStarted    uint64           // seeds the cores
-	heldHeartbeat   wire.Heartbeat   // held back by a script
-	effects         hash.Hash64      // digest of all effects of all nodes; may be nil
-	heartbeatCopies *heartbeatCopies // copies that may be delivered again; nil: none
-	crash           crashTrigger
-	messageFaults   *messageFaults   // nil: messages take no time
-	scheduled       []scheduledEvent // ordered by time
-	users           []*user          // users with requests to make
-	isolatedZone    string           // zone whose nodes and machines reach only each other
-	closePolling    *closePolling    // nil: no close polling, and messages are delivered in order
-	deposedLeader   *node            // the last node that was cut off while it led
-	reachableOnlyBy map[string]*node // machines that only one node reaches
+	writeQuota    float64                    // changes per second that the state service accepts; 0 if unlimited
+	writeTokens   float64                    // left in the token bucket of the write quota
+	// limitsAnnounced is whether the configuration of nodes announces coming limits of the state service.
+	limitsAnnounced    bool
+	coresStarted       uint64           // number of cores started so far, from which their seeds derive
+	heldHeartbeat      wire.Heartbeat   // that a script holds back
+	effects            hash.Hash64      // digest of the effects of all nodes; nil if none is computed
+	heartbeatCopies    *heartbeatCopies // copies that may be delivered again; nil if none are kept
+	crash              crashTrigger
+	messageFaults      *messageFaults      // nil if messages are delivered at once
+	scheduled          []scheduledEvent    // in order of time
+	users              []*user             // users with requests to make
+	isolatedZone       string              // zone whose nodes and machines reach only each other, "" if none
+	concurrentRequests *concurrentRequests // nil if there are none and messages are delivered in order
+	deposedLeader      *node               // the last node that was cut off while it led
+	reachableOnlyBy    map[string]*node    // machines that only one node reaches
 }
 
-// crashTrigger crashes a node with its next transaction that writes a key with a prefix:
-// before the transaction takes effect, or after it did and before the answer.
+// crashTrigger crashes the node that next sends a transaction that writes a key with a prefix:
+// before the transaction takes effect, or after that and before the response.
 type crashTrigger struct {
-	keyPrefix   string // "": no crash
+	keyPrefix   string // "" if no crash is triggered
 	afterCommit bool
 }
 
 // matches reports whether a transaction triggers the crash.
-func (k crashTrigger) matches(t *wire.Transaction) bool {
-	return k.keyPrefix != "" && slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return strings.HasPrefix(c.Put, k.keyPrefix) })
+func (trigger crashTrigger) matches(t *wire.Transaction) bool {
+	return trigger.keyPrefix != "" && slices.ContainsFunc(t.Changes, func(c wire.Change) bool {
+		return strings.HasPrefix(c.Put, trigger.keyPrefix)
+	})
 }
 
 // node is a simulated node. Its core is replaced when it restarts.
@@ -73,32 +75,32 @@
 	core             *core.Core
 	alive            bool
 	startedAt        emulator.Micros
-	formatHeld       bool              // it writes the first format only, as during an upgrade
-	noPlacementPages bool              // placement pages are disabled in its settings
-	cutLinks         map[string]string // link -> mode: "drop", "hold" or "stall"
+	formatHeld       bool              // writes only the first format, as during an upgrade
+	noPlacementPages bool              // placement pages are disabled in the settings
+	cutLinks         map[string]string // mode of the cut ("drop", "hold" or "stall") by link
 	watchRevision    uint64
-	answers          map[uint64]msg.Respond // by request
-	relist           bool                   // its watch has to list everything again
-	busyUntil        emulator.Micros        // its loop is blocked until then
+	responses        map[uint64]msg.Respond // by request ID
+	relist           bool                   // the watch has to start with a new listing
+	busyUntil        emulator.Micros        // the loop is blocked until then
 	backlog          []msg.Input            // inputs that arrived while the loop was blocked
 	leases           *leaserenewal.Renewer
-	pendingWatch     *watchResult // in flight; nil: none
+	pendingWatch     *watchResult // in flight; nil if none is
 }
 
-// delivery is an input in flight to a node. It is lost if the node's process ends.
+// delivery is an input in flight to a node. It is lost if the process of the node ends.
 type delivery struct {
 	node  *node
-	core  *core.Core // the process that it was sent to
+	core  *core.Core // identifies the process that it was sent to
 	input msg.Input
 }
 
-// The announced limits of the state service, in force from setStateLimits(true) on.
+// The announced limits of the state service, which setStateLimits(true) brings into force.
 const (
 	nextValueKB = 2
 	nextTxnOps  = 4
 )
 
-// setStateLimits sets the limits that the state service enforces: the present or the announced ones.
+// setStateLimits has the state service enforce the announced limits, or else the initial ones.
 func (s *Sim) setStateLimits(next bool) {
 	s.state.ValueBytes, s.state.TxnOps = 4*1024, 8
 	if next {
@@ -109,14 +111,14 @@
 // newSim returns a simulation with the given number of nodes, all running.
 func newSim(nodes int) *Sim { return newSimOfScale(nodes, 1, 0) }
 
-// newSimOfScale returns a simulation with scale times the usual machines and team limits, and
-// a state service that accepts no more than quota changes per second, unless quota is 0.
+// newSimOfScale returns a simulation with scale times the usual machines and team limits. The
+// state service accepts no more than quota changes per second, unless quota is 0.
 func newSimOfScale(nodes, scale int, quota float64) *Sim {
 	return newSimWithUpgrade(nodes, scale, quota, nil)
 }
 
-// newSimWithUpgrade returns the same with lower limits of the state service announced, and
-// some nodes held to the first format. If held is nil no limits are announced.
+// newSimWithUpgrade is newSimOfScale with lower limits of the state service announced and the
+// nodes named in held kept to the first format. If held is nil no limits are announced.
 func newSimWithUpgrade(nodes, scale int, quota float64, held []string) *Sim {
 	s := &Sim{
 		limitsAnnounced: held != nil,
@@ -144,7 +146,7 @@
 	return s
 }
 
-// config returns the configuration of a node.
+// config returns the configuration of the named node.
 func (s *Sim) config(name string) *config.Config {
 	c := &config.Config{Settings: config.Defaults()}
 	c.Node, c.Location = name, location(name)
@@ -159,7 +161,8 @@
 		Zones: []string{"a", "b"},
 		Teams: []config.Team{{Name: "red", GPUs: s.teamLimits["blue"], GPUsMax: s.teamLimits["red"]},
 			{Name: "blue", GPUs: s.teamLimits["blue"], GPUsMax: s.teamLimits["blue"]}},
-		Workers: config.Workers{ReportS: float64(max(s.env.ReportEvery, emulator.Second)) / 1e6, LeaseS: float64(s.env.Lease) / 1e6, GangWaitS: float64(s.env.GangWait) / 1e6,
+		Workers: config.Workers{ReportS: float64(max(s.env.ReportEvery, emulator.Second)) / 1e6,
+			LeaseS: float64(s.env.Lease) / 1e6, GangWaitS: float64(s.env.GangWait) / 1e6,
 			GangPeerS: 2, CancelS: float64(s.env.CancelIn) / 1e6},
 		State: config.State{RPS: 100, WriteRPS: 50, ValueKB: 4, TxnOps: 8},
 		Cloud: config.Cloud{RPS: 10, ListLagS: 2},
@@ -170,7 +173,7 @@
 	return c
 }
 
-// location returns the zone of a node: nodes alternate between the zones.
+// location returns the zone of the named node: nodes alternate between the zones.
 func location(name string) string {
 	if strings.Trim(name, "n")[0]%2 == 1 {
 		return "a"
@@ -178,21 +181,21 @@
 	return "b"
 }
 
-// start starts a node with a new process, also in place of a running one.
+// start starts a new process of a node, which replaces a running one.
 func (s *Sim) start(n *node) {
 	s.coresStarted++
 	n.core = core.New(s.config(n.name), s.coresStarted*7919)
 	n.alive = true
 	n.startedAt = s.now
 	n.relist = true
-	n.answers = map[uint64]msg.Respond{}
+	n.responses = map[uint64]msg.Respond{}
 	n.busyUntil = 0
 	n.backlog = nil
 	n.leases = &leaserenewal.Renewer{}
 	n.pendingWatch = nil
 }
 
-// node returns the node with a name, or the first node if there is none.
+// node returns the node with the given name, or the first node if there is none.
 func (s *Sim) node(name string) *node {
 	for _, n := range s.nodes {
 		if n.name == name {
@@ -225,7 +228,7 @@
 // deliverAll delivers the inputs in flight and executes the effects, until nothing is in flight.
 func (s *Sim) deliverAll() {
 	for len(s.inFlight) > 0 {
-		i := s.closePolling.next(len(s.inFlight))
+		i := s.concurrentRequests.nextDelivery(len(s.inFlight))
 		d := s.inFlight[i]
 		s.inFlight = slices.Delete(s.inFlight, i, i+1)
 		if !d.node.alive || d.node.core != d.core {
@@ -237,30 +240,30 @@
 	}
 }
 
-// run advances the simulation by d.
+// run advances the simulation by d in ticks.
 func (s *Sim) run(d emulator.Micros) {
 	for end := s.now + d; s.now < end; {
 		s.now += tick
 		s.tickEnvironment()
-		for _, n := range s.closePolling.shuffled(s.nodes) {
+		for _, n := range s.concurrentRequests.nodeOrder(s.nodes) {
 			s.tickNode(n)
-			if s.closePolling != nil { // users' requests arrive between the steps of the nodes
-				s.askUsers()
+			if s.concurrentRequests != nil { // requests of users arrive between the steps of the nodes
+				s.sendUserRequests()
 			}
 		}
-		s.askUsers()
+		s.sendUserRequests()
 		s.checkInvariants()
 	}
 }
 
-// tickEnvironment runs a tick of everything but the nodes and users.
+// tickEnvironment runs a tick of everything except the nodes and users.
 func (s *Sim) tickEnvironment() {
 	s.writeTokens = min(s.writeQuota, s.writeTokens+s.writeQuota*float64(tick)/float64(emulator.Second))
 	s.state.Expire(s.now)
 	s.env.Tick(s.now)
 	s.runScheduled()
 	s.sendHeartbeats()
-	s.actOnEndedJobs()
+	s.addUsersOfEndedJobs()
 }
 
 // tickNode runs a tick of a node.
@@ -282,12 +285,13 @@
 	s.deliverAll()
 }
 
-// checkInvariants checks the incremental state of the nodes once a second, and team limits.
+// checkInvariants checks the limits of the teams, and once a second the state that nodes
+// maintain incrementally.
 func (s *Sim) checkInvariants() {
 	if s.now%emulator.Second < tick {
 		for _, n := range s.nodes {
 			if err := n.core.Audit(); n.alive && err != nil {
-				s.env.Broken = append(s.env.Broken, "survey of "+n.name+": "+err.Error())
+				s.env.Broken = append(s.env.Broken, "audit of "+n.name+": "+err.Error())
 			}
 		}
 	}
@@ -298,7 +302,7 @@
 	}
 }
 
-// renewDueLeases renews a node's lease, which is independent of its loop.
+// renewDueLeases renews a node's lease if that is due. The renewal is independent of the node's loop.
 func (s *Sim) renewDueLeases(n *node) {
 	if lease, _ := n.leases.Due(time.UnixMicro(s.now)); lease != 0 && n.cutLinks["state"] == "" {
 		s.renewLease(n, lease)
@@ -317,17 +321,17 @@
 	s.post(n, d)
 }
 
-// postPeersAlive posts the liveness of the peers that a node has a link to.
+// postPeersAlive posts a PeerAlive input to a node for each live peer to which the node has a link.
 func (s *Sim) postPeersAlive(n *node) {
 	for _, p := range s.nodes {
-		if p != n && p.alive && s.peers(n, p) == "" {
+		if p != n && p.alive && s.peerCutMode(n, p) == "" {
 			s.post(n, msg.PeerAlive{Node: p.name})
 		}
 	}
 }
 
 // followWatch posts the next result of a node's listing or watch, or puts it in flight if
-// watches are slow.
+// message faults delay it.
 func (s *Sim) followWatch(n *node) {
 	if n.pendingWatch != nil {
 		if s.now >= n.pendingWatch.at {
@@ -370,7 +374,7 @@
 	return c.Node
 }
 
-// show describes the leader, the machines and the tasks on them.
+// show formats the leader, the number of machines and the tasks on them.
 func (s *Sim) show() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "leader %s, %d machines\n", s.leader(), len(s.env.Machines))
@@ -383,7 +387,7 @@
 	return b.String()
 }
 
-// releaseHeld executes and delivers what cut links have held back.
+// releaseHeld delivers the messages that cut links have held back.
 func (s *Sim) releaseHeld() {
 	held := s.heldMessages
 	s.heldMessages = nil
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -11,27 +11,27 @@
 	"coralhub/wire"
 )
 
-// fleetSizes are the sizes that are compared: about 36 and 400 machines.
+// fleetSizes are the fleet sizes that are compared: about 36 and 400 machines.
 var fleetSizes = []struct {
 	name  string
 	scale int
 }{{"earlier", 6}, {"grown", 67}}
 
-// newBusySim returns a simulation whose machines are all in use, with jobs that wait for their
-// team's limit, and the leader and another node.
+// newBusySim returns a simulation in which team red uses all of its limit and has jobs that wait for it,
+// and the leader and another node.
 func newBusySim(tb testing.TB, scale int) (s *Sim, leader, other *node) {
 	tb.Helper()
 	s = newSimOfScale(3, scale, 0)
 	s.run(3 * emulator.Second)
 	for i := range 3 * scale {
 		j := &emulator.SubmittedJob{Run: 1000 * emulator.Second}
-		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: 8,
-			CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 1000}
+		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal,
+			Tasks: 8, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 1000}
 		if i%10 == 9 {
-			j.Tasks = 40 // beyond the limit
+			j.Tasks = 40 // more than the limit allows
 		}
 		if a := s.submit(s.nodes[i%3], j); a.Status != 201 {
-			tb.Fatalf("not accepted: %v", a)
+			tb.Fatalf("submission of %s: %v, want status 201", j.ID, a)
 		}
 	}
 	s.run(15 * emulator.Second)
@@ -42,12 +42,12 @@
 		}
 	}
 	if used := s.env.Used("red"); used < s.teamLimits["red"] {
-		tb.Fatalf("%v GPUs in use of %v", used, s.teamLimits["red"])
+		tb.Fatalf("team red uses %v GPUs, want its limit of %v", used, s.teamLimits["red"])
 	}
 	return s, leader, other
 }
 
-// stepper returns a function that advances a node's time and runs a step of its core.
+// stepper returns a function that advances the time of a node and runs a step of its core.
 func (s *Sim) stepper(n *node) func(emulator.Micros, msg.Input) []msg.Effect {
 	at := s.now - n.startedAt + 1
 	return func(after emulator.Micros, in msg.Input) []msg.Effect {
@@ -56,19 +56,20 @@
 	}
 }
 
-// heartbeats returns a function that returns the same heartbeat of a machine again and again.
+// heartbeats returns a function that returns heartbeats of the same machine with unchanged content.
 func (s *Sim) heartbeats() func() msg.Input {
 	m := s.env.Machines[s.env.Names()[0]]
 	return func() msg.Input { return msg.HeartbeatIn{RequestID: 1, Heartbeat: m.Status(), Forwarded: true} }
 }
 
-// recordChanges returns a function that returns ever newer versions of the record of a waiting job.
+// recordChanges returns a function that returns changes of the record of a job, each with a higher
+// version than the one before and the same value.
 func (s *Sim) recordChanges(tb testing.TB) func() wire.Change {
 	tb.Helper()
 	key := job.RecordKey("j-0")
 	it := s.state.Get(key)
 	if it.Version == 0 {
-		tb.Fatal("no such job")
+		tb.Fatalf("record %s not found", key)
 	}
 	version := s.state.Revision()
 	return func() wire.Change {
@@ -77,7 +78,7 @@
 	}
 }
 
-// benchmarkSizes benchmarks what prepare returns at each size.
+// benchmarkSizes benchmarks the function that prepare returns, at each fleet size.
 func benchmarkSizes(b *testing.B, prepare func(s *Sim, leader, other *node) func()) {
 	b.Helper()
 	for _, size := range fleetSizes {
@@ -91,7 +92,7 @@
 	}
 }
 
-// BenchmarkHeartbeat measures a heartbeat without news at the leader.
+// BenchmarkHeartbeat measures an unchanged heartbeat at the leader.
 func BenchmarkHeartbeat(b *testing.B) {
 	benchmarkSizes(b, func(s *Sim, leader, _ *node) func() {
 		step, next := s.stepper(leader), s.heartbeats()
@@ -115,7 +116,7 @@
 	})
 }
 
-// BenchmarkFailover measures a failover: reading all records, the election, and reading them again.
+// BenchmarkFailover measures a failover: reading all records, the election, and reading the records again.
 func BenchmarkFailover(b *testing.B) {
 	benchmarkSizes(b, func(s *Sim, _, other *node) func() {
 		var items []wire.KeyValue
@@ -138,33 +139,35 @@
 				}
 			}
 			if !elected {
-				b.Fatal("no election was held")
+				b.Fatal("the node started no election after its lease was granted")
 			}
 		}
 	})
 }
 
-// The cost of a heartbeat and of a step without news must not grow with the fleet. It is measured
-// by allocations, which need no clock.
-func TestWorkDoesNotGrowWithTheFleet(t *testing.T) {
-	var report, quiet [2]float64
+// The cost of an unchanged heartbeat and of a step without changes must not grow with the fleet. It is
+// measured in allocations, which are independent of the clock.
+func TestAllocationsIndependentOfFleetSize(t *testing.T) {
+	var heartbeatAllocs, idleStepAllocs [2]float64
 	for i, size := range fleetSizes {
 		s, leader, _ := newBusySim(t, size.scale)
 		step, next := s.stepper(leader), s.heartbeats()
-		report[i] = testing.AllocsPerRun(200, func() { step(1, next()) })
-		quiet[i] = testing.AllocsPerRun(5, func() { step(1, msg.PeerAlive{Node: "n9"}) })
+		heartbeatAllocs[i] = testing.AllocsPerRun(200, func() { step(1, next()) })
+		idleStepAllocs[i] = testing.AllocsPerRun(5, func() { step(1, msg.PeerAlive{Node: "n9"}) })
 	}
-	if report[1] > report[0]*1.1+2 {
-		t.Errorf("a report takes %v allocations at the earlier size and %v at the grown one", report[0], report[1])
+	if heartbeatAllocs[1] > heartbeatAllocs[0]*1.1+2 {
+		t.Errorf("a heartbeat takes %v allocations at size %s and %v at size %s",
+			heartbeatAllocs[0], fleetSizes[0].name, heartbeatAllocs[1], fleetSizes[1].name)
 	}
-	if quiet[1] > quiet[0]+2 {
-		t.Errorf("a step without news takes %v allocations at the earlier size and %v at the grown one", quiet[0], quiet[1])
+	if idleStepAllocs[1] > idleStepAllocs[0]+2 {
+		t.Errorf("a step without changes takes %v allocations at size %s and %v at size %s",
+			idleStepAllocs[0], fleetSizes[0].name, idleStepAllocs[1], fleetSizes[1].name)
 	}
 }
 
-// Tasks that end one by one must not cost a change of their job's record each: the changes of
-// records grow with the number of jobs, and those of the completion log with time.
-func TestChangesGrowWithJobsNotWithTasks(t *testing.T) {
+// Tasks that end one by one must not take a change of the job's record each: the number of changes of
+// records grows with the number of jobs, and that of the completion log with time.
+func TestRecordChangesIndependentOfTaskCount(t *testing.T) {
 	const jobs = 4
 	var records [2]int
 	for i, tasks := range []int{3, 30} {
@@ -173,8 +176,8 @@
 		start := s.now
 		for k := range jobs {
 			j := &emulator.SubmittedJob{Run: 2 * emulator.Second, Steps: emulator.Second / 2}
-			j.Job = wire.Job{ID: fmt.Sprintf("j-%d", k), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
-				CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 2}
+			j.Job = wire.Job{ID: fmt.Sprintf("j-%d", k), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal,
+				Tasks: tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 2}
 			s.submit(s.nodes[0], j)
 		}
 		for range 600 {
@@ -185,14 +188,14 @@
 		s.run(5 * emulator.Second)
 		seconds := int((s.now - start) / emulator.Second)
 		records[i] = len(s.state.Since(job.KeyRoot+"job/", 0))
-		if pages := len(s.state.Since(job.KeyRoot+"ended/", 0)); pages > 10*(seconds+1)+4 {
-			t.Errorf("%d changes of the log in %d s", pages, seconds)
+		if logChanges := len(s.state.Since(job.KeyRoot+"ended/", 0)); logChanges > 10*(seconds+1)+4 {
+			t.Errorf("%d changes of the completion log in %d s, want at most %d", logChanges, seconds, 10*(seconds+1)+4)
 		}
 		for _, b := range s.env.Broken {
 			t.Error(b)
 		}
 	}
 	if records[1] > records[0]+2*jobs {
-		t.Errorf("%d jobs of 3 tasks cost %d changes of records, of 30 tasks %d", jobs, records[0], records[1])
+		t.Errorf("%d jobs of 3 tasks took %d changes of records, and of 30 tasks %d", jobs, records[0], records[1])
 	}
 }
--- a/internal/scenario/script_args_test.go
+++ b/internal/scenario/script_args_test.go
@@ -14,7 +14,7 @@
 	"coralhub/wire"
 )
 
-// nodeArg returns the node that a command names; n1 if it names none.
+// nodeArg returns the node that a command names, or n1 if it names none.
 func nodeArg(t *testing.T, s *Sim, d *datadriven.TestData) *node {
 	t.Helper()
 	name := "n1"
@@ -22,12 +22,12 @@
 	known := slices.Contains([]string{"leader", "deposed", "successor", "other", "others", "all"}, name) ||
 		slices.ContainsFunc(s.nodes, func(n *node) bool { return n.name == name })
 	if !known {
-		t.Fatalf("%s: there is no node %q", d.Pos, name)
+		t.Fatalf("%s: unknown node %q", d.Pos, name)
 	}
 	return s.resolveNode(name)
 }
 
-// resolveNode returns the node of a name or a role.
+// resolveNode returns the node with a name or in a role, or the first node if there is none.
 func (s *Sim) resolveNode(name string) *node {
 	switch name {
 	case "leader":
@@ -50,30 +50,31 @@
 	return s.node(name)
 }
 
-// durationArg returns a duration that a command names, or the default.
+// durationArg returns the value of a duration argument of a command, or the default.
 func durationArg(t *testing.T, d *datadriven.TestData, key, def string) emulator.Micros {
 	t.Helper()
 	d.MaybeScanArgs(t, key, &def)
 	x, err := time.ParseDuration(def)
 	if err != nil {
-		t.Fatalf("%s: %v", d.Pos, err)
+		t.Fatalf("%s: duration %s: %v", d.Pos, key, err)
 	}
 	if x < 0 {
-		t.Fatalf("%s: %s=%s is negative", d.Pos, key, def)
+		t.Fatalf("%s: %s=%s: expected a duration of at least 0", d.Pos, key, def)
 	}
 	return x.Microseconds()
 }
 
-// fractionArg returns a fraction from 0 to 1 that a command names; 0 if it doesn't.
+// fractionArg returns the value of an argument of a command that is a fraction from 0 to 1, or 0 if
+// there is none.
 func fractionArg(t *testing.T, d *datadriven.TestData, name string) float64 {
 	t.Helper()
 	text := "0"
 	d.MaybeScanArgs(t, name, &text)
-	part, err := strconv.ParseFloat(text, 64)
-	if err != nil || part < 0 || part > 1 {
-		t.Fatalf("%s: %s=%s is not a part from 0 to 1", d.Pos, name, text)
+	fraction, err := strconv.ParseFloat(text, 64)
+	if err != nil || fraction < 0 || fraction > 1 {
+		t.Fatalf("%s: %s=%s: expected a fraction from 0 to 1", d.Pos, name, text)
 	}
-	return part
+	return fraction
 }
 
 // nodeNamed reports whether the node argument of a command is the given name.
@@ -83,10 +84,10 @@
 	return d.MaybeScanArgs(t, "node", &named) && named == name
 }
 
-// priorities are the usual names of priorities; scripts may use those of the protocol as well.
+// priorities maps the usual names of priorities to those of the protocol, which scripts may use too.
 var priorities = map[string]string{"production": wire.Production, "normal": wire.Normal, "low": wire.Low}
 
-// jobArg returns the job that a submission describes.
+// jobArg returns the job that a submit command describes.
 func jobArg(t *testing.T, d *datadriven.TestData, id string) *emulator.SubmittedJob {
 	t.Helper()
 	shape, team, rank := wire.Array, "red", wire.Normal
@@ -109,11 +110,13 @@
 	d.MaybeScanArgs(t, "zone", &zone)
 	d.MaybeScanArgs(t, "needs", &needs)
 	d.MaybeScanArgs(t, "cpus", &cpus)
-	j := &emulator.SubmittedJob{Run: durationArg(t, d, "run", "3s"), Steps: durationArg(t, d, "steps", "0s"), Mistaken: d.HasArg("mistaken")}
-	j.Job = wire.Job{ID: id, Class: "c", Team: team, Shape: shape, Priority: rank, Tasks: tasks, CPUs: float64(cpus), GPUs: float64(gpus),
-		MemoryGB: 1, Image: "i", ImageGB: 1, Zone: zone, OneZone: d.HasArg("one_zone"), Spread: d.HasArg("spread"),
-		Spot: d.HasArg("spot"), EstimateS: float64(j.Run) / 1e6, SaveS: float64(save), CheckpointS: float64(save)}
-	if d.HasArg("wordy") { // the longest strings that are allowed
+	j := &emulator.SubmittedJob{Run: durationArg(t, d, "run", "3s"), Steps: durationArg(t, d, "steps", "0s"),
+		Mistaken: d.HasArg("mistaken")}
+	j.Job = wire.Job{ID: id, Class: "c", Team: team, Shape: shape, Priority: rank, Tasks: tasks, CPUs: float64(cpus),
+		GPUs: float64(gpus), MemoryGB: 1, Image: "i", ImageGB: 1, Zone: zone,
+		OneZone: d.HasArg("one_zone"), Spread: d.HasArg("spread"), Spot: d.HasArg("spot"),
+		EstimateS: float64(j.Run) / 1e6, SaveS: float64(save), CheckpointS: float64(save)}
+	if d.HasArg("wordy") { // strings of the maximum length
 		j.Class = strings.Repeat("c", 128)
 		j.Types = []string{"t4"}
 		for i := range 15 {
--- a/internal/scenario/script_commands_test.go
+++ b/internal/scenario/script_commands_test.go
@@ -20,8 +20,8 @@
 	"coralhub/wire"
 )
 
-// scriptCommands are the commands of scripts but for world; TestScenarios describes them. A
-// command gets the id argument, j-1 if there is none, and returns what it prints.
+// scriptCommands are the commands of scripts except environment; TestScenarios describes them. A
+// command is called with its id argument, or j-1 if there is none, and returns what it prints.
 var scriptCommands = map[string]func(t *testing.T, s *Sim, d *datadriven.TestData, id string) string{
 	"slo":                  sloCommand,
 	"wait_reason":          waitReasonCommand,
@@ -134,7 +134,9 @@
 }
 
 func sloCommand(_ *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
-	a := s.request(s.node(s.leader()), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryGauges} })
+	a := s.request(s.node(s.leader()), func(req uint64) msg.Input {
+		return msg.AdminIn{RequestID: req, Query: msg.QueryGauges}
+	})
 	gauges, ok := a.Body.(query.Gauges)
 	if !ok {
 		return formatResponse(a)
@@ -154,12 +156,15 @@
 
 func waitReasonCommand(t *testing.T, s *Sim, d *datadriven.TestData, id string) string {
 	t.Helper()
-	a := s.request(nodeArg(t, s, d), func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryWaitReason, JobID: id} })
+	a := s.request(nodeArg(t, s, d), func(req uint64) msg.Input {
+		return msg.AdminIn{RequestID: req, Query: msg.QueryWaitReason, JobID: id}
+	})
 	w, ok := a.Body.(query.WaitReason)
 	if !ok {
 		return formatResponse(a)
 	}
-	return fmt.Sprintf("%s; rank %d of %d, before it %v, kept %v, yield %v\n", w.Reason, w.Rank, w.QueueLength, w.Ahead, w.ReservedMachines, w.PreemptedJobs)
+	return fmt.Sprintf("%s; rank %d of %d, before it %v, kept %v, yield %v\n", w.Reason, w.Rank, w.QueueLength, w.Ahead,
+		w.ReservedMachines, w.PreemptedJobs)
 }
 
 func submitCommand(t *testing.T, s *Sim, d *datadriven.TestData, id string) string {
@@ -200,11 +205,11 @@
 	t.Helper()
 	seed := uint64(1)
 	d.MaybeScanArgs(t, "seed", &seed)
-	s.closePolling = newClosePolling(seed, fractionArg(t, d, "cancel"), fractionArg(t, d, "at_end"))
+	s.concurrentRequests = newConcurrentRequests(seed, fractionArg(t, d, "cancel"), fractionArg(t, d, "at_end"))
 	return ""
 }
 
-// Ticks that await and until wait for a condition at most.
+// The commands await and until wait for at most this number of ticks.
 const (
 	awaitTicks = 80
 	untilTicks = 1200
@@ -224,8 +229,8 @@
 	return ""
 }
 
-// runUntil runs the simulation until the command's condition is met, for so many ticks at
-// most. It reports whether the condition was met.
+// runUntil runs the simulation until the command's condition is met, for at most the given number
+// of ticks. It reports whether the condition was met.
 func runUntil(t *testing.T, s *Sim, d *datadriven.TestData, id string, ticks int) bool {
 	t.Helper()
 	for range ticks {
@@ -240,10 +245,10 @@
 // conditionMet reports whether the condition in a command's arguments is met.
 func conditionMet(t *testing.T, s *Sim, d *datadriven.TestData, id string) bool {
 	t.Helper()
-	if d.HasArg("successor") { // another node than the one that was cut off leads
+	if d.HasArg("successor") { // another node leads than the last one that was cut off while it led
 		return s.leader() != "none" && s.deposedLeader != nil && s.leader() != s.deposedLeader.name
 	}
-	if d.HasArg("leads") { // the leader is alive
+	if d.HasArg("leads") { // the node that leads is alive
 		n := s.node(s.leader())
 		return s.leader() != "none" && n.alive
 	}
@@ -275,12 +280,12 @@
 	t.Helper()
 	n := nodeArg(t, s, d)
 	switch {
-	case d.HasArg("kill") && d.HasArg("on"): // with its next transaction that writes there
+	case d.HasArg("kill") && d.HasArg("on"): // a transaction that writes a key with this prefix
 		d.ScanArgs(t, "on", &s.crash.keyPrefix)
 		s.crash.afterCommit = d.HasArg("after")
 	case d.HasArg("kill"):
 		n.alive = false
-	case d.HasArg("unshared"), d.HasArg("shared"): // it restarts with changed settings
+	case d.HasArg("unshared"), d.HasArg("shared"): // restart with changed settings
 		n.noPlacementPages = d.HasArg("unshared")
 		s.start(n)
 	case d.HasArg("upgrade"):
@@ -319,7 +324,7 @@
 	n, link, mode := nodeArg(t, s, d), "state", "drop"
 	d.MaybeScanArgs(t, "link", &link)
 	d.MaybeScanArgs(t, "mode", &mode)
-	if nodeNamed(t, d, "others") { // all but the leader and the deposed one
+	if nodeNamed(t, d, "others") { // all except the leader and the deposed one
 		for _, other := range s.nodes {
 			if other != s.resolveNode("leader") && other != s.deposedLeader {
 				other.cutLinks[link] = mode
@@ -410,7 +415,7 @@
 	return name + "\n"
 }
 
-// heartbeatCommand holds back a heartbeat of a worker, or delivers it to the leader.
+// heartbeatCommand holds back a heartbeat of the first worker, or delivers it to the leader.
 func heartbeatCommand(_ *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
 	if d.HasArg("hold") {
 		m := s.env.Machines[s.env.Names()[0]]
@@ -422,7 +427,7 @@
 	}))
 }
 
-// formatResponse formats the status of an answer.
+// formatResponse formats the HTTP status of a response, the job status in it and the time to retry after.
 func formatResponse(a msg.Respond) string {
 	out := strconv.Itoa(a.Status)
 	if a.Status == 0 {
@@ -437,7 +442,7 @@
 	return out + "\n"
 }
 
-// formatUsage formats the usage that a node has recorded.
+// formatUsage formats the usage that a node has recorded, by team, class and kind of job.
 func formatUsage(n *node) string {
 	var b strings.Builder
 	n.core.UsageLedger().Each(func(k accounting.Key, u job.ResourceUsage) {
@@ -451,7 +456,7 @@
 	return b.String()
 }
 
-// formatEstimates formats the run times that a node estimates.
+// formatEstimates formats a node's estimates of run times.
 func formatEstimates(s *Sim, n *node) string {
 	a := s.request(n, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryEstimates} })
 	if e, ok := a.Body.(query.Error); ok {
@@ -460,13 +465,13 @@
 	body, _ := a.Body.(query.Estimates)
 	var b strings.Builder
 	for _, r := range body.Kinds {
-		fmt.Fprintf(&b, "%s %s %s: %.0f runs, %.0f s, mostly %.0f to %.0f s, from %s\n", r.Class, r.Shape, r.Image, r.Samples, r.MedianS,
-			r.Intervals[1][0], r.Intervals[1][1], r.Level)
+		fmt.Fprintf(&b, "%s %s %s: %.0f runs, %.0f s, mostly %.0f to %.0f s, from %s\n", r.Class, r.Shape, r.Image,
+			r.Samples, r.MedianS, r.Intervals[1][0], r.Intervals[1][1], r.Level)
 	}
 	return b.String()
 }
 
-// formatOutlook formats a job's status and the outlook for its deadline, from a node.
+// formatOutlook formats a job's status and the outlook for its deadline, as a node reports them.
 func formatOutlook(s *Sim, n *node, id string) string {
 	a := s.request(n, func(req uint64) msg.Input { return msg.AdminIn{RequestID: req, Query: msg.QueryJob, JobID: id} })
 	o, ok := a.Body.(query.JobOutlook)
--- a/internal/scenario/transaction_checks_test.go
+++ b/internal/scenario/transaction_checks_test.go
@@ -12,12 +12,12 @@
 
 // Checks of the conditions and placements of transactions.
 
-// requiredCondition is what a transaction that writes a key has to be conditional on: the version
-// of what it replaces, the leader key under which it is written, or both.
+// requiredCondition is what a transaction that writes a key has to be conditional on: the version of the
+// value that it replaces, the leader key of its sender, or both.
 type requiredCondition struct{ version, leader bool }
 
-// requiredConditions are the conditions by the prefix of the key. An interleaving in which a missing
-// condition violates another invariant would be found by luck only.
+// requiredConditions are the required conditions by the prefix of the key. They are checked directly
+// since an interleaving in which a missing condition violates another invariant is found only by chance.
 var requiredConditions = map[string]requiredCondition{
 	"job/":      {version: true},
 	"part/":     {version: true, leader: true},
@@ -44,21 +44,21 @@
 			noVersion := required.version && !conditions[key]
 			noLeader := required.leader && !conditions[job.KeyRoot+"leader"]
 			if noVersion || noLeader {
-				s.env.Broken = append(s.env.Broken, "written without its guards: "+key)
+				s.env.Broken = append(s.env.Broken, "written without the required conditions: "+key)
 			}
 		}
 	}
 }
 
-// checkCommit checks what a scenario can hardly bring about: that a transaction which places
-// tasks is conditional on its sender's leadership, and that no task is placed that has a
-// placement already. It reports whether any task is placed.
+// checkCommit checks rules whose violation a scenario is unlikely to reveal: a transaction that places
+// tasks is conditional on its sender's leadership, and no task is placed that has a placement already.
+// It reports whether the transaction places tasks.
 func (s *Sim) checkCommit(t *wire.Transaction) (placesTasks bool) {
 	s.checkConditions(t)
 	byLeader := false
 	for _, g := range t.Conditions {
 		if s.state.Get(g.Key).Version != g.Version {
-			return false // it fails
+			return false // the transaction fails
 		}
 		byLeader = byLeader || g.Key == job.KeyRoot+"leader" && g.Version != 0
 	}
@@ -73,7 +73,7 @@
 		}
 		placesTasks = placesTasks || added
 		if added && !byLeader {
-			s.env.Broken = append(s.env.Broken, "placement without a claim in "+c.Put)
+			s.env.Broken = append(s.env.Broken, "placement not conditional on leadership in "+c.Put)
 		}
 	}
 	return placesTasks
@@ -82,7 +82,7 @@
 // checkRecord checks a job record or shard that is written, and reports whether it places tasks.
 func (s *Sim) checkRecord(c *wire.Change) bool {
 	var before, after job.Record
-	_ = job.DecodeRecord(s.state.Get(c.Put).Value, &before) // without placements if it doesn't exist
+	_ = job.DecodeRecord(s.state.Get(c.Put).Value, &before) // no placements if it doesn't exist
 	if err := job.DecodeRecord(c.Value, &after); err != nil {
 		s.env.Broken = append(s.env.Broken, "unreadable value for "+c.Put)
 	}
@@ -99,9 +99,9 @@
 // placementPagePrefix is the prefix of the keys of placement pages.
 const placementPagePrefix = job.KeyRoot + "placed/"
 
-// checkPlacementPage checks a placement page that is written, and reports whether it places tasks:
-// the transaction has to be conditional on each job's record, and no task may have a placement
-// already, in whichever value.
+// checkPlacementPage checks a placement page that is written, and reports whether it places tasks. The
+// transaction has to be conditional on the record of each job of which it places tasks, and none of these
+// tasks may have a placement already in any stored value.
 func (s *Sim) checkPlacementPage(c *wire.Change, t *wire.Transaction) (placesTasks bool) {
 	before, err := records.DecodePlacementPage(s.state.Get(c.Put).Value)
 	after, afterErr := records.DecodePlacementPage(c.Value)
@@ -135,24 +135,25 @@
 // checkNewPlacement checks the placement of a task that a transaction adds to a page.
 func (s *Sim) checkNewPlacement(stored *storedPlacements, id string, task int, page string, t *wire.Transaction) {
 	if !slices.ContainsFunc(t.Conditions, func(c wire.Condition) bool { return c.Key == job.RecordKey(id) }) {
-		s.env.Broken = append(s.env.Broken, "placed without a guard on its record: "+id+" in "+page)
+		s.env.Broken = append(s.env.Broken, "placed without a condition on its record: "+id+" in "+page)
 	}
 	if where := stored.locate(s, id, task); where != "" {
-		s.env.Broken = append(s.env.Broken, fmt.Sprintf("%s/%d placed in %s and is placed in %s", id, task, page, where))
+		s.env.Broken = append(s.env.Broken, fmt.Sprintf("%s/%d placed in %s, but already placed in %s", id, task, page,
+			where))
 	}
 }
 
-// storedPlacements is what the stored placement pages and completion entries contain.
+// storedPlacements is the content of the stored placement pages and completion log.
 type storedPlacements struct {
 	ended map[records.CompletionEntry]bool
-	pages map[job.AttemptKey]string // the page with the open placement, by job and task
+	pages map[job.AttemptKey]string // key of the page with the open placement, by job and task
 }
 
-// storedPlacements reads the stored placement pages and completion entries.
+// storedPlacements reads the stored placement pages and completion log.
 func (s *Sim) storedPlacements() *storedPlacements {
 	p := &storedPlacements{ended: map[records.CompletionEntry]bool{}, pages: map[job.AttemptKey]string{}}
 	for _, it := range s.state.List(job.KeyRoot + "ended/") {
-		entries, _ := records.DecodeCompletionPage(it.Value) // unreadable pages are found elsewhere
+		entries, _ := records.DecodeCompletionPage(it.Value) // unreadable pages are reported elsewhere
 		for _, l := range entries {
 			p.ended[records.CompletionEntry{Job: l.Job, Task: l.Task, Attempt: l.Attempt, Machine: l.Machine}] = true
 		}
@@ -175,7 +176,7 @@
 	return !p.ended[records.CompletionEntry{Job: id, Task: o.Task, Attempt: o.Attempt, Machine: o.Machine}]
 }
 
-// locate returns the key of the value with an open placement of a task; "" if there is none.
+// locate returns the key of the value with an open placement of a task, "" if there is none.
 func (p *storedPlacements) locate(s *Sim, id string, task int) string {
 	if page := p.pages[job.AttemptKey{Job: id, Task: task}]; page != "" {
 		return page
@@ -184,7 +185,7 @@
 	for _, key := range []string{job.RecordKey(id), job.ShardKey(id, n), job.ShardKey(id, n+1)} {
 		var rec job.Record
 		if job.DecodeRecord(s.state.Get(key).Value, &rec) != nil {
-			continue // it doesn't exist
+			continue // no such record or shard
 		}
 		for i := range rec.Open {
 			if rec.Open[i].Task == task && p.isOpen(id, &rec.Open[i]) {
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -6,20 +6,21 @@
 	"coralhub/wire"
 )
 
-// user makes requests about a job with retries: polls, cancellations or repeated submissions.
+// user makes requests of one kind about a job, with retries: polls, cancellations or repeated
+// submissions.
 type user struct {
 	id          string
 	cancel      bool
 	resubmit    bool
-	remaining   int    // requests still to make; 0: until the answer is final
-	knownStatus string // what anybody had been told when the request was made
-	requestID   uint64 // of the open request; 0: none
-	askedNode   *node
-	askedCore   any
-	askedAt     emulator.Micros
+	remaining   int    // requests still to make; 0 if they are made until the status is final
+	knownStatus string // latest status that any user had been told when the request was made
+	requestID   uint64 // of the request in flight, 0 if there is none
+	requestNode *node
+	requestCore any
+	requestedAt emulator.Micros
 	nextAt      emulator.Micros
 	attempts    int
-	answeredAt  emulator.Micros // of the last informative answer
+	answeredAt  emulator.Micros // time of the last response with status 200
 }
 
 // Timeouts and intervals of users.
@@ -29,7 +30,7 @@
 	cancelTimeout = 5 * emulator.Second
 )
 
-// timing returns the timeout of a request, and the time from its answer to the next request.
+// timing returns the timeout of a request, and the time from its response to the next request.
 func (u *user) timing() (timeout, interval emulator.Micros) {
 	switch {
 	case u.remaining > 0:
@@ -40,8 +41,8 @@
 	return pollTimeout, pollInterval
 }
 
-// cancelUntilFinal has a user cancel a job, with retries at other nodes until the answer is
-// final.
+// cancelUntilFinal adds a user that cancels a job, with retries at other nodes until the response has a
+// final status. It has no effect if the job's cancellation has been requested already.
 func (s *Sim) cancelUntilFinal(id string) {
 	if j := s.env.Jobs[id]; j != nil && !j.Asked {
 		j.Asked = true
@@ -49,49 +50,51 @@
 	}
 }
 
-// pollUntilFinal has two users poll a job at different nodes until the answer is final. With
-// close polling its submission is repeated until it is answered.
+// pollUntilFinal adds two users that poll a job at different nodes until the response has a final
+// status. With concurrentRequests, and if no user has been told the job's status yet, it also adds a user
+// that repeats the submission until it succeeds.
 func (s *Sim) pollUntilFinal(id string) {
 	for range 2 {
 		s.users = append(s.users, &user{id: id, nextAt: s.now + tick, answeredAt: s.now, attempts: len(s.users)})
 	}
-	if s.closePolling != nil && s.lastStatus[id] == "" {
-		s.users = append(s.users, &user{id: id, resubmit: true, nextAt: s.now + tick, answeredAt: s.now, attempts: len(s.users)})
+	if s.concurrentRequests != nil && s.lastStatus[id] == "" {
+		s.users = append(s.users, &user{id: id, resubmit: true, nextAt: s.now + tick, answeredAt: s.now,
+			attempts: len(s.users)})
 	}
 }
 
-// askUsers delivers answers to the users and makes their next requests. All requests are in
-// flight before any is answered.
-func (s *Sim) askUsers() {
+// sendUserRequests delivers responses to the users and makes their next requests. With
+// concurrentRequests all requests are in flight before any is handled.
+func (s *Sim) sendUserRequests() {
 	users := s.users
 	s.users = nil
 	var remaining []*user
 	for _, u := range users {
-		if u.requestID != 0 && s.takeAnswer(u) {
+		if u.requestID != 0 && s.handleUserResponse(u) {
 			continue
 		}
 		remaining = append(remaining, u)
 		if u.requestID == 0 && s.now >= u.nextAt {
-			s.askUser(u)
+			s.sendUserRequest(u)
 		}
 	}
 	s.deliverAll()
-	s.users = append(remaining, s.users...) // users that an answer has added come last
+	s.users = append(remaining, s.users...) // users that a response has added come last
 }
 
-// askUser makes the next request of a user, at the next node.
-func (s *Sim) askUser(u *user) {
+// sendUserRequest makes the next request of a user, at the next node.
+func (s *Sim) sendUserRequest(u *user) {
 	u.attempts++
 	n := s.nodes[u.attempts%len(s.nodes)]
 	if !n.alive {
-		u.nextAt = s.now + tick // the load balancer picks another
+		u.nextAt = s.now + tick // a load balancer would select another node
 		return
 	}
 	s.lastRequestID++
 	u.requestID = s.lastRequestID
-	u.askedNode = n
-	u.askedCore = n.core
-	u.askedAt = s.now
+	u.requestNode = n
+	u.requestCore = n.core
+	u.requestedAt = s.now
 	u.knownStatus = s.lastStatus[u.id]
 	switch {
 	case u.cancel:
@@ -101,26 +104,26 @@
 	default:
 		s.post(n, msg.PollIn{RequestID: u.requestID, JobID: u.id})
 	}
-	if s.closePolling == nil {
+	if s.concurrentRequests == nil {
 		s.deliverAll()
 	}
 }
 
-// takeAnswer checks the answer to a user's open request, or lets it time out. It reports
-// whether the user has no more requests to make.
-func (s *Sim) takeAnswer(u *user) (finished bool) {
-	a, answered := u.askedNode.answers[u.requestID]
+// handleUserResponse checks the response to a user's request in flight, or has the request time out. It
+// reports whether the user has no more requests to make.
+func (s *Sim) handleUserResponse(u *user) (finished bool) {
+	a, answered := u.requestNode.responses[u.requestID]
 	timeout, interval := u.timing()
-	lost := !u.askedNode.alive || any(u.askedNode.core) != u.askedCore
+	lost := !u.requestNode.alive || any(u.requestNode.core) != u.requestCore
 	switch {
 	case answered:
-		delete(u.askedNode.answers, u.requestID)
-		s.checkAnswer(u.id, u.knownStatus, a)
+		delete(u.requestNode.responses, u.requestID)
+		s.checkResponse(u.id, u.knownStatus, a)
 		if a.Status == 200 {
 			u.answeredAt = s.now
 		}
 		u.nextAt = s.now + interval
-	case s.now-u.askedAt >= timeout || lost:
+	case s.now-u.requestedAt >= timeout || lost:
 		u.nextAt = s.now + emulator.Second
 	default:
 		return false
