--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -102,7 +102,7 @@
 	if c.Servers.State, err = c.disk.Load(); err != nil {
 		return err
 	}
-	c.Servers.Environment.Jobs, err = c.disk.Uploads()
+	c.Servers.Environment.Jobs, err = c.disk.LoadUploads()
 	return err
 }
 
@@ -110,7 +110,7 @@
 func (c *Cluster) configureServers() {
 	s := c.Servers
 	limits := &c.opt.Cluster
-	s.Failed = c.opt.Failed
+	s.OnFailure = c.opt.Failed
 	s.State.Keep = watchHistory
 	s.State.ValueBytes = int(limits.State.ValueKB * 1024)
 	s.State.TxnOps = limits.State.TxnOps
--- a/internal/cluster/load_balancer.go
+++ b/internal/cluster/load_balancer.go
@@ -137,7 +137,7 @@
 		e := b.cluster.Servers.Environment
 		if e.Jobs[j.ID] == nil {
 			e.Jobs[j.ID] = &emulator.SubmittedJob{Job: j, Run: run}
-			b.cluster.disk.Upload(e.Jobs[j.ID])
+			b.cluster.disk.SaveUpload(e.Jobs[j.ID])
 		}
 	})
 }
--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -1,7 +1,7 @@
 package emulator
 
-// CapacityByZone distributes machines over zones, in numbers that differ by one at most; the first zones
-// get more.
+// CapacityByZone distributes machines evenly over zones. If they don't divide evenly, each of the first
+// zones has one machine more than the others.
 func CapacityByZone(machines int, zones []string) map[string]int {
 	capacity := make(map[string]int, len(zones))
 	for i, zone := range zones {
--- a/internal/emulator/capacity_test.go
+++ b/internal/emulator/capacity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Machines are distributed evenly, and the first zones get those that are left.
+// Machines are distributed evenly, and the remainder over the first zones.
 func TestCapacityByZone(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	for machines, want := range map[int]map[string]int{
@@ -15,7 +15,7 @@
 		7: {"a": 3, "b": 2, "c": 2},
 	} {
 		if got := CapacityByZone(machines, zones); !maps.Equal(got, want) {
-			t.Errorf("%d machines: %v, want %v", machines, got, want)
+			t.Errorf("CapacityByZone(%d, %v) = %v, want %v", machines, zones, got, want)
 		}
 	}
 }
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -6,7 +6,7 @@
 	"coralhub/wire"
 )
 
-// Checker checks the rules of the protocol.
+// Checker checks what happens on the machines against the rules of the protocol.
 type Checker struct {
 	Broken []string // the violations found
 
@@ -15,12 +15,12 @@
 	jobs     *JobRegistry
 }
 
-// violated notes a violation of a rule.
-func (c *Checker) violated(now Micros, format string, args ...any) {
+func (c *Checker) addViolation(now Micros, format string, args ...any) {
 	c.Broken = append(c.Broken, fmt.Sprintf("%.1fs ", float64(now)/1e6)+fmt.Sprintf(format, args...))
 }
 
-// checkCancelled finds tasks that remain too long after a user was answered that their job is cancelled.
+// checkCancelled finds tasks that are still on a machine more than CancelIn after a user received the
+// answer that their job is cancelled.
 func (c *Checker) checkCancelled(now Micros) {
 	for id := range c.jobs.Jobs {
 		cancelledAt := c.jobs.CancelledAt(id)
@@ -28,35 +28,36 @@
 			continue
 		}
 		for _, task := range c.cloud.On(id, true) {
-			c.violated(now, "ran_cancelled %s", task)
+			c.addViolation(now, "ran_cancelled %s", task)
 		}
 	}
 }
 
-// checkStart checks the start of a task against the rules.
+// checkStart checks that a task may start at this time and on this machine.
 func (c *Checker) checkStart(now Micros, m *Machine, t *task) {
 	id, _, _ := wire.ParseTaskName(t.Task)
 	j := c.jobs.Jobs[id]
 	for _, need := range j.Needs {
 		if !c.jobs.Done(need) {
-			c.violated(now, "too_early %s before %s", t.Task, need)
+			c.addViolation(now, "too_early %s before %s", t.Task, need)
 		}
 	}
-	if j.Cancelled != 0 { // the protocol says that no task may be started from then on
+	if j.Cancelled != 0 { // no task of the job may be started from then on
 		afterMS := (now - j.Cancelled) / 1000
-		c.violated(now, "started_cancelled %s on %s, %d ms after its user was told", t.Task, m.Name, afterMS)
+		c.addViolation(now, "started_cancelled %s on %s, %d ms after its cancellation was confirmed to the user",
+			t.Task, m.Name, afterMS)
 	}
 	zones := c.checkRanTwice(now, m, t)
 	outsideZone := j.OneZone && len(zones) > 0 && zones[m.Zone] == 0
 	tooMany := j.Spread && zones[m.Zone] >= (j.Tasks+1)/2
 	otherZone := j.Zone != "" && j.Zone != m.Zone
 	if outsideZone || tooMany || otherZone || m.Spot && !j.Spot {
-		c.violated(now, "wrong_place %s on %s", t.Task, m.Name)
+		c.addViolation(now, "wrong_place %s on %s", t.Task, m.Name)
 	}
 }
 
-// checkRanTwice checks that no other attempt of a task that starts is on a machine, and counts the other
-// tasks of its job by zone.
+// checkRanTwice checks that no other attempt of a starting task is on a machine, and returns the number
+// of other tasks of its job by zone.
 func (c *Checker) checkRanTwice(now Micros, m *Machine, t *task) (zones map[string]int) {
 	id, n, _ := wire.ParseTaskName(t.Task)
 	zones = map[string]int{}
@@ -68,14 +69,14 @@
 			}
 			zones[c.cloud.Machines[name].Zone]++
 			if otherN == n {
-				c.violated(now, "ran_twice %s on %s and %s", t.Task, m.Name, name)
+				c.addViolation(now, "ran_twice %s on %s and %s", t.Task, m.Name, name)
 			}
 		}
 	}
 	return zones
 }
 
-// Used is how many GPUs the tasks of a team use.
+// Used returns the number of GPUs that a team's tasks use, on all machines, including those that hang.
 func (c *Checker) Used(team string) float64 {
 	used := 0.0
 	for id, j := range c.jobs.Jobs {
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -12,21 +12,21 @@
 // Cloud emulates the cloud: it rents machines and lists them.
 type Cloud struct {
 	Types    []wire.MachineType
-	Boot     Micros
-	Capacity map[string]int // ordinary machines that can still be rented, by zone
+	Boot     Micros         // boot time of a machine
+	Capacity map[string]int // on-demand machines that can still be rented, by zone
 	Machines map[string]*Machine
-	// Unlisted is how long a new machine is missing from lists; it may be up before.
+	// Unlisted is how long lists omit a new machine, which may have booted by then.
 	Unlisted Micros
-	CloudOff bool // an outage: the cloud answers 503
-	Rented   int  // how many machines have been rented
-	// Model has machines differ, boot late, fetch images and lose spot instances; with nil everything
-	// takes as long as it is specified to.
+	CloudOff bool // simulates an outage, in which the cloud answers 503
+	Rented   int  // number of machines rented so far
+	// Model varies boot times and speeds, delays lists, limits spot instances, and has tasks fetch images
+	// and save checkpoints. If it is nil, everything takes its specified time.
 	Model *Model
 
-	events      *EventSink
-	nextMachine int                 // number of the next machine's name
-	rentals     map[string][]string // machines by the name of the request, which may be repeated
-	listed      []listing           // the lists of the last seconds, see Model.list
+	events        *EventSink
+	nextMachine   int                 // number in the name of the next machine
+	rentals       map[string][]string // names of machines by the name of the request, which may be repeated
+	listSnapshots []listSnapshot      // the most recent lists, see Model.list
 }
 
 func newCloud(events *EventSink) *Cloud {
@@ -41,7 +41,7 @@
 	}
 }
 
-// Rent rents machines and returns their names, which may be fewer than requested; nil if there is no
+// Rent rents machines and returns their names, which may be fewer than requested, or nil if there is no
 // capacity. A repeated request returns the same machines.
 func (c *Cloud) Rent(now Micros, r wire.RentalRequest) []string {
 	if names, ok := c.rentals[r.Name]; ok {
@@ -57,7 +57,6 @@
 	return names
 }
 
-// rentOne rents a machine and returns its name.
 func (c *Cloud) rentOne(now Micros, r wire.RentalRequest) string {
 	if !r.Spot {
 		c.Capacity[r.Zone]--
@@ -69,12 +68,12 @@
 		Machine: wire.Machine{
 			Name: name, Addr: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: wire.MachineBooting,
 		},
-		Up:          now + c.Boot,
-		Incarnation: 1,
-		leaseFrom:   now + c.Boot,
-		rentedAt:    now,
-		Speed:       1,
-		images:      map[string]Micros{},
+		Up:           now + c.Boot,
+		Incarnation:  1,
+		leaseStart:   now + c.Boot,
+		rentedAt:     now,
+		Speed:        1,
+		imageReadyAt: map[string]Micros{},
 	}
 	c.Machines[name] = m
 	c.Model.rented(now, c, m)
@@ -83,7 +82,8 @@
 	return name
 }
 
-// List lists the machines in the order of their names, as late as the model says.
+// List returns the machines in the order of their names. With a model the list is out of date by the
+// model's lag.
 func (c *Cloud) List(now Micros) []wire.Machine {
 	if c.Model != nil {
 		return c.Model.list(now, c)
@@ -91,7 +91,7 @@
 	return c.listNow(now)
 }
 
-// listNow lists the machines as they are.
+// listNow returns the current machines, without those that are too new to be listed.
 func (c *Cloud) listNow(now Micros) []wire.Machine {
 	var out []wire.Machine
 	for _, name := range c.Names() {
@@ -105,12 +105,13 @@
 	return out
 }
 
-// Names lists the names of the machines in order.
+// Names returns the names of the machines in sorted order.
 func (c *Cloud) Names() []string {
 	return slices.Sorted(maps.Keys(c.Machines))
 }
 
-// hasCapacity reports whether one more machine can be rented, after so many in the same request.
+// hasCapacity reports whether one more machine can be rented for a request, for which some have been
+// rented already. Without a model each request gets one spot instance.
 func (c *Cloud) hasCapacity(r wire.RentalRequest, rented int) bool {
 	if !r.Spot {
 		return c.Capacity[r.Zone] > 0
@@ -127,7 +128,7 @@
 	return inZone < c.Model.SpotCapacity[r.Zone]
 }
 
-// gpusOf is how many GPUs a machine has.
+// gpusOf returns the number of GPUs of a machine, or 0 if its type is unknown.
 func (c *Cloud) gpusOf(m *Machine) float64 {
 	for i := range c.Types {
 		if c.Types[i].Name == m.Type {
@@ -137,7 +138,7 @@
 	return 0
 }
 
-// remove deletes a machine, on which there are no more tasks.
+// remove deletes a machine, whose tasks must have ended.
 func (c *Cloud) remove(now Micros, m *Machine) {
 	c.events.emit(invariants.Event{At: now, Kind: invariants.MachineGone, Machine: m.Name})
 	if !m.Spot {
@@ -146,7 +147,8 @@
 	delete(c.Machines, m.Name)
 }
 
-// On lists where a job's tasks are and in which state; all includes those on machines that hang.
+// On lists the tasks of a job that have not exited, with their machines and states. If all is set, it
+// includes tasks on machines that hang.
 func (c *Cloud) On(id string, all bool) []string {
 	var out []string
 	for _, name := range c.Names() {
--- a/internal/emulator/cloud_server.go
+++ b/internal/emulator/cloud_server.go
@@ -6,10 +6,10 @@
 	"coralhub/wire"
 )
 
-// maxListed is the most machines that a page of the list holds.
+// maxListed is the maximum number of machines in a page of the list.
 const maxListed = 500
 
-// CloudHandler serves the interface of the cloud.
+// CloudHandler returns the handler of the cloud's API.
 func (s *Servers) CloudHandler() http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern string, h http.HandlerFunc) { mux.HandleFunc(pattern, s.admitCloud(h)) }
@@ -20,7 +20,7 @@
 	return mux
 }
 
-// admitCloud refuses a request to the cloud beyond the quota or in an outage.
+// admitCloud refuses requests to the cloud that exceed the quota or arrive in an outage.
 func (s *Servers) admitCloud(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		off := false
@@ -28,7 +28,7 @@
 		switch {
 		case off:
 			writeOutage(w)
-		case !s.cloud.Allow():
+		case !s.cloudRequests.Allow():
 			writeTooManyRequests(w)
 		default:
 			next(w, r)
@@ -52,7 +52,7 @@
 	writeBody(w, http.StatusOK, wire.MachineList{Machines: page, More: len(machines) > limit})
 }
 
-// machinesAfter returns the machines of a sorted list after a name.
+// machinesAfter returns the machines of a sorted list whose names follow a name.
 func machinesAfter(machines []wire.Machine, name string) []wire.Machine {
 	return machines[firstAfter(machines, name, func(m wire.Machine) string { return m.Name }):]
 }
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -11,11 +11,11 @@
 	"coralhub/wire"
 )
 
-// Disk stores the keys of a State in a file. Every change is flushed before it is answered, so that a
-// process which is killed at any moment finds all that it has answered.
+// Disk stores the keys of a State in a file. Every change is flushed before it is acknowledged, so that
+// no acknowledged change is lost if the process is killed at any moment.
 type Disk struct{ db *bolt.DB }
 
-// The buckets of the file, and the key of the last revision in metaBucket.
+// The buckets of the file, and the key in metaBucket that stores the last revision.
 var (
 	keysBucket    = []byte("keys")
 	metaBucket    = []byte("meta")
@@ -24,18 +24,18 @@
 )
 
 const (
-	// lockTimeout is how long another process may have the file open.
+	// lockTimeout is how long OpenDisk waits for another process to close the file.
 	lockTimeout = time.Second
-	// revisionBytes is the length of the stored revision.
+	// revisionBytes is the length of the stored revision, a big-endian uint64.
 	revisionBytes = 8
 )
 
 // OpenDisk opens a file, and creates it if it doesn't exist. The error wraps bolt's ErrTimeout if another
-// process has it open.
+// process has the file open. The caller must close the Disk.
 func OpenDisk(path string) (*Disk, error) {
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("open state file %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bolt.Tx) error {
 		for _, b := range [][]byte{keysBucket, metaBucket} {
@@ -47,16 +47,16 @@
 	})
 	if err != nil {
 		_ = db.Close()
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("create buckets in state file %s: %w", path, err)
 	}
 	return &Disk{db: db}, nil
 }
 
-// Close closes the file.
+// Close closes the file. Nothing can be stored from then on.
 func (d *Disk) Close() error { return d.db.Close() }
 
-// Load returns a State with what the file holds, which stores its changes there. Leases end with the
-// process: keys that are attached to one are deleted.
+// Load returns a State with the keys in the file, which stores its changes there. Leases do not outlive
+// the process that granted them: keys that are attached to a lease are deleted.
 func (d *Disk) Load() (*State, error) {
 	s := NewState()
 	s.Disk = d
@@ -68,7 +68,7 @@
 		return tx.Bucket(keysBucket).ForEach(func(k, v []byte) error {
 			var item wire.KeyValue
 			if err := msgpack.Unmarshal(v, &item); err != nil {
-				return fmt.Errorf("key %q: %w", k, err)
+				return fmt.Errorf("decode stored key %q: %w", k, err)
 			}
 			if item.Lease != 0 {
 				leased = append(leased, item.Key)
@@ -90,7 +90,7 @@
 	return s, nil
 }
 
-// save stores the changes of a revision and returns when they are flushed. A nil Disk stores nothing.
+// save stores the changes of a revision and returns after they are flushed. A nil Disk stores nothing.
 func (d *Disk) save(revision uint64, changes []wire.Change) error {
 	if d == nil {
 		return nil
@@ -116,15 +116,16 @@
 	})
 }
 
-// upload is a job description as it is stored.
+// upload is the stored form of an uploaded job description.
 type upload struct {
 	Job wire.Job
 	Run Micros
 }
 
-// Upload stores a job description that a user has uploaded. One that can't be stored is lost with the
-// process, and the tasks of its job are unknown to the workers then. A nil Disk stores nothing.
-func (d *Disk) Upload(j *SubmittedJob) {
+// SaveUpload stores a job description that a user has uploaded. Errors are ignored: a description that
+// could not be stored is lost when the process ends, and the tasks of its job are unknown to the workers
+// from then on. A nil Disk stores nothing.
+func (d *Disk) SaveUpload(j *SubmittedJob) {
 	if d == nil {
 		return
 	}
@@ -141,8 +142,8 @@
 	})
 }
 
-// Uploads returns the stored job descriptions.
-func (d *Disk) Uploads() (map[string]*SubmittedJob, error) {
+// LoadUploads returns the stored job descriptions by job ID.
+func (d *Disk) LoadUploads() (map[string]*SubmittedJob, error) {
 	out := map[string]*SubmittedJob{}
 	err := d.db.View(func(tx *bolt.Tx) error {
 		bucket := tx.Bucket(uploadsBucket)
@@ -152,7 +153,7 @@
 		return bucket.ForEach(func(k, v []byte) error {
 			var u upload
 			if err := msgpack.Unmarshal(v, &u); err != nil {
-				return fmt.Errorf("description of %s: %w", k, err)
+				return fmt.Errorf("decode stored description of job %s: %w", k, err)
 			}
 			out[string(k)] = &SubmittedJob{Job: u.Job, Run: u.Run}
 			return nil
--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -6,7 +6,7 @@
 )
 
 // Environment emulates the cloud and the workers on its machines. It checks the rules of the protocol
-// and notes in Broken what violates them. It is not safe for concurrent use.
+// and records violations in Broken. It is not safe for concurrent use.
 type Environment struct {
 	*Protocol
 	*Cloud
@@ -18,22 +18,23 @@
 	gangs *gangs
 }
 
-// Protocol holds the times and the readings of the worker protocol.
+// Protocol holds the timing parameters of the worker protocol, and which interpretation is used where the
+// protocol is ambiguous.
 type Protocol struct {
-	Lease    Micros // of workers: how long tasks go on without an answered heartbeat
-	GangWait Micros // how long a task of a gang waits for the others
-	CancelIn Micros // how long tasks may remain after a user was answered that their job is cancelled
-	// ReportEvery is the heartbeat interval of workers; 0 is a second.
+	Lease    Micros // of workers: how long tasks continue without an answered heartbeat
+	GangWait Micros // how long a task of a gang waits for the other tasks
+	CancelIn Micros // how long tasks may run on after a user received the answer that their job is cancelled
+	// ReportEvery is the heartbeat interval of workers; 0 is treated as one second.
 	ReportEvery Micros
-	// HangKeeps has a machine that hangs beyond its lease keep its tasks until it goes on, and end them
-	// then: one reading of the protocol. Otherwise they end with the lease, and the machine may go on
-	// within its lease alone.
+	// HangKeeps makes a machine that hangs beyond its lease keep its tasks until it resumes, and end them
+	// then. Otherwise they end when the lease expires, and only a machine that resumes within its lease
+	// continues its tasks. The protocol can be read either way.
 	HangKeeps bool
 }
 
-// EventSink passes events on.
+// EventSink passes events to a callback.
 type EventSink struct {
-	// Watch is called with what happens on machines; it may be nil.
+	// Watch is called with each event on a machine; it may be nil.
 	Watch func(invariants.Event)
 }
 
@@ -71,7 +72,7 @@
 	}
 }
 
-// Release deletes machines with the tasks on them.
+// Release ends all tasks on machines and deletes the machines. Unknown names are ignored.
 func (e *Environment) Release(now Micros, names []string) {
 	for _, name := range names {
 		if m := e.Machines[name]; m != nil {
@@ -81,7 +82,7 @@
 	}
 }
 
-// Tick advances the machines and their tasks to a time.
+// Tick advances the machines and their tasks to the time now.
 func (e *Environment) Tick(now Micros) {
 	for _, name := range e.Names() {
 		e.tickMachine(now, e.Machines[name])
--- a/internal/emulator/gangs.go
+++ b/internal/emulator/gangs.go
@@ -6,13 +6,12 @@
 	"coralhub/wire"
 )
 
-// gangMember is a task of a gang and its machine.
+// gangMember is an attempt of a gang's task and the machine that it is on.
 type gangMember struct {
 	machine *Machine
 	task    *task
 }
 
-// gangs starts and ends the gangs.
 type gangs struct {
 	cloud    *Cloud
 	jobs     *JobRegistry
@@ -20,15 +19,15 @@
 	progress *progress
 }
 
-// advance starts gangs that are complete, and ends those that are done or have lost a task, be it
-// only to a machine that hangs.
+// advance starts gangs that are complete, and ends gangs that are done or have lost a task. A task on a
+// machine that hangs counts as lost.
 func (g *gangs) advance(now Micros) {
 	for _, members := range g.members() {
 		g.advanceGang(now, members)
 	}
 }
 
-// members returns the tasks of each attempt of a gang that have not exited.
+// members returns the tasks of gangs that have not exited, by job and attempt.
 func (g *gangs) members() map[string][]gangMember {
 	members := map[string][]gangMember{}
 	for _, name := range g.cloud.Names() {
@@ -47,7 +46,7 @@
 func (g *gangs) advanceGang(now Micros, members []gangMember) {
 	id, _, _ := wire.ParseTaskName(members[0].task.Task)
 	j := g.jobs.Jobs[id]
-	waiting, running, progress := g.progressOf(now, members)
+	waiting, running, progress := g.summarize(now, members)
 	for _, member := range members {
 		m, t := member.machine, member.task
 		switch {
@@ -62,9 +61,9 @@
 	}
 }
 
-// progressOf counts the members that wait and that run on machines which don't hang, and returns how
-// far the gang has come.
-func (g *gangs) progressOf(now Micros, members []gangMember) (waiting, running int, progress Micros) {
+// summarize counts the waiting and the running members on machines that don't hang, and returns the
+// progress of the gang.
+func (g *gangs) summarize(now Micros, members []gangMember) (waiting, running int, progress Micros) {
 	for _, member := range members {
 		switch {
 		case member.machine.Hang:
@@ -72,8 +71,8 @@
 			waiting++
 		case member.task.State == wire.Running:
 			running++
-			own := g.progress.of(now, member.machine, member.task)
-			// With a model the slowest member counts; without one all have started at the same time.
+			own := g.progress.current(now, member.machine, member.task)
+			// With a model the slowest member determines the progress; without one all started at the same time.
 			if running == 1 || own < progress || g.cloud.Model == nil {
 				progress = own
 			}
--- a/internal/emulator/heartbeats.go
+++ b/internal/emulator/heartbeats.go
@@ -19,30 +19,29 @@
 	tickInterval = 50 * time.Millisecond
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// maxInFlight is how many heartbeats are in flight at a time, of all workers.
+	// maxInFlight is the maximum number of heartbeats in flight, over all workers.
 	maxInFlight = 512
-	// repeatOneOf is the share of the heartbeats of which a copy comes: one of so many, and
-	// minRepeatDelayS the least seconds until then.
-	repeatOneOf     = 4
+	// One in repeatOneIn heartbeats is sent a second time, after at least minRepeatDelayS seconds.
+	repeatOneIn     = 4
 	minRepeatDelayS = 1
-	// A heartbeat interval varies between these parts of what it is set to.
-	minIntervalPart    = 0.75
-	intervalPartSpread = 0.5
-	// maxRedirectDelay bounds how long after a redirection a worker sends the next heartbeat, and
-	// retryDelay is how long after a failure it does, to the next node.
+	// A heartbeat interval is drawn between minIntervalFactor and minIntervalFactor + intervalFactorRange
+	// times the configured interval.
+	minIntervalFactor   = 0.75
+	intervalFactorRange = 0.5
+	// After a redirection a worker sends its next heartbeat within maxRedirectDelay. After a failure it
+	// sends the next one to the next node, retryDelay later.
 	maxRedirectDelay = Second / 2
 	retryDelay       = Second
-	// maxResponseBytes bounds the answer to a heartbeat.
+	// maxResponseBytes is how much of the body of the answer to a heartbeat is read.
 	maxResponseBytes = 1 << 20
 )
 
-// dueHeartbeat is a heartbeat that is to be sent.
 type dueHeartbeat struct {
 	machine     *Machine
 	heartbeat   wire.Heartbeat
 	sent        Micros
-	node        int           // index of the node that it goes to
-	repeatAfter time.Duration // after which a copy comes; 0: none does
+	node        int           // index of the node that it is sent to
+	repeatAfter time.Duration // delay after which a copy is sent; 0 if none is
 }
 
 // Drive advances the machines and sends the workers' heartbeats until ctx ends. workersAddr is the
@@ -51,7 +50,7 @@
 	client := &http.Client{
 		Timeout:   heartbeatTimeout,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 4096, IdleConnTimeout: time.Minute},
-		// Workers handle redirections themselves, see heartbeatAnswered.
+		// Workers handle redirections themselves, see handleResponse.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	defer client.CloseIdleConnections()
@@ -76,7 +75,7 @@
 	})
 }
 
-// dueHeartbeats advances the machines and returns the heartbeats that are to be sent.
+// dueHeartbeats advances the machines and returns the heartbeats that are due.
 func (s *Servers) dueHeartbeats(workersAddr string) []dueHeartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,29 +88,28 @@
 		m := s.Environment.Machines[name]
 		m.Addr = workersAddr + "/" + name
 		if len(s.Nodes) > 0 && m.Due(now) {
-			due = append(due, s.takeHeartbeat(now, m))
+			due = append(due, s.nextHeartbeat(now, m))
 		}
 	}
 	return due
 }
 
-// takeHeartbeat takes the next heartbeat of a machine and draws when the one after it is due. s.mu is
-// held.
-func (s *Servers) takeHeartbeat(now Micros, m *Machine) dueHeartbeat {
+// nextHeartbeat returns the heartbeat that a machine is to send, marks it as in flight and draws when the
+// following one is due. s.mu must be held.
+func (s *Servers) nextHeartbeat(now Micros, m *Machine) dueHeartbeat {
 	d := dueHeartbeat{machine: m, heartbeat: m.Status(), sent: now, node: m.Node % len(s.Nodes)}
-	if s.repeatWithinS > 0 && rand.IntN(repeatOneOf) == 0 {
+	if s.repeatWithinS > 0 && rand.IntN(repeatOneIn) == 0 {
 		d.repeatAfter = time.Duration(minRepeatDelayS*1e9 + rand.Float64()*max(s.repeatWithinS-minRepeatDelayS, 0)*1e9)
 	}
 	interval := s.Environment.ReportEvery
 	if interval == 0 {
 		interval = Second
 	}
-	m.Reported(now, Micros(float64(interval)*(minIntervalPart+intervalPartSpread*rand.Float64())))
+	m.Reported(now, Micros(float64(interval)*(minIntervalFactor+intervalFactorRange*rand.Float64())))
 	m.inFlight = true
 	return d
 }
 
-// sendHeartbeat sends a heartbeat and handles its answer.
 func (s *Servers) sendHeartbeat(ctx context.Context, client *http.Client, d dueHeartbeat) {
 	status, body := s.post(ctx, client, d.node, &d.heartbeat)
 	s.mu.Lock()
@@ -120,13 +118,13 @@
 	if d.machine.InboundLost != "" {
 		status = 0
 	}
-	s.heartbeatAnswered(d, status, body)
+	s.handleResponse(d, status, body)
 }
 
-// heartbeatAnswered has a worker handle the answer to a heartbeat: it executes commands, follows a
-// redirection, or else tries the next node. A status of 0 means that there was no answer. s.mu is
+// handleResponse makes a worker handle the answer to a heartbeat: it executes the commands, follows a
+// redirection, or else tries the next node. A status of 0 means that there was no answer. s.mu must be
 // held.
-func (s *Servers) heartbeatAnswered(d dueHeartbeat, status int, body []byte) {
+func (s *Servers) handleResponse(d dueHeartbeat, status int, body []byte) {
 	m, now := d.machine, s.Now()
 	var response wire.HeartbeatResponse
 	var redirect wire.Redirect
@@ -147,15 +145,15 @@
 	m.NextAt = now + retryDelay
 }
 
-// repeatHeartbeat sends a copy of a heartbeat to any node after its time. The answer is ignored.
+// repeatHeartbeat sends a copy of a heartbeat to a random node after its delay. The answer is ignored.
 func (s *Servers) repeatHeartbeat(ctx context.Context, client *http.Client, d dueHeartbeat) {
 	if wait.For(ctx, d.repeatAfter) {
 		s.post(ctx, client, rand.IntN(len(s.Nodes)), &d.heartbeat)
 	}
 }
 
-// post sends a heartbeat to a node and returns the status and the body of the answer; a status of 0 means
-// that there was none.
+// post sends a heartbeat to a node and returns the status and the body of the answer. A status of 0 means
+// that no complete answer was received.
 func (s *Servers) post(
 	ctx context.Context, client *http.Client, node int, heartbeat *wire.Heartbeat,
 ) (status int, body []byte) {
@@ -163,14 +161,15 @@
 	if err != nil {
 		return 0, nil
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Nodes[node]+wire.PathHeartbeat, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+		"http://"+s.Nodes[node]+wire.PathHeartbeat, bytes.NewReader(raw))
 	if err != nil {
 		return 0, nil
 	}
 	res, err := client.Do(req)
 	if err != nil {
-		if s.Failed != nil {
-			s.Failed(err)
+		if s.OnFailure != nil {
+			s.OnFailure(err)
 		}
 		return 0, nil
 	}
--- a/internal/emulator/jobs.go
+++ b/internal/emulator/jobs.go
@@ -2,22 +2,23 @@
 
 import "coralhub/wire"
 
-// SubmittedJob is a submission as its user sees it.
+// SubmittedJob is a job as its user submitted it, what the user has been answered about it, and how its
+// tasks behave on the machines.
 type SubmittedJob struct {
 	wire.Job
-	Cancelled Micros  // when the user was answered that it is cancelled; 0: never
-	Asked     bool    // the user has requested its cancellation
-	Run       Micros  // how long a task runs
-	Steps     Micros  // how much longer each task of an array runs than the one before
-	Mistaken  bool    // it fails on every machine
-	FetchGBs  float64 // the rate at which its image is fetched, in GB a second; 0: defaultFetchGBs
-	Starts    int     // how often its tasks have been started
+	Cancelled Micros  // when the user received the answer that it is cancelled; 0 if never
+	Asked     bool    // whether the user has requested its cancellation
+	Run       Micros  // run time of a task
+	Steps     Micros  // difference in run time between consecutive tasks of an array
+	Mistaken  bool    // whether its tasks fail on every machine
+	FetchGBs  float64 // rate at which its image is fetched, in GB per second; 0 is treated as defaultFetchGBs
+	Starts    int     // number of starts of its tasks
 }
 
-// RunOf is how long the n-th task runs.
+// RunOf returns the run time of the n-th task, counted from 0.
 func (j *SubmittedJob) RunOf(n int) Micros { return j.Run + Micros(n)*j.Steps }
 
-// JobRegistry holds what users have submitted, and which tasks have completed.
+// JobRegistry holds the submitted jobs, and which of their tasks have completed.
 type JobRegistry struct {
 	Jobs map[string]*SubmittedJob
 	done map[string]map[int]bool // completed tasks, by job
@@ -27,7 +28,6 @@
 	return &JobRegistry{Jobs: map[string]*SubmittedJob{}, done: map[string]map[int]bool{}}
 }
 
-// complete notes that a task has completed.
 func (r *JobRegistry) complete(id string, task int) {
 	if r.done[id] == nil {
 		r.done[id] = map[int]bool{}
@@ -35,8 +35,8 @@
 	r.done[id][task] = true
 }
 
-// CancelledAt is when a user was first answered that a job, or one that it depends on, directly or not,
-// is cancelled; 0: never.
+// CancelledAt returns when a user first received the answer that a job, or one that it depends on
+// directly or indirectly, is cancelled; 0 if never.
 func (r *JobRegistry) CancelledAt(id string) Micros {
 	first := Micros(0)
 	r.eachDependency(id, func(j *SubmittedJob) {
@@ -48,14 +48,14 @@
 }
 
 // MayBeCancelled reports whether a user has requested the cancellation of a job or of one that it
-// depends on, directly or not.
+// depends on, directly or indirectly.
 func (r *JobRegistry) MayBeCancelled(id string) bool {
 	requested := false
 	r.eachDependency(id, func(j *SubmittedJob) { requested = requested || j.Asked })
 	return requested
 }
 
-// eachDependency calls f for a job and all that it depends on, directly or not, once for each.
+// eachDependency calls f once for a job and once for each job that it depends on, directly or indirectly.
 func (r *JobRegistry) eachDependency(id string, f func(*SubmittedJob)) {
 	seen := map[string]bool{}
 	for stack := []string{id}; len(stack) > 0; {
@@ -69,7 +69,7 @@
 	}
 }
 
-// DoneTasks counts the tasks of a job that have completed.
+// DoneTasks returns the number of completed tasks of a job.
 func (r *JobRegistry) DoneTasks(id string) int { return len(r.done[id]) }
 
 // Done reports whether every task of a job has completed.
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -5,44 +5,45 @@
 // Machine is a rented machine and its worker.
 type Machine struct {
 	wire.Machine
-	Up           Micros // when the worker starts
-	Hang         bool   // the worker does nothing, and answers no request
-	Incarnation  uint64
-	Sequence     uint64
-	FencingToken uint64 // the highest that the worker knows
-	leaseFrom    Micros // when the last heartbeat that was answered was sent
-	tasks        []*task
-	rentedAt     Micros
-	Node         int               // index of the node that it reports to
-	NextAt       Micros            // when the next heartbeat is due
-	sentAt       Micros            // when the last heartbeat was sent
-	changed      bool              // something has changed since, and a heartbeat is due earlier
-	inFlight     bool              // a heartbeat is in flight
-	Speed        float64           // how many times as fast as usual tasks run
-	images       map[string]Micros // since when it has them, or will have
-	recallAt     Micros            // when the cloud takes it back; 0: not
-	silentRecall bool              // and it gives no notice
-	// InboundLost has answers and commands not reach the worker, while its heartbeats arrive: "drop"
-	// loses them, "hold" has direct commands arrive once the fault is over.
+	Up                  Micros // when the worker starts or restarts
+	Hang                bool   // the worker neither acts nor answers requests
+	Incarnation         uint64
+	Sequence            uint64
+	FencingToken        uint64 // the highest that the worker has received
+	leaseStart          Micros // when the last answered heartbeat was sent, or the worker started
+	tasks               []*task
+	rentedAt            Micros
+	Node                int               // index of the node that heartbeats are sent to
+	NextAt              Micros            // when the next heartbeat is due
+	sentAt              Micros            // when the last heartbeat was sent
+	changed             bool              // the status has changed since, so that the next heartbeat is due earlier
+	inFlight            bool              // a heartbeat is in flight
+	Speed               float64           // how fast tasks run, relative to the usual speed
+	imageReadyAt        map[string]Micros // when each image has been or will be fetched, by name
+	recallAt            Micros            // when the cloud reclaims the machine; 0 if it does not
+	recallWithoutNotice bool              // the worker gets no notice of the recall
+	// InboundLost, unless empty, keeps answers and commands from reaching the worker, while its
+	// heartbeats arrive: "drop" loses them, "hold" delivers direct commands once the fault is over.
 	InboundLost string
-	// OutboundLost has none of its heartbeats reach anybody, while commands reach it.
+	// OutboundLost means that none of the worker's heartbeats reach a node, while commands reach it.
+	// Servers ignores it.
 	OutboundLost bool
 }
 
-// minHeartbeatGap is how long after a heartbeat the next one is sent at the earliest, if something has
-// changed.
+// minHeartbeatGap is the minimum time between two heartbeats if the status has changed.
 const minHeartbeatGap = Second / 2
 
-// maxAnswerAge is how long after a heartbeat its answer still counts.
+// maxAnswerAge is how long after a heartbeat was sent its answer is accepted.
 const maxAnswerAge = 4 * Second
 
-// recallNoticeS is the time left that a worker reports once it knows of its machine's recall.
+// recallNoticeS is the remaining time, in seconds, that a worker reports once it has notice of its
+// machine's recall.
 const recallNoticeS = 0.5
 
-// defaultFetchGBs is the rate at which a machine fetches images, in GB a second.
+// defaultFetchGBs is the rate at which a machine fetches images, in GB per second, if the job sets none.
 const defaultFetchGBs = 0.4
 
-// Status returns the next heartbeat of the worker.
+// Status returns the next heartbeat of the worker and advances its sequence number.
 func (m *Machine) Status() wire.Heartbeat {
 	m.Sequence++
 	h := wire.Heartbeat{
@@ -55,7 +56,7 @@
 		Sequence:     m.Sequence,
 		FencingToken: m.FencingToken,
 	}
-	if m.recallAt != 0 && !m.silentRecall {
+	if m.recallAt != 0 && !m.recallWithoutNotice {
 		left := recallNoticeS
 		h.NoticeS = &left
 	}
@@ -65,7 +66,7 @@
 	return h
 }
 
-// Due reports whether the worker is to send a heartbeat.
+// Due reports whether the worker is due to send a heartbeat.
 func (m *Machine) Due(now Micros) bool {
 	if m.Hang || m.inFlight || now < m.Up {
 		return false
@@ -73,13 +74,14 @@
 	return now >= m.NextAt || m.changed && now >= m.sentAt+minHeartbeatGap
 }
 
-// Wait sets whether a heartbeat is in flight: until it is answered or given up, no other is sent.
+// Wait sets whether a heartbeat is in flight: until it is answered or has timed out, no other is sent.
 func (m *Machine) Wait(inFlight bool) { m.inFlight = inFlight }
 
-// Waits reports whether a heartbeat is in flight.
-func (m *Machine) Waits() bool { return m.inFlight }
+// HeartbeatInFlight reports whether a heartbeat has been sent that is neither answered nor timed out.
+func (m *Machine) HeartbeatInFlight() bool { return m.inFlight }
 
-// Reported notes that a heartbeat is sent, and when the next one is due; an interval of 0 is a second.
+// Reported records that a heartbeat is sent now, and that the next one is due after interval; 0 is
+// treated as one second.
 func (m *Machine) Reported(now, interval Micros) {
 	if interval == 0 {
 		interval = Second
@@ -89,7 +91,7 @@
 	m.changed = false
 }
 
-// observeFencingToken notes a fencing token, if it is higher than the one known.
+// observeFencingToken adopts a fencing token if it is higher than the worker's.
 func (m *Machine) observeFencingToken(token uint64) {
 	if token > m.FencingToken {
 		m.FencingToken = token
@@ -97,14 +99,14 @@
 	}
 }
 
-// Recall has the cloud take a machine back at a time, with or without notice to the worker.
-func (m *Machine) Recall(at Micros, silent bool) {
+// Recall makes the cloud reclaim a machine at a time, with or without notice to the worker.
+func (m *Machine) Recall(at Micros, withoutNotice bool) {
 	m.recallAt = at
-	m.silentRecall = silent
+	m.recallWithoutNotice = withoutNotice
 	m.changed = true
 }
 
-// Tasks counts the tasks that have started on a machine and not left it.
+// Tasks returns the number of tasks that have started on a machine and not ended.
 func (m *Machine) Tasks() int {
 	n := 0
 	for _, t := range m.tasks {
@@ -115,8 +117,8 @@
 	return n
 }
 
-// find returns an attempt of a task; nil if the worker doesn't know it.
-func (m *Machine) find(name string, attempt uint64) *task {
+// findTask returns an attempt of a task, or nil if the worker doesn't have it.
+func (m *Machine) findTask(name string, attempt uint64) *task {
 	for _, t := range m.tasks {
 		if t.Task == name && t.Attempt == attempt {
 			return t
@@ -125,27 +127,27 @@
 	return nil
 }
 
-// forget removes a task from the worker's memory.
-func (m *Machine) forget(forgotten *task) {
+// removeTask removes a task from the worker, which no longer reports it from then on.
+func (m *Machine) removeTask(removed *task) {
 	for i, t := range m.tasks {
-		if t == forgotten {
+		if t == removed {
 			m.tasks = append(m.tasks[:i:i], m.tasks[i+1:]...)
 			return
 		}
 	}
 }
 
-// hasImage reports whether a machine has the image of a job, which it fetches once for all tasks. The
-// first call starts the fetch.
+// hasImage reports whether a machine has fetched the image of a job. An image is fetched once for all
+// tasks that use it; the first call starts the fetch.
 func (m *Machine) hasImage(now Micros, j *SubmittedJob) bool {
-	ready, known := m.images[j.Image]
+	ready, known := m.imageReadyAt[j.Image]
 	if !known {
 		rate := defaultFetchGBs
 		if j.FetchGBs > 0 {
 			rate = j.FetchGBs
 		}
 		ready = now + Micros(j.ImageGB/rate*float64(Second))
-		m.images[j.Image] = ready
+		m.imageReadyAt[j.Image] = ready
 	}
 	return now >= ready
 }
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -7,33 +7,33 @@
 	"coralhub/wire"
 )
 
-// listInterval is how often the model takes a list of the machines.
-const listInterval = Second / 2
+// snapshotInterval is the minimum time between two snapshots of the list of machines.
+const snapshotInterval = Second / 2
 
-// neverUp is the time at which a machine starts that never does.
-const neverUp = math.MaxInt64 / 2
+// neverStarts is the start time of a machine that never starts.
+const neverStarts = math.MaxInt64 / 2
 
-// Model is how real machines and a real cloud differ from their specification. A nil Model changes
-// nothing.
+// Model makes machines and the cloud deviate from their specification as real ones do. A nil Model
+// changes nothing.
 type Model struct {
 	Rand       *rand.Rand
-	BootSpread float64 // boots take between 1-BootSpread and 1+BootSpread of the usual time
-	BootNever  float64 // the share of the machines that never start
-	ListLag    Micros  // lists are so old, sometimes up to half as much more or less, and may go back in time
-	Speed      float64 // machines are faster or slower by up to this share
-	// SpotCapacity is how many spot instances there are in a zone.
+	BootSpread float64 // boots take between 1-BootSpread and 1+BootSpread times the usual time
+	BootNever  float64 // fraction of the machines that never start
+	ListLag    Micros  // lag of lists, which varies by up to half of it; a list may be older than the one before
+	Speed      float64 // maximum fraction by which a machine is faster or slower than usual
+	// SpotCapacity is the maximum number of spot instances rented at a time, by zone.
 	SpotCapacity map[string]int
-	// BootTimes multiplies the boot time of machines rented from now on; 0 is 1.
+	// BootTimes is a factor on the boot time of machines rented from now on; 0 is treated as 1.
 	BootTimes float64
 }
 
-// listing is a list of the machines at a time.
-type listing struct {
+// listSnapshot is the list of the machines at an earlier time.
+type listSnapshot struct {
 	at       Micros
 	machines []wire.Machine
 }
 
-// rented draws the boot time and the speed of a new machine.
+// rented draws the boot time and the speed of a newly rented machine.
 func (m *Model) rented(now Micros, c *Cloud, machine *Machine) {
 	if m == nil {
 		return
@@ -44,23 +44,23 @@
 	}
 	machine.Up = now + Micros(boot)
 	if m.Rand.Float64() < m.BootNever {
-		machine.Up = neverUp
+		machine.Up = neverStarts
 	}
-	machine.leaseFrom = machine.Up
+	machine.leaseStart = machine.Up
 	machine.Speed = 1 + m.Speed*(2*m.Rand.Float64()-1)
 }
 
-// list returns a list of the machines that lags behind.
+// list returns the list of the machines as of an earlier time, which is drawn from ListLag.
 func (m *Model) list(now Micros, c *Cloud) []wire.Machine {
-	if n := len(c.listed); n == 0 || now-c.listed[n-1].at >= listInterval {
-		c.listed = append(c.listed, listing{now, c.listNow(now)})
+	if n := len(c.listSnapshots); n == 0 || now-c.listSnapshots[n-1].at >= snapshotInterval {
+		c.listSnapshots = append(c.listSnapshots, listSnapshot{now, c.listNow(now)})
 	}
 	lag := Micros(float64(m.ListLag) * (0.5 + m.Rand.Float64()))
-	for len(c.listed) > 2 && now-c.listed[1].at > 2*m.ListLag {
-		c.listed = c.listed[1:]
+	for len(c.listSnapshots) > 2 && now-c.listSnapshots[1].at > 2*m.ListLag {
+		c.listSnapshots = c.listSnapshots[1:]
 	}
-	latest := c.listed[0]
-	for _, l := range c.listed {
+	latest := c.listSnapshots[0]
+	for _, l := range c.listSnapshots {
 		if now-l.at >= lag {
 			latest = l
 		}
--- a/internal/emulator/progress.go
+++ b/internal/emulator/progress.go
@@ -5,29 +5,30 @@
 // gangCheckpoint is the key under which the progress of a whole gang is saved.
 const gangCheckpoint = -1
 
-// progress tracks how far tasks have come, and their checkpoints, which outlast the machines.
+// progress tracks the progress of tasks and their checkpoints, which outlive the machines. Progress is
+// the part of the run time that has been completed.
 type progress struct {
-	cloud       *Cloud                    // gives the model
+	cloud       *Cloud                    // for its model
 	checkpoints map[string]map[int]Micros // progress by job and task, see checkpointKey
 }
 
-// of is how far a running task has come. Without a model it counts from its start.
-func (p *progress) of(now Micros, m *Machine, t *task) Micros {
+// current returns the progress of a running task. Without a model it is the time since the task's start.
+func (p *progress) current(now Micros, m *Machine, t *task) Micros {
 	if p.cloud.Model == nil {
 		return now - t.stateSince
 	}
 	return t.fromProgress + Micros(float64(now-t.stateSince)*m.Speed)
 }
 
-// saved is the progress that the n-th task of a job starts from.
-func (p *progress) saved(j *SubmittedJob, n int) Micros {
+// lastCheckpoint returns the saved progress that the n-th task of a job starts from; 0 without a model.
+func (p *progress) lastCheckpoint(j *SubmittedJob, n int) Micros {
 	if p.cloud.Model == nil {
 		return 0
 	}
 	return p.checkpoints[j.ID][checkpointKey(j, n)]
 }
 
-// checkpointKey is the key under which the progress of the n-th task of a job is saved.
+// checkpointKey returns the key under which the progress of the n-th task of a job is saved.
 func checkpointKey(j *SubmittedJob, n int) int {
 	if j.Shape == wire.Gang {
 		return gangCheckpoint
@@ -35,7 +36,8 @@
 	return n
 }
 
-// save saves the progress of the n-th task of a job outside of the machines.
+// save saves the progress of the n-th task of a job outside of the machines. Earlier progress never
+// replaces later progress. Without a model, or if the job has no checkpoints, nothing is saved.
 func (p *progress) save(j *SubmittedJob, n int, progress Micros) {
 	if p.cloud.Model == nil || j.CheckpointS <= 0 {
 		return
--- a/internal/emulator/servers.go
+++ b/internal/emulator/servers.go
@@ -17,44 +17,44 @@
 	State       *State
 	Environment *Environment
 	Nodes       []string // addresses that workers send heartbeats to
-	Names       []string // the nodes' names, which redirections give, in the same order
-	// Failed is called with the reason why a heartbeat was not answered, by several goroutines; it may
-	// be nil.
-	Failed func(error)
-	// Requests counts the requests to the state service, and Refused those beyond its quotas.
+	Names       []string // names of the nodes, as given in redirections, in the same order
+	// OnFailure is called with the error of each heartbeat request that failed, from several goroutines; it
+	// may be nil.
+	OnFailure func(error)
+	// Requests counts the requests to the state service, and Refused those that exceeded its quotas.
 	Requests, Refused int
 
 	start         time.Time
-	wake          chan struct{} // is closed, and replaced, when watches may have something to answer
-	requests      *rate.Limiter // of the state service
-	writes        *rate.Limiter // of the state service
-	cloud         *rate.Limiter
-	delay         time.Duration // of each answer of the state service
-	repeatWithinS float64       // copies of heartbeats come up to so many seconds later; 0: none do
+	wake          chan struct{} // closed and replaced to make open watches check for changes
+	stateRequests *rate.Limiter // of the state service
+	stateWrites   *rate.Limiter // of the state service
+	cloudRequests *rate.Limiter
+	stateDelay    time.Duration // of each answer of the state service
+	repeatWithinS float64       // maximum delay of repeated heartbeats, in seconds; 0 if none are repeated
 }
 
 // NewServers returns servers without quotas.
 func NewServers() *Servers {
 	return &Servers{
-		State:       NewState(),
-		Environment: NewEnvironment(),
-		start:       time.Now(),
-		wake:        make(chan struct{}),
-		requests:    rate.NewLimiter(rate.Inf, 0),
-		writes:      rate.NewLimiter(rate.Inf, 0),
-		cloud:       rate.NewLimiter(rate.Inf, 0),
+		State:         NewState(),
+		Environment:   NewEnvironment(),
+		start:         time.Now(),
+		wake:          make(chan struct{}),
+		stateRequests: rate.NewLimiter(rate.Inf, 0),
+		stateWrites:   rate.NewLimiter(rate.Inf, 0),
+		cloudRequests: rate.NewLimiter(rate.Inf, 0),
 	}
 }
 
-// cloudBurstS is the burst of the cloud's quota, in seconds of it. That of the state service is one.
+// cloudBurstS is the burst of the cloud's quota, in seconds' worth of requests. The state service's is 1.
 const cloudBurstS = 2
 
-// SetQuotas sets how many requests and changes a second the state service accepts, with bursts of one
-// second's worth, and how many requests the cloud does, with bursts of two.
+// SetQuotas sets how many requests and changes per second the state service accepts, with bursts of one
+// second's worth, and how many requests per second the cloud accepts, with bursts of two seconds' worth.
 func (s *Servers) SetQuotas(requests, writes, cloud float64) {
-	setQuota(s.requests, requests, requests)
-	setQuota(s.writes, writes, writes)
-	setQuota(s.cloud, cloud, cloudBurstS*cloud)
+	setQuota(s.stateRequests, requests, requests)
+	setQuota(s.stateWrites, writes, writes)
+	setQuota(s.cloudRequests, cloud, cloudBurstS*cloud)
 }
 
 func setQuota(l *rate.Limiter, perSecond, burst float64) {
@@ -62,24 +62,24 @@
 	l.SetBurst(max(1, int(burst)))
 }
 
-// Delay delays each answer of the state service by so much.
-func (s *Servers) Delay(d time.Duration) { s.With(func() { s.delay = d }) }
+// Delay sets the delay of each answer of the state service.
+func (s *Servers) Delay(d time.Duration) { s.With(func() { s.stateDelay = d }) }
 
-// Repeat has copies of heartbeats come again, each up to so many seconds later and at any node; 0: none
-// do.
+// Repeat makes workers send copies of some heartbeats again, each at most withinS seconds later, but no
+// less than minRepeatDelayS, and to a random node. If withinS is 0, no heartbeats are repeated.
 func (s *Servers) Repeat(withinS float64) { s.With(func() { s.repeatWithinS = withinS }) }
 
-// Now is the time of the emulated systems. It is never 0.
+// Now returns the time of the emulated systems, counted from NewServers. It is never 0.
 func (s *Servers) Now() Micros { return time.Since(s.start).Microseconds() + 1 }
 
-// With calls f while nothing else happens to the emulated systems. f must not call With.
+// With calls f while holding the lock on the emulated systems. f must not call With.
 func (s *Servers) With(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-// writeBody answers a request with a message.
+// writeBody answers a request with a status and an encoded message.
 func writeBody(w http.ResponseWriter, status int, body any) {
 	raw, err := wire.Marshal(body)
 	if err != nil {
@@ -90,7 +90,7 @@
 	_, _ = w.Write(raw)
 }
 
-// readBody reads the message of a request; it returns false if it is malformed.
+// readBody decodes the message of a request. It returns false if the body can't be read or is malformed.
 func readBody(r *http.Request, message any) bool {
 	raw, err := io.ReadAll(r.Body)
 	return err == nil && wire.Unmarshal(raw, message) == nil
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -1,6 +1,6 @@
-// Package emulator emulates the systems that coralhub depends on, by their published protocol: the state
-// service, the cloud and the workers. State and Environment take the time as an argument, so that a
-// simulation can run them on a clock of its own; Servers serves them over HTTP on the real clock.
+// Package emulator emulates the systems that coralhub depends on, according to their published protocol:
+// the state service, the cloud and the workers. State and Environment take the time as an argument, so
+// that a simulation can run them on a simulated clock; Servers serves them over HTTP on the real clock.
 package emulator
 
 import (
@@ -23,23 +23,23 @@
 // State is a key-value store with compare-and-swap transactions, leases and watches. It is not safe for
 // concurrent use. Methods that return an int return an HTTP status.
 type State struct {
-	Down bool // an outage: every request is answered 503
-	// ValueBytes limits values, in bytes of their JSON, and TxnOps the changes of a transaction; 0:
-	// unlimited.
+	Down bool // simulates an outage, in which every request is answered 503
+	// ValueBytes limits the size of values, in bytes of their JSON, and TxnOps the number of changes of a
+	// transaction. 0 means no limit.
 	ValueBytes, TxnOps int
-	Refused            int // transactions beyond these limits
-	revision           uint64
+	Refused            int    // number of transactions that exceeded these limits
+	revision           uint64 // of the last change
 	keys               map[string]wire.KeyValue
 	leases             map[uint64]*lease
 	lastLease          uint64
 	changes            []wire.Change // in the order of their revisions
-	// Keep is how many changes at least a watch can go back; 0: all.
+	// Keep is the minimum number of past changes that watches can still receive; 0 means all.
 	Keep int
-	// Disk stores what is committed before it is answered; nil: it is kept in memory alone.
+	// Disk stores changes before they are acknowledged. If it is nil, they are kept only in memory.
 	Disk *Disk
 }
 
-// lease is a lease of a client on its keys.
+// lease is a client's lease, to which keys can be attached.
 type lease struct {
 	ttl       Micros
 	expiresAt Micros
@@ -50,7 +50,7 @@
 	return &State{revision: 1, keys: map[string]wire.KeyValue{}, leases: map[uint64]*lease{}}
 }
 
-// SetDown begins or ends an outage. Leases don't expire in an outage, and have their full time after it.
+// SetDown begins or ends an outage. Leases don't expire in an outage, and are renewed when it ends.
 func (s *State) SetDown(now Micros, down bool) {
 	if s.Down && !down {
 		for _, l := range s.leases {
@@ -60,7 +60,7 @@
 	s.Down = down
 }
 
-// Expire ends the leases that were not renewed in time, and deletes their keys.
+// Expire ends the leases that were not renewed in time, and deletes the keys attached to them.
 func (s *State) Expire(now Micros) {
 	if s.Down {
 		return
@@ -70,12 +70,12 @@
 			continue
 		}
 		delete(s.leases, id)
-		s.deleteKeysOf(id)
+		s.deleteLeaseKeys(id)
 	}
 }
 
-// deleteKeysOf deletes the keys that are attached to a lease, in order, each in a revision of its own.
-func (s *State) deleteKeysOf(lease uint64) {
+// deleteLeaseKeys deletes the keys that are attached to a lease, in order, each in a separate revision.
+func (s *State) deleteLeaseKeys(lease uint64) {
 	var attached []string
 	for key, item := range s.keys {
 		if item.Lease == lease {
@@ -85,7 +85,7 @@
 	slices.Sort(attached)
 	for _, key := range attached {
 		if s.Disk.save(s.revision+1, []wire.Change{{Delete: key}}) != nil {
-			continue // the key is deleted when the disk is loaded, at the latest
+			continue // Disk.Load deletes the key at the latest
 		}
 		s.revision++
 		delete(s.keys, key)
@@ -104,7 +104,7 @@
 			return http.StatusBadRequest, wire.TransactionResult{Error: wire.NoSuchLease}
 		}
 	}
-	if s.violatedLimits(&t) {
+	if s.exceedsLimits(&t) {
 		s.Refused++
 		return http.StatusBadRequest, wire.TransactionResult{Error: "too large"}
 	}
@@ -134,7 +134,7 @@
 	return failed
 }
 
-// applyChanges makes changes in the current revision.
+// applyChanges applies changes at the current revision.
 func (s *State) applyChanges(changes []wire.Change) {
 	for _, c := range changes {
 		if c.Put != "" {
@@ -147,20 +147,20 @@
 	}
 }
 
-// trimHistory drops old changes beyond Keep, once there are as many of them.
+// trimHistory drops all but the last Keep changes, once there are more than twice as many.
 func (s *State) trimHistory() {
 	if s.Keep > 0 && len(s.changes) > 2*s.Keep {
 		s.changes = append([]wire.Change(nil), s.changes[len(s.changes)-s.Keep:]...)
 	}
 }
 
-// Lost reports whether changes after a revision are not kept any more.
-func (s *State) Lost(revision uint64) bool {
+// Trimmed reports whether some of the changes after a revision have been dropped from the history.
+func (s *State) Trimmed(revision uint64) bool {
 	return s.Keep > 0 && len(s.changes) >= s.Keep && revision+1 < s.changes[0].Version
 }
 
-// Page returns the items under a prefix after a key, in order: limit at most, and no more than fit a page.
-// more reports whether others follow.
+// Page returns the items under a prefix whose keys follow from, in order: at most limit, and at most
+// maxPageBytes of keys and values. more reports whether further items follow.
 func (s *State) Page(prefix, from string, limit int) (items []wire.KeyValue, more bool) {
 	all := s.List(prefix)
 	all = all[firstAfter(all, from, func(item wire.KeyValue) string { return item.Key }):]
@@ -174,10 +174,11 @@
 	return all, false
 }
 
-// maxPageBytes bounds a page of items.
+// maxPageBytes is the maximum size of a page, in bytes of keys and values.
 const maxPageBytes = 512 << 10
 
-// EndLease ends a lease at once, and deletes its keys. One that there isn't has ended.
+// EndLease ends a lease at once, and deletes the keys attached to it. It also returns 200 if there is no
+// such lease.
 func (s *State) EndLease(now Micros, id uint64) int {
 	if s.Down {
 		return http.StatusServiceUnavailable
@@ -189,8 +190,8 @@
 	return http.StatusOK
 }
 
-// violatedLimits reports whether a transaction exceeds the limits.
-func (s *State) violatedLimits(t *wire.Transaction) bool {
+// exceedsLimits reports whether a transaction exceeds TxnOps or one of its values ValueBytes.
+func (s *State) exceedsLimits(t *wire.Transaction) bool {
 	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Conditions) > wire.ConditionsPerChange*s.TxnOps) {
 		return true
 	}
@@ -205,7 +206,7 @@
 	return false
 }
 
-// valueTooLarge reports whether a value is malformed or exceeds the limit as JSON.
+// valueTooLarge reports whether a value is malformed or its JSON is larger than ValueBytes.
 func (s *State) valueTooLarge(value []byte) bool {
 	var v any
 	if err := wire.Unmarshal(value, &v); err != nil {
@@ -215,10 +216,10 @@
 	return err != nil || len(raw) > s.ValueBytes
 }
 
-// Get returns the item of a key; its version is 0 if there is none.
+// Get returns the item of a key, or one of version 0 if the key does not exist.
 func (s *State) Get(key string) wire.KeyValue { return s.keys[key] }
 
-// Revision is the revision of the last change.
+// Revision returns the revision of the last change.
 func (s *State) Revision() uint64 { return s.revision }
 
 // List returns the items under a prefix, in the order of their keys.
@@ -233,8 +234,8 @@
 	return out
 }
 
-// firstAfter returns the index of the first item of a sorted list whose key is above a limit; the length of
-// the list if there is none. Several items may have the same key.
+// firstAfter returns the index of the first item of a sorted list whose key is greater than limit, or the
+// length of the list if there is none. Several items may have the same key.
 func firstAfter[T any, K cmp.Ordered](sorted []T, limit K, keyOf func(T) K) int {
 	i, _ := slices.BinarySearchFunc(sorted, limit, func(item T, limit K) int {
 		if keyOf(item) <= limit {
@@ -245,7 +246,8 @@
 	return i
 }
 
-// Since returns the changes under a prefix after a revision, as far as they are kept; see Lost.
+// Since returns the changes under a prefix after a revision, without those that have been dropped; see
+// Trimmed.
 func (s *State) Since(prefix string, revision uint64) []wire.Change {
 	newer := s.changes[firstAfter(s.changes, revision, func(c wire.Change) uint64 { return c.Version }):]
 	var out []wire.Change
@@ -257,7 +259,7 @@
 	return out
 }
 
-// Grant grants a lease and returns the HTTP status and the lease's number.
+// Grant grants a lease and returns the HTTP status and the lease's ID.
 func (s *State) Grant(now, ttl Micros) (status int, id uint64) {
 	if s.Down {
 		return http.StatusServiceUnavailable, 0
@@ -267,7 +269,7 @@
 	return http.StatusOK, s.lastLease
 }
 
-// Extend renews a lease; it returns 404 if there is no such lease.
+// Extend renews a lease and returns the HTTP status, which is 404 if there is no such lease.
 func (s *State) Extend(now Micros, id uint64) int {
 	if s.Down {
 		return http.StatusServiceUnavailable
--- a/internal/emulator/state_server.go
+++ b/internal/emulator/state_server.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// minLeaseMS and maxLeaseMS bound the time of a lease, in milliseconds.
+	// minLeaseMS and maxLeaseMS bound the TTL of a lease, in milliseconds.
 	minLeaseMS = 100
 	maxLeaseMS = 600_000
 	// maxWatchMS bounds how long a watch stays open, in milliseconds.
 	maxWatchMS = 60_000
-	// outagePoll is how often a watch that is over checks whether an outage has ended.
-	outagePoll = 100 * time.Millisecond
+	// outagePollInterval is how often a watch whose time is over checks whether an outage has ended.
+	outagePollInterval = 100 * time.Millisecond
 )
 
-// StateHandler serves the state service.
+// StateHandler returns the handler of the state service's API.
 func (s *Servers) StateHandler() http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern string, h http.HandlerFunc) { mux.HandleFunc(pattern, s.admitState(h)) }
@@ -35,12 +35,12 @@
 	return mux
 }
 
-// admitState counts a request to the state service, delays it, and refuses it beyond the quota or in an
-// outage.
+// admitState counts and delays requests to the state service, and refuses those that exceed the quota or
+// arrive in an outage.
 func (s *Servers) admitState(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		down, delay := s.State.Down, s.delay
+		down, delay := s.State.Down, s.stateDelay
 		s.Requests++
 		s.mu.Unlock()
 		if delay > 0 {
@@ -50,7 +50,7 @@
 		switch {
 		case down && !isWatch:
 			writeOutage(w)
-		case !s.requests.Allow():
+		case !s.stateRequests.Allow():
 			s.refuse(w)
 		default:
 			next(w, r)
@@ -58,7 +58,7 @@
 	}
 }
 
-// refuse refuses a request that is beyond a quota of the state service.
+// refuse refuses a request that exceeds a quota of the state service.
 func (s *Servers) refuse(w http.ResponseWriter) {
 	s.With(func() { s.Refused++ })
 	writeTooManyRequests(w)
@@ -70,7 +70,7 @@
 		writeMalformed(w)
 		return
 	}
-	if n := len(t.Changes); n > 0 && !s.writes.AllowN(time.Now(), n) {
+	if n := len(t.Changes); n > 0 && !s.stateWrites.AllowN(time.Now(), n) {
 		s.refuse(w)
 		return
 	}
@@ -90,7 +90,8 @@
 	writeBody(w, http.StatusOK, wire.KeyValuePage{Items: items, More: more, Revision: s.State.Revision()})
 }
 
-// pageLimit is how many items a request wants at most; the highest number if it doesn't say.
+// pageLimit returns the page size that a request asks for, or highest if it gives none between 1 and
+// highest.
 func pageLimit(query url.Values, highest int) int {
 	limit, err := strconv.Atoi(query.Get("most"))
 	if err != nil || limit <= 0 || limit > highest {
@@ -129,17 +130,18 @@
 	s.changeLease(w, r, func(id uint64) int { return s.State.EndLease(s.Now(), id) })
 }
 
-// changeLease calls change for the lease of a request, under the lock, and answers with the HTTP status
+// changeLease calls change for the lease of a request, with s.mu held, and answers with the HTTP status
 // that it returns.
 func (s *Servers) changeLease(w http.ResponseWriter, r *http.Request, change func(id uint64) (status int)) {
-	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64) // 0, which is no lease, if it is malformed
+	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64) // 0 if it is malformed, which is no lease's ID
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	writeBody(w, change(id), wire.LeaseGrant{Lease: id})
 	s.wakeWatches()
 }
 
-// Expire ends the leases of the state service that were not renewed in time. Drive does so by itself.
+// Expire ends the leases of the state service that were not renewed in time. Only needed without Drive,
+// which does this as well.
 func (s *Servers) Expire() {
 	s.With(func() {
 		s.State.Expire(s.Now())
@@ -147,13 +149,14 @@
 	})
 }
 
-// wakeWatches has the open watches check for changes. s.mu is held.
+// wakeWatches makes the open watches check for changes. s.mu must be held.
 func (s *Servers) wakeWatches() {
 	close(s.wake)
 	s.wake = make(chan struct{})
 }
 
-// watchChanges answers a watch once there are changes, or its time is over and there is no outage.
+// watchChanges answers a watch once there are changes or its time is over. In an outage it does not
+// answer until the outage has ended.
 func (s *Servers) watchChanges(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
@@ -165,7 +168,7 @@
 		changes := s.changesSince(query.Get("under"), from)
 		switch {
 		case changes.down:
-		case changes.lost:
+		case changes.trimmed:
 			writeBody(w, http.StatusGone, wire.Error{Error: "too old"})
 			return
 		case len(changes.response.Events) > 0 || over:
@@ -177,7 +180,7 @@
 		case <-end.C:
 			over = true
 			if changes.down {
-				wait.For(r.Context(), outagePoll)
+				wait.For(r.Context(), outagePollInterval)
 				end.Reset(0)
 			}
 		case <-r.Context().Done():
@@ -186,12 +189,12 @@
 	}
 }
 
-// watchedChanges is what a watch finds at a moment.
+// watchedChanges is the result of one check of a watch for changes.
 type watchedChanges struct {
 	response wire.WatchResponse
-	down     bool          // there is an outage, and the response has no events
-	lost     bool          // older changes than are kept are asked for
-	wake     chan struct{} // is closed when there may be more
+	down     bool          // there is an outage; the response has no events
+	trimmed  bool          // some of the requested changes have been dropped
+	wake     chan struct{} // closed when there may be more changes
 }
 
 // changesSince returns the changes under a prefix after a revision.
@@ -201,10 +204,10 @@
 	changes := watchedChanges{
 		response: wire.WatchResponse{Revision: s.State.Revision()},
 		down:     s.State.Down,
-		lost:     s.State.Lost(revision),
+		trimmed:  s.State.Trimmed(revision),
 		wake:     s.wake,
 	}
-	if !changes.down && !changes.lost {
+	if !changes.down && !changes.trimmed {
 		changes.response.Events = s.State.Since(prefix, revision)
 	}
 	return changes
--- a/internal/emulator/state_test.go
+++ b/internal/emulator/state_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The first item above a limit is found also where several items have the same key.
+// The first item above a limit is also found if several items have the same key.
 func TestFirstAfter(t *testing.T) {
 	sorted := []int{2, 4, 4, 4, 7}
 	self := func(i int) int { return i }
@@ -15,10 +15,10 @@
 			want = len(sorted)
 		}
 		if got := firstAfter(sorted, limit, self); got != want {
-			t.Errorf("after %d: %d, want %d", limit, got, want)
+			t.Errorf("firstAfter(%v, %d) = %d, want %d", sorted, limit, got, want)
 		}
 	}
 	if got := firstAfter(nil, 1, self); got != 0 {
-		t.Errorf("of an empty list: %d", got)
+		t.Errorf("firstAfter of an empty list = %d, want 0", got)
 	}
 }
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -5,29 +5,30 @@
 	"coralhub/wire"
 )
 
-// saveTime is how long a task takes to save a checkpoint when it is stopped.
-const saveTime = Second
+// saveDuration is how long a task takes to save a checkpoint when it is stopped.
+const saveDuration = Second
 
 // task is an attempt of a task on a machine.
 type task struct {
 	wire.TaskStatus
-	stateSince   Micros // when it was received, started, or began to wait or to save
-	fromProgress Micros // the progress that it started from, or saves
-	onMachine    bool   // it has its image and has not left the machine
+	stateSince   Micros // when it was received, started, or began to wait or to save a checkpoint
+	fromProgress Micros // the progress that it started from or that it is saving
+	onMachine    bool   // it has started on the machine and not ended
 }
 
-// TaskRunner takes tasks through their states.
+// TaskRunner advances tasks through their states.
 type TaskRunner struct {
-	Fails map[string]Micros // machines on which every task fails that starts after that time
+	Fails map[string]Micros // machines on which each task that starts after the given time fails
 
 	protocol *Protocol
-	cloud    *Cloud // gives the model
+	cloud    *Cloud // for its model
 	jobs     *JobRegistry
 	progress *progress
 	events   *EventSink
 }
 
-// advance takes a task to its next state if it is time. Gangs are started and completed by gangs.
+// advance moves a task to its next state when that is due. The tasks of gangs are started and completed
+// by gangs.advance.
 func (r *TaskRunner) advance(now Micros, m *Machine, t *task) {
 	id, n, _ := wire.ParseTaskName(t.Task)
 	j := r.jobs.Jobs[id]
@@ -46,11 +47,11 @@
 		switch {
 		case failing && t.stateSince > since || j.Mistaken:
 			r.exit(now, m, t, wire.CauseError)
-		case j.Shape == wire.Array && r.progress.of(now, m, t) >= j.RunOf(n):
+		case j.Shape == wire.Array && r.progress.current(now, m, t) >= j.RunOf(n):
 			r.complete(now, m, t)
 		}
 	case wire.Saving:
-		if now-t.stateSince >= saveTime {
+		if now-t.stateSince >= saveDuration {
 			t.Saved = true
 			r.progress.save(j, n, t.fromProgress)
 			r.exit(now, m, t, wire.CauseStopped)
@@ -58,7 +59,8 @@
 	}
 }
 
-// advanceFetching starts a task that has its image, or ends it if the task has completed meanwhile.
+// advanceFetching starts a task whose image has been fetched, or ends it if the task has completed
+// meanwhile.
 func (r *TaskRunner) advanceFetching(now Micros, m *Machine, t *task, j *SubmittedJob) {
 	if r.cloud.Model != nil && !m.hasImage(now, j) {
 		return
@@ -78,15 +80,15 @@
 	}
 }
 
-// run has a task run from the progress that was saved of the n-th task of its job.
+// run makes a task run, starting from the last checkpoint of the n-th task of its job.
 func (r *TaskRunner) run(now Micros, m *Machine, t *task, j *SubmittedJob, n int) {
 	t.State = wire.Running
 	t.stateSince = now
-	t.fromProgress = r.progress.saved(j, n)
+	t.fromProgress = r.progress.lastCheckpoint(j, n)
 	m.changed = true
 }
 
-// complete ends a task that is done.
+// complete ends a task as done and records it as completed.
 func (r *TaskRunner) complete(now Micros, m *Machine, t *task) {
 	id, n, _ := wire.ParseTaskName(t.Task)
 	r.jobs.complete(id, n)
@@ -94,16 +96,16 @@
 	r.exit(now, m, t, wire.Done)
 }
 
-// exit ends a task with a cause. The worker reports it until a command has it forget the task.
+// exit ends a task with a cause. The worker reports the task until it receives a forget command for it.
 func (r *TaskRunner) exit(now Micros, m *Machine, t *task, cause string) {
-	r.leave(now, m, t)
+	r.markStopped(now, m, t)
 	t.State = wire.Exited
 	t.Cause = cause
 	m.changed = true
 }
 
-// leave notes that a task is not on its machine any more.
-func (r *TaskRunner) leave(now Micros, m *Machine, t *task) {
+// markStopped records that a task is no longer on its machine, if it has started there.
+func (r *TaskRunner) markStopped(now Micros, m *Machine, t *task) {
 	if !t.onMachine {
 		return
 	}
@@ -114,14 +116,14 @@
 	})
 }
 
-// endAll ends all tasks of a machine; their periodic checkpoints remain.
+// endAll ends all tasks of a machine. Running tasks keep the progress of their last periodic checkpoint.
 func (r *TaskRunner) endAll(now Micros, m *Machine) {
 	for _, t := range m.tasks {
 		id, n, _ := wire.ParseTaskName(t.Task)
 		if j := r.jobs.Jobs[id]; j != nil && t.State == wire.Running && j.CheckpointS > 0 {
 			interval := Micros(j.CheckpointS * float64(Second))
-			r.progress.save(j, n, r.progress.of(now, m, t)/interval*interval)
+			r.progress.save(j, n, r.progress.current(now, m, t)/interval*interval)
 		}
-		r.leave(now, m, t)
+		r.markStopped(now, m, t)
 	}
 }
--- a/internal/emulator/worker_server.go
+++ b/internal/emulator/worker_server.go
@@ -10,11 +10,12 @@
 	"coralhub/wire"
 )
 
-// statusVerb is the last part of the path of a request for a worker's status.
+// statusVerb is the last segment of the path of a request for a worker's status.
 const statusVerb = "status"
 
-// unreachablePoll is how often a request to a worker that can't be reached checks whether it can again.
-const unreachablePoll = 100 * time.Millisecond
+// unreachablePollInterval is how often a request to an unreachable worker checks whether the worker can be
+// reached again.
+const unreachablePollInterval = 100 * time.Millisecond
 
 // Values of Machine.InboundLost.
 const (
@@ -22,8 +23,8 @@
 	inboundHold = "hold"
 )
 
-// WorkerHandler serves all workers: the first part of the path is the machine. One that hangs or is not
-// up yet doesn't answer.
+// WorkerHandler returns the handler of the APIs of all workers: the first segment of the path is the name
+// of the machine. A worker that hangs or has not started doesn't answer.
 func (s *Servers) WorkerHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, verb, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
@@ -46,9 +47,10 @@
 	})
 }
 
-// lockReachable waits until a machine can be reached or is gone, and returns with the lock held. It
-// returns false, without the lock, if the request is lost; then its sender has given up. What was sent
-// to a machine that hangs takes effect when it goes on, although the sender has given up.
+// lockReachable waits until a machine can be reached or no longer exists, and returns true with s.mu held.
+// If the request is lost, it waits until the client has cancelled it, and returns false without the lock.
+// A request to a machine that hangs takes effect when the machine resumes, even if the client has
+// cancelled it meanwhile.
 func (s *Servers) lockReachable(r *http.Request, name string) bool {
 	for {
 		s.mu.Lock()
@@ -62,7 +64,7 @@
 			<-r.Context().Done()
 			return false
 		}
-		wait.For(context.Background(), unreachablePoll)
+		wait.For(context.Background(), unreachablePollInterval)
 	}
 }
 
--- a/internal/emulator/workers.go
+++ b/internal/emulator/workers.go
@@ -15,15 +15,16 @@
 	tasks    *TaskRunner
 }
 
-// tickWorker advances a worker that has started, and its tasks.
+// tickWorker advances a worker that has started, and its tasks. When the worker's lease has expired, all
+// its tasks end and the next incarnation begins.
 func (w *Workers) tickWorker(now Micros, m *Machine) {
-	// Hanging or not: see HangKeeps.
-	if now-m.leaseFrom > w.protocol.Lease && (!w.protocol.HangKeeps || !m.Hang) {
+	// Whether the lease of a machine that hangs can expire depends on HangKeeps.
+	if now-m.leaseStart > w.protocol.Lease && (!w.protocol.HangKeeps || !m.Hang) {
 		w.tasks.endAll(now, m)
 		m.tasks = nil
 		m.changed = true
 		m.Incarnation++
-		m.leaseFrom = now
+		m.leaseStart = now
 	}
 	if m.Hang {
 		return
@@ -34,7 +35,7 @@
 }
 
 // Commands handles a direct call with commands to a worker and returns the HTTP status and the worker's
-// heartbeat. Commands with an older fencing token or for another incarnation are refused.
+// status. Commands with an older fencing token or for another incarnation are refused with 409.
 func (w *Workers) Commands(now Micros, m *Machine, request wire.CommandRequest) (int, wire.Heartbeat) {
 	m.observeFencingToken(request.FencingToken)
 	if request.FencingToken < m.FencingToken || request.Incarnation != m.Incarnation {
@@ -44,28 +45,29 @@
 	return http.StatusOK, m.Status()
 }
 
-// execute executes commands in order. One that doesn't apply to the task's state has no effect.
+// execute executes commands in order. A command that doesn't apply to the task's state has no effect.
 func (w *Workers) execute(now Micros, m *Machine, commands []wire.Command) {
 	for _, c := range commands {
-		t := m.find(c.Task, c.Attempt)
+		t := m.findTask(c.Task, c.Attempt)
 		switch {
 		case c.Verb == wire.CommandStart && t == nil:
 			w.start(now, m, c)
 		case c.Verb == wire.CommandStop && t != nil && t.State != wire.Exited:
 			w.stop(now, m, t, c)
 		case c.Verb == wire.CommandForget && t != nil && t.State == wire.Exited:
-			m.forget(t)
+			m.removeTask(t)
 		}
 	}
 }
 
-// stop has a task save a checkpoint if it can within the grace of the command, and ends it otherwise.
-// A task that saves goes on unless the command gives no grace.
+// stop makes a running task save a checkpoint if its job has checkpoints and the grace period of the
+// command suffices, and ends it otherwise. A task that is already saving continues to do so unless the
+// command gives no grace period.
 func (w *Workers) stop(now Micros, m *Machine, t *task, c wire.Command) {
 	id, _, _ := wire.ParseTaskName(c.Task)
 	j := w.jobs.Jobs[id]
 	if t.State == wire.Running && j.CheckpointS > 0 && c.GraceS != nil && *c.GraceS >= j.SaveS {
-		t.fromProgress = w.tasks.progress.of(now, m, t)
+		t.fromProgress = w.tasks.progress.current(now, m, t)
 		t.State = wire.Saving
 		t.stateSince = now
 		m.changed = true
@@ -77,8 +79,8 @@
 	}
 }
 
-// start adds a task to a machine, which fetches its image next. A task that is unknown or doesn't fit
-// exits at once.
+// start adds a task to a machine, which then fetches the task's image. A task that is unknown or for which
+// the machine has too few GPUs exits at once.
 func (w *Workers) start(now Micros, m *Machine, c wire.Command) {
 	m.changed = true
 	t := &task{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.Fetching}, stateSince: now}
@@ -97,7 +99,7 @@
 	w.checker.checkStart(now, m, t)
 }
 
-// usedGPUs is how many GPUs the tasks on a machine use.
+// usedGPUs returns the number of GPUs that the tasks on a machine use.
 func (w *Workers) usedGPUs(m *Machine) float64 {
 	used := 0.0
 	for _, t := range m.tasks {
@@ -109,30 +111,31 @@
 	return used
 }
 
-// Restart has a machine stop with all its tasks and be up again after a time. Its worker goes on with
-// the next incarnation; or it starts anew, without any memory, even of its incarnation.
-func (w *Workers) Restart(now, after Micros, m *Machine, anew bool) {
+// Restart stops a machine with all its tasks; it starts again after a time. Its worker continues with the
+// next incarnation or, if loseState is set, starts at incarnation 1 without any of its former state.
+func (w *Workers) Restart(now, after Micros, m *Machine, loseState bool) {
 	w.tasks.endAll(now, m)
 	m.tasks = nil
 	m.changed = true
 	m.inFlight = false
 	m.Incarnation++
-	if anew {
+	if loseState {
 		m.Incarnation = 1
 		m.Sequence = 0
 		m.FencingToken = 0
 	}
 	m.Up = now + after
-	m.leaseFrom = now + after
+	m.leaseStart = now + after
 }
 
-// Answered handles a successful answer to a heartbeat that was sent at a time by an incarnation. An
-// answer with an older fencing token, to another incarnation, or that is too late has no effect.
+// Answered handles a successful answer to the heartbeat that an incarnation of a worker sent at a time. An
+// answer that has an older fencing token, is for another incarnation, or arrives more than maxAnswerAge
+// after the heartbeat was sent has no effect.
 func (w *Workers) Answered(now, sent Micros, incarnation uint64, m *Machine, response wire.HeartbeatResponse) {
 	if response.FencingToken < m.FencingToken || incarnation != m.Incarnation || now-sent > maxAnswerAge {
 		return
 	}
 	m.observeFencingToken(response.FencingToken)
-	m.leaseFrom = sent
+	m.leaseStart = sent
 	w.execute(now, m, response.Commands)
 }
