--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs a whole cluster on one machine: controller processes of this very program, and
-// emulators of the state service, the cloud and the workers, all on loopback sockets with a proxy on
-// every link, which can inject faults.
+// Package cluster runs a whole cluster on one machine: controller processes of this program, and emulators
+// of the state service, the cloud and the workers. All of them communicate over loopback sockets, with a
+// proxy on every link that can inject faults.
 package cluster
 
 import (
@@ -19,24 +19,24 @@
 	"coralhub/wire"
 )
 
-// Options say what cluster to start.
+// Options describes the cluster to start.
 type Options struct {
-	Program  string // path of the program that the nodes run
-	Dir      string // for logs and settings
-	Data     string // the file that the state is kept in; "": in memory
+	Program  string // path of the executable that the nodes run
+	Dir      string // directory for the logs and the configurations of the nodes
+	Data     string // file that stores the state; "" keeps it in memory
 	Nodes    int
-	Settings string // a file of the operators' settings; "": none
+	Settings string // file of the operators' settings; "" if there is none
 	Log      string // LOG_LEVEL of the nodes
 	Cluster  config.Cluster
 	Types    []wire.MachineType
-	Capacity map[string]int // ordinary machines, by zone
+	Capacity map[string]int // number of on-demand machines, by zone
 	Model    *emulator.Model
 	Boot     emulator.Micros
-	Watch    func(invariants.Event) // is called with what happens on machines; may be nil
-	// Failed is called with the reason why a connection of this process was not made, by several
-	// goroutines; it may be nil.
+	Watch    func(invariants.Event) // called with each event on a machine; may be nil
+	// Failed is called with the error of each connection that this process failed to accept or make, and of
+	// each heartbeat request that failed, from several goroutines; it may be nil.
 	Failed func(error)
-	// RestartAfter is how long a node that has ended stays down.
+	// RestartAfter is the time from the end of a node's process to its restart.
 	RestartAfter time.Duration
 }
 
@@ -54,18 +54,18 @@
 }
 
 const (
-	// anyPort is an address on which an emulator gets a port of its own.
+	// anyPort is a listen address with a port chosen by the system.
 	anyPort = "127.0.0.1:0"
-	// watchHistory is how many changes a watch of the state service can go back.
+	// watchHistory is the minimum number of past changes that watches of the state service can receive.
 	watchHistory = 10_000
 	// headerTimeout is how long a client of an emulator may take to send its headers.
 	headerTimeout = 10 * time.Second
-	// readyPollInterval is how often AwaitReady asks a node whether it is ready.
+	// readyPollInterval is how often AwaitReady checks whether a node is ready.
 	readyPollInterval = 20 * time.Millisecond
 )
 
-// Start starts a cluster. It returns when the processes run, which may be before they serve; see
-// AwaitReady. The caller must close the cluster.
+// Start starts a cluster. It returns once the processes are running, which may be before they accept
+// requests; see AwaitReady. The caller must close the cluster.
 func Start(opt Options) (_ *Cluster, err error) {
 	c := &Cluster{Servers: emulator.NewServers(), opt: opt}
 	ctx, stop := context.WithCancel(context.Background())
@@ -91,7 +91,7 @@
 	return c, nil
 }
 
-// loadState reads the state and the uploaded jobs from the disk, if there is one.
+// loadState loads the state and the uploaded jobs from the state file, if there is one.
 func (c *Cluster) loadState() (err error) {
 	if c.opt.Data == "" {
 		return nil
@@ -106,7 +106,7 @@
 	return err
 }
 
-// configureServers sets the limits and the times of the emulators.
+// configureServers sets the limits and the timing parameters of the emulators.
 func (c *Cluster) configureServers() {
 	s := c.Servers
 	limits := &c.opt.Cluster
@@ -127,8 +127,8 @@
 	e.ReportEvery = config.FromSeconds(limits.Workers.ReportS)
 }
 
-// startServers serves the emulators, creates the nodes with their links to them, and writes the
-// nodes' configurations. It returns the address of the workers.
+// startServers starts the servers of the emulators, creates the nodes with their links to them, and writes
+// the nodes' configurations. It returns the address of the workers.
 func (c *Cluster) startServers() (workersAddr string, err error) {
 	stateAddr, err := c.serve(anyPort, c.Servers.StateHandler())
 	if err != nil {
@@ -155,7 +155,7 @@
 	return workersAddr, nil
 }
 
-// startNodes starts the process of each node and its supervision, until ctx ends.
+// startNodes starts the process of each node, and supervises it until ctx ends.
 func (c *Cluster) startNodes(ctx context.Context) error {
 	for _, n := range c.Nodes {
 		n.keepRunning = true
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// serve serves a handler until the cluster closes, and returns the address that it got. If the port
-// is taken the error wraps syscall.EADDRINUSE.
+// serve serves a handler until the cluster is closed, and returns the address that it listens on. If the
+// port is in use, the error wraps syscall.EADDRINUSE.
 func (c *Cluster) serve(addr string, h http.Handler) (string, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
 	if err != nil {
@@ -180,8 +180,8 @@
 	return l.Addr().String(), nil
 }
 
-// AwaitReady waits until every node accepts requests. If ctx ends before, the error names a node that
-// does not, and its log.
+// AwaitReady waits until every node accepts requests. If ctx ends before that, the error names a node that
+// is not ready and its log file.
 func (c *Cluster) AwaitReady(ctx context.Context) error {
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
@@ -189,7 +189,7 @@
 		for !n.Ready(ctx, client) {
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("%s is not ready, see %s: %w", n.Name, c.logFile(n), ctx.Err())
+				return fmt.Errorf("%s is not ready (log: %s): %w", n.Name, c.logFile(n), ctx.Err())
 			case <-time.After(readyPollInterval):
 			}
 		}
@@ -212,7 +212,7 @@
 	for _, p := range c.proxies {
 		p.Close()
 	}
-	c.Servers.With(func() { // requests to a machine that hangs end when the machine is gone
+	c.Servers.With(func() { // a request to a machine that hangs ends when the machine is deleted
 		for name := range c.Servers.Environment.Machines {
 			delete(c.Servers.Environment.Machines, name)
 		}
--- a/internal/cluster/links.go
+++ b/internal/cluster/links.go
@@ -12,13 +12,13 @@
 	"coralhub/internal/process"
 )
 
-// The names in Node.Links of the links that every node has beside those to its peers.
+// Names in Node.Links of the links to the emulated services; links to peers have the name of the peer.
 const (
 	LinkState = "state"
 	LinkCloud = "cloud"
 )
 
-// addProxy starts a proxy for a link to a target, which is closed with the cluster.
+// addProxy starts a proxy for a link to a target. The proxy is closed with the cluster.
 func (c *Cluster) addProxy(name, target string) (*faults.Proxy, error) {
 	p, err := faults.New(name, target)
 	if err != nil {
@@ -29,8 +29,8 @@
 	return p, nil
 }
 
-// createNodes creates the nodes and all links between them and to the emulated services, whose
-// addresses are given. No process is started.
+// createNodes creates the nodes, the links between them and the links to the emulated services, whose
+// addresses are given. It starts no process.
 func (c *Cluster) createNodes(stateAddr, cloudAddr string) error {
 	zones := c.opt.Cluster.Zones
 	for i := range c.opt.Nodes {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// createLinks gives a node its addresses and its links from users and workers and to the emulated
-// services.
+// createLinks chooses the addresses of a node, and creates its links from users and workers and to the
+// emulated services.
 func (c *Cluster) createLinks(n *Node, stateAddr, cloudAddr string) (err error) {
 	if n.listen, err = process.FreeAddress(); err != nil {
 		return err
@@ -70,7 +70,7 @@
 	return err
 }
 
-// linkPeers creates the links from a node to all others.
+// linkPeers creates the links from a node to all other nodes.
 func (c *Cluster) linkPeers(n *Node) error {
 	for _, peer := range c.Nodes {
 		if peer == n {
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// writeConfig writes the configuration of a node, as the platform hands it over. All addresses in it
-// are those of the node's links.
+// writeConfig writes the configuration file that the platform provides to a node. The addresses of other
+// systems in it are those of the node's links.
 func (c *Cluster) writeConfig(n *Node) error {
 	platform := config.Platform{
 		Node:         n.Name,
@@ -98,7 +98,8 @@
 	}
 	for _, peer := range c.Nodes {
 		if peer != n {
-			platform.Peers = append(platform.Peers, config.Peer{Node: peer.Name, Location: peer.Zone, Address: n.Links[peer.Name].Addr()})
+			platform.Peers = append(platform.Peers,
+				config.Peer{Node: peer.Name, Location: peer.Zone, Address: n.Links[peer.Name].Addr()})
 		}
 	}
 	raw, err := toml.Marshal(&platform)
--- a/internal/cluster/load_balancer.go
+++ b/internal/cluster/load_balancer.go
@@ -18,8 +18,8 @@
 	"coralhub/wire"
 )
 
-// LoadBalancer forwards each request of a user to a node that is ready. It also keeps the jobs that
-// are submitted for the emulated workers, as users upload descriptions for the workers to fetch.
+// LoadBalancer forwards each request of a user to a node that is ready. It also passes submitted jobs to the
+// emulated workers, in place of the descriptions that users upload for the workers to fetch.
 type LoadBalancer struct {
 	cluster *Cluster
 	client  *http.Client
@@ -28,22 +28,22 @@
 }
 
 const (
-	// probeInterval is how often the load balancer probes which nodes are ready.
+	// probeInterval is how often the load balancer checks which nodes are ready.
 	probeInterval = time.Second
 	// forwardTimeout is how long a node may take to answer a forwarded request.
 	forwardTimeout = 30 * time.Second
-	// maxIdleConns is how many idle connections to each node are kept.
+	// maxIdleConns is the maximum number of idle connections kept to each node.
 	maxIdleConns = 256
-	// maxAttempts is how many nodes a request is forwarded to if they refuse the connection.
+	// maxAttempts is the number of nodes that are tried for a request if forwarding it fails.
 	maxAttempts = 3
-	// retryAfterS is when a user may try again if no node could be reached, in seconds.
+	// retryAfterS is the value of Retry-After, in seconds, if no node could be reached.
 	retryAfterS = "1"
-	// runSpread is the standard deviation of the logarithm of run time to estimate.
+	// runSpread is the standard deviation of the logarithm of the ratio of run time to estimate.
 	runSpread = 0.3
 )
 
-// StartLoadBalancer serves users at an address until the cluster closes, and returns the address that
-// it got. If the port is taken the error wraps syscall.EADDRINUSE.
+// StartLoadBalancer serves users at an address until the cluster is closed, and returns the address that it
+// listens on. If the port is in use, the error wraps syscall.EADDRINUSE.
 func (c *Cluster) StartLoadBalancer(addr string) (string, error) {
 	client := &http.Client{Timeout: forwardTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}}
 	b := &LoadBalancer{cluster: c, client: client}
@@ -61,7 +61,7 @@
 	return addr, nil
 }
 
-// probe keeps track of which nodes are ready, until ctx ends.
+// probe updates the list of ready nodes until ctx ends.
 func (b *LoadBalancer) probe(ctx context.Context) {
 	defer b.client.CloseIdleConnections()
 	probeAll := func() {
@@ -79,7 +79,7 @@
 	wait.Every(ctx, probeInterval, probeAll)
 }
 
-// ServeHTTP forwards a request to a ready node chosen at random, and to another if it can't be reached.
+// ServeHTTP forwards a request to a ready node chosen at random, and to another one if that fails.
 func (b *LoadBalancer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 	if err != nil {
@@ -89,7 +89,8 @@
 		b.saveUpload(body)
 	}
 	for _, n := range b.pickNodes() {
-		req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+n.Users.Addr()+r.URL.RequestURI(), bytes.NewReader(body))
+		req, err := http.NewRequestWithContext(r.Context(), r.Method,
+			"http://"+n.Users.Addr()+r.URL.RequestURI(), bytes.NewReader(body))
 		if err != nil {
 			break
 		}
@@ -105,7 +106,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// pickNodes returns the nodes to try, in random order: ready ones, or any if none is ready.
+// pickNodes returns up to maxAttempts nodes to try, in random order: ready nodes, or any if none is ready.
 func (b *LoadBalancer) pickNodes() []*Node {
 	b.mu.Lock()
 	nodes := slices.Clone(b.ready)
@@ -125,8 +126,8 @@
 	_, _ = io.Copy(w, res.Body)
 }
 
-// saveUpload keeps a submitted job for the workers, if it is valid and new. A task runs as long as
-// its user estimates, give or take.
+// saveUpload adds a submitted job to those known to the workers, if it is valid and new. The run time of
+// its tasks is drawn from a log-normal distribution around the user's estimate, which counts as at least 1 s.
 func (b *LoadBalancer) saveUpload(body []byte) {
 	j, err := wire.ParseJob(body)
 	if err != nil {
--- a/internal/cluster/load_balancer_test.go
+++ b/internal/cluster/load_balancer_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// Requests that come while no node is ready don't reorder the nodes that the cluster shares.
-func TestPickNodesKeepsTheClustersOrder(t *testing.T) {
+// pickNodes shuffles the nodes. If none is ready it must shuffle a copy of the cluster's list, which is shared.
+func TestPickNodesDoesNotReorderNodes(t *testing.T) {
 	cluster := &Cluster{Nodes: []*Node{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}}}
-	order := slices.Clone(cluster.Nodes)
+	want := slices.Clone(cluster.Nodes)
 	b := &LoadBalancer{cluster: cluster}
 	var wg sync.WaitGroup
 	for range 8 {
@@ -20,7 +20,7 @@
 		})
 	}
 	wg.Wait()
-	if !slices.Equal(cluster.Nodes, order) {
-		t.Error("the cluster's nodes were reordered")
+	if !slices.Equal(cluster.Nodes, want) {
+		t.Error("pickNodes reordered the cluster's nodes")
 	}
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -19,20 +19,20 @@
 	Name, Zone string
 	Users      *faults.Proxy            // the link from users
 	Workers    *faults.Proxy            // the link from workers
-	Links      map[string]*faults.Proxy // the links from the node: LinkState, LinkCloud, and to its peers by name
+	Links      map[string]*faults.Proxy // links from the node: LinkState, LinkCloud, and to its peers by their names
 
 	listen, peerListen string // addresses
 	configFile         string
 	mu                 sync.Mutex
-	process            *process.Process // the last one that was started
+	process            *process.Process // the process started last
 	restarts           int
-	keepRunning        bool          // whether it is to be restarted when it ends
-	cpu                time.Duration // processor time of the processes before
-	peakMB             float64       // of all processes
+	keepRunning        bool          // whether the process is restarted when it ends
+	previousCPU        time.Duration // processor time of all processes before the current one
+	peakMB             float64       // peak resident memory of all processes, in MB of 2^20 bytes
 }
 
-// startProcess starts the process of a node. The process ends by itself when its standard input
-// does, so that none is left behind even if this process is killed.
+// startProcess starts the process of a node. The process exits when its standard input is closed, so that
+// none outlives this process, even if this process is killed.
 func (c *Cluster) startProcess(n *Node) error {
 	args := []string{"serve", "--with-parent", "--config", n.configFile}
 	if c.opt.Settings != "" {
@@ -50,16 +50,16 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
-		n.cpu += n.process.CPU()
+		n.previousCPU += n.process.CPU()
 	}
 	n.process = p
 	return nil
 }
 
-// logFile is the path of a node's log.
 func (c *Cluster) logFile(n *Node) string { return filepath.Join(c.opt.Dir, n.Name+".log") }
 
-// superviseNode restarts a node some time after it has ended, until ctx ends.
+// superviseNode restarts a node whenever its process has ended, after a delay of Options.RestartAfter,
+// until ctx ends.
 func (c *Cluster) superviseNode(ctx context.Context, n *Node) {
 	for {
 		select {
@@ -70,14 +70,14 @@
 		if !wait.For(ctx, c.opt.RestartAfter) {
 			return
 		}
-		if !n.countRestart() || c.startProcess(n) != nil {
+		if !n.beginRestart() || c.startProcess(n) != nil {
 			return
 		}
 	}
 }
 
-// countRestart reports whether the node is to be restarted, and counts the restart if so.
-func (n *Node) countRestart() bool {
+// beginRestart reports whether the node is to be restarted, and if so counts the restart.
+func (n *Node) beginRestart() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.keepRunning {
@@ -86,7 +86,7 @@
 	return n.keepRunning
 }
 
-// current is the process that was started last; nil if there was none.
+// current returns the process that was started last, or nil if none was started.
 func (n *Node) current() *process.Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -106,21 +106,21 @@
 	return jobclient.Ready(ctx, client, n.Users.Addr())
 }
 
-// NodeUsage is what a node has used, over all its processes.
+// NodeUsage is the resource usage of a node, over all its processes.
 type NodeUsage struct {
 	Node     string  `json:"node"`
-	CPUS     float64 `json:"cpu_s"`   // processor time in seconds
-	PeakMB   float64 `json:"peak_mb"` // highest resident memory
+	CPUS     float64 `json:"cpu_s"`   // processor time, in seconds
+	PeakMB   float64 `json:"peak_mb"` // peak resident memory, in MB of 2^20 bytes
 	Restarts int     `json:"restarts"`
 }
 
-// Use returns what each node has used, in the order of Nodes.
+// Use returns the resource usage of each node, in the order of Nodes.
 func (c *Cluster) Use() []NodeUsage {
 	var out []NodeUsage
 	for _, n := range c.Nodes {
 		p := n.current()
 		n.mu.Lock()
-		u := NodeUsage{Node: n.Name, CPUS: n.cpu.Seconds(), PeakMB: n.peakMB, Restarts: n.restarts}
+		u := NodeUsage{Node: n.Name, CPUS: n.previousCPU.Seconds(), PeakMB: n.peakMB, Restarts: n.restarts}
 		n.mu.Unlock()
 		if p != nil {
 			u.CPUS += p.CPU().Seconds()
@@ -133,7 +133,7 @@
 // measureInterval is how often the memory of the nodes is measured.
 const measureInterval = 500 * time.Millisecond
 
-// measureMemory follows the peak memory of the nodes until ctx ends.
+// measureMemory updates the peak memory of the nodes until ctx ends.
 func (c *Cluster) measureMemory(ctx context.Context) {
 	wait.Every(ctx, measureInterval, func() {
 		for _, n := range c.Nodes {
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -10,7 +10,7 @@
 	Incarnation         uint64
 	Sequence            uint64
 	FencingToken        uint64 // the highest that the worker has received
-	leaseStart          Micros // when the last answered heartbeat was sent, or the worker started
+	leaseStart          Micros // when the last answered heartbeat was sent, or the incarnation began
 	tasks               []*task
 	rentedAt            Micros
 	Node                int               // index of the node that heartbeats are sent to
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -190,7 +190,8 @@
 	return http.StatusOK
 }
 
-// exceedsLimits reports whether a transaction exceeds TxnOps or one of its values ValueBytes.
+// exceedsLimits reports whether a transaction has too many changes or conditions, or a value that is
+// malformed or too large.
 func (s *State) exceedsLimits(t *wire.Transaction) bool {
 	if s.TxnOps > 0 && (len(t.Changes) > s.TxnOps || len(t.Conditions) > wire.ConditionsPerChange*s.TxnOps) {
 		return true
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -1,5 +1,5 @@
-// Package faults injects faults into the connections between parties: a proxy on each link can hold,
-// drop, reset, refuse or delay what passes.
+// Package faults injects faults into network connections: a proxy on each link can hold, drop or delay
+// data, and reset or refuse connections.
 package faults
 
 import (
@@ -14,11 +14,11 @@
 	"coralhub/internal/wait"
 )
 
-// Mode is what a proxy does with connections.
+// Mode is how a proxy handles connections and their data.
 type Mode string
 
-// The modes. Held data is delivered late and in order, even if its sender has given up meanwhile.
-// Dropped data never is, and its connection is reset when the proxy passes data again.
+// The modes. Held data is delivered late and in order, even if its sender has closed the connection
+// meanwhile. Dropped data is never delivered, and its connection is reset when the proxy returns to Pass.
 const (
 	Pass   Mode = "pass"
 	Hold   Mode = "hold"
@@ -30,7 +30,7 @@
 // Direction is the direction of the data that Hold and Drop apply to.
 type Direction string
 
-// The directions: both, from the client to the target, and back to the client.
+// The directions: both, from the client to the target, and from the target to the client.
 const (
 	Both     Direction = ""
 	Forward  Direction = "forward"
@@ -40,11 +40,11 @@
 const (
 	// dialTimeout is how long the target may take to accept a connection.
 	dialTimeout = 2 * time.Second
-	// acceptPause is how long a proxy waits after a failure to accept a connection.
-	acceptPause = 50 * time.Millisecond
-	// bufferBytes is the most data that is read at a time.
-	bufferBytes = 32 << 10
-	// anyPort is an address on which a proxy gets a port of its own.
+	// acceptRetryDelay is how long a proxy waits after it failed to accept a connection.
+	acceptRetryDelay = 50 * time.Millisecond
+	// copyBufferBytes is the maximum size of a read.
+	copyBufferBytes = 32 << 10
+	// anyPort is a listen address with a port chosen by the system.
 	anyPort = "127.0.0.1:0"
 )
 
@@ -54,25 +54,25 @@
 	ctx                context.Context // ends when the proxy is closed
 	stop               context.CancelFunc
 
-	mu        sync.Mutex
-	listener  net.Listener // nil while connections are refused
-	mode      Mode
-	direction Direction
-	delay     time.Duration
-	change    chan struct{} // is closed, and replaced, when the mode changes or the proxy is closed
-	conns     map[*forwarded]bool
-	onFailure func(error) // may be nil
-	running   sync.WaitGroup
+	mu         sync.Mutex
+	listener   net.Listener // nil while connections are refused
+	mode       Mode
+	direction  Direction
+	delay      time.Duration
+	change     chan struct{} // closed and replaced when the mode changes or the proxy is closed
+	conns      map[*forwardedConn]bool
+	onFailure  func(error) // may be nil
+	goroutines sync.WaitGroup
 }
 
-// forwarded is a connection of a client and the one to the target that it is forwarded on.
-type forwarded struct {
+// forwardedConn is a connection from a client, and the connection to the target that it is forwarded to.
+type forwardedConn struct {
 	client, target net.Conn
-	acceptedIn     Mode // the mode of the proxy when it came
+	acceptedIn     Mode // mode of the proxy when it was accepted
 	dropped        bool // whether some of its data was dropped
 }
 
-// New starts a proxy for a target on a loopback port of its own.
+// New starts a proxy for a target, on a loopback port chosen by the system. The caller must close the proxy.
 func New(name, target string) (*Proxy, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", anyPort)
 	if err != nil {
@@ -88,22 +88,22 @@
 		listener: l,
 		mode:     Pass,
 		change:   make(chan struct{}),
-		conns:    map[*forwarded]bool{},
+		conns:    map[*forwardedConn]bool{},
 	}
-	p.running.Go(func() { p.accept(l) })
+	p.goroutines.Go(func() { p.accept(l) })
 	return p, nil
 }
 
-// Addr is the address that the proxy listens on.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.addr }
 
-// Name is the name of the link that the proxy stands for.
+// Name returns the name of the proxy's link.
 func (p *Proxy) Name() string { return p.name }
 
-// Set changes the mode, and the direction of the data that it applies to. Back in Pass, held data is
-// delivered, and connections of which data was dropped or that came in another mode are reset. It
-// returns net.ErrClosed if the proxy is closed; the error of a port that is taken meanwhile wraps
-// syscall.EADDRINUSE.
+// Set changes the mode, and the direction of the data that Hold and Drop apply to. A change to Pass delivers
+// held data, and resets connections of which data was dropped or that were accepted in another mode. Set
+// returns net.ErrClosed if the proxy is closed. If it can't listen again after Refuse because the port has
+// been taken, the error wraps syscall.EADDRINUSE.
 func (p *Proxy) Set(mode Mode, direction Direction) error {
 	p.mu.Lock()
 	if p.closed() {
@@ -113,10 +113,10 @@
 	p.mode = mode
 	p.direction = direction
 	p.signalChange()
-	var ending []*forwarded
+	var resetting []*forwardedConn
 	for c := range p.conns {
-		if c.endsIn(mode) {
-			ending = append(ending, c)
+		if c.resetsIn(mode) {
+			resetting = append(resetting, c)
 		}
 	}
 	listener := p.listener
@@ -124,7 +124,7 @@
 		p.listener = nil
 	}
 	p.mu.Unlock()
-	for _, c := range ending {
+	for _, c := range resetting {
 		c.reset()
 	}
 	switch {
@@ -136,14 +136,14 @@
 	return nil
 }
 
-// signalChange wakes whatever waits for a change. p.mu is held.
+// signalChange wakes all goroutines that wait for a change. p.mu must be held.
 func (p *Proxy) signalChange() {
 	close(p.change)
 	p.change = make(chan struct{})
 }
 
-// endsIn reports whether the connection is reset when the proxy changes to a mode.
-func (c *forwarded) endsIn(mode Mode) bool {
+// resetsIn reports whether the connection is reset when the proxy changes to a mode.
+func (c *forwardedConn) resetsIn(mode Mode) bool {
 	switch mode {
 	case Reset, Refuse:
 		return true
@@ -153,8 +153,8 @@
 	return false
 }
 
-// OnFailure sets a function, which may be nil, that is called with the reason why a connection could
-// not be accepted or forwarded. It is called by several goroutines.
+// OnFailure sets a function, which may be nil, that is called with the error of each connection that could
+// not be accepted or forwarded. It is called from several goroutines.
 func (p *Proxy) OnFailure(f func(error)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,7 +170,7 @@
 	}
 }
 
-// Delay delays all data by so much, in each direction.
+// Delay sets the delay of all data, in each direction.
 func (p *Proxy) Delay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,22 +189,22 @@
 		return l.Close()
 	}
 	p.listener = l
-	p.running.Go(func() { p.accept(l) })
+	p.goroutines.Go(func() { p.accept(l) })
 	return nil
 }
 
-// closed reports whether the proxy is closed. It doesn't become so while p.mu is held.
+// closed reports whether the proxy is closed. The proxy can't be closed while p.mu is held.
 func (p *Proxy) closed() bool { return p.ctx.Err() != nil }
 
-// Close ends the proxy and its connections, and waits until all its goroutines have ended. An error of
-// closing its port is reported as a failure.
+// Close closes the proxy, resets its connections, and waits until all its goroutines have ended. An error
+// in closing the listener is passed to the function set by OnFailure.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.stop()
 	listener := p.listener
 	p.listener = nil
 	p.signalChange()
-	conns := make([]*forwarded, 0, len(p.conns))
+	conns := make([]*forwardedConn, 0, len(p.conns))
 	for c := range p.conns {
 		conns = append(conns, c)
 	}
@@ -217,31 +217,31 @@
 	for _, c := range conns {
 		c.reset()
 	}
-	p.running.Wait()
+	p.goroutines.Wait()
 }
 
-// accept serves the connections of a listener until it is closed.
+// accept accepts and serves the connections of a listener until the listener is closed.
 func (p *Proxy) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // most likely this process can open no more files: a later connection may succeed
+		if err != nil { // most likely this process has reached its limit of open files: a later accept may succeed
 			p.reportFailure(err)
-			wait.For(p.ctx, acceptPause)
+			wait.For(p.ctx, acceptRetryDelay)
 			continue
 		}
-		p.running.Go(func() { p.serve(conn) })
+		p.goroutines.Go(func() { p.serve(conn) })
 	}
 }
 
-// serve forwards a connection until it ends.
+// serve forwards a connection until it is closed.
 func (p *Proxy) serve(client net.Conn) {
 	p.mu.Lock()
 	mode, closed := p.mode, p.closed()
 	p.mu.Unlock()
-	c := &forwarded{client: client, acceptedIn: mode}
+	c := &forwardedConn{client: client, acceptedIn: mode}
 	if mode == Reset || closed {
 		c.reset()
 		return
@@ -260,19 +260,19 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { p.pump(c, client, target, Forward) })
-	both.Go(func() { p.pump(c, target, client, Backward) })
+	both.Go(func() { p.copyData(c, client, target, Forward) })
+	both.Go(func() { p.copyData(c, target, client, Backward) })
 	both.Wait()
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
-	// Whatever a pump or reset has left open; what they have closed, they have closed for good.
+	// Close what copyData and reset have left open. Closing a connection a second time has no effect.
 	_ = client.Close()
 	_ = target.Close()
 }
 
 // register adds a connection to those of the proxy; it returns false if the proxy is closed.
-func (p *Proxy) register(c *forwarded) bool {
+func (p *Proxy) register(c *forwardedConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed() {
@@ -282,10 +282,10 @@
 	return true
 }
 
-// pump forwards the data of one direction until it ends. Data that was read before its sender gave up
-// is still delivered once the proxy lets it pass.
-func (p *Proxy) pump(c *forwarded, from, to net.Conn, direction Direction) {
-	buf := make([]byte, bufferBytes)
+// copyData forwards the data of one direction until that direction is closed. Data that was read before its
+// sender closed the connection is still delivered once the proxy lets it pass.
+func (p *Proxy) copyData(c *forwardedConn, from, to net.Conn, direction Direction) {
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, readErr := from.Read(buf)
 		if n > 0 {
@@ -298,16 +298,16 @@
 		}
 		if readErr != nil {
 			if p.awaitPass(c, direction) {
-				forwardEnd(to, readErr)
+				propagateEnd(to, readErr)
 			}
 			return
 		}
 	}
 }
 
-// forwardEnd ends one direction of a connection as its sender did, with an error of reading: the
-// other direction stays open if the sender closed this one alone.
-func forwardEnd(to net.Conn, readErr error) {
+// propagateEnd closes the connection to the receiver after a read from the sender failed. At io.EOF it
+// closes only this direction, because the sender may have closed only this one.
+func propagateEnd(to net.Conn, readErr error) {
 	if t, ok := to.(*net.TCPConn); ok && errors.Is(readErr, io.EOF) {
 		_ = t.CloseWrite()
 		return
@@ -315,8 +315,9 @@
 	_ = to.Close()
 }
 
-// awaitPass waits until data of a connection may pass; it returns false if it never may.
-func (p *Proxy) awaitPass(c *forwarded, direction Direction) bool {
+// awaitPass waits until data of a connection may pass. It returns false if the data is never to be
+// delivered.
+func (p *Proxy) awaitPass(c *forwardedConn, direction Direction) bool {
 	for {
 		p.mu.Lock()
 		mode, change, delay, closed := p.mode, p.change, p.delay, p.closed()
@@ -340,8 +341,8 @@
 	}
 }
 
-// reset closes both connections at once, with a TCP reset.
-func (c *forwarded) reset() {
+// reset closes both connections immediately, with a TCP reset.
+func (c *forwardedConn) reset() {
 	for _, conn := range []net.Conn{c.client, c.target} {
 		if t, ok := conn.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
--- a/internal/faults/proxy_test.go
+++ b/internal/faults/proxy_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// echo starts a server that sends back what it receives, and returns its address.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that returns all data that it receives, and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 	return client{c, bufio.NewReader(c)}
 }
 
-// echoes sends a line and reports whether it comes back in time.
+// echoes sends a line and reports whether the same line is received within the time wait.
 func (c client) echoes(line string, wait time.Duration) bool {
 	if _, err := c.Write([]byte(line + "\n")); err != nil {
 		return false
@@ -58,7 +58,7 @@
 	return c.receives(line, wait)
 }
 
-// receives reports whether a line comes in time.
+// receives reports whether a line is received within the time wait.
 func (c client) receives(line string, wait time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(wait))
 	got, err := c.reader.ReadString('\n')
@@ -66,14 +66,14 @@
 }
 
 const (
-	timeout      = 20 * time.Second      // for what must come
-	shortTimeout = 50 * time.Millisecond // for what must not come
+	timeout      = 20 * time.Second      // for data that must arrive
+	shortTimeout = 50 * time.Millisecond // for data that must not arrive
 )
 
-// start starts a proxy for an echo server.
-func start(t *testing.T) *Proxy {
+// startProxy starts a proxy for an echo server, which is closed at the end of the test.
+func startProxy(t *testing.T) *Proxy {
 	t.Helper()
-	p, err := New("link", echo(t))
+	p, err := New("link", startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,12 +88,12 @@
 	}
 }
 
-// Held data is delivered when the proxy passes data again.
-func TestHoldDeliversLate(t *testing.T) {
-	p := start(t)
+// Held data is delivered when the proxy returns to Pass.
+func TestHoldDelaysDelivery(t *testing.T) {
+	p := startProxy(t)
 	c := dial(t, p)
 	if !c.echoes("one", timeout) {
-		t.Fatal("nothing passes")
+		t.Fatal("no data passes in Pass")
 	}
 	p.mustSet(t, Hold, Both)
 	if c.echoes("two", shortTimeout) {
@@ -101,13 +101,13 @@
 	}
 	p.mustSet(t, Pass, Both)
 	if !c.receives("two", timeout) {
-		t.Fatal("held data never came")
+		t.Fatal("held data was not delivered in Pass")
 	}
 }
 
-// Dropped data is never delivered, and its connection is reset when the proxy passes data again.
-func TestDropResetsInTheEnd(t *testing.T) {
-	p := start(t)
+// Dropped data is never delivered, and its connection is reset when the proxy returns to Pass.
+func TestDropResetsConnection(t *testing.T) {
+	p := startProxy(t)
 	c := dial(t, p)
 	c.echoes("one", timeout)
 	p.mustSet(t, Drop, Both)
@@ -116,55 +116,55 @@
 	}
 	p.mustSet(t, Pass, Both)
 	if c.receives("two", timeout) {
-		t.Fatal("dropped data was delivered late")
+		t.Fatal("dropped data was delivered after the return to Pass")
 	}
 	if !dial(t, p).echoes("three", timeout) {
-		t.Fatal("nothing passes afterwards")
+		t.Fatal("no data passes after the return to Pass")
 	}
 }
 
-// Data back to the client is held while that to the target passes.
+// With Backward, data to the client is held while data to the target passes.
 func TestHoldOneDirection(t *testing.T) {
-	p := start(t)
+	p := startProxy(t)
 	c := dial(t, p)
-	c.echoes("zero", timeout) // the connection is forwarded by now
+	c.echoes("zero", timeout) // afterwards the connection is forwarded
 	p.mustSet(t, Hold, Backward)
 	if c.echoes("one", shortTimeout) {
-		t.Fatal("an answer came back")
+		t.Fatal("data to the client was delivered in Hold")
 	}
 	p.mustSet(t, Pass, Both)
 	if !c.receives("one", timeout) {
-		t.Fatal("the request had not gone through")
+		t.Fatal("data to the target was not delivered in Hold")
 	}
 }
 
-// Connections are reset and then refused, and pass again afterwards.
+// Connections are reset in Reset, refused in Refuse, and accepted again in Pass.
 func TestResetAndRefuse(t *testing.T) {
-	p := start(t)
+	p := startProxy(t)
 	c := dial(t, p)
 	c.echoes("one", timeout)
 	p.mustSet(t, Reset, Both)
 	if c.echoes("two", timeout) {
-		t.Fatal("a connection was kept")
+		t.Fatal("a connection was not reset in Reset")
 	}
 	p.mustSet(t, Refuse, Both)
 	if x, err := new(net.Dialer).DialContext(t.Context(), "tcp", p.Addr()); err == nil {
 		_ = x.Close()
-		t.Fatal("a connection was accepted")
+		t.Fatal("a connection was accepted in Refuse")
 	}
 	p.mustSet(t, Pass, Both)
 	if !dial(t, p).echoes("three", timeout) {
-		t.Fatal("nothing passes afterwards")
+		t.Fatal("no data passes after the return to Pass")
 	}
 }
 
-// outOfFilesListener fails the first time, as in a process that can open no more files.
-type outOfFilesListener struct {
+// fileLimitListener fails once to accept a connection, as in a process at its limit of open files.
+type fileLimitListener struct {
 	net.Listener
 	failed bool
 }
 
-func (l *outOfFilesListener) Accept() (net.Conn, error) {
+func (l *fileLimitListener) Accept() (net.Conn, error) {
 	if !l.failed {
 		l.failed = true
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
@@ -172,8 +172,8 @@
 	return l.Listener.Accept()
 }
 
-// A proxy that could not accept a connection reports why and accepts the next one.
-func TestAcceptsAfterFailure(t *testing.T) {
+// A proxy that failed to accept a connection reports the error and accepts the next connection.
+func TestAcceptContinuesAfterFailure(t *testing.T) {
 	target, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -190,9 +190,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.running.Go(func() { p.accept(&outOfFilesListener{Listener: l}) })
+	p.goroutines.Go(func() { p.accept(&fileLimitListener{Listener: l}) })
 	if err := <-failures; !errors.Is(err, syscall.EMFILE) {
-		t.Errorf("reported %v", err)
+		t.Errorf("reported error: got %v, want %v", err, syscall.EMFILE)
 	}
 	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 	if err != nil {
--- a/internal/process/port.go
+++ b/internal/process/port.go
@@ -7,18 +7,18 @@
 	"net"
 )
 
-// FreeAddress returns a loopback address that nobody listens on. A process binds it a moment
-// later, and again whenever it is restarted: so its port is not one of the ephemeral ports,
-// which the system could assign to another connection or listener in between.
+// FreeAddress returns a loopback address that is not in use. A process binds it some time later, and again
+// on each restart. Therefore its port is not an ephemeral one, which the system could assign to another
+// connection or listener in between.
 func FreeAddress() (string, error) {
 	const (
-		from  = 16_000
-		to    = 32_000 // ephemeral ports are above
-		tries = 100
+		firstPort   = 16_000
+		endPort     = 32_000 // exclusive; ephemeral ports are above
+		maxAttempts = 100
 	)
 	var lastErr error
-	for range tries {
-		address := fmt.Sprintf("127.0.0.1:%d", from+rand.IntN(to-from))
+	for range maxAttempts {
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(endPort-firstPort))
 		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 		if err != nil {
 			lastErr = err
@@ -26,5 +26,6 @@
 		}
 		return l.Addr().String(), l.Close()
 	}
-	return "", fmt.Errorf("no free port: %w", lastErr)
+	return "", fmt.Errorf("no free port from %d to %d found in %d attempts: %w",
+		firstPort, endPort-1, maxAttempts, lastErr)
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts child processes and measures what they take of the machine, from
-// the kernel's statistics under /proc.
+// Package process starts child processes and measures their resource usage from the kernel's statistics
+// under /proc.
 package process
 
 import (
@@ -13,29 +13,29 @@
 	"time"
 )
 
-// Options describe a process.
+// Options describes the process to start.
 type Options struct {
 	Program string    // path of the executable
 	Args    []string  // its arguments
-	Env     []string  // added to this process's own
-	Log     string    // file that its standard error, and its standard output unless Output is set, are appended to
-	Output  io.Writer // destination of its standard output; nil: the log
+	Env     []string  // added to the environment of this process
+	Log     string    // file to append standard error to, and standard output unless Output is set
+	Output  io.Writer // destination of its standard output; the log file if nil
 }
 
-// Process is a child process. Its standard input is a pipe that stays open as long as this
-// process lives, so that a child which ends with its input never outlives it. It is safe
-// for concurrent use.
+// Process is a child process. Its standard input is a pipe that remains open while this process runs, so
+// that a child that exits when its input is closed never outlives this process. It is safe for concurrent
+// use.
 type Process struct {
 	input io.WriteCloser
 	done  chan struct{}
 
 	mu       sync.Mutex
-	running  *exec.Cmd // nil once it has ended
+	running  *exec.Cmd // nil once the process has ended
 	finalCPU time.Duration
 	peakMB   float64
 }
 
-// Start starts a process. The error names what could not be opened or started.
+// Start starts a process. The error names the file or program that could not be opened or started.
 func Start(opt Options) (*Process, error) {
 	log, err := os.OpenFile(opt.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -53,16 +53,16 @@
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("%s: %w", opt.Program, err)
+		return nil, fmt.Errorf("start %s: %w", opt.Program, err)
 	}
 	p := &Process{input: input, done: make(chan struct{}), running: cmd}
 	go p.wait(cmd)
 	return p, nil
 }
 
-// wait waits for the end of the process.
+// wait waits for the end of the process and records its processor time.
 func (p *Process) wait(cmd *exec.Cmd) {
-	_ = cmd.Wait() // how it ended is in its log
+	_ = cmd.Wait() // the process's log shows why it ended
 	_ = p.input.Close()
 	p.mu.Lock()
 	p.finalCPU = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
@@ -77,7 +77,7 @@
 // Gone returns a channel that is closed when the process has ended.
 func (p *Process) Gone() <-chan struct{} { return p.done }
 
-// Signal sends a signal. It does nothing if the process has ended.
+// Signal sends a signal to the process. It does nothing if the process has ended.
 func (p *Process) Signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// pid returns the process's id; 0 once it has ended.
+// pid returns the process's ID, or 0 once it has ended.
 func (p *Process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +100,7 @@
 	return p.running.Process.Pid
 }
 
-// CPU returns the processor time so far, to a hundredth of a second while the process runs.
+// CPU returns the processor time used so far; while the process runs, to a hundredth of a second.
 func (p *Process) CPU() time.Duration {
 	if pid := p.pid(); pid != 0 {
 		if used := CPU(pid); used > 0 {
@@ -112,8 +112,8 @@
 	return p.finalCPU
 }
 
-// Measure returns the resident memory of the process, in MB of 2^20 bytes, and updates the
-// peak; 0 if the process has ended.
+// Measure returns the resident memory of the process, in MB of 2^20 bytes, and updates the peak. It returns 0
+// if the process has ended.
 func (p *Process) Measure() (residentMB float64) {
 	pid := p.pid()
 	if pid == 0 {
@@ -126,14 +126,14 @@
 	return residentMB
 }
 
-// PeakMB returns the largest value that Measure has returned.
+// PeakMB returns the largest value that Measure has returned, in MB of 2^20 bytes.
 func (p *Process) PeakMB() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.peakMB
 }
 
-// Files returns the number of open files and sockets of the process; 0 once it has ended.
+// Files returns the number of open files and sockets of the process, or 0 once it has ended.
 func (p *Process) Files() int {
 	if pid := p.pid(); pid != 0 {
 		return OpenFiles(pid)
