--- a/internal/node/metrics/collector.go
+++ b/internal/node/metrics/collector.go
@@ -19,41 +19,49 @@
 }
 
 var (
-	leading         = newDesc("leading", "1 if this node leads and has read the records.")
-	records         = newDesc("records", "Jobs that this node knows, finished ones too.")
-	unfinished      = newDesc("unfinished_jobs", "Jobs that have anything left.")
-	placements      = newDesc("placements", "Tasks that have a place.")
-	waiting         = newDesc("waiting_jobs", "Jobs that want places, by class; of the leader.", "class")
-	machines        = newDesc("machines", "Machines by state; of the leader.", "state")
-	inFlightChanges = newDesc("changes_on_their_way", "Changes of jobs that have no answer yet.")
-	failovers       = newDesc("takeovers_total", "Times that this node has come to lead.")
-	cycles          = newDesc("passes_total", "Passes over the queue.")
-	examined        = newDesc("looked_at_total", "Machines and jobs that passes have looked at.", "what")
-	observedRuns    = newDesc("runs_learnt_from", "Runs learnt from since this node leads.")
-	changes         = newDesc("changes_total",
-		"Transactions with changes, by those that go first or later and what became of them.", "kind")
-	deferrableRate = newDesc("changes_later_pace", "Changes a second that may be made by those that give way.")
+	leading         = newDesc("leading", "1 if this node is the leader and has read the records, otherwise 0.")
+	records         = newDesc("records", "Jobs known to this node, including finished ones.")
+	unfinished      = newDesc("unfinished_jobs", "Jobs that are unfinished, or finished but not yet archived.")
+	placements      = newDesc("placements", "Open placements of tasks.")
+	waiting         = newDesc("waiting_jobs", "Jobs that lack placements, by class; exported by the leader only.", "class")
+	machines        = newDesc("machines", "Machines by state; exported by the leader only.", "state")
+	inFlightChanges = newDesc("changes_on_their_way",
+		"Changes to jobs that were sent to the state service and have no response yet.")
+	failovers    = newDesc("takeovers_total", "Times that this node was elected leader.")
+	cycles       = newDesc("passes_total", "Scheduling cycles that this node has run.")
+	examined     = newDesc("looked_at_total", "Machines and jobs that scheduling cycles have examined.", "what")
+	observedRuns = newDesc("runs_learnt_from",
+		"Runs observed for the run-time estimates since this node was elected; 0 unless it is the leader.")
+	changes = newDesc("changes_total",
+		"Transactions by priority (first, accept, later) and result: not refused and with changes (taken), "+
+			"or refused because the quota of the state service was exceeded (refused).", "kind")
+	deferrableRate = newDesc("changes_later_pace",
+		"Current rate limit of the transactions of priority later, in changes per second.")
 	completedShare = newDesc("served_share",
-		"Part of the jobs whose time was up within ten minutes that were done, or had all replicas, "+
-			"by then; of the leader.", "by", "name")
-	completedJobs = newDesc("judged_jobs", "How many jobs served_share is of.", "by", "name")
+		"Share of the jobs with a completion deadline in the last ten minutes that were done, or had all replicas "+
+			"placed, by their deadline; exported by the leader only.", "by", "name")
+	completedJobs = newDesc("judged_jobs", "Number of jobs on which served_share is based.", "by", "name")
 	usedGPU       = newDesc("used_gpu_seconds",
-		"GPU time of placements whose end is proven, by team, class and kind; of the leader.", "team", "class", "kind")
+		"GPU time of placements whose end is proven, by team, class and kind; exported by the leader only.",
+		"team", "class", "kind")
 	usedTask = newDesc("used_task_seconds",
-		"Task time of such placements: all, on spot machines, and work that had to be repeated.",
+		"Task time of placements whose end is proven: all, on spot machines, and with work that had to be repeated; "+
+			"exported by the leader only.",
 		"team", "class", "kind", "of")
 	startedShare = newDesc("begun_share",
-		"Part of the jobs whose time to begin was up within ten minutes that had a place by then, by class, "+
-			"team and the largest tenth of a class; of the leader.", "by", "name")
-	startedJobs = newDesc("begun_jobs", "How many jobs begun_share is of.", "by", "name")
+		"Share of the jobs with a start deadline in the last ten minutes that had a placement by their deadline, "+
+			"by class, by team and for the largest tenth of each class; exported by the leader only.", "by", "name")
+	startedJobs = newDesc("begun_jobs", "Number of jobs on which begun_share is based.", "by", "name")
 
 	stateRequests = newDesc("state_requests_total",
-		"Requests to the state service, refused ones too, by what they are for.", "purpose")
+		"Requests sent to the state service, including refused ones, by purpose.", "purpose")
 	stateChanges = newDesc("state_changes_total",
-		"Puts and deletes sent to the state service and not refused for its quota, by what they are for.", "purpose")
+		"Puts and deletes sent to the state service and not refused because its quota was exceeded, by purpose.",
+		"purpose")
 
 	reports = newDesc("reports_total",
-		"Reports of workers that were handed to the leader, or lost on the way.", "what")
+		"Heartbeats of workers that this node forwarded to the leader: answered by it (handed), or unanswered (lost).",
+		"what")
 )
 
 // Describe sends the descriptions of all metrics.
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -37,8 +37,9 @@
 func New(gauges func() (query.Gauges, bool), store Store, peers func() map[string]float64) *Metrics {
 	r := prometheus.NewRegistry()
 	stepOptions := prometheus.HistogramOpts{
-		Name:    "coralhub_step_seconds",
-		Help:    "Time that the core took for an input, by kind; a pass is part of the input that it followed.",
+		Name: "coralhub_step_seconds",
+		Help: "Time of a step, by the type of its input: to handle the input, to run a scheduling cycle if one is due, " +
+			"and to start the effects.",
 		Buckets: prometheus.ExponentialBuckets(1e-5, 4, 9),
 	}
 	m := &Metrics{steps: prometheus.NewHistogramVec(stepOptions, []string{"input"})}
