--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema validates documents against JSON schemas and describes TOML documents that do not parse, with errors
-// of one line.
+// Package schema validates documents against JSON schemas and describes why TOML documents can't be decoded. Its errors
+// are one line long.
 package schema
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Check validates a JSON document against a schema. Its error is the first violation, or that
-// the document or the schema is invalid.
+// Check validates a JSON document against a schema. It returns the first violation as an error, or an error if the
+// document isn't JSON or the schema is invalid.
 func Check(schema, doc []byte) error {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(doc))
 	if err != nil {
@@ -21,16 +21,16 @@
 	}
 	schemaDocument, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
-		return fmt.Errorf("schema: %w", err)
+		return fmt.Errorf("parse schema: %w", err)
 	}
 	const name = "schema.json"
 	compiler := jsonschema.NewCompiler()
 	if err := compiler.AddResource(name, schemaDocument); err != nil {
-		return fmt.Errorf("schema: %w", err)
+		return fmt.Errorf("add schema: %w", err)
 	}
 	compiled, err := compiler.Compile(name)
 	if err != nil {
-		return fmt.Errorf("schema: %w", err)
+		return fmt.Errorf("compile schema: %w", err)
 	}
 	err = compiled.Validate(document)
 	var validationError *jsonschema.ValidationError
@@ -44,7 +44,7 @@
 	return errors.New(strings.TrimPrefix(strings.TrimSpace(lines[len(lines)-1]), "- "))
 }
 
-// CheckValue validates a value against a schema, by its encoding as JSON.
+// CheckValue validates the JSON encoding of a value against a schema.
 func CheckValue(schema []byte, doc any) error {
 	raw, err := json.Marshal(doc)
 	if err != nil {
@@ -53,5 +53,5 @@
 	return Check(schema, raw)
 }
 
-// OneLine returns a text with all white space replaced by single spaces.
+// OneLine returns s with each run of white space replaced by a single space, and none at its ends.
 func OneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
--- a/internal/schema/toml.go
+++ b/internal/schema/toml.go
@@ -7,13 +7,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TOMLError is a TOML document that can't be decoded. Its text is one line.
+// TOMLError is the error of a TOML document that can't be decoded. Its text is one line.
 type TOMLError struct {
-	Row, Column int // 0: not known
+	Row, Column int // from 1; 0 if unknown
 	Err         error
 }
 
-// NewTOMLError returns a decoder's error with its position, as far as it has one.
+// NewTOMLError returns a TOMLError for an error of the decoder, with its position if the decoder reports one.
 func NewTOMLError(err error) *TOMLError {
 	var decodeError *toml.DecodeError
 	if !errors.As(err, &decodeError) {
--- a/wire/check.go
+++ b/wire/check.go
@@ -7,20 +7,20 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth is how deep lists and maps may nest. Check needs no recursion, but decoders do.
+// maxDepth bounds the nesting of lists and maps: Check isn't recursive, but decoders are.
 const maxDepth = 100
 
 var (
-	errShort  = errors.New("message ends early")
-	errDeep   = errors.New("message nests too deep")
-	errBinary = errors.New("message holds binary data or extensions")
-	errExtra  = errors.New("bytes after the message")
+	errTruncated     = errors.New("message ends early")
+	errTooDeep       = errors.New("message nests too deep")
+	errBinary        = errors.New("message holds binary data or extensions")
+	errTrailingBytes = errors.New("bytes after the message")
 )
 
-// Check returns an error unless b is one complete message without binary data. It guards the decoder, which reserves
-// memory for as many elements as a list claims to have: a message of ten bytes could otherwise take gigabytes.
+// Check returns an error unless b is one complete message without binary data. It protects the decoder, which allocates
+// memory for as many elements as the header of a list states: a message of ten bytes could otherwise take gigabytes.
 func Check(b []byte) error {
-	var pending [maxDepth]int // elements still to come, by depth
+	var pending [maxDepth]int // remaining elements, by depth
 	depth := 0
 	pending[0] = 1
 	for {
@@ -41,7 +41,7 @@
 		}
 		depth++
 		if depth == maxDepth {
-			return errDeep
+			return errTooDeep
 		}
 		pending[depth] = elements
 	}
@@ -49,15 +49,16 @@
 
 func checkEnd(b []byte) error {
 	if len(b) > 0 {
-		return errExtra
+		return errTrailingBytes
 	}
 	return nil
 }
 
-// nextElement returns how many elements the first element of b holds, and what follows its header.
+// nextElement returns the number of elements in the first element of b, and the bytes after its header, or after all of
+// it if it is neither a list nor a map.
 func nextElement(b []byte) (elements int, rest []byte, err error) {
 	if len(b) == 0 {
-		return 0, nil, errShort
+		return 0, nil, errTruncated
 	}
 	skip, elements, err := elementHeader(b[0], b[1:])
 	if err != nil {
@@ -65,20 +66,21 @@
 	}
 	rest = b[1:]
 	if skip > len(rest) {
-		return 0, nil, errShort
+		return 0, nil, errTruncated
 	}
 	rest = rest[skip:]
-	if elements > len(rest) { // each takes a byte at least
-		return 0, nil, errShort
+	if elements > len(rest) { // each takes at least one byte
+		return 0, nil, errTruncated
 	}
 	return elements, rest, nil
 }
 
-// elementHeader returns how many bytes follow a code before its elements, and how many elements there are.
+// elementHeader decodes the header of an element, from its code and the bytes b that follow the code. It returns how
+// many of these bytes precede the elements that it contains, and the number of them. In a map, keys and values count.
 func elementHeader(code byte, b []byte) (skip, elements int, err error) {
 	size := func(n int) int {
 		if len(b) < n {
-			err = errShort
+			err = errTruncated
 			return 0
 		}
 		switch n {
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,12 +1,12 @@
 package wire
 
-// States of a rented machine; Running is shared with users.
+// States of a rented machine, besides Running, which is a job state too.
 const (
 	MachineBooting = "booting"
 	MachineFailed  = "failed"
 )
 
-// MachineType is an entry of the catalog. Prices are an hour.
+// MachineType is an entry of the catalog. Prices are per hour.
 type MachineType struct {
 	Name      string   `msgpack:"label"`
 	CPUs      float64  `msgpack:"cores"`
@@ -25,8 +25,8 @@
 	Types []MachineType `msgpack:"rigs"`
 }
 
-// RentalRequest asks the cloud for machines. A name that was used is never used again: a repeated request gets the same
-// machines.
+// RentalRequest requests machines of the cloud. A request that is repeated under the same name returns the same
+// machines, so a name is never reused for another request.
 type RentalRequest struct {
 	Name  string `msgpack:"hire"`
 	Type  string `msgpack:"rig"`
@@ -35,12 +35,12 @@
 	Count int    `msgpack:"how_many"`
 }
 
-// MachineNames is the answer to Rent and the body of a release.
+// MachineNames is the response to a RentalRequest and the body of a release.
 type MachineNames struct {
 	Machines []string `msgpack:"berths"`
 }
 
-// Machine is an entry of the cloud's list.
+// Machine is an entry of the cloud's list of machines.
 type Machine struct {
 	Name  string  `msgpack:"ref"`
 	Addr  string  `msgpack:"addr"`
@@ -51,7 +51,7 @@
 	AgeS  float64 `msgpack:"held_s"`
 }
 
-// MachineList is one page of the cloud's list.
+// MachineList is one page of the cloud's list of machines.
 type MachineList struct {
 	Machines []Machine `msgpack:"berths"`
 	More     bool      `msgpack:"has_next"`
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -11,7 +11,7 @@
 // Marshal encodes a message as MessagePack.
 func Marshal(v any) ([]byte, error) { return msgpack.Marshal(v) }
 
-// Unmarshal checks and decodes a message. Unknown fields are ignored.
+// Unmarshal checks a message with Check and decodes it. Unknown fields are ignored.
 func Unmarshal(b []byte, v any) error {
 	if err := Check(b); err != nil {
 		return err
@@ -19,7 +19,8 @@
 	return msgpack.Unmarshal(b, v)
 }
 
-// JSONSize is an upper bound of the size of an encoded message as JSON, in which the protocol counts its limits.
+// JSONSize returns an upper bound of the size that an encoded message has as JSON, in bytes, which is how the protocol
+// states its limits on the size of values. It returns math.MaxInt32 for a malformed message.
 func JSONSize(b []byte) int {
 	if Check(b) != nil {
 		return math.MaxInt32
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -15,7 +15,7 @@
 	Low        = "idle"
 )
 
-// States that users see.
+// States of a job in responses to users.
 const (
 	Queued    = "queued"
 	Running   = "running"
@@ -26,29 +26,30 @@
 // Job is a submission, POST /v1/jobs.
 type Job struct {
 	ID          string   `msgpack:"ref"`
-	Class       string   `msgpack:"docket"` // what objectives are given for
+	Class       string   `msgpack:"docket"` // objectives are set by class
 	Team        string   `msgpack:"desk"`
 	Shape       string   `msgpack:"shape"`
 	Priority    string   `msgpack:"rank"`
 	Tasks       int      `msgpack:"lots"`
 	CPUs        float64  `msgpack:"cores"`
-	GPUs        float64  `msgpack:"gpus"` // of each task, as CPUs and memory
+	GPUs        float64  `msgpack:"gpus"` // of each task, like CPUs and MemoryGB
 	MemoryGB    float64  `msgpack:"ram_gb"`
 	Image       string   `msgpack:"build"`
 	ImageGB     float64  `msgpack:"pull_gb"`
-	Types       []string `msgpack:"rigs,omitempty"` // allowed machine types; empty: any
-	Zone        string   `msgpack:"yard,omitempty"` // the only allowed zone, if any
+	Types       []string `msgpack:"rigs,omitempty"` // allowed machine types; all if empty
+	Zone        string   `msgpack:"yard,omitempty"` // the only allowed zone; all are allowed if empty
 	OneZone     bool     `msgpack:"one_zone"`
 	Spread      bool     `msgpack:"spread"`     // at most half of the tasks, rounded up, in one zone
 	Spot        bool     `msgpack:"loaners"`    // may use spot instances
 	EstimateS   float64  `msgpack:"expect_s"`   // the user's estimate of a task's run time
-	CheckpointS float64  `msgpack:"bookmark_s"` // checkpoint interval; 0: tasks cannot save
-	SaveS       float64  `msgpack:"stash_s"`    // time to save a checkpoint when stopped
+	CheckpointS float64  `msgpack:"bookmark_s"` // checkpoint interval; 0 if tasks can't save checkpoints
+	SaveS       float64  `msgpack:"stash_s"`    // time that a task takes to save a checkpoint when stopped
 	DeadlineS   *float64 `msgpack:"due_s,omitempty"`
-	Needs       []string `msgpack:"awaits,omitempty"` // dependencies: jobs to be done before any task of this one starts
+	Needs       []string `msgpack:"awaits,omitempty"` // dependencies: IDs of jobs that must be done before any task starts
 }
 
-// ShapeName returns what a shape is called outside of the protocol: array, gang or service.
+// ShapeName returns the name of a shape outside of the protocol: array, gang or service. It returns an unknown shape
+// unchanged.
 func ShapeName(shape string) string {
 	switch shape {
 	case Array:
@@ -61,7 +62,7 @@
 	return shape
 }
 
-// ParseShape returns the shape with a name of ShapeName; false if there is none.
+// ParseShape returns the shape with the given name, as returned by ShapeName, or false if the name is unknown.
 func ParseShape(name string) (string, bool) {
 	for _, shape := range []string{Array, Gang, Service} {
 		if ShapeName(shape) == name {
@@ -71,13 +72,13 @@
 	return "", false
 }
 
-// ParsePriority returns the priority with one of the names production, high, normal and low; false if there is none.
+// ParsePriority returns the priority with the name production, high, normal or low, or false for any other name.
 func ParsePriority(name string) (string, bool) {
 	priority, ok := map[string]string{"production": Production, "high": High, "normal": Normal, "low": Low}[name]
 	return priority, ok
 }
 
-// ShapeOrArray returns the shape with a name of ShapeName, and Array if there is none.
+// ShapeOrArray is like ParseShape, but returns Array if the name is unknown.
 func ShapeOrArray(name string) string {
 	if shape, ok := ParseShape(name); ok {
 		return shape
@@ -85,7 +86,7 @@
 	return Array
 }
 
-// PriorityOrNormal returns the priority with a name of ParsePriority, and Normal if there is none.
+// PriorityOrNormal is like ParsePriority, but returns Normal if the name is unknown.
 func PriorityOrNormal(name string) string {
 	if priority, ok := ParsePriority(name); ok {
 		return priority
@@ -93,7 +94,7 @@
 	return Normal
 }
 
-// JobStatus answers submissions, polls and cancellations.
+// JobStatus is the response to submissions, polls and cancellations.
 type JobStatus struct {
 	ID      string `msgpack:"ref"`
 	Status  string `msgpack:"status"`
--- a/wire/names.go
+++ b/wire/names.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// ValidJobID reports whether s has the form of a job ID: "j-" and digits.
+// ValidJobID reports whether s has the form of a job ID: "j-" and 1 to 18 digits.
 func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, "j-")
 	if !ok || digits == "" || len(digits) > 18 {
@@ -22,7 +22,7 @@
 // TaskName returns the name of a task of a job, such as "j-17/3".
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// ParseTaskName is the reverse of TaskName.
+// ParseTaskName returns the job and the task of a name that TaskName returned, or false if s isn't such a name.
 func ParseTaskName(s string) (job string, task int, ok bool) {
 	job, n, found := strings.Cut(s, "/")
 	if !found || !ValidJobID(job) {
--- a/wire/names_test.go
+++ b/wire/names_test.go
@@ -8,7 +8,7 @@
 	"coralhub/internal/golden"
 )
 
-// The names of the protocol don't change with those of the code.
+// Renaming Go identifiers must not change the names and constants of the protocol.
 func TestNamesOnTheWire(t *testing.T) {
 	golden.Check(t, "messages.txt", golden.Names("msgpack", Job{}, JobStatus{}, Error{}, TaskStatus{}, Heartbeat{}, Command{}, HeartbeatResponse{}, Redirect{}, CommandRequest{},
 		MachineType{}, Catalog{}, RentalRequest{}, MachineNames{}, Machine{}, MachineList{}, KeyValue{}, KeyValuePage{}, Condition{}, Change{}, Transaction{}, TransactionResult{},
@@ -21,7 +21,7 @@
 	golden.Check(t, "words.txt", strings.ReplaceAll(strings.Trim(fmt.Sprintln(words...), "\n"), " ", "\n")+"\n")
 }
 
-// One message of each kind, with a value of its own in every field.
+// The encoding of messages must not change. Each message has a distinguishable value in every field.
 func TestBytesOnTheWire(t *testing.T) {
 	due, notice, grace, done, running := 900.5, 7.5, 10.5, 3, 13
 	raw := []byte{0x81, 0xa1, 0x61, 0x01}
--- a/wire/store.go
+++ b/wire/store.go
@@ -2,8 +2,8 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// NoSuchLease is the state service's error for a write under an expired lease. Any other 400 means that the request
-// itself is at fault.
+// NoSuchLease is the state service's error for a write under an expired lease. With any other error, status 400 means
+// that the request itself is invalid.
 const NoSuchLease = "no such lease"
 
 // KeyValue is a key of the state service with its value. Version is the revision of its last change.
@@ -14,20 +14,21 @@
 	Lease   uint64             `msgpack:"tenancy"`
 }
 
-// KeyValuePage is a page of keys in their order. Without any key it has the revision alone.
+// KeyValuePage is a page of keys, in ascending order. If there are no keys, only the revision is set.
 type KeyValuePage struct {
 	Items    []KeyValue `msgpack:"rows"`
 	More     bool       `msgpack:"has_next"`
 	Revision uint64     `msgpack:"ledger_rev"`
 }
 
-// Condition has a transaction fail unless a key has a version; 0: the key does not exist.
+// Condition makes a transaction fail unless the key has the given version. Version 0 requires that the key doesn't
+// exist.
 type Condition struct {
 	Key     string `msgpack:"k"`
 	Version uint64 `msgpack:"stamp"`
 }
 
-// Change is a put or a delete, of a transaction or in the response to a watch.
+// Change is a put or a delete, in a transaction or in the response to a watch.
 type Change struct {
 	Put     string             `msgpack:"write,omitempty"`
 	Delete  string             `msgpack:"delete,omitempty"`
@@ -49,7 +50,7 @@
 	Error    string   `msgpack:"error,omitempty"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest requests a lease.
 type LeaseRequest struct {
 	TTLms int64 `msgpack:"ttl_ms"`
 }
@@ -59,7 +60,7 @@
 	Lease uint64 `msgpack:"tenancy"`
 }
 
-// WatchResponse is the response to a watch: all changes after a revision, in their order.
+// WatchResponse is the response to a watch: all changes after the requested revision, in the order of their revisions.
 type WatchResponse struct {
 	Revision uint64   `msgpack:"ledger_rev"`
 	Events   []Change `msgpack:"news"`
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -10,9 +10,9 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// ValidationError is a submission that is malformed: users hear 400 and its text.
+// ValidationError describes why a submission is malformed. Its text is sent to the user with status 400.
 type ValidationError struct {
-	Field string // on the wire; empty if it is the body as a whole
+	Field string // name on the wire; empty if the error concerns the whole body
 	Err   error
 }
 
@@ -29,14 +29,15 @@
 func (e *ValidationError) Unwrap() error { return e.Err }
 
 var (
-	errMissing      = errors.New("missing")
-	errBodyTooLarge = errors.New("body too large")
-	errNotMap       = errors.New("body is not a map")
-	errNeedsItself  = errors.New("the job itself")
+	errMissing       = errors.New("missing")
+	errBodyTooLarge  = errors.New("body too large")
+	errNotMap        = errors.New("body is not a map")
+	errDependsOnSelf = errors.New("the job itself")
 )
 
-// ParseJob reads and checks a submission. Its errors are of type *ValidationError. When the ID could be read it is
-// returned even along with an error, since a job that is known already is answered whatever a retry holds.
+// ParseJob decodes and checks a submission. Its errors are of type *ValidationError. If the ID could be decoded, it is
+// returned even with an error: the response to a retry for a known job is the status of that job, even if the retry is
+// malformed.
 func ParseJob(body []byte) (Job, error) {
 	var j Job
 	if len(body) > MaxBody {
@@ -58,13 +59,13 @@
 		j.EstimateS = 0
 	}
 	if slices.Contains(j.Needs, j.ID) {
-		return j, &ValidationError{Field: "awaits", Err: errNeedsItself}
+		return j, &ValidationError{Field: "awaits", Err: errDependsOnSelf}
 	}
 	return j, nil
 }
 
-// readFields reads the known fields of a submission and returns which of them are present. After the first field that
-// is invalid it goes on, for the ID may follow.
+// readFields decodes the known fields of a submission and returns which of them are present. It continues after the
+// first invalid field, since the ID may follow.
 func readFields(body []byte, j *Job) (present map[string]bool, err error) {
 	d := msgpack.NewDecoder(bytes.NewReader(body))
 	code, err := d.PeekCode()
--- a/wire/submission_fields.go
+++ b/wire/submission_fields.go
@@ -12,22 +12,22 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxText bounds every text of a submission, so that its record fits the
-// values of the state service.
-const maxText = 128
+// maxTextBytes bounds the length of every text of a submission, so that the record of the job fits into a value of the
+// state service.
+const maxTextBytes = 128
 
-// maxTypes bounds the list of machine types of a submission.
+// maxTypes bounds the length of a submission's list of machine types.
 const maxTypes = 16
 
-// MaxNeeds bounds the jobs that a submission may name as needed, so that
-// checking them stays a small part of what the state service allows.
+// MaxNeeds bounds the number of different jobs that a submission may depend on, so that checking them takes only a
+// small part of what the limits of the state service allow.
 const MaxNeeds = 256
 
 var requiredFields = []string{"ref", "docket", "desk", "shape", "rank", "lots", "cores", "gpus", "ram_gb",
 	"build", "pull_gb", "one_zone", "spread", "loaners", "expect_s", "bookmark_s", "stash_s"}
 
-// jobFields set the fields of a Job from their encoded values, by the names on the wire. They return false for null,
-// and an error that says why a value is invalid.
+// jobFields are functions that set a field of a Job from its encoded value, by the name of the field on the wire. They
+// return false for null, and an error with the reason if the value is invalid.
 var jobFields = map[string]func(*Job, []byte) (bool, error){
 	"ref": func(j *Job, b []byte) (bool, error) {
 		s, ok, err := textValue(b)
@@ -106,8 +106,8 @@
 	},
 }
 
-// decodeTexts reads a list of at most so many texts; false if it is null.
-func decodeTexts(b []byte, most int) ([]string, bool, error) {
+// decodeTexts decodes a list of at most maxLength texts. It returns false for null.
+func decodeTexts(b []byte, maxLength int) ([]string, bool, error) {
 	if isNil(b) {
 		return nil, false, nil
 	}
@@ -116,7 +116,7 @@
 		return nil, true, errors.New("not a list")
 	}
 	n, err := d.DecodeArrayLen()
-	if err != nil || n < 0 || n > most {
+	if err != nil || n < 0 || n > maxLength {
 		return nil, true, errors.New("not a list of that kind")
 	}
 	out := make([]string, 0, n)
@@ -144,7 +144,7 @@
 	if err != nil {
 		return "", err
 	}
-	if len(s) > maxText {
+	if len(s) > maxTextBytes {
 		return "", errors.New("text too long")
 	}
 	return s, nil
@@ -174,17 +174,17 @@
 	return f, true, err
 }
 
-func textField(at func(*Job) *string) func(*Job, []byte) (bool, error) {
+func textField(field func(*Job) *string) func(*Job, []byte) (bool, error) {
 	return func(j *Job, b []byte) (bool, error) {
 		s, ok, err := textValue(b)
 		if err == nil && ok {
-			*at(j) = s
+			*field(j) = s
 		}
 		return ok, err
 	}
 }
 
-func enumField(at func(*Job) *string, allowed ...string) func(*Job, []byte) (bool, error) {
+func enumField(field func(*Job) *string, allowed ...string) func(*Job, []byte) (bool, error) {
 	return func(j *Job, b []byte) (bool, error) {
 		s, ok, err := textValue(b)
 		if err != nil || !ok {
@@ -193,12 +193,12 @@
 		if !slices.Contains(allowed, s) {
 			return true, errors.New("not one of " + strings.Join(allowed, ", "))
 		}
-		*at(j) = s
+		*field(j) = s
 		return true, nil
 	}
 }
 
-func amountField(at func(*Job) *float64) func(*Job, []byte) (bool, error) {
+func amountField(field func(*Job) *float64) func(*Job, []byte) (bool, error) {
 	return func(j *Job, b []byte) (bool, error) {
 		f, ok, err := numberValue(b)
 		if err != nil || !ok {
@@ -207,18 +207,18 @@
 		if math.IsNaN(f) || f < 0 || f > 1e9 {
 			return true, errors.New("out of range")
 		}
-		*at(j) = f
+		*field(j) = f
 		return true, nil
 	}
 }
 
-func boolField(at func(*Job) *bool) func(*Job, []byte) (bool, error) {
+func boolField(field func(*Job) *bool) func(*Job, []byte) (bool, error) {
 	return func(j *Job, b []byte) (bool, error) {
 		switch b[0] {
 		case msgpcode.Nil:
 			return false, nil
 		case msgpcode.True, msgpcode.False:
-			*at(j) = b[0] == msgpcode.True
+			*field(j) = b[0] == msgpcode.True
 			return true, nil
 		}
 		return true, errors.New("not a boolean")
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -22,8 +22,8 @@
 	return ids
 }
 
-// An id that is named twice is one job to wait for.
-func TestNeedsCountOnce(t *testing.T) {
+// A dependency that is listed twice counts once.
+func TestDuplicateDependencies(t *testing.T) {
 	m := submission()
 	m["awaits"] = []string{"j-7", "j-8", "j-7"}
 	raw, err := Marshal(m)
@@ -50,14 +50,14 @@
 		value       any
 		ok          bool
 	}{
-		{"as in the protocol", "", nil, true},
+		{"valid", "", nil, true},
 		{"unknown field", "colour", "red", true},
 		{"unknown field, nested", "colour", nested, true},
-		{"unknown field, nested without end", "colour", deep, false},
+		{"unknown field, nested too deep", "colour", deep, false},
 		{"whole number as amount", "cores", 8, true},
 		{"no deadline", "due_s", nil, true},
 		{"null list", "rigs", nil, true},
-		{"missing", "desk", nil, false},
+		{"missing field", "desk", nil, false},
 		{"wrong type", "lots", "16", false},
 		{"fraction of a task", "lots", 1.5, false},
 		{"no tasks", "lots", 0, false},
@@ -76,19 +76,19 @@
 		{"boolean as number", "spread", 1, false},
 		{"types not a list", "rigs", "g8", false},
 		{"number in types", "rigs", []any{1}, false},
-		{"deep in a known field", "desk", deep, false},
+		{"nested too deep in a known field", "desk", deep, false},
 		{"deadline as text", "due_s", "soon", false},
-		{"needs", "awaits", []string{"j-1", "j-2"}, true},
-		{"needs named twice", "awaits", []string{"j-1", "j-1"}, true},
-		{"needs null", "awaits", nil, true},
-		{"needs nothing", "awaits", []string{}, true},
-		{"needs itself", "awaits", []string{"j-1", "j-000412"}, false},
-		{"needs as text", "awaits", "j-1", false},
-		{"needs a number", "awaits", []any{1}, false},
-		{"needs a bad id", "awaits", []string{"k-1"}, false},
-		{"needs a null id", "awaits", []any{nil}, false},
-		{"needs too many", "awaits", manyIDs(MaxNeeds + 1), false},
-		{"needs most", "awaits", manyIDs(MaxNeeds), true},
+		{"dependencies", "awaits", []string{"j-1", "j-2"}, true},
+		{"duplicate dependency", "awaits", []string{"j-1", "j-1"}, true},
+		{"null dependencies", "awaits", nil, true},
+		{"no dependencies", "awaits", []string{}, true},
+		{"dependency on itself", "awaits", []string{"j-1", "j-000412"}, false},
+		{"dependencies as text", "awaits", "j-1", false},
+		{"number as dependency", "awaits", []any{1}, false},
+		{"dependency with a bad id", "awaits", []string{"k-1"}, false},
+		{"null as dependency", "awaits", []any{nil}, false},
+		{"too many dependencies", "awaits", manyIDs(MaxNeeds + 1), false},
+		{"most dependencies", "awaits", manyIDs(MaxNeeds), true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -105,7 +105,7 @@
 				t.Fatalf("error %v, want ok %v", err, tt.ok)
 			}
 			if tt.ok && (j.ID != "j-000412" || j.Shape != Gang || len(j.Types) > 1) {
-				t.Fatalf("read as %+v", j)
+				t.Fatalf("parsed as %+v", j)
 			}
 		})
 	}
@@ -115,21 +115,21 @@
 	}
 	for _, raw := range [][]byte{nil, {0xc0}, {0x93, 1, 2, 3}, []byte("{}"), {0xdf, 0xff, 0xff, 0xff, 0xff}, {0x81, 0xa3}, append(append([]byte(nil), good...), 0xc0)} {
 		if _, err := ParseJob(raw); err == nil {
-			t.Errorf("%x was taken", raw)
+			t.Errorf("ParseJob accepted the malformed message %x", raw)
 		}
 	}
 }
 
-// A list that claims four thousand million elements in a few bytes must not
-// make the decoder reserve memory for them: the node would be killed.
+// A list whose header states four billion elements in a message of a few bytes must not make the decoder allocate
+// memory for them: the node would be killed.
 func TestClaimedLength(t *testing.T) {
 	raw := []byte{0x81, 0xa4, 'l', 'o', 't', 's', 0xdd, 0xff, 0xff, 0xff, 0xff}
 	var r Heartbeat
 	if Unmarshal(raw, &r) == nil {
-		t.Fatal("taken")
+		t.Fatal("Unmarshal accepted a list without its elements")
 	}
 	if _, err := ParseJob(raw); err == nil {
-		t.Fatal("taken")
+		t.Fatal("ParseJob accepted a list without its elements")
 	}
 }
 
@@ -139,13 +139,13 @@
 	}
 	for _, s := range []string{"", "j-7", "j-7/", "j-7/-1", "j-7/01", "j-7/100000", "x/1", "j-/1"} {
 		if _, _, ok := ParseTaskName(s); ok {
-			t.Errorf("%q was taken", s)
+			t.Errorf("ParseTaskName accepted %q", s)
 		}
 	}
 }
 
-// FuzzParse feeds what comes from the wire to the parsers: no input may crash
-// them, and what is taken must be within the limits.
+// FuzzParse passes arbitrary bytes to the parsers of received messages: no input may crash them, and a submission that
+// is accepted must be within the limits.
 func FuzzParse(f *testing.F) {
 	raw, err := Marshal(submission())
 	if err != nil {
@@ -156,7 +156,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if j, err := ParseJob(raw); err == nil {
 			if !ValidJobID(j.ID) || j.Tasks < 1 || j.Tasks > MaxTasks || !(j.CPUs >= 0) || !(j.GPUs >= 0) || !(j.MemoryGB >= 0) {
-				t.Fatalf("taken: %+v", j)
+				t.Fatalf("ParseJob accepted %+v", j)
 			}
 		}
 		var r Heartbeat
@@ -169,7 +169,7 @@
 	})
 }
 
-// Errors of a submission name the field on the wire.
+// Errors of a submission contain the name that the field has on the wire.
 func TestParseJobErrorsNameTheField(t *testing.T) {
 	m := submission()
 	m["gpus"] = "many"
@@ -191,7 +191,7 @@
 		t.Errorf("%v", err)
 	}
 	_, err = ParseJob(raw[:len(raw)-1])
-	if !errors.Is(err, errShort) || err.Error() != "message ends early" {
+	if !errors.Is(err, errTruncated) || err.Error() != "message ends early" {
 		t.Errorf("%v", err)
 	}
 }
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -1,14 +1,14 @@
 package wire
 
-// States of a task on its machine; Running is shared with users.
+// States of a task on its machine, besides Running, which is a job state too.
 const (
-	Fetching = "fetching"
-	Waiting  = "gathering"
-	Saving   = "flushing"
+	Fetching = "fetching"  // of the image
+	Waiting  = "gathering" // for the other tasks of the gang
+	Saving   = "flushing"  // a checkpoint
 	Exited   = "exited"
 )
 
-// Causes of an exit; Done is shared with users.
+// Causes of a task's exit, besides Done, which is a job state too.
 const (
 	CauseStopped    = "stopped"
 	CausePeersGone  = "mates_gone"
@@ -26,7 +26,7 @@
 	CommandForget = "reap"
 )
 
-// TaskStatus is one task in a heartbeat.
+// TaskStatus is the status of a task in a heartbeat.
 type TaskStatus struct {
 	Task    string `msgpack:"lot"`
 	Attempt uint64 `msgpack:"try"`
@@ -35,8 +35,8 @@
 	Saved   bool   `msgpack:"kept"`
 }
 
-// Heartbeat is a worker's report of itself and all its tasks, POST /v1/report. Of two, the one with the larger
-// (Incarnation, Sequence) is newer.
+// Heartbeat is the periodic report of a worker on itself and all its tasks, POST /v1/report. Of two heartbeats, the one
+// with the larger pair (Incarnation, Sequence) is newer.
 type Heartbeat struct {
 	Machine      string       `msgpack:"berth"`
 	Addr         string       `msgpack:"addr"`
@@ -45,12 +45,12 @@
 	Spot         bool         `msgpack:"loaners"`
 	Incarnation  uint64       `msgpack:"shift"` // starts at 1, and increases when the worker's lease expires
 	Sequence     uint64       `msgpack:"tally"`
-	FencingToken uint64       `msgpack:"baton"`    // the highest that the worker has seen
-	NoticeS      *float64     `msgpack:"recall_s"` // until the cloud reclaims the machine; nil: no notice
+	FencingToken uint64       `msgpack:"baton"`    // the highest that the worker has received
+	NoticeS      *float64     `msgpack:"recall_s"` // time until the cloud reclaims the machine; nil without a notice
 	Tasks        []TaskStatus `msgpack:"lots"`
 }
 
-// Command tells a worker to start, stop or forget an attempt of a task.
+// Command instructs a worker to start or stop an attempt of a task, or to drop its record of one that has exited.
 type Command struct {
 	Verb    string   `msgpack:"verb"`
 	Task    string   `msgpack:"lot"`
@@ -64,12 +64,12 @@
 	Commands     []Command `msgpack:"orders"`
 }
 
-// Redirect is the body of a 421 to a heartbeat: the node to report to, if there is one.
+// Redirect is the body of a 421 to a heartbeat: the node to report to, or none if it is empty.
 type Redirect struct {
 	Node string `msgpack:"answer_to,omitempty"`
 }
 
-// CommandRequest is a direct call to a worker, POST /commands.
+// CommandRequest is the body of a call that sends commands directly to a worker, POST /commands.
 type CommandRequest struct {
 	FencingToken uint64    `msgpack:"baton"`
 	Incarnation  uint64    `msgpack:"shift"`
