--- a/cmd/coralhub/bound.go
+++ b/cmd/coralhub/bound.go
@@ -10,12 +10,12 @@
 	"coralhub/internal/startbound"
 )
 
-// boundCommand tells what anyone could have begun in time, beside what the log says had.
+// boundCommand compares the fraction of jobs that started in time according to the logs with an upper bound.
 func boundCommand() *cobra.Command {
 	var gpus, within float64
 	cmd := &cobra.Command{
 		Use:   "bound LOG...",
-		Short: "tells from nodes' debug logs which part of the jobs anyone could have begun in time, and which had",
+		Short: "Compare the fraction of jobs that started in time with what any scheduler could reach, from nodes' debug logs",
 		Example: `  LOG_LEVEL=debug coralhub serve --config node.toml 2>node.log
   coralhub bound --gpus 4 node.log`,
 		Args: cobra.MinimumNArgs(1),
@@ -27,8 +27,8 @@
 					return err
 				}
 				err = l.Read(f)
-				if closed := f.Close(); err == nil {
-					err = closed
+				if closeErr := f.Close(); err == nil {
+					err = closeErr
 				}
 				if err != nil {
 					return fmt.Errorf("%s: %w", name, err)
@@ -39,14 +39,14 @@
 				return err
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "class\tjobs\tcould have begun\thad\tof the largest tenth")
+			fmt.Fprintln(w, "class\tjobs\tcould start in time\tstarted in time\tof the largest tenth")
 			for _, r := range rows {
 				fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\n", r.Class, r.Jobs, r.Bound, r.Started, r.Largest)
 			}
 			return w.Flush()
 		},
 	}
-	cmd.Flags().Float64Var(&gpus, "gpus", 1, "GPUs of a machine")
-	cmd.Flags().Float64Var(&within, "within", 240, "seconds that a job has to begin")
+	cmd.Flags().Float64Var(&gpus, "gpus", 1, "GPUs of each machine")
+	cmd.Flags().Float64Var(&within, "within", 240, "time within which a job must start, in seconds")
 	return cmd
 }
--- a/cmd/coralhub/capacity.go
+++ b/cmd/coralhub/capacity.go
@@ -13,8 +13,8 @@
 	var file string
 	cmd := &cobra.Command{
 		Use:     "capacity",
-		Short:   "Work out from measured slopes what each role takes at the target's size",
-		Long:    "Work out what each role of a region takes at the target's size, from the slopes that come with the\nprogram, and print it as a page of Markdown.",
+		Short:   "Extrapolate the resource usage of each role to the target size from measured slopes",
+		Long:    "Extrapolate what each role of a region uses at the target size, from the measured slopes that are\nbuilt into the program, and print it as a Markdown page.",
 		Example: "  coralhub capacity\n  coralhub capacity --write docs/CAPACITY.md",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -28,6 +28,6 @@
 			return os.WriteFile(file, page.Bytes(), 0o644)
 		},
 	}
-	cmd.Flags().StringVar(&file, "write", "", "write the page into a `FILE`")
+	cmd.Flags().StringVar(&file, "write", "", "write the page to `FILE` instead of standard output")
 	return cmd
 }
--- a/cmd/coralhub/estimate.go
+++ b/cmd/coralhub/estimate.go
@@ -23,7 +23,7 @@
 func estimateCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "estimate",
-		Short: "Record histories of runs, and see how well run times would have been estimated",
+		Short: "Record histories of runs, and evaluate the estimates of run times on them",
 	}
 	cmd.AddCommand(replayCommand(), recordCommand())
 	return cmd
@@ -34,10 +34,10 @@
 	var plot string
 	cmd := &cobra.Command{
 		Use:   "replay HISTORY.jsonl",
-		Short: "Run a recorded history through the learner and tell how its estimates fared",
-		Long: "Run a recorded history through the learner, in order and never looking ahead: what is\n" +
-			"said of a run is said when it starts, on the strength of the runs that have ended by then.\n" +
-			"Lines that can't be read are told of on standard error, counted and skipped.",
+		Short: "Replay a recorded history and report the accuracy of the run-time estimates",
+		Long: "Replay a recorded history through the model of run times, in order: each run is estimated\n" +
+			"when it starts, from the runs that have ended by then, and never from later ones.\n" +
+			"Lines that can't be read are reported on standard error, counted and skipped.",
 		Example: "  coralhub estimate replay runs.jsonl --plot runs.html\n  coralhub estimate replay runs.jsonl --json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -46,7 +46,7 @@
 				return err
 			}
 			if plot != "" {
-				if err := draw(plot, r); err != nil {
+				if err := writeCharts(plot, r); err != nil {
 					return err
 				}
 			}
@@ -57,11 +57,11 @@
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
-	cmd.Flags().StringVar(&plot, "plot", "", "draw runs and estimates into `FILE`, .png or .html")
+	cmd.Flags().StringVar(&plot, "plot", "", "write charts of runs and estimates to `FILE` (.png or .html)")
 	return cmd
 }
 
-// maxProblems is how many problems of a history are reported one by one.
+// maxProblems bounds the number of problems of a history that are reported one by one.
 const maxProblems = 20
 
 func replay(path string, errOut io.Writer) (*history.Result, error) {
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // nothing was written
+	defer func() { _ = f.Close() }() // the file is only read
 	problems := 0
 	lines, skipped, err := history.Read(f, func(p history.Problem) {
 		if problems++; problems <= maxProblems {
@@ -77,7 +77,7 @@
 		}
 	})
 	if problems > maxProblems {
-		fmt.Fprintf(errOut, "and %d problems more\n", problems-maxProblems)
+		fmt.Fprintf(errOut, "%d more problems\n", problems-maxProblems)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -85,7 +85,7 @@
 	return history.Replay(lines, skipped), nil
 }
 
-func draw(path string, r *history.Result) error {
+func writeCharts(path string, r *history.Result) error {
 	write := chart.HTML
 	switch strings.ToLower(filepath.Ext(path)) {
 	case ".html":
@@ -103,7 +103,7 @@
 
 func printReplay(out io.Writer, r *history.Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "class\tjobs\twith kin\twithin 1.25\t1.5\t2\t0.5 covers\t0.8\t0.95\tlog error\towners'\tfirst seen\twithin 2\tunknown\t")
+	fmt.Fprintln(w, "class\tjobs\twith similar runs\twithin 1.25\t1.5\t2\t0.5 covers\t0.8\t0.95\tlog error\tusers'\tfirst seen\twithin 2\tunknown\t")
 	for _, c := range r.Classes {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%.3f\t%d\t\n", c.Class, c.Jobs, c.WithSimilar,
 			c.Within["1.25"], c.Within["1.5"], c.Within["2"], c.Coverage["0.5"], c.Coverage["0.8"], c.Coverage["0.95"],
@@ -119,13 +119,14 @@
 func recordCommand() *cobra.Command {
 	var nodes []string
 	var out string
-	var span time.Duration
+	var duration time.Duration
 	cmd := &cobra.Command{
 		Use:   "record --node HOST:PORT",
-		Short: "Write the runs that a service sees as a history",
-		Long: "Write the runs that end in a running service as a history, until interrupted or for the\n" +
-			"time given. The nodes must be started with the setting admin; the one that leads is found\n" +
-			"among those given. Runs that were missed, as by a change of leader, are told of.",
+		Short: "Record the runs of a running service as a history",
+		Long: "Record the runs that end in a running service as a history, until interrupted or for the\n" +
+			"time given by --for. The nodes must be started with the setting admin; the leader is found\n" +
+			"among the nodes given by --node. Runs that were missed, for example because of a change of\n" +
+			"leader, are reported on standard error.",
 		Example: "  coralhub estimate record --node 10.0.0.1:8080 --node 10.0.0.2:8080 --out runs.jsonl --for 1h",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) (err error) {
@@ -140,18 +141,18 @@
 			}
 			r := &recorder.Recorder{Nodes: nodes, Client: &http.Client{Timeout: 5 * time.Second}, Report: func(s string) { fmt.Fprintln(cmd.ErrOrStderr(), s) }}
 			return runUntilSignal(cmd.Context(), func(ctx context.Context, _ context.CancelFunc) error {
-				if span > 0 {
+				if duration > 0 {
 					var cancel context.CancelFunc
-					ctx, cancel = context.WithTimeout(ctx, span)
+					ctx, cancel = context.WithTimeout(ctx, duration)
 					defer cancel()
 				}
 				return r.Run(ctx, w)
 			})
 		},
 	}
-	cmd.Flags().StringArrayVar(&nodes, "node", nil, "`HOST:PORT` of a node, repeated for each")
+	cmd.Flags().StringArrayVar(&nodes, "node", nil, "`HOST:PORT` of a node; may be repeated")
 	cmd.Flags().StringVar(&out, "out", "", "append to `FILE` instead of standard output")
-	cmd.Flags().DurationVar(&span, "for", 0, "stop after this long")
+	cmd.Flags().DurationVar(&duration, "for", 0, "stop after this `DURATION`; 0 to record until interrupted")
 	if err := cmd.MarkFlagRequired("node"); err != nil {
 		panic(err) // the flag is defined above
 	}
--- a/cmd/coralhub/experiment.go
+++ b/cmd/coralhub/experiment.go
@@ -19,9 +19,9 @@
 	var dir string
 	cmd := &cobra.Command{
 		Use:   "experiment FILE",
-		Short: "Play variants of a scenario pair by pair and say better, worse or noise",
-		Long: "Play a scenario with each variant of a table (settings, sizes, programs), for each seed one\n" +
-			"after the other, and compare each variant with the first, pair by pair.",
+		Short: "Compare variants of a scenario in paired runs, with the verdict better, worse or noise",
+		Long: "Run a scenario with each variant of an experiment (settings, scales, programs), for each seed\n" +
+			"one after the other, and compare each variant with the first, pair by pair.",
 		Example: "  coralhub experiment testdata/experiments/rank.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -34,11 +34,11 @@
 				return err
 			}
 			return runUntilSignal(cmd.Context(), func(ctx context.Context, _ context.CancelFunc) error {
-				folder, err := runFolder(dir, e.Name)
+				runDir, err := createRunDir(dir, e.Name)
 				if err != nil {
 					return err
 				}
-				opt := faulttest.Options{Program: program, Log: "info", Dir: folder}
+				opt := faulttest.Options{Program: program, Log: "info", Dir: runDir}
 				opt.Say = func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
 				table, err := e.Play(ctx, opt)
 				if err != nil {
@@ -49,7 +49,7 @@
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
-	cmd.Flags().StringVar(&dir, "dir", filepath.Join(os.TempDir(), "coralhub-runs"), "`FOLDER` for the runs")
+	cmd.Flags().StringVar(&dir, "dir", filepath.Join(os.TempDir(), "coralhub-runs"), "`DIR` for the runs")
 	return cmd
 }
 
--- a/cmd/coralhub/faulttest.go
+++ b/cmd/coralhub/faulttest.go
@@ -22,16 +22,16 @@
 	cmd := &cobra.Command{
 		Use:     "faulttest",
 		Aliases: []string{"rehearse"}, // its name in earlier versions
-		Short:   "Play scripted failures on a cluster of this machine's own and tell whether they pass",
+		Short:   "Run fault scenarios on a cluster on this machine and report whether they pass",
 	}
-	cmd.AddCommand(faulttestList(), faulttestRun(), faulttestReport())
+	cmd.AddCommand(faulttestListCommand(), faulttestRunCommand(), faulttestReportCommand())
 	return cmd
 }
 
-func faulttestList() *cobra.Command {
+func faulttestListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
-		Short: "List the scenarios that come with the program",
+		Short: "List the scenarios that are built into the program",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
@@ -47,10 +47,10 @@
 	}
 }
 
-// errFailed ends the program with 1 and nothing more to say.
-var errFailed = errors.New("a scenario failed")
+// errScenarioFailed makes the program exit with status 1, after the results have been printed.
+var errScenarioFailed = errors.New("a scenario failed")
 
-// faulttestFlags are the flags of faulttest run.
+// faulttestFlags holds the flags of faulttest run.
 type faulttestFlags struct {
 	plain, asJSON bool
 	seed          uint64
@@ -60,37 +60,37 @@
 	logLevel      string
 }
 
-func faulttestRun() *cobra.Command {
+func faulttestRunCommand() *cobra.Command {
 	var flags faulttestFlags
 	cmd := &cobra.Command{
 		Use:   "run SCENARIO...",
-		Short: "Play scenarios, by their names or from files",
-		Long: "Play scenarios on real processes of this program and emulators on loopback sockets.\n" +
-			"Each prints PASS or FAIL, with what failed; the exit code is 1 if any failed.",
+		Short: "Run scenarios, given by name or as files",
+		Long: "Run scenarios on real processes of this program and emulators on loopback sockets.\n" +
+			"For each it prints PASS, or FAIL with the reason; the exit status is 1 if any failed.",
 		Example: "  coralhub faulttest run surge\n  coralhub faulttest run --plain --seed 7 leader-killed ./my-night.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runUntilSignal(cmd.Context(), func(ctx context.Context, stop context.CancelFunc) error {
-				return flags.playAll(ctx, stop, cmd.OutOrStdout(), args)
+				return flags.runAll(ctx, stop, cmd.OutOrStdout(), args)
 			})
 		},
 	}
 	f := cmd.Flags()
-	f.BoolVar(&flags.plain, "plain", false, "print nothing but the verdict")
+	f.BoolVar(&flags.plain, "plain", false, "print only the verdict")
 	f.BoolVar(&flags.asJSON, "json", false, "print each result as JSON")
-	f.Uint64Var(&flags.seed, "seed", 1, "draws arrivals, run times and machines")
-	f.Float64Var(&flags.scale, "scale", 1, "so many times the machines and the load")
-	f.Float64Var(&flags.speed, "speed", 1, "so many times the jobs, as much shorter each; the protocol's times stay")
-	f.StringVar(&flags.dir, "dir", filepath.Join(os.TempDir(), "coralhub-runs"), "`FOLDER` for results, settings and logs")
-	f.StringVar(&flags.settings, "settings", "", "the operators' settings `FILE` for the nodes")
-	f.StringVar(&flags.logLevel, "log", "info", "how much the nodes log")
+	f.Uint64Var(&flags.seed, "seed", 1, "random seed of arrivals, run times and machines")
+	f.Float64Var(&flags.scale, "scale", 1, "factor of the machines and the load")
+	f.Float64Var(&flags.speed, "speed", 1, "factor by which there are more jobs and each is shorter; the protocol's times are unchanged")
+	f.StringVar(&flags.dir, "dir", filepath.Join(os.TempDir(), "coralhub-runs"), "`DIR` for results, settings and logs")
+	f.StringVar(&flags.settings, "settings", "", "operators' settings `FILE` for the nodes")
+	f.StringVar(&flags.logLevel, "log", "info", "log level of the nodes: error, info or debug")
 	return cmd
 }
 
-// playAll plays scenarios one after the other. It returns errFailed if any has failed.
-func (f *faulttestFlags) playAll(ctx context.Context, stop func(), out io.Writer, names []string) error {
+// runAll runs scenarios one after the other. It returns errScenarioFailed if any has failed.
+func (f *faulttestFlags) runAll(ctx context.Context, stop func(), out io.Writer, names []string) error {
 	if f.scale <= 0 || f.speed <= 0 {
-		return errors.New("--scale and --speed must be above 0")
+		return fmt.Errorf("--scale %g --speed %g: both must be above 0", f.scale, f.speed)
 	}
 	failed := false
 	for _, name := range names {
@@ -98,26 +98,26 @@
 		if err != nil {
 			return err
 		}
-		folder, err := runFolder(f.dir, s.Name)
+		runDir, err := createRunDir(f.dir, s.Name)
 		if err != nil {
 			return err
 		}
-		res, err := f.play(ctx, stop, out, s, folder)
+		res, err := f.runScenario(ctx, stop, out, s, runDir)
 		if err != nil {
 			return err
 		}
 		failed = failed || !res.Passed
-		if err := f.print(out, res, folder); err != nil {
+		if err := f.print(out, res, runDir); err != nil {
 			return err
 		}
 	}
 	if failed {
-		return errFailed
+		return errScenarioFailed
 	}
 	return nil
 }
 
-// load reads a scenario and scales it.
+// load reads a scenario and applies --scale and --speed.
 func (f *faulttestFlags) load(name string) (*faulttest.Scenario, error) {
 	s, err := faulttest.Load(name)
 	if err != nil {
@@ -132,17 +132,18 @@
 	return s, nil
 }
 
-// play plays a scenario. A run that could not be made is a failed result, unless it was interrupted.
-func (f *faulttestFlags) play(ctx context.Context, stop func(), out io.Writer, s *faulttest.Scenario, folder string) (*faulttest.Result, error) {
+// runScenario runs a scenario. It returns the error of a run that could not be made as a failed result, unless the run
+// was interrupted.
+func (f *faulttestFlags) runScenario(ctx context.Context, stop func(), out io.Writer, s *faulttest.Scenario, runDir string) (*faulttest.Result, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	opt := faulttest.Options{Program: program, Seed: f.seed, Settings: f.settings, Log: f.logLevel, Dir: folder}
+	opt := faulttest.Options{Program: program, Seed: f.seed, Settings: f.settings, Log: f.logLevel, Dir: runDir}
 	screen := f.showProgress(ctx, stop, out, s, &opt)
 	res, err := faulttest.Run(ctx, s, opt)
 	if screenErr := screen.Close(); screenErr != nil {
-		fmt.Fprintln(os.Stderr, "coralhub: the progress could not be shown:", screenErr)
+		fmt.Fprintln(os.Stderr, "coralhub: showing the progress failed:", screenErr)
 	}
 	if err != nil && ctx.Err() != nil {
 		return nil, err
@@ -153,7 +154,8 @@
 	return res, nil
 }
 
-// showProgress has a run shown on a terminal, or told line by line elsewhere. The screen is nil if there is none.
+// showProgress sets opt to report the progress of a run, on a screen if out is a terminal and line by line otherwise.
+// It returns the screen, or nil if there is none. With --plain or --json, no progress is reported.
 func (f *faulttestFlags) showProgress(ctx context.Context, stop func(), out io.Writer, s *faulttest.Scenario, opt *faulttest.Options) *view.Screen {
 	if f.plain || f.asJSON {
 		return nil
@@ -164,22 +166,22 @@
 		opt.Watch = screen.Show
 		return screen
 	}
-	began := time.Now()
-	opt.Say = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(began).Seconds(), line) }
+	startedAt := time.Now()
+	opt.Say = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(startedAt).Seconds(), line) }
 	fmt.Fprintln(out, title)
 	return nil
 }
 
-// runFolder makes a run's folder. Two that begin at the same moment get one each: in one,
-// each would start its nodes with the other's settings.
-func runFolder(dir, name string) (string, error) {
+// createRunDir creates a directory for a run in dir. Its name is unique even if two runs start at the same time: in the
+// same directory, each would start its nodes with the settings of the other.
+func createRunDir(dir, name string) (string, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", err
 	}
 	return os.MkdirTemp(dir, fmt.Sprintf("%s-%s-", name, time.Now().Format("20060102-150405")))
 }
 
-// print prints a result as the flags ask.
+// print prints a result in the form that the flags select.
 func (f *faulttestFlags) print(out io.Writer, res *faulttest.Result, dir string) error {
 	if f.asJSON {
 		return json.NewEncoder(out).Encode(res)
@@ -209,11 +211,11 @@
 		return err
 	}
 	for _, n := range res.Nodes {
-		fmt.Fprintf(out, "%s: %.1f s of processor, %.0f MB at most, %d restarts\n", n.Node, n.CPUS, n.PeakMB, n.Restarts)
+		fmt.Fprintf(out, "%s: %.1f s of CPU time, %.0f MB of memory at peak, %d restarts\n", n.Node, n.CPUS, n.PeakMB, n.Restarts)
 	}
 	fmt.Fprintf(out, "state service: %d requests (%d refused), %d changes; %d machines rented\n", res.Requests, res.Refused, res.Changes, res.Machines)
 	for _, b := range res.Violations {
-		fmt.Fprintf(out, "broken: %s\n", b)
+		fmt.Fprintf(out, "rule broken: %s\n", b)
 	}
 	for _, f := range res.Findings {
 		mark := "met   "
@@ -225,11 +227,11 @@
 	return nil
 }
 
-func faulttestReport() *cobra.Command {
+func faulttestReportCommand() *cobra.Command {
 	var out string
 	cmd := &cobra.Command{
 		Use:     "report RUN",
-		Short:   "Write the result of a run as a page of HTML that needs nothing else",
+		Short:   "Write the result of a run as a self-contained HTML page",
 		Example: "  coralhub faulttest report /tmp/coralhub-runs/surge-20261201-101500-123456789 --out surge.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -251,6 +253,6 @@
 			return err
 		},
 	}
-	cmd.Flags().StringVar(&out, "out", "", "the page's `FILE`; otherwise report.html beside the result")
+	cmd.Flags().StringVar(&out, "out", "", "`FILE` of the page; by default report.html beside the result")
 	return cmd
 }
--- a/cmd/coralhub/load.go
+++ b/cmd/coralhub/load.go
@@ -17,9 +17,10 @@
 	shape := "array"
 	cmd := &cobra.Command{
 		Use:   "load --to HOST:PORT",
-		Short: "Submit jobs at set times, whatever the answers take, and tell what users met",
-		Long: "Submit jobs at random times of a given rate, not slowed by slow answers. Times count from\n" +
-			"when a submission was due. It makes no more than --jobs of them and ends by itself.",
+		Short: "Submit jobs at times that don't depend on the responses, and report the latency of users",
+		Long: "Submit jobs at random times with a given mean rate; slow responses delay no other submission.\n" +
+			"Latencies are measured from the time at which a submission was due. At most --jobs jobs are\n" +
+			"submitted, then the command exits.",
 		Example: "  coralhub load --to 127.0.0.1:8080 --jobs 200 --rate 20 --tasks 4 --expect 5 --wait",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -36,7 +37,7 @@
 				if asJSON {
 					return json.NewEncoder(out).Encode(res)
 				}
-				fmt.Fprintf(out, "%d jobs, %d accepted, %d ended, %d not sent since too many were on their way; answers %v\n",
+				fmt.Fprintf(out, "%d jobs, %d accepted, %d ended, %d not sent because the limit of concurrent jobs was reached; responses by status %v\n",
 					res.Jobs, res.Accepted, res.Ended, res.Missed, res.Statuses)
 				fmt.Fprintf(out, "submission p50 %.3f p90 %.3f p99 %.3f max %.3f s\n", res.Submit.P50, res.Submit.P90, res.Submit.P99, res.Submit.Max)
 				if opt.Wait {
@@ -47,13 +48,13 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringArrayVar(&opt.To, "to", nil, "`HOST:PORT` of a node or balancer, repeated for several")
-	f.IntVar(&opt.Jobs, "jobs", 20, "how many jobs")
-	f.Float64Var(&opt.Rate, "rate", 5, "how many a second")
-	f.Uint64Var(&opt.Seed, "seed", 1, "draws the times")
-	f.IntVar(&opt.First, "first", 1, "number of the first job's id")
-	f.IntVar(&opt.Limit, "limit", 1000, "requests at a time")
-	f.BoolVar(&opt.Wait, "wait", false, "follow the jobs to their end")
+	f.StringArrayVar(&opt.To, "to", nil, "`HOST:PORT` of a node or load balancer; may be repeated")
+	f.IntVar(&opt.Jobs, "jobs", 20, "number of jobs")
+	f.Float64Var(&opt.Rate, "rate", 5, "mean number of submissions per second")
+	f.Uint64Var(&opt.Seed, "seed", 1, "random seed of the submission times")
+	f.IntVar(&opt.First, "first", 1, "number in the ID of the first job")
+	f.IntVar(&opt.Limit, "limit", 1000, "maximum number of concurrent jobs; submissions beyond it are not sent")
+	f.BoolVar(&opt.Wait, "wait", false, "wait until the jobs have ended")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object")
 	f.StringVar(&shape, "shape", "array", "array, gang or service")
 	f.StringVar(&opt.Spec.Class, "class", "demo", "class of the jobs")
@@ -61,8 +62,8 @@
 	f.IntVar(&opt.Spec.Tasks, "tasks", 1, "tasks of a job")
 	f.Float64Var(&opt.Spec.CPUs, "cpus", 1, "CPUs of a task")
 	f.Float64Var(&opt.Spec.GPUs, "gpus", 1, "GPUs of a task")
-	f.Float64Var(&opt.Spec.MemoryGB, "memory-gb", 1, "memory of a task")
-	f.Float64Var(&opt.Spec.EstimateS, "expect", 3, "seconds that a task is thought to run")
+	f.Float64Var(&opt.Spec.MemoryGB, "memory-gb", 1, "memory of a task in GB")
+	f.Float64Var(&opt.Spec.EstimateS, "expect", 3, "estimated run time of a task in seconds")
 	if err := cmd.MarkFlagRequired("to"); err != nil {
 		panic(err) // the flag is defined above
 	}
--- a/cmd/coralhub/main.go
+++ b/cmd/coralhub/main.go
@@ -1,4 +1,4 @@
-// Command coralhub is a controller node of the coralhub cluster scheduler, and the tools to test and measure it.
+// Command coralhub runs a controller node of the coralhub cluster scheduler, and the tools to test and measure it.
 package main
 
 import (
@@ -14,25 +14,25 @@
 	"coralhub/internal/node"
 )
 
-// version is set by the linker where it matters.
+// version can be set by the linker.
 var version = "dev"
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "coralhub:", strings.ReplaceAll(err.Error(), "\n", " "))
 		os.Exit(1)
 	}
 }
 
-func command() *cobra.Command {
-	// Without a subcommand it serves, as the platform starts it.
-	cmd := serve("coralhub --config FILE")
+func rootCommand() *cobra.Command {
+	// Without a subcommand, it serves as a controller node: that is how the platform starts it.
+	cmd := serveCommand("coralhub --config FILE")
 	cmd.Long = "coralhub schedules batch jobs, gangs and services on rented machines.\n" +
 		"Without a subcommand it serves as a controller node."
 	cmd.Version = version
 	cmd.SilenceUsage, cmd.SilenceErrors = true, true
 	cmd.AddCommand(
-		serve("serve --config FILE"),
+		serveCommand("serve --config FILE"),
 		upCommand(),
 		faulttestCommand(),
 		loadCommand(),
@@ -46,14 +46,14 @@
 	return cmd
 }
 
-func serve(use string) *cobra.Command {
-	var platform, settings string
+func serveCommand(use string) *cobra.Command {
+	var platformFile, settingsFile string
 	var withParent bool
 	cmd := &cobra.Command{
 		Use:   use,
 		Short: "Serve as a controller node",
 		Long: "Serve as a controller node with the settings in the platform's file.\n" +
-			"It logs to standard error; LOG_LEVEL is error, info or debug.",
+			"Logs are written to standard error; LOG_LEVEL is error, info or debug.",
 		Example: "  coralhub serve --config node.toml --settings deploy/settings.json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -62,7 +62,7 @@
 				return err
 			}
 			slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-			cfg, err := config.Load(platform, settings)
+			cfg, err := config.Load(platformFile, settingsFile)
 			if err != nil {
 				return err
 			}
@@ -72,9 +72,9 @@
 			return node.New(cfg).Run(cmd.Context())
 		},
 	}
-	cmd.Flags().StringVar(&platform, "config", "", "the platform's settings `FILE` (TOML)")
-	cmd.Flags().StringVar(&settings, "settings", "", "the operators' own settings `FILE` (JSON)")
-	cmd.Flags().BoolVar(&withParent, "with-parent", false, "end when standard input does")
+	cmd.Flags().StringVar(&platformFile, "config", "", "platform's settings `FILE` (TOML)")
+	cmd.Flags().StringVar(&settingsFile, "settings", "", "operators' settings `FILE` (JSON)")
+	cmd.Flags().BoolVar(&withParent, "with-parent", false, "exit when standard input ends")
 	if err := cmd.Flags().MarkHidden("with-parent"); err != nil {
 		panic(err) // the flag is defined above
 	}
@@ -84,13 +84,13 @@
 	return cmd
 }
 
-// exitWithParent ends the process when standard input ends, which it does when the parent does, however that ends.
+// exitWithParent exits the process when standard input ends, which happens when the parent process ends for any reason.
 func exitWithParent() {
 	_, _ = io.Copy(io.Discard, os.Stdin)
 	os.Exit(0)
 }
 
-// logLevel reads the value of LOG_LEVEL.
+// logLevel parses the value of LOG_LEVEL.
 func logLevel(s string) (slog.Level, error) {
 	switch s {
 	case "", "info":
--- a/cmd/coralhub/names_test.go
+++ b/cmd/coralhub/names_test.go
@@ -11,7 +11,7 @@
 	"coralhub/internal/golden"
 )
 
-// Scripts go by the names of commands and flags and by what flags are unless they are set.
+// Scripts depend on the names of commands and flags and on the types and default values of flags.
 func TestNamesOfCommandsAndFlags(t *testing.T) {
 	t.Setenv("TMPDIR", "/tmp")
 	var out strings.Builder
@@ -25,19 +25,19 @@
 			list(sub, indent+"  ")
 		}
 	}
-	list(command(), "")
+	list(rootCommand(), "")
 	golden.Check(t, "commands.txt", out.String())
-	if run, _, err := command().Find([]string{"rehearse", "run"}); err != nil || run.CommandPath() != "coralhub faulttest run" {
-		t.Errorf("the old name of faulttest finds %v, %v", run, err)
+	if run, _, err := rootCommand().Find([]string{"rehearse", "run"}); err != nil || run.CommandPath() != "coralhub faulttest run" {
+		t.Errorf("rehearse run, the old name of faulttest run, finds command %v, error %v", run, err)
 	}
 }
 
-// Deploy files and shells set LOG_LEVEL. A wrong value is refused before the settings are read, whichever command line
-// starts the service.
+// Deployment files and shells set LOG_LEVEL. An invalid value is rejected before the settings are read, whichever
+// command line starts the service.
 func TestNameOfLogLevelVariable(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "loud")
 	for _, args := range [][]string{{"--config", "none.toml"}, {"serve", "--config", "none.toml"}} {
-		cmd := command()
+		cmd := rootCommand()
 		cmd.SetArgs(args)
 		if err := cmd.Execute(); err == nil || err.Error() != `LOG_LEVEL: "loud" is not error, info or debug` {
 			t.Errorf("coralhub %s: %v", strings.Join(args, " "), err)
--- a/cmd/coralhub/scale.go
+++ b/cmd/coralhub/scale.go
@@ -15,7 +15,7 @@
 )
 
 func scaleCommand() *cobra.Command {
-	var over struct {
+	var overrides struct {
 		regions, workers, controllers int
 		starts, duration              float64
 	}
@@ -23,11 +23,12 @@
 	var dir, level string
 	cmd := &cobra.Command{
 		Use:   "scale [SETTINGS]",
-		Short: "Measure controllers with hollow workers, at a size for which there are no machines",
-		Long: "Start real controller processes, workers that speak the protocol and do no work, thousands a\n" +
-			"process, and stand-ins of the state service and the cloud; load them, and tell what starts,\n" +
-			"how soon, and what it takes. SETTINGS is a file (TOML); without one, a region of the target.\n" +
-			"It ends by itself, and exits with 1 if a rule was broken or the run could not be made.",
+		Short: "Measure controllers with hollow workers, at sizes for which there are no machines",
+		Long: "Start real controller processes, hollow workers (which speak the protocol but do no work, with\n" +
+			"thousands in a process) and emulators of the state service and the cloud. Put them under load,\n" +
+			"and report what starts, how soon, and which resources it takes. SETTINGS is a TOML file; the\n" +
+			"default is one region of the target. The command exits when the run is complete, with status 1\n" +
+			"if a rule was broken or the run could not be made.",
 		Example: "  coralhub scale\n  coralhub scale --workers 500 --controllers 3 --starts 50 --duration 20\n  coralhub scale region.toml --json",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -41,19 +42,19 @@
 			}
 			flags := cmd.Flags()
 			if flags.Changed("regions") {
-				s.Regions = over.regions
+				s.Regions = overrides.regions
 			}
 			if flags.Changed("workers") {
-				s.Workers = over.workers
+				s.Workers = overrides.workers
 			}
 			if flags.Changed("controllers") {
-				s.Controllers = over.controllers
+				s.Controllers = overrides.controllers
 			}
 			if flags.Changed("starts") {
-				s.StartsPerS = over.starts
+				s.StartsPerS = overrides.starts
 			}
 			if flags.Changed("duration") {
-				s.DurationS = over.duration
+				s.DurationS = overrides.duration
 			}
 			return runUntilSignal(cmd.Context(), func(ctx context.Context, _ context.CancelFunc) error {
 				return runScale(ctx, cmd, s, dir, level, asJSON)
@@ -61,31 +62,31 @@
 		},
 	}
 	f := cmd.Flags()
-	f.IntVar(&over.regions, "regions", 0, "regions side by side")
-	f.IntVar(&over.workers, "workers", 0, "workers of a region")
-	f.IntVar(&over.controllers, "controllers", 0, "controllers of a region")
-	f.Float64Var(&over.starts, "starts", 0, "task starts a second that are asked of a region")
-	f.Float64Var(&over.duration, "duration", 0, "seconds that are measured")
+	f.IntVar(&overrides.regions, "regions", 0, "number of regions that run side by side")
+	f.IntVar(&overrides.workers, "workers", 0, "number of workers in each region")
+	f.IntVar(&overrides.controllers, "controllers", 0, "number of controllers in each region")
+	f.Float64Var(&overrides.starts, "starts", 0, "requested task starts per second in each region")
+	f.Float64Var(&overrides.duration, "duration", 0, "duration of the measurement in seconds")
 	f.BoolVar(&asJSON, "json", false, "print the result as one JSON object")
-	f.StringVar(&dir, "dir", filepath.Join(os.TempDir(), "coralhub-runs"), "`FOLDER` for results, settings and logs")
-	f.StringVar(&level, "log", "info", "how much the controllers log")
+	f.StringVar(&dir, "dir", filepath.Join(os.TempDir(), "coralhub-runs"), "`DIR` for results, settings and logs")
+	f.StringVar(&level, "log", "info", "log level of the controllers: error, info or debug")
 	return cmd
 }
 
-// runScale makes a run, writes its result into a folder of its own and prints it.
+// runScale performs a run, writes its result to a new directory and prints it.
 func runScale(ctx context.Context, cmd *cobra.Command, s scale.Settings, dir, level string, asJSON bool) error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	folder, err := runFolder(dir, "scale")
+	runDir, err := createRunDir(dir, "scale")
 	if err != nil {
 		return err
 	}
-	out, began := cmd.OutOrStdout(), time.Now()
-	opt := scale.Options{Program: program, ServeArgs: []string{"serve", "--with-parent"}, HollowArgs: []string{hollowCommandName}, Dir: folder, Log: level}
+	out, startedAt := cmd.OutOrStdout(), time.Now()
+	opt := scale.Options{Program: program, ServeArgs: []string{"serve", "--with-parent"}, HollowArgs: []string{hollowCommandName}, Dir: runDir, Log: level}
 	if !asJSON {
-		opt.Progress = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(began).Seconds(), line) }
+		opt.Progress = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(startedAt).Seconds(), line) }
 	}
 	res, err := scale.Run(ctx, s, opt)
 	if err != nil {
@@ -95,33 +96,33 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(folder, "result.json"), raw, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(runDir, "result.json"), raw, 0o600); err != nil {
 		return err
 	}
 	if asJSON {
 		_, err = fmt.Fprintln(out, string(raw))
 	} else {
 		err = res.Print(out)
-		fmt.Fprintf(out, "logs and result in %s\n", folder)
+		fmt.Fprintf(out, "logs and result in %s\n", runDir)
 	}
 	if err != nil {
 		return err
 	}
 	for i := range res.Regions {
 		if n := len(res.Regions[i].Broken); n > 0 {
-			return fmt.Errorf("scale: %d rules broken in %s, first %s", n, res.Regions[i].Region, res.Regions[i].Broken[0])
+			return fmt.Errorf("scale: %d rules broken in %s, first: %s", n, res.Regions[i].Region, res.Regions[i].Broken[0])
 		}
 	}
 	return nil
 }
 
-// hollowCommandName is how a run of scale starts its hollow workers.
+// hollowCommandName is the subcommand with which scale starts processes of hollow workers.
 const hollowCommandName = "hollow-workers"
 
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    hollowCommandName,
-		Short:  "Host workers that do no work; started by scale",
+		Short:  "Host hollow workers, which do no work; started by scale",
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/coralhub/signals.go
+++ b/cmd/coralhub/signals.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// runUntilSignal runs f with a context that ends when the program is told to end, or when f calls stop.
+// runUntilSignal calls f with a context that ends on an interrupt or SIGTERM, or when f calls stop.
 func runUntilSignal(ctx context.Context, f func(ctx context.Context, stop context.CancelFunc) error) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/coralhub/up.go
+++ b/cmd/coralhub/up.go
@@ -17,7 +17,7 @@
 	"coralhub/wire"
 )
 
-// upFlags are the flags of up.
+// upFlags holds the flags of up.
 type upFlags struct {
 	nodes, machines int
 	data            string
@@ -31,10 +31,10 @@
 	var flags upFlags
 	cmd := &cobra.Command{
 		Use:   "up",
-		Short: "Start a whole cluster on this machine: nodes, and emulators of all that they need",
-		Long: "Start a whole cluster on this machine: controller processes of this very program, and\n" +
+		Short: "Start a whole cluster on this machine: controller nodes, and emulators of everything else",
+		Long: "Start a whole cluster on this machine: controller nodes as processes of this program, and\n" +
 			"emulators of the state service, the cloud and the workers, on loopback sockets.\n" +
-			"It runs until it is interrupted. With --data, a later start finds its jobs again.",
+			"It runs until it is interrupted. With --data, jobs are kept for a later start.",
 		Example: "  coralhub up\n  coralhub up --nodes 5 --machines 200 --data ./cluster",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -44,17 +44,17 @@
 		},
 	}
 	f := cmd.Flags()
-	f.IntVar(&flags.nodes, "nodes", 3, "controller nodes")
-	f.IntVar(&flags.machines, "machines", 40, "machines that the cloud has")
-	f.StringVar(&flags.data, "data", "", "keep the state in `FOLDER`, and find it there again")
-	f.StringVar(&flags.dir, "dir", "", "`FOLDER` for settings and logs; otherwise a new one")
-	f.StringVar(&flags.settings, "settings", "", "the operators' settings `FILE` for the nodes")
-	f.StringVar(&flags.listen, "listen", "127.0.0.1:0", "where users come in")
-	f.StringVar(&flags.logLevel, "log", "info", "how much the nodes log")
+	f.IntVar(&flags.nodes, "nodes", 3, "number of controller nodes")
+	f.IntVar(&flags.machines, "machines", 40, "number of machines in the cloud")
+	f.StringVar(&flags.data, "data", "", "`DIR` in which the state is kept for a later start")
+	f.StringVar(&flags.dir, "dir", "", "`DIR` for settings and logs, unless --data is given; by default a new one")
+	f.StringVar(&flags.settings, "settings", "", "operators' settings `FILE` for the nodes")
+	f.StringVar(&flags.listen, "listen", "127.0.0.1:0", "`ADDRESS` at which users reach the cluster")
+	f.StringVar(&flags.logLevel, "log", "info", "log level of the nodes: error, info or debug")
 	return cmd
 }
 
-// readyTimeout is how long a cluster may take to be ready.
+// readyTimeout bounds the time until a started cluster is ready.
 const readyTimeout = time.Minute
 
 // run starts a cluster and serves until ctx ends.
@@ -80,12 +80,12 @@
 	for _, n := range c.Nodes {
 		fmt.Fprintf(out, "%s in %s: http://%s\n", n.Name, n.Zone, n.Users.Addr())
 	}
-	fmt.Fprintf(out, "users: http://%s   logs: %s\n\nTry\n  coralhub load --to %s --jobs 20 --rate 5\n\nEnd with Ctrl-C.\n", address, opt.Dir, address)
+	fmt.Fprintf(out, "users: http://%s   logs: %s\n\nTry\n  coralhub load --to %s --jobs 20 --rate 5\n\nPress Ctrl-C to stop.\n", address, opt.Dir, address)
 	<-ctx.Done()
 	return nil
 }
 
-// options describes the cluster, and makes its folder.
+// options returns the options of the cluster, and creates its directory.
 func (f *upFlags) options() (cluster.Options, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -96,7 +96,7 @@
 		Nodes:    f.nodes,
 		Settings: f.settings,
 		Log:      f.logLevel,
-		Cluster:  demo(f.nodes),
+		Cluster:  demoCluster(f.nodes),
 		Boot:     2 * config.Second,
 		Types: []wire.MachineType{{Name: "g4", CPUs: 64, GPUs: 4, MemoryGB: 256, CacheGB: 500, FetchGBs: 0.4, Price: 8, SpotPrice: 3,
 			BootS: 2, Zones: demoZones}},
@@ -118,8 +118,8 @@
 
 var demoZones = []string{"a", "b"}
 
-// demo is the deployment of a cluster to try things on.
-func demo(nodes int) config.Cluster {
+// demoCluster returns the deployment settings of a small cluster for trying out coralhub.
+func demoCluster(nodes int) config.Cluster {
 	return config.Cluster{Size: nodes, Zones: demoZones, SkewMS: 25, Teams: []config.Team{{Name: "team"}},
 		Workers: config.Workers{ReportS: 1, LeaseS: 8, GangWaitS: 20, GangPeerS: 3, CancelS: 16},
 		State:   config.State{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 12}, Cloud: config.Cloud{RPS: 10, ListLagS: 2},
