--- a/internal/hollow/commands.go
+++ b/internal/hollow/commands.go
@@ -9,11 +9,11 @@
 	"coralhub/wire"
 )
 
-// restartPollInterval is how often a direct command to a restarting machine checks whether it is up.
+// restartPollInterval is how often a request to a restarting machine checks whether the machine is up.
 const restartPollInterval = 100 * time.Millisecond
 
-// ServeHTTP answers direct commands and status requests. A machine that restarts answers once it
-// is up again.
+// ServeHTTP handles direct commands and status requests. While the machine is restarting, requests are
+// delayed until it is up.
 func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	w.host.meter.commands.Add(1)
 	var request wire.CommandRequest
@@ -41,14 +41,13 @@
 	}
 }
 
-// isRestarting reports whether the machine is restarting.
 func (w *worker) isRestarting() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.restarting
 }
 
-// executeCommands executes commands in order. The lock is held.
+// executeCommands executes commands in order. The caller holds w.mu.
 func (w *worker) executeCommands(commands []wire.Command) {
 	if w.removed {
 		return
@@ -67,8 +66,8 @@
 	}
 }
 
-// startTask adds a task, which runs, waits for its gang, or exits at once if it can't run here. The
-// lock is held.
+// startTask adds a task. The task runs, waits for its gang, or exits immediately if the machine can't run
+// it. The caller holds w.mu.
 func (w *worker) startTask(c *wire.Command) {
 	id, number, ok := wire.ParseTaskName(c.Task)
 	t := &task{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.Running}, job: w.host.job(id), number: number}
@@ -85,7 +84,7 @@
 		t.State, t.Cause = wire.Exited, wire.CauseNoCapacity
 		return
 	}
-	w.emit(TaskOn, t)
+	w.emit(TaskPlaced, t)
 	if t.job.Gang {
 		t.State = wire.Waiting
 		t.timer = w.after(w.host.gangWait, t, func() { w.exitTask(t, wire.CauseIncomplete) })
@@ -94,14 +93,14 @@
 	t.timer = w.after(wait.Seconds(t.job.RunS), t, func() { w.completeTask(t) })
 }
 
-// hasOtherAttempt reports whether another attempt of a task is on the machine. The lock is held.
+// hasOtherAttempt reports whether another attempt of a task is active on the machine. The caller holds w.mu.
 func (w *worker) hasOtherAttempt(t *task) bool {
 	return slices.ContainsFunc(w.tasks, func(other *task) bool {
 		return other != t && other.Task == t.Task && !isTerminal(&other.TaskStatus)
 	})
 }
 
-// gpusUsed returns the GPUs of the tasks on the machine. The lock is held.
+// gpusUsed returns the number of GPUs that active tasks use. The caller holds w.mu.
 func (w *worker) gpusUsed() float64 {
 	used := 0.0
 	for _, t := range w.tasks {
@@ -112,7 +111,7 @@
 	return used
 }
 
-// after calls f later, with the lock held, unless the task has ended by then.
+// after calls f after d, with w.mu held, unless the task has exited or the worker is removed by then.
 func (w *worker) after(d time.Duration, t *task, f func()) *time.Timer {
 	return time.AfterFunc(d, func() {
 		w.mu.Lock()
@@ -123,7 +122,7 @@
 	})
 }
 
-// runGang runs the waiting tasks of a gang that is complete.
+// runGang runs the waiting tasks of a gang whose tasks are all placed.
 func (w *worker) runGang(a *Attempt) {
 	w.forAttempt(a, func(t *task) {
 		if t.State != wire.Waiting {
@@ -136,8 +135,8 @@
 	})
 }
 
-// breakGang ends the running tasks of a gang at a random time within the protocol's delay, after one
-// of its tasks has stopped.
+// breakGang stops the running tasks of a gang after another task of the gang has stopped, each after a
+// random delay of up to gang_peer_s.
 func (w *worker) breakGang(a *Attempt) {
 	w.forAttempt(a, func(t *task) {
 		if t.State != wire.Running {
@@ -149,7 +148,7 @@
 	})
 }
 
-// forAttempt calls f, with the lock held, with each task on the machine of an attempt.
+// forAttempt calls f, with w.mu held, for each task of an attempt on the machine.
 func (w *worker) forAttempt(a *Attempt, f func(*task)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -160,21 +159,21 @@
 	}
 }
 
-// completeTask ends a task that has run to its end. The lock is held.
+// completeTask ends a task whose run time has passed. The caller holds w.mu.
 func (w *worker) completeTask(t *task) {
 	w.emit(TaskDone, t)
 	w.exitTask(t, wire.Done)
 }
 
-// exitTask ends a task with a cause. The lock is held.
+// exitTask ends a task with a cause. The caller holds w.mu.
 func (w *worker) exitTask(t *task, cause string) {
 	w.removeTask(t)
 	t.State, t.Cause = wire.Exited, cause
 	w.requestHeartbeat()
 }
 
-// removeTask stops a task's timer and emits that the task is off its machine, unless it has ended
-// before. The lock is held.
+// removeTask stops a task's timer and emits a TaskRemoved event, unless the task has already exited. The
+// caller holds w.mu.
 func (w *worker) removeTask(t *task) {
 	if isTerminal(&t.TaskStatus) {
 		return
@@ -182,10 +181,9 @@
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	w.emit(TaskOff, t)
+	w.emit(TaskRemoved, t)
 }
 
-// emit writes an event of a task.
 func (w *worker) emit(kind string, t *task) {
 	w.host.emit(Event{Task: &Task{Kind: kind, Job: t.job.ID, Task: t.number, Attempt: t.Attempt, Machine: w.machine.Name}})
 }
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -14,20 +14,20 @@
 	"coralhub/wire"
 )
 
-// testHost is a process of hollow workers with one machine, and nodes that answer its heartbeats.
+// testHost is a host of hollow workers with one machine, and HTTP servers in place of the nodes.
 type testHost struct {
 	t       *testing.T
 	input   *io.PipeWriter
 	events  chan Event
-	machine Up
+	machine StartResult
 
 	mu         sync.Mutex
 	heartbeats []wire.Heartbeat
 	answer     func(node int, heartbeat *wire.Heartbeat) (int, any)
 }
 
-// newTestHost starts a process of hollow workers with one machine, and nodes that answer with an empty
-// response.
+// newTestHost starts a host with one machine, and nodes that answer heartbeats with a response without
+// commands.
 func newTestHost(t *testing.T, config Config, nodes int) *testHost {
 	t.Helper()
 	h := &testHost{t: t, events: make(chan Event, 1000)}
@@ -62,11 +62,11 @@
 	})
 	h.send(config)
 	h.send(Command{Start: &Machine{Name: "m-1", Type: "m", Zone: "a", GPUs: 4}})
-	h.machine = *h.waitForEvent(func(e *Event) bool { return e.Up != nil }).Up
+	h.machine = *h.waitForEvent(func(e *Event) bool { return e.StartResult != nil }).StartResult
 	return h
 }
 
-// send sends the configuration or a command to the process.
+// send sends the configuration or a command to the host.
 func (h *testHost) send(v any) {
 	h.t.Helper()
 	if err := json.NewEncoder(h.input).Encode(v); err != nil {
@@ -74,11 +74,11 @@
 	}
 }
 
-// handleHeartbeat answers a heartbeat at a node.
+// handleHeartbeat handles a heartbeat to a node.
 func (h *testHost) handleHeartbeat(node int, out http.ResponseWriter, q *http.Request) {
 	var heartbeat wire.Heartbeat
 	if !decode(q, &heartbeat) {
-		h.t.Error("an invalid heartbeat")
+		h.t.Errorf("node %d: invalid heartbeat", node)
 	}
 	h.mu.Lock()
 	h.heartbeats = append(h.heartbeats, heartbeat)
@@ -87,36 +87,37 @@
 	respond(out, status, body)
 }
 
-// setAnswer changes how the nodes answer from now on.
+// setAnswer sets the function that answers heartbeats.
 func (h *testHost) setAnswer(f func(node int, heartbeat *wire.Heartbeat) (int, any)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.answer = f
 }
 
-// waitForEvent returns the next event that matches.
-func (h *testHost) waitForEvent(is func(*Event) bool) *Event {
+// waitForEvent returns the next event that matches. It fails the test after 10 s.
+func (h *testHost) waitForEvent(match func(*Event) bool) *Event {
 	h.t.Helper()
 	limit := time.After(10 * time.Second)
 	for {
 		select {
 		case e := <-h.events:
-			if is(&e) {
+			if match(&e) {
 				return &e
 			}
 		case <-limit:
-			h.t.Fatal("no such event")
+			h.t.Fatal("no matching event within 10 s")
 		}
 	}
 }
 
-// waitForTask returns the next event of a kind of a task.
+// waitForTask returns the next task event of a kind.
 func (h *testHost) waitForTask(kind string) *Task {
 	h.t.Helper()
 	return h.waitForEvent(func(e *Event) bool { return e.Task != nil && e.Task.Kind == kind }).Task
 }
 
-// sendCommands sends direct commands to the machine.
+// sendCommands sends direct commands to the machine. It returns the status of the response and its
+// heartbeat.
 func (h *testHost) sendCommands(c wire.CommandRequest) (int, wire.Heartbeat) {
 	h.t.Helper()
 	raw, err := wire.Marshal(c)
@@ -136,25 +137,24 @@
 	body, _ := io.ReadAll(res.Body)
 	var heartbeat wire.Heartbeat
 	if res.StatusCode != http.StatusBadRequest && wire.Unmarshal(body, &heartbeat) != nil {
-		h.t.Fatalf("answer %q", body)
+		h.t.Fatalf("status %d with an invalid heartbeat: %q", res.StatusCode, body)
 	}
 	return res.StatusCode, heartbeat
 }
 
-// startCommand returns the command that starts a task.
 func startCommand(task string, attempt uint64) wire.Command {
 	return wire.Command{Verb: wire.CommandStart, Task: task, Attempt: attempt}
 }
 
-// longLeaseConfig has a lease that doesn't expire within a test.
+// longLeaseConfig has a lease that does not expire within a test.
 var longLeaseConfig = Config{ReportS: 0.6, LeaseS: 60, GangWaitS: 60, GangPeerS: 0.1}
 
-// A task runs and exits, and one that can't run here exits with the cause. A start after the task was
-// forgotten takes effect again.
+// A task that the machine can't run exits with the cause. After a forget command, the same attempt of a
+// task can be started again.
 func TestTaskRuns(t *testing.T) {
 	h := newTestHost(t, longLeaseConfig, 1)
 	h.send(Command{Job: &Job{ID: "j-1", Tasks: 2, GPUs: 3, RunS: 0.1}})
-	h.send(Command{Usage: true}) // earlier commands have been executed by then
+	h.send(Command{Usage: true}) // its event shows that the earlier commands were executed
 	h.waitForEvent(func(e *Event) bool { return e.Usage != nil && e.Usage.Workers == 1 })
 	status, report := h.sendCommands(wire.CommandRequest{FencingToken: 7, Incarnation: 1, Commands: []wire.Command{startCommand("j-1/0", 1), startCommand("j-1/0", 1), startCommand("j-1/0", 2), startCommand("j-1/1", 1), startCommand("j-2/0", 1)}})
 	if status != http.StatusOK || report.FencingToken != 7 || len(report.Tasks) != 4 {
@@ -170,14 +170,14 @@
 			t.Errorf("task %d: %+v, want %+v", i, report.Tasks[i], want)
 		}
 	}
-	if on := h.waitForTask(TaskOn); on.Job != "j-1" || on.Machine != "m-1" {
+	if on := h.waitForTask(TaskPlaced); on.Job != "j-1" || on.Machine != "m-1" {
 		t.Errorf("%+v", on)
 	}
 	h.waitForTask(TaskDone)
-	h.waitForTask(TaskOff)
+	h.waitForTask(TaskRemoved)
 	forget := []wire.Command{{Verb: wire.CommandForget, Task: "j-1/0", Attempt: 1}, startCommand("j-1/0", 1)}
 	if _, report = h.sendCommands(wire.CommandRequest{FencingToken: 7, Incarnation: 1, Commands: forget}); len(report.Tasks) != 4 || report.Tasks[3].State != wire.Running {
-		t.Errorf("a start after a forget should take effect again: %+v", report.Tasks)
+		t.Errorf("start after forget: %+v, want a fourth task in state running", report.Tasks)
 	}
 }
 
@@ -193,11 +193,11 @@
 		}
 	}
 	if status, _ := h.sendCommands(wire.CommandRequest{FencingToken: 9}); status != http.StatusBadRequest {
-		t.Errorf("without an incarnation: %d", status)
+		t.Errorf("request without an incarnation: status %d, want %d", status, http.StatusBadRequest)
 	}
 }
 
-// A response with a lower fencing token neither renews the lease nor gives commands.
+// A response with a lower fencing token does not renew the lease, and its commands are ignored.
 func TestDeposedLeaderDoesNotRenewLease(t *testing.T) {
 	config := longLeaseConfig
 	config.LeaseS = 1.5
@@ -206,17 +206,17 @@
 	h.setAnswer(func(int, *wire.Heartbeat) (int, any) {
 		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5, Commands: []wire.Command{startCommand("j-1/0", 1)}}
 	})
-	h.waitForTask(TaskOn)
+	h.waitForTask(TaskPlaced)
 	h.setAnswer(func(int, *wire.Heartbeat) (int, any) {
 		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 4, Commands: []wire.Command{startCommand("j-1/0", 2)}}
 	})
-	h.waitForTask(TaskOff)
+	h.waitForTask(TaskRemoved)
 	if _, report := h.sendCommands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); report.Incarnation < 2 || len(report.Tasks) != 0 {
-		t.Errorf("after its lease: %+v", report)
+		t.Errorf("after the lease expired: %+v, want a later incarnation without tasks", report)
 	}
 }
 
-// A worker follows a redirection and tries the next node after an error.
+// A worker follows a redirect and tries the next node after an error.
 func TestFollowsRedirections(t *testing.T) {
 	h := newTestHost(t, longLeaseConfig, 3)
 	reached := make(chan int, 100)
@@ -233,7 +233,7 @@
 	select {
 	case <-reached:
 	case <-time.After(10 * time.Second):
-		t.Error("the named node gets no heartbeat")
+		t.Error("the node of the redirect received no heartbeat within 10 s")
 	}
 }
 
@@ -244,13 +244,13 @@
 	h.setAnswer(func(int, *wire.Heartbeat) (int, any) {
 		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5, Commands: []wire.Command{startCommand("j-1/0", 1), startCommand("j-1/1", 1)}}
 	})
-	h.waitForTask(TaskOn)
-	h.waitForTask(TaskOn)
+	h.waitForTask(TaskPlaced)
+	h.waitForTask(TaskPlaced)
 	attempt := &Attempt{Job: "j-1", Attempt: 1}
 	h.send(Command{Run: attempt})
 	h.send(Command{Break: attempt})
-	h.waitForTask(TaskOff)
-	h.waitForTask(TaskOff)
+	h.waitForTask(TaskRemoved)
+	h.waitForTask(TaskRemoved)
 	if _, report := h.sendCommands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); len(report.Tasks) != 2 || report.Tasks[0].Cause != wire.CausePeersGone || report.Tasks[1].Cause != wire.CausePeersGone {
 		t.Errorf("%+v", report.Tasks)
 	}
@@ -263,24 +263,24 @@
 	h.setAnswer(func(int, *wire.Heartbeat) (int, any) {
 		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5, Commands: []wire.Command{startCommand("j-1/0", 1)}}
 	})
-	h.waitForTask(TaskOn)
-	h.send(Command{Restart: &Restart{Machine: "m-1", AwayS: 0.3}})
-	h.waitForTask(TaskOff)
+	h.waitForTask(TaskPlaced)
+	h.send(Command{Restart: &Restart{Machine: "m-1", DowntimeS: 0.3}})
+	h.waitForTask(TaskRemoved)
 	if status, report := h.sendCommands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); status != http.StatusConflict || report.Incarnation != 2 {
 		t.Errorf("%d %+v", status, report)
 	}
 	h.send(Command{Remove: "m-1"})
 	h.send(Command{Usage: true})
-	if u := h.waitForEvent(func(e *Event) bool { return e.Usage != nil }).Usage; u.Workers != 0 || u.Reports == 0 || u.BytesIn == 0 || u.BytesOut == 0 {
+	if u := h.waitForEvent(func(e *Event) bool { return e.Usage != nil }).Usage; u.Workers != 0 || u.Heartbeats == 0 || u.BytesIn == 0 || u.BytesOut == 0 {
 		t.Errorf("%+v", u)
 	}
 }
 
-// Invalid input ends the process with an error.
+// Run returns an error if its input is invalid.
 func TestInvalidInput(t *testing.T) {
 	for _, in := range []string{"", "{}", "{\"nodes\":[{\"name\":\"a\"}],\"report_s\":1,\"lease_s\":0}", "nonsense"} {
 		if err := Run(t.Context(), strings.NewReader(in), io.Discard); err == nil {
-			t.Errorf("%q was accepted", in)
+			t.Errorf("Run accepted the input %q", in)
 		}
 	}
 }
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -19,7 +19,7 @@
 	"coralhub/wire"
 )
 
-// Host hosts the workers of a process.
+// Host runs the workers of a process.
 type Host struct {
 	config            Config
 	heartbeatInterval time.Duration
@@ -27,39 +27,40 @@
 	gangWait          time.Duration
 	gangPeer          time.Duration
 	meter             meter
-	background        sync.WaitGroup // the goroutines of all workers; only Run's goroutine adds to it
+	background        sync.WaitGroup // goroutines of all workers; only the goroutine of Run adds to it
 
 	outMu sync.Mutex
 	out   *json.Encoder
 
 	mu             sync.Mutex
-	workersStarted int // workers that were ever started
+	workersStarted int // number of workers ever started
 	workers        map[string]*worker
 	jobs           map[string]*Job
-	serveErr       error // of the workers' servers that ended by themselves
+	serveErr       error // joined errors of workers' servers that ended unexpectedly
 }
 
-// Run hosts workers until its input ends; the workers end with ctx if that is earlier. When it returns,
-// all its goroutines have ended. Input and output are lines of JSON: a Config and then Commands are
-// read, Events are written. The error says which line was invalid, or why a worker could not listen on.
+// Run runs workers until in ends; if ctx ends earlier, the workers stop then. All goroutines that it
+// starts have ended when it returns. Input and output are lines of JSON: it reads a Config followed by
+// Commands, and writes Events. It returns an error if the input is invalid or the server of a worker
+// ended unexpectedly.
 func Run(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := json.NewDecoder(bufio.NewReader(in))
 	var config Config
 	if err := lines.Decode(&config); err != nil {
-		return fmt.Errorf("hollow workers: no configuration: %w", err)
+		return fmt.Errorf("hollow workers: read configuration: %w", err)
 	}
 	if len(config.Nodes) == 0 || config.ReportS <= 0 || config.LeaseS <= 0 {
-		return errors.New("hollow workers: a configuration needs nodes, report_s and lease_s")
+		return errors.New("hollow workers: configuration must have at least one node, and report_s and lease_s above 0")
 	}
 	h := newHost(config, out)
 	ctx, stop := context.WithCancel(ctx)
-	err := h.handleAll(ctx, lines)
+	err := h.handleCommands(ctx, lines)
 	stop()
 	return errors.Join(err, h.close())
 }
 
-// handleAll executes commands until there are no more.
-func (h *Host) handleAll(ctx context.Context, lines *json.Decoder) error {
+// handleCommands reads and executes commands until the input ends.
+func (h *Host) handleCommands(ctx context.Context, lines *json.Decoder) error {
 	for {
 		var c Command
 		err := lines.Decode(&c)
@@ -67,26 +68,27 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("hollow workers: %w", err)
+			return fmt.Errorf("hollow workers: read command: %w", err)
 		}
 		h.handle(ctx, &c)
 	}
 }
 
-// close waits for the workers, whose context has ended, and returns the errors of their servers.
+// close waits for the workers to end and returns the errors of their servers. The context of the workers
+// must have ended.
 func (h *Host) close() error {
-	h.forEachWorker((*worker).abandonTasks)
+	h.forEachWorker((*worker).dropTasks)
 	h.background.Wait()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.serveErr
 }
 
-// serveFailed notes that a worker's server has ended by itself.
-func (h *Host) serveFailed(machine string, err error) {
+// addServeError records that the server of a worker ended unexpectedly or could not be closed.
+func (h *Host) addServeError(machine string, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.serveErr = errors.Join(h.serveErr, fmt.Errorf("worker of %s: %w", machine, err))
+	h.serveErr = errors.Join(h.serveErr, fmt.Errorf("server of worker on %s: %w", machine, err))
 }
 
 func newHost(config Config, out io.Writer) *Host {
@@ -102,7 +104,6 @@
 	}
 }
 
-// handle executes a command.
 func (h *Host) handle(ctx context.Context, c *Command) {
 	switch {
 	case c.Start != nil:
@@ -116,7 +117,7 @@
 		}
 	case c.Restart != nil:
 		if w := h.worker(c.Restart.Machine); w != nil {
-			w.restart(ctx, wait.Seconds(c.Restart.AwayS))
+			w.restart(ctx, wait.Seconds(c.Restart.DowntimeS))
 		}
 	case c.Job != nil:
 		h.mu.Lock()
@@ -135,20 +136,20 @@
 	}
 }
 
-// startMachine starts a machine's worker and emits its address.
+// startMachine starts a machine's worker and emits a StartResult.
 func (h *Host) startMachine(ctx context.Context, m Machine) {
 	w, err := h.startWorker(ctx, m)
 	if err != nil {
-		h.emit(Event{Up: &Up{Machine: m.Name, Why: err.Error()}})
+		h.emit(Event{StartResult: &StartResult{Machine: m.Name, Error: err.Error()}})
 		return
 	}
 	h.mu.Lock()
 	h.workers[m.Name] = w
 	h.mu.Unlock()
-	h.emit(Event{Up: &Up{Machine: m.Name, Address: w.address}})
+	h.emit(Event{StartResult: &StartResult{Machine: m.Name, Address: w.address}})
 }
 
-// worker returns the worker of a machine, or nil.
+// worker returns the worker of a machine, or nil if there is none.
 func (h *Host) worker(name string) *worker {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -175,7 +176,7 @@
 	return h.jobs[id]
 }
 
-// emit writes an event. An event that can't be written is dropped: its reader is gone.
+// emit writes an event. Write errors are ignored, because they mean that the reader has closed the pipe.
 func (h *Host) emit(e Event) {
 	h.outMu.Lock()
 	defer h.outMu.Unlock()
@@ -183,43 +184,43 @@
 	_ = h.out.Encode(&e)
 }
 
-// nextAddress returns the address that the next worker listens on: any port of a loopback address of
-// its own.
+// nextAddress returns the listen address of the next worker: a loopback address that no other worker
+// uses, with a port that the system chooses.
 func (h *Host) nextAddress() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.workersStarted++
-	const hosts = 254 // the numbers of an address go from 1 to 254
+	const hosts = 254 // the last two octets range from 1 to 254
 	return fmt.Sprintf("127.%d.%d.%d:0", h.config.Network, h.workersStarted/hosts%hosts+1, h.workersStarted%hosts+1)
 }
 
-// pickNode returns the index of the node that gets a machine's first heartbeat.
-func (h *Host) pickNode(machine string) int {
+// firstNode returns the index of the node that receives a machine's first heartbeat.
+func (h *Host) firstNode(machine string) int {
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(machine))
 	return int(sum.Sum32() % uint32(len(h.config.Nodes)))
 }
 
-// nodeNamed returns a node's index in the configuration; -1 if there is none.
-func (h *Host) nodeNamed(name string) int {
+// nodeIndex returns the index of a node in the configuration, or -1 if there is none of that name.
+func (h *Host) nodeIndex(name string) int {
 	return slices.IndexFunc(h.config.Nodes, func(n Node) bool { return n.Name == name })
 }
 
-// random returns a random number from 0 to 1.
+// random returns a random number in [0, 1).
 func (h *Host) random() float64 { return rand.Float64() }
 
-// nextHeartbeat returns the time until the next heartbeat: the interval, plus or minus up to a quarter.
-func (h *Host) nextHeartbeat() time.Duration {
+// nextHeartbeatDelay returns the time until the next heartbeat: the interval with a jitter of ±25%.
+func (h *Host) nextHeartbeatDelay() time.Duration {
 	return time.Duration((0.75 + 0.5*h.random()) * float64(h.heartbeatInterval))
 }
 
-// sleep waits for d. It returns false if ctx ends first.
+// sleep waits for d, or returns immediately if d is not above 0. It returns false if ctx ends first.
 func (h *Host) sleep(ctx context.Context, d time.Duration) bool {
 	return d <= 0 && ctx.Err() == nil || wait.For(ctx, d)
 }
 
-// postHeartbeat sends a heartbeat to a node and returns the status and body of the response; 0 if
-// there was none.
+// postHeartbeat sends a heartbeat to a node and returns the status and body of the response. The status is
+// 0 if there was no complete response.
 func (w *worker) postHeartbeat(ctx context.Context, node int, heartbeat *wire.Heartbeat) (int, []byte) {
 	raw, err := wire.Marshal(heartbeat)
 	if err != nil {
@@ -242,13 +243,13 @@
 	return res.StatusCode, body
 }
 
-// decode decodes the body of a request. It reports whether that is valid.
+// decode decodes the body of a request into v. It reports whether the body is valid.
 func decode(r *http.Request, v any) bool {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody))
 	return err == nil && wire.Unmarshal(raw, v) == nil
 }
 
-// respond writes a response.
+// respond writes a response with an encoded body.
 func respond(out http.ResponseWriter, status int, body any) {
 	raw, err := wire.Marshal(body)
 	if err != nil {
@@ -256,5 +257,5 @@
 	}
 	out.Header().Set("Content-Type", wire.ContentType)
 	out.WriteHeader(status)
-	_, _ = out.Write(raw) // the caller may have given up
+	_, _ = out.Write(raw) // the client may have closed the connection
 }
--- a/internal/hollow/leak_test.go
+++ b/internal/hollow/leak_test.go
@@ -14,12 +14,12 @@
 	"coralhub/internal/leaktest"
 )
 
-// Once Run has returned, no goroutine of a worker is left, whatever the worker was doing: waiting for an
-// answer, restarting, or already removed.
+// No goroutine of a worker outlives Run, also if the worker was waiting for a response, restarting, or
+// already removed when the input ended.
 func TestRunWaitsForItsWorkers(t *testing.T) {
 	node := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		<-r.Context().Done() // never answers
+		<-r.Context().Done() // never responds
 	}))
 	defer node.Close()
 	var input bytes.Buffer
@@ -37,17 +37,17 @@
 		write(Command{Start: &Machine{Name: name, GPUs: 1}})
 		switch i % 3 {
 		case 0:
-			write(Command{Restart: &Restart{Machine: name, AwayS: 60}})
+			write(Command{Restart: &Restart{Machine: name, DowntimeS: 60}})
 		case 1:
 			write(Command{Remove: name})
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if err := Run(t.Context(), &input, io.Discard); err != nil {
 		t.Error(err)
 	}
 	leaktest.Check(t, "hollow.(*worker)", "hollow.(*Host)")
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("it took %v", took)
+	if took := time.Since(startedAt); took > 5*time.Second {
+		t.Errorf("Run took %v, want 5 s or less", took)
 	}
 }
--- a/internal/hollow/message.go
+++ b/internal/hollow/message.go
@@ -1,21 +1,22 @@
 // Package hollow implements workers that speak the whole worker protocol and do no work.
-// Thousands of them share a process, so that the control plane can be measured at a size for
-// which there are no machines.
+// Thousands of them share a process, so that the control plane can be measured with more workers
+// than there are machines.
 //
-// Each worker has an address and a socket of its own, sends heartbeats at the protocol's
-// intervals, keeps its lease, incarnation and fencing token, and executes commands. A task
-// takes its place, runs for as long as its job says and exits. What no process can know alone,
-// whether all tasks of a gang are placed, is decided by whoever started the processes. Not
-// simulated are images, which every machine has, and checkpoints: a task that is stopped starts
-// from the beginning.
+// Each worker has its own address and socket, sends heartbeats at the protocol's intervals,
+// maintains its lease, incarnation and fencing token, and executes commands. A task occupies GPUs
+// for the run time of its job and then exits. The tasks of a gang may be spread over several
+// processes, so the program that started the processes decides when all of them are placed.
+// Images and checkpoints are not simulated: every machine has every image, and a task that is
+// stopped restarts from the beginning.
 package hollow
 
 import "coralhub/wire"
 
-// Config is what a process of hollow workers reads first, as a line of JSON.
+// Config is the configuration of a process of hollow workers. It is the first line of JSON that the
+// process reads.
 type Config struct {
-	// Network is the second number of the loopback addresses that workers listen on, 0 to 255. Each
-	// worker has an address of its own: one address has too few ports for all of a large run.
+	// Network is the second octet, 0 to 255, of the loopback addresses that workers listen on. Each worker has
+	// its own address, because one address has too few ports for a large run.
 	Network int    `json:"network"`
 	Nodes   []Node `json:"nodes"`
 	// Times of the protocol, in seconds.
@@ -31,18 +32,18 @@
 	Address string `json:"address"` // HOST:PORT
 }
 
-// Command is a command to the process, a line of JSON. One field is set.
+// Command is a command to the process, sent as a line of JSON. Exactly one field is set.
 type Command struct {
 	Start   *Machine `json:"start,omitempty"`   // start the worker of a machine that is up
-	Remove  string   `json:"remove,omitempty"`  // remove the worker of a machine that is gone
-	Restart *Restart `json:"restart,omitempty"` // a machine restarts and loses its tasks
-	Job     *Job     `json:"job,omitempty"`     // a job that tasks may belong to
-	Run     *Attempt `json:"run,omitempty"`     // all tasks of a gang are placed
-	Break   *Attempt `json:"break,omitempty"`   // a task of a running gang has stopped
+	Remove  string   `json:"remove,omitempty"`  // remove the worker of a machine that no longer exists
+	Restart *Restart `json:"restart,omitempty"` // restart a machine, which loses its tasks
+	Job     *Job     `json:"job,omitempty"`     // add a job that tasks may belong to
+	Run     *Attempt `json:"run,omitempty"`     // run a gang: all its tasks are placed
+	Break   *Attempt `json:"break,omitempty"`   // stop a running gang: one of its tasks has stopped
 	Usage   bool     `json:"usage,omitempty"`   // report the usage
 }
 
-// Machine is a machine as its worker describes it.
+// Machine is a machine as its worker describes it in heartbeats, and its GPU capacity.
 type Machine struct {
 	Name string  `json:"name"`
 	Type string  `json:"type"`
@@ -51,19 +52,19 @@
 	GPUs float64 `json:"gpus"`
 }
 
-// Restart is a restart of a machine, and how long it is down.
+// Restart is a restart of a machine.
 type Restart struct {
-	Machine string  `json:"machine"`
-	AwayS   float64 `json:"away_s"`
+	Machine   string  `json:"machine"`
+	DowntimeS float64 `json:"away_s"` // how long the machine is down, in seconds
 }
 
-// Job is what a worker knows of a job.
+// Job describes a job to the workers.
 type Job struct {
 	ID    string  `json:"id"`
 	Tasks int     `json:"tasks"`
 	GPUs  float64 `json:"gpus"` // of each task
 	Gang  bool    `json:"gang,omitempty"`
-	RunS  float64 `json:"run_s"`
+	RunS  float64 `json:"run_s"` // run time of each task, in seconds
 }
 
 // Attempt identifies an attempt of a gang.
@@ -72,26 +73,27 @@
 	Attempt uint64 `json:"attempt"`
 }
 
-// Event is an event in the process, a line of JSON. One of the fields after At is set.
+// Event is an event in the process, written as a line of JSON. Exactly one of the fields after At is
+// set.
 type Event struct {
-	At    int64  `json:"at"` // Unix time in microseconds
-	Up    *Up    `json:"up,omitempty"`
-	Task  *Task  `json:"task,omitempty"`
-	Usage *Usage `json:"usage,omitempty"`
+	At          int64        `json:"at"` // Unix time in microseconds
+	StartResult *StartResult `json:"up,omitempty"`
+	Task        *Task        `json:"task,omitempty"`
+	Usage       *Usage       `json:"usage,omitempty"`
 }
 
-// Up means that a machine's worker listens, or why it doesn't.
-type Up struct {
+// StartResult is the result of starting a machine's worker.
+type StartResult struct {
 	Machine string `json:"machine"`
-	Address string `json:"address"`
-	Why     string `json:"why,omitempty"` // why it doesn't listen; empty if it does
+	Address string `json:"address"`       // HOST:PORT that the worker listens on; empty on error
+	Error   string `json:"why,omitempty"` // why the worker does not listen; empty if it does
 }
 
-// The kinds of task events.
+// Kinds of task events.
 const (
-	TaskOn   = "on"   // the task is on its machine: it waits for the other tasks of its gang, or runs
-	TaskOff  = "off"  // the task is no longer on its machine
-	TaskDone = "done" // the task has completed
+	TaskPlaced  = "on"   // the task is on its machine: it waits for the other tasks of its gang, or runs
+	TaskRemoved = "off"  // the task is no longer on its machine
+	TaskDone    = "done" // the task has completed
 )
 
 // Task is an event of a task.
@@ -103,17 +105,17 @@
 	Machine string `json:"machine"`
 }
 
-// Usage adds up what the workers of a process have sent and received since it started, with the
+// Usage is the network traffic of all workers of a process since the process started. Bytes include the
 // overhead of HTTP.
 type Usage struct {
 	Workers       int   `json:"workers"`
 	BytesIn       int64 `json:"bytes_in"`
 	BytesOut      int64 `json:"bytes_out"`
-	Reports       int64 `json:"reports"`
+	Heartbeats    int64 `json:"reports"`  // heartbeats sent
 	Answered      int64 `json:"answered"` // heartbeats that were answered with 200
-	Commands      int64 `json:"commands"` // requests with direct commands
+	Commands      int64 `json:"commands"` // requests received by workers, also status requests
 	LeasesExpired int64 `json:"leases_expired"`
 }
 
-// isTerminal reports whether a task has ended.
+// isTerminal reports whether a task has exited.
 func isTerminal(t *wire.TaskStatus) bool { return t.State == wire.Exited }
--- a/internal/hollow/meter.go
+++ b/internal/hollow/meter.go
@@ -10,19 +10,19 @@
 // dialTimeout is the timeout of a worker's connection attempt.
 const dialTimeout = time.Second
 
-// meter counts what the workers of a process send and receive.
+// meter counts the network traffic of the workers of a process.
 type meter struct {
 	in, out                                 atomic.Int64 // bytes
 	heartbeats, answered, commands, expired atomic.Int64
 }
 
-// usage returns the counts.
+// usage returns the counters. The number of workers is not set.
 func (m *meter) usage() Usage {
-	return Usage{BytesIn: m.in.Load(), BytesOut: m.out.Load(), Reports: m.heartbeats.Load(), Answered: m.answered.Load(),
+	return Usage{BytesIn: m.in.Load(), BytesOut: m.out.Load(), Heartbeats: m.heartbeats.Load(), Answered: m.answered.Load(),
 		Commands: m.commands.Load(), LeasesExpired: m.expired.Load()}
 }
 
-// dial opens a counted connection.
+// dial opens a connection whose bytes are counted.
 func (m *meter) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -38,7 +38,7 @@
 	meter *meter
 }
 
-// Accept is part of net.Listener.
+// Accept implements net.Listener.
 func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -47,20 +47,20 @@
 	return &countingConn{conn, l.meter}, nil
 }
 
-// countingConn counts the bytes of a connection.
+// countingConn counts the bytes that are read and written.
 type countingConn struct {
 	net.Conn
 	meter *meter
 }
 
-// Read is part of net.Conn.
+// Read implements net.Conn.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.meter.in.Add(int64(n))
 	return n, err
 }
 
-// Write is part of net.Conn.
+// Write implements net.Conn.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.meter.out.Add(int64(n))
--- a/internal/hollow/worker.go
+++ b/internal/hollow/worker.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// minHeartbeatGap is the least time between two heartbeats.
+	// minHeartbeatGap is the minimum time between two heartbeats.
 	minHeartbeatGap = 500 * time.Millisecond
 	// heartbeatTimeout is the timeout of a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// nextNodePause is the pause before a worker tries the next node.
-	nextNodePause = time.Second
-	// maxRedirectPause bounds the pause before a worker follows a redirection.
-	maxRedirectPause = 500 * time.Millisecond
-	// readHeaderTimeout is how long the header of a request to a worker may take.
+	// nextNodeDelay is the delay before a worker tries the next node.
+	nextNodeDelay = time.Second
+	// maxRedirectDelay is the maximum delay before a worker follows a redirect.
+	maxRedirectDelay = 500 * time.Millisecond
+	// readHeaderTimeout is the timeout for reading the header of a request to a worker.
 	readHeaderTimeout = 10 * time.Second
 )
 
@@ -32,29 +32,28 @@
 	listener     net.Listener
 	client       *http.Client
 	stop         context.CancelFunc
-	heartbeatDue chan struct{} // receives when something has changed that a heartbeat should report
+	heartbeatDue chan struct{} // signals a change that a heartbeat should report
 
 	mu              sync.Mutex
 	incarnation     uint64
 	sequence        uint64
 	token           uint64
-	tokenReportedAt time.Time // when a higher token was last reported at once
+	tokenReportedAt time.Time // when a heartbeat was last requested because of a higher token
 	renewedAt       time.Time // when the last answered heartbeat was sent, or the incarnation started
 	restarting      bool
 	removed         bool
 	tasks           []*task
-	node            int // index of the node that heartbeats go to
+	node            int // index of the node that receives heartbeats
 }
 
-// task is a task on a machine.
 type task struct {
 	wire.TaskStatus
-	job    *Job // nil: unknown
+	job    *Job // nil if the job is unknown
 	number int
-	timer  *time.Timer // of its next change of state; may be nil
+	timer  *time.Timer // next change of state; may be nil
 }
 
-// startWorker starts a worker, which listens and sends heartbeats until ctx ends.
+// startWorker starts a worker that listens and sends heartbeats until ctx ends.
 func (h *Host) startWorker(ctx context.Context, m Machine) (*worker, error) {
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", h.nextAddress())
 	if err != nil {
@@ -70,7 +69,7 @@
 		heartbeatDue: make(chan struct{}, 1),
 		incarnation:  1,
 		renewedAt:    time.Now(),
-		node:         h.pickNode(m.Name),
+		node:         h.firstNode(m.Name),
 	}
 	w.client = &http.Client{
 		Timeout: heartbeatTimeout,
@@ -94,12 +93,12 @@
 	var serving sync.WaitGroup
 	serving.Go(func() {
 		if err := server.Serve(w.listener); !errors.Is(err, http.ErrServerClosed) {
-			w.host.serveFailed(w.machine.Name, err)
+			w.host.addServeError(w.machine.Name, err)
 		}
 	})
 	<-ctx.Done()
 	if err := server.Close(); err != nil {
-		w.host.serveFailed(w.machine.Name, err)
+		w.host.addServeError(w.machine.Name, err)
 	}
 	w.client.CloseIdleConnections()
 	serving.Wait()
@@ -121,8 +120,8 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if pause == 0 { // the next is due by time or by a change, though not too soon
-			timer.Reset(w.host.nextHeartbeat())
+		if pause == 0 { // answered: the next is due after the interval or on a change, with a minimum gap
+			timer.Reset(w.host.nextHeartbeatDelay())
 			pause = minHeartbeatGap - time.Since(sentAt)
 		} else {
 			timer.Reset(pause)
@@ -133,7 +132,7 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat and applies the response. It returns the pause before the next
+// sendHeartbeat sends a heartbeat and applies the response. It returns the delay before the next
 // attempt, or 0 if the heartbeat was answered.
 func (w *worker) sendHeartbeat(ctx context.Context) time.Duration {
 	w.mu.Lock()
@@ -156,20 +155,20 @@
 		w.applyResponse(&response, heartbeat.Incarnation, sentAt)
 		return 0
 	case status == http.StatusMisdirectedRequest && wire.Unmarshal(body, &redirect) == nil:
-		if to := w.host.nodeNamed(redirect.Node); to >= 0 && to != node {
+		if to := w.host.nodeIndex(redirect.Node); to >= 0 && to != node {
 			w.client.CloseIdleConnections()
 			w.node = to
-			return time.Duration(1 + w.host.random()*float64(maxRedirectPause))
+			return time.Duration(1 + w.host.random()*float64(maxRedirectDelay))
 		}
 	}
 	w.client.CloseIdleConnections()
 	w.node = (node + 1) % len(w.host.config.Nodes)
-	return nextNodePause
+	return nextNodeDelay
 }
 
-// applyResponse applies the response to a heartbeat: it renews the lease and executes commands. A
-// response that is late, of an earlier incarnation or of a deposed leader is dropped. The lock is
-// held.
+// applyResponse renews the lease and executes the commands of a response to a heartbeat. It ignores a
+// response that is late, that is for an earlier incarnation, that arrives during a restart, or that is
+// from a deposed leader. The caller holds w.mu.
 func (w *worker) applyResponse(r *wire.HeartbeatResponse, incarnation uint64, sentAt time.Time) {
 	deposed := r.FencingToken < w.token
 	outdated := incarnation != w.incarnation || w.restarting
@@ -182,8 +181,8 @@
 	w.executeCommands(r.Commands)
 }
 
-// observeToken keeps the highest fencing token. A higher one is reported at once, but not too often.
-// The lock is held.
+// observeToken keeps the highest fencing token. A higher token is reported by an immediate heartbeat, at
+// most once per half lease duration. The caller holds w.mu.
 func (w *worker) observeToken(token uint64) {
 	if token <= w.token {
 		return
@@ -195,7 +194,7 @@
 	}
 }
 
-// requestHeartbeat has a heartbeat sent soon.
+// requestHeartbeat makes the next heartbeat due now.
 func (w *worker) requestHeartbeat() {
 	select {
 	case w.heartbeatDue <- struct{}{}:
@@ -203,7 +202,7 @@
 	}
 }
 
-// heartbeat returns the next heartbeat. The lock is held.
+// heartbeat returns the next heartbeat and increments the sequence number. The caller holds w.mu.
 func (w *worker) heartbeat() wire.Heartbeat {
 	w.sequence++
 	h := wire.Heartbeat{
@@ -223,8 +222,8 @@
 	return h
 }
 
-// watchLease starts a new incarnation when the lease has expired: no heartbeat was answered for its
-// length.
+// watchLease starts a new incarnation when the lease has expired, that is when no heartbeat sent within
+// the lease duration was answered.
 func (w *worker) watchLease(ctx context.Context) {
 	for {
 		w.mu.Lock()
@@ -241,7 +240,7 @@
 	}
 }
 
-// startIncarnation kills and forgets all tasks and starts the next incarnation. The lock is held.
+// startIncarnation stops and removes all tasks and starts the next incarnation. The caller holds w.mu.
 func (w *worker) startIncarnation() {
 	for _, t := range w.tasks {
 		w.removeTask(t)
@@ -252,7 +251,8 @@
 	w.requestHeartbeat()
 }
 
-// restart kills all tasks. The machine is down for a while and continues with the next incarnation.
+// restart stops all tasks. The machine is unavailable for the downtime and then continues with the next
+// incarnation.
 func (w *worker) restart(ctx context.Context, downtime time.Duration) {
 	w.mu.Lock()
 	w.startIncarnation()
@@ -271,7 +271,7 @@
 	})
 }
 
-// remove removes the machine with all its tasks.
+// remove stops the worker and removes all its tasks.
 func (w *worker) remove() {
 	w.stop()
 	w.mu.Lock()
@@ -283,8 +283,8 @@
 	w.removed = true
 }
 
-// abandonTasks has no timer of a task take effect any more, without events: the process ends.
-func (w *worker) abandonTasks() {
+// dropTasks removes all tasks and stops their timers. It emits no events, because the process is ending.
+func (w *worker) dropTasks() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, t := range w.tasks {
--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -17,23 +17,22 @@
 	"coralhub/internal/wait"
 )
 
-// controller is a controller process.
 type controller struct {
 	*process.Process
 	name, zone, listen, peerListen string
 }
 
-// controllerSettings are the operators' settings of the controllers: their metrics are measured, and
-// idle machines are not released, so that the fleet keeps its size.
+// controllerSettings is the operators' settings file of the controllers. Metrics are enabled because they
+// are sampled, and idle machines are kept for an hour so that the fleet keeps its size.
 const controllerSettings = `{"metrics": true, "idle_return_s": 3600}`
 
-// readyPollInterval is how often a controller's readiness is probed.
+// readyPollInterval is how often readiness is probed while a controller starts.
 const readyPollInterval = 20 * time.Millisecond
 
-// readyTimeout is how long controllers may take until all are ready.
+// readyTimeout is the time within which all controllers must be ready.
 const readyTimeout = 60 * time.Second
 
-// startControllers starts a region's controllers, distributed over its zones, and waits until they
+// startControllers starts a region's controllers, distributed over its zones in turn, and waits until all
 // are ready.
 func (r *region) startControllers(ctx context.Context) error {
 	if err := os.MkdirAll(r.dir, 0o700); err != nil {
@@ -59,10 +58,10 @@
 			return err
 		}
 	}
-	return r.awaitReady(ctx)
+	return r.waitUntilReady(ctx)
 }
 
-// startController writes the configuration of a controller and starts it.
+// startController writes the configuration file of a controller and starts its process.
 func (r *region) startController(c *controller, settings string) error {
 	p := config.Platform{
 		Node:         c.name,
@@ -94,8 +93,8 @@
 	return err
 }
 
-// awaitReady waits until all controllers are ready.
-func (r *region) awaitReady(ctx context.Context) error {
+// waitUntilReady waits until all controllers are ready or readyTimeout has passed.
+func (r *region) waitUntilReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := &http.Client{}
@@ -103,21 +102,21 @@
 	for _, c := range r.controllers {
 		for !jobclient.Ready(ctx, client, c.listen) {
 			if !wait.For(ctx, readyPollInterval) {
-				return fmt.Errorf("%s is not ready, see %s: %w", c.name, filepath.Join(r.dir, c.name+".log"), ctx.Err())
+				return fmt.Errorf("wait for %s to become ready, see %s: %w", c.name, filepath.Join(r.dir, c.name+".log"), ctx.Err())
 			}
 		}
 	}
 	return nil
 }
 
-// kill kills the controller, if it was started.
+// kill kills the controller if it was started, and waits until it has exited.
 func (c *controller) kill() {
 	if c.Process != nil {
 		kill(c.Process)
 	}
 }
 
-// kill kills a process and waits for its end.
+// kill kills a process and waits until it has exited.
 func kill(p *process.Process) {
 	if p.Signal(syscall.SIGKILL) == nil {
 		<-p.Gone()
--- a/internal/scale/gangs.go
+++ b/internal/scale/gangs.go
@@ -6,41 +6,41 @@
 	"coralhub/internal/hollow"
 )
 
-// gangChange is what an event of a task means for its gang.
+// gangChange is the effect of a task event on the task's gang.
 type gangChange int
 
 const (
 	gangUnchanged gangChange = iota
-	gangComplete             // all tasks are placed: the gang runs
+	gangComplete             // all tasks are placed, so that the gang runs
 	gangBroken               // a task of a running gang has stopped
 )
 
-// gangs tracks which tasks of each attempt of a gang are placed.
+// gangs tracks which tasks of each gang attempt are placed.
 type gangs struct {
 	mu       sync.Mutex
-	sizes    map[string]int // tasks, by job; only gangs
+	sizes    map[string]int // number of tasks, by job; only jobs that are gangs
 	attempts map[hollow.Attempt]*gang
 }
 
-// gang is an attempt of a gang.
+// gang is one attempt of a gang.
 type gang struct {
-	placed  map[int]bool // tasks
+	placed  map[int]bool // by task number
 	running bool
-	ended   bool // one of its tasks has completed, so that all do; or it is broken
+	ended   bool // a task has completed, so that all tasks complete, or the gang is broken
 }
 
 func newGangs() gangs {
 	return gangs{sizes: map[string]int{}, attempts: map[hollow.Attempt]*gang{}}
 }
 
-// add adds a job that is a gang.
+// add adds a gang job.
 func (g *gangs) add(job string, tasks int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sizes[job] = tasks
 }
 
-// taskChanged takes an event of a task and returns what it means for its gang.
+// taskChanged applies a task event and returns its effect on the task's gang.
 func (g *gangs) taskChanged(t *hollow.Task) gangChange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,7 +55,7 @@
 		g.attempts[key] = attempt
 	}
 	switch t.Kind {
-	case hollow.TaskOn:
+	case hollow.TaskPlaced:
 		attempt.placed[t.Task] = true
 		if len(attempt.placed) == size && !attempt.running && !attempt.ended {
 			attempt.running = true
@@ -63,7 +63,7 @@
 		}
 	case hollow.TaskDone:
 		attempt.ended = true
-	case hollow.TaskOff:
+	case hollow.TaskRemoved:
 		delete(attempt.placed, t.Task)
 		broken := attempt.running && !attempt.ended
 		if len(attempt.placed) == 0 {
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -13,21 +13,21 @@
 type host struct {
 	*process.Process
 	usage   chan hollow.Usage
-	workers int // guarded by the region's lock
+	workers int // number of assigned workers; guarded by region.mu
 
 	mu    sync.Mutex
 	queue []hollow.Command
 	wake  chan struct{}
 }
 
-// newHost returns the host of a process.
 func newHost(p *process.Process) *host {
 	return &host{Process: p, usage: make(chan hollow.Usage, 1), wake: make(chan struct{}, 1)}
 }
 
-// enqueue enqueues a command to be sent in the order of calls. It never blocks: the caller may hold a
-// lock that the process's events need, and a process whose events aren't read reads no commands. That
-// a process has ended is noticed when its workers are missing.
+// enqueue queues a command to be sent; commands are sent in the order of calls. It never blocks, because a
+// blocking call could deadlock: the caller may hold a lock that the reader of the process's events needs,
+// and a process whose events are not read does not read commands. It reports no error if the process has
+// exited: that shows in its missing workers.
 func (h *host) enqueue(c hollow.Command) {
 	h.mu.Lock()
 	h.queue = append(h.queue, c)
@@ -38,7 +38,7 @@
 	}
 }
 
-// send sends the enqueued commands until the process ends.
+// send writes the queued commands until the process exits.
 func (h *host) send(to io.Writer) {
 	commands := json.NewEncoder(to)
 	for {
@@ -53,7 +53,7 @@
 		h.mu.Unlock()
 		for i := range batch {
 			if commands.Encode(&batch[i]) != nil {
-				return // the process has ended
+				return // the process has exited
 			}
 		}
 	}
--- a/internal/scale/leak_test.go
+++ b/internal/scale/leak_test.go
@@ -10,10 +10,10 @@
 	"coralhub/internal/process"
 )
 
-// ownFunctions are the functions that goroutines of a run execute.
+// ownFunctions are name parts of the functions that goroutines of a run execute.
 var ownFunctions = []string{"scale.(*run)", "scale.(*region)", "scale.(*host)", "scale.(*users)", "emulator.(*Servers)", "wait.Every"}
 
-// smallRegion returns a region that has not been started.
+// smallRegion returns a region with the settings of smallRun. It is not started.
 func smallRegion(t *testing.T) *region {
 	t.Helper()
 	s, opt := smallRun(t)
@@ -21,7 +21,7 @@
 	return newRegion(t.Context(), &s, &run{Options: opt, stop: func() {}}, 0)
 }
 
-// A region that is closed leaves nothing running, also while the run goes on.
+// Closing a region ends its goroutines, also if the run continues.
 func TestClosedRegionLeavesNothingRunning(t *testing.T) {
 	r := smallRegion(t)
 	if err := r.startServers(); err != nil {
@@ -31,17 +31,17 @@
 	leaktest.Check(t, ownFunctions...)
 }
 
-// A measurement that fails ends the load that it has begun.
+// A failed measurement ends the goroutines of the load that it started.
 func TestFailedMeasurementLeavesNothingRunning(t *testing.T) {
 	r := smallRegion(t)
 	r.controllers = []*controller{{Process: &process.Process{}, name: "unreachable", listen: "127.0.0.1:1"}}
 	if _, err := r.measure(t.Context(), 1); err == nil {
-		t.Fatal("a measurement of a controller that isn't there")
+		t.Fatal("measured an unreachable controller without an error")
 	}
 	leaktest.Check(t, ownFunctions...)
 }
 
-// A run that is interrupted while it measures leaves nothing running.
+// Interrupting a run during the measurement ends all its goroutines.
 func TestInterruptedRunLeavesNothingRunning(t *testing.T) {
 	s, opt := smallRun(t)
 	s.Workers, s.RampS = 40, 60
@@ -57,10 +57,10 @@
 		}
 	}
 	if _, err := Run(ctx, s, opt); err == nil {
-		t.Fatal("an interrupted run has a result")
+		t.Fatal("an interrupted run returned a result")
 	}
 	leaktest.Check(t, ownFunctions...)
 	if took := time.Since(interruptedAt); took > 3*time.Second {
-		t.Errorf("the end took %v", took)
+		t.Errorf("the run ended %v after the interrupt, want 3 s or less", took)
 	}
 }
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -10,19 +10,19 @@
 	"coralhub/internal/wait"
 )
 
-// unfinishedPollInterval is how often is checked whether jobs are left.
+// unfinishedPollInterval is how often the number of unfinished jobs is checked.
 const unfinishedPollInterval = 200 * time.Millisecond
 
-// load is the load on a region: users who submit jobs and follow them, and faults of machines.
+// load is the load on a region: users that submit and poll jobs, and faults of machines.
 type load struct {
 	users          *users
 	stopSubmitting context.CancelFunc // ends submissions and faults
-	stopFollowing  context.CancelFunc // ends the users of jobs that were submitted
-	generators     sync.WaitGroup     // the goroutines that submit, inject faults and probe the controllers
-	followed       sync.WaitGroup     // the users of submitted jobs, whom the generators add
+	stopFollowing  context.CancelFunc // ends the polling of submitted jobs, and the readiness probes
+	generators     sync.WaitGroup     // goroutines that submit, inject faults and probe the controllers
+	followed       sync.WaitGroup     // goroutines that poll submitted jobs; added by the generators
 }
 
-// startLoad starts the load on a region. It lasts until it is ended, or ctx is.
+// startLoad starts the load on a region. The caller must call end. The load also stops when ctx ends.
 func (r *region) startLoad(ctx context.Context, seed uint64) *load {
 	followCtx, stopFollowing := context.WithCancel(ctx)
 	submitCtx, stopSubmitting := context.WithCancel(ctx)
@@ -38,7 +38,7 @@
 	return l
 }
 
-// end ends the load and waits until nothing of it is left. It may be called again.
+// end stops the load and waits for its goroutines. It may be called more than once.
 func (l *load) end() {
 	l.stopSubmitting()
 	l.stopFollowing()
@@ -47,7 +47,7 @@
 	l.users.client.HTTP.CloseIdleConnections()
 }
 
-// measure generates load in a region and measures it.
+// measure generates load on a region and returns the measured result.
 func (r *region) measure(ctx context.Context, seed uint64) (*RegionResult, error) {
 	s := r.settings
 	l := r.startLoad(ctx, seed)
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	l.stopSubmitting()
-	r.run.logf("%s: no more jobs come", r.name)
+	r.run.logf("%s: all jobs submitted", r.name)
 	l.users.waitUntilFinished(ctx, wait.Seconds(s.SettleS))
 	l.end()
 	if err := ctx.Err(); err != nil {
@@ -77,7 +77,7 @@
 	return r.result(l.users, &first, &last), nil
 }
 
-// waitUntilFinished waits until all accepted jobs have ended, up to a timeout.
+// waitUntilFinished waits until all accepted jobs have ended, the timeout has passed or ctx ends.
 func (u *users) waitUntilFinished(ctx context.Context, timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	for u.unfinished() > 0 && time.Now().Before(deadline) {
--- a/internal/scale/machines.go
+++ b/internal/scale/machines.go
@@ -13,7 +13,7 @@
 	"coralhub/wire"
 )
 
-// rentAll rents all machines that there are, up at once: the measurement is of a running fleet.
+// rentAll rents all available machines without boot time, because a running fleet is measured.
 func (r *region) rentAll() {
 	r.servers.With(func() {
 		env := r.servers.Environment
@@ -26,21 +26,21 @@
 	})
 }
 
-// machineChanged is called by the cloud when a machine was rented or is gone. The cloud's lock is held.
+// machineChanged is called by the cloud emulator, with its lock held, when a machine was rented or removed.
 func (r *region) machineChanged(e invariants.Event) {
 	e.At = now()
 	r.record(e)
 	switch e.Kind {
 	case invariants.MachineAdded:
 		up := time.Duration(r.servers.Environment.Machines[e.Machine].Up-r.servers.Now()) * time.Microsecond
-		h := r.assign(e.Machine)
+		h := r.assignHost(e.Machine)
 		m := hollow.Machine{Name: e.Machine, Type: e.Host.Type, Zone: e.Host.Zone, Spot: e.Host.Spot, GPUs: r.settings.Machine.GPUs}
 		start := func() { h.enqueue(hollow.Command{Start: &m}) }
 		if up <= 0 {
 			start()
 			return
 		}
-		r.startLater(up, start)
+		r.startAfterBoot(up, start)
 	case invariants.MachineGone:
 		r.mu.Lock()
 		h := r.hostByMachine[e.Machine]
@@ -55,17 +55,17 @@
 	}
 }
 
-// startLater calls f after a machine has booted, unless the region is closed by then.
-func (r *region) startLater(boot time.Duration, f func()) {
+// startAfterBoot calls f after the boot time, unless the region is closed by then.
+func (r *region) startAfterBoot(boot time.Duration, f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.closed {
-		r.boots = append(r.boots, time.AfterFunc(boot, f))
+		r.bootTimers = append(r.bootTimers, time.AfterFunc(boot, f))
 	}
 }
 
-// assign assigns a machine to the process with the fewest workers.
-func (r *region) assign(machine string) *host {
+// assignHost assigns a machine to the process with the fewest workers and returns that process.
+func (r *region) assignHost(machine string) *host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	least := r.hosts[0]
@@ -79,10 +79,11 @@
 	return least
 }
 
-// machineUp handles that a machine's worker listens: the cloud lists the machine as running.
-func (r *region) machineUp(u *hollow.Up) {
-	if u.Why != "" {
-		r.run.fail(fmt.Errorf("worker of %s: %s", u.Machine, u.Why))
+// handleStartResult makes the cloud list a machine as running once its worker listens. If the worker could
+// not be started, it ends the run.
+func (r *region) handleStartResult(u *hollow.StartResult) {
+	if u.Error != "" {
+		r.run.fail(fmt.Errorf("start worker of %s: %s", u.Machine, u.Error))
 		return
 	}
 	r.mu.Lock()
@@ -98,11 +99,12 @@
 // listenPollInterval is how often the number of listening workers is checked.
 const listenPollInterval = 50 * time.Millisecond
 
-// listenTimeout is how long workers may take to listen.
+// listenTimeout is the time within which all workers must listen.
 const listenTimeout = 60 * time.Second
 
-// awaitWorkers waits until all workers listen.
-func (r *region) awaitWorkers(ctx context.Context) error {
+// waitUntilWorkersListen waits until all workers listen. It fails after listenTimeout or if the run has
+// failed.
+func (r *region) waitUntilWorkersListen(ctx context.Context) error {
 	for deadline := time.Now().Add(listenTimeout); ; {
 		r.mu.Lock()
 		listening := r.listening
@@ -114,7 +116,7 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s: %d of %d workers listen after %v", r.name, listening, r.settings.Workers, listenTimeout)
+			return fmt.Errorf("%s: only %d of %d workers listen after %v", r.name, listening, r.settings.Workers, listenTimeout)
 		}
 		if !wait.For(ctx, listenPollInterval) {
 			return ctx.Err()
@@ -122,12 +124,12 @@
 	}
 }
 
-// injectFaults has random machines fail and restart until ctx ends.
+// injectFaults makes random machines fail and restart, at random times, until ctx ends.
 func (r *region) injectFaults(ctx context.Context, rnd *rand.Rand) {
 	f := &r.settings.Failures
 	const day = 24 * 3600
-	failures := f.FailedPerDay * f.Times / day    // per second
-	restarts := f.RestartedPerDay * f.Times / day // per second
+	failures := f.FailedPerDay * f.Multiplier / day    // per second
+	restarts := f.RestartedPerDay * f.Multiplier / day // per second
 	faults := failures + restarts
 	if faults <= 0 {
 		return
@@ -146,15 +148,15 @@
 		r.faults.Restarted++
 		r.mu.Unlock()
 		if h != nil {
-			h.enqueue(hollow.Command{Restart: &hollow.Restart{Machine: name, AwayS: f.AwayS}})
+			h.enqueue(hollow.Command{Restart: &hollow.Restart{Machine: name, DowntimeS: f.RestartDurationS}})
 		}
 	}
 }
 
-// errNoMachine is returned by randomMachine.
-var errNoMachine = errors.New("no machine is up")
+// errNoMachine is returned by randomMachine if there are no machines.
+var errNoMachine = errors.New("no machines to inject faults into")
 
-// randomMachine returns the name of a random machine.
+// randomMachine returns the name of a random machine of the cloud.
 func (r *region) randomMachine(rnd *rand.Rand) (name string, err error) {
 	r.servers.With(func() {
 		names := r.servers.Environment.Names()
@@ -167,7 +169,7 @@
 	return name, err
 }
 
-// failMachine has a machine fail: it stays listed, as failed, until it is deleted.
+// failMachine makes a machine fail. The cloud lists it as failed until it is deleted.
 func (r *region) failMachine(name string) {
 	r.servers.With(func() {
 		if m := r.servers.Environment.Machines[name]; m != nil {
--- a/internal/scale/names_test.go
+++ b/internal/scale/names_test.go
@@ -8,7 +8,7 @@
 	"coralhub/internal/invariants"
 )
 
-// The names in settings files, results and messages between the processes of a run don't change.
+// The field names of settings files, results and messages between the processes of a run are stable.
 func TestStoredNames(t *testing.T) {
 	golden.Check(t, "settings-names.txt", golden.Names("toml", Settings{}))
 	golden.Check(t, "settings-json-names.txt", golden.Names("json", Settings{}))
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -22,7 +22,7 @@
 	"coralhub/wire"
 )
 
-// region is a region's controllers, workers, state service and cloud.
+// region holds the controllers, hollow workers, state service and cloud of a region.
 type region struct {
 	settings *Settings
 	run      *run
@@ -40,18 +40,18 @@
 
 	ctx        context.Context // ends when the region is closed
 	stop       context.CancelFunc
-	background sync.WaitGroup // all goroutines that the region has started
+	background sync.WaitGroup // all goroutines that the region starts
 
 	mu            sync.Mutex
 	events        []invariants.Event
-	hostByMachine map[string]*host // by machine
-	listening     int              // number of machines whose workers listen
+	hostByMachine map[string]*host
+	listening     int // number of workers that listen
 	faults        faultCounts
-	boots         []*time.Timer // of machines that were rented
-	closed        bool          // no more timers may be added
+	bootTimers    []*time.Timer // of rented machines
+	closed        bool          // true once bootTimers must not grow
 }
 
-// faultCounts counts the injected faults of machines.
+// faultCounts holds the numbers of injected machine faults.
 type faultCounts struct {
 	Failed    int `json:"failed"`
 	Restarted int `json:"restarted"`
@@ -74,7 +74,8 @@
 	}
 }
 
-// start starts everything and returns when all controllers are ready and all workers listen.
+// start starts the emulators, controllers and workers. It returns when all controllers are ready and all
+// workers listen.
 func (r *region) start(ctx context.Context) error {
 	if err := r.startServers(); err != nil {
 		return err
@@ -86,10 +87,10 @@
 		return err
 	}
 	r.rentAll()
-	return r.awaitWorkers(ctx)
+	return r.waitUntilWorkersListen(ctx)
 }
 
-// keptRevisions is how many revisions the state service keeps for watches.
+// keptRevisions is the number of revisions that the state service keeps for watches.
 const keptRevisions = 10_000
 
 // startServers starts the emulators of the state service and the cloud.
@@ -116,10 +117,10 @@
 	return nil
 }
 
-// expireInterval is how often the state service checks its leases.
+// expireInterval is how often the state service expires leases.
 const expireInterval = 50 * time.Millisecond
 
-// serve starts an HTTP server on a loopback port and returns its address.
+// serve starts an HTTP server on a free loopback port and returns its address.
 func (r *region) serve(h http.Handler) (string, error) {
 	l, err := new(net.ListenConfig).Listen(r.ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -129,13 +130,14 @@
 	r.listeners = append(r.listeners, server)
 	r.background.Go(func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			r.run.fail(fmt.Errorf("%s: a server has ended: %w", r.name, err))
+			r.run.fail(fmt.Errorf("%s: emulator server ended: %w", r.name, err))
 		}
 	})
 	return l.Addr().String(), nil
 }
 
-// firstNetwork is the network of the first process of hollow workers: 127.1 and on.
+// firstNetwork is the second octet of the loopback addresses of the first process of hollow workers
+// (127.1.x.y). Each further process uses the next one.
 const firstNetwork = 1
 
 // startHosts starts the processes of hollow workers.
@@ -162,39 +164,39 @@
 		r.background.Go(func() { r.readEvents(h, read) })
 		r.background.Go(func() {
 			<-p.Gone()
-			_ = write.Close() // always nil, see io.PipeWriter
+			_ = write.Close() // never fails, see io.PipeWriter
 		})
 		if err := json.NewEncoder(p.Input()).Encode(&c); err != nil {
-			return fmt.Errorf("hollow workers: %w", err)
+			return fmt.Errorf("%s: send configuration to hollow workers: %w", r.name, err)
 		}
 		r.background.Go(func() { h.send(p.Input()) })
 	}
 	return nil
 }
 
-// enqueueAll enqueues a command to all processes of hollow workers.
+// enqueueAll queues a command for all processes of hollow workers.
 func (r *region) enqueueAll(c hollow.Command) {
 	for _, h := range r.hosts {
 		h.enqueue(c)
 	}
 }
 
-// readEvents handles the events of a process of hollow workers until it ends. That a process has ended
-// before the run has is noticed when it is measured.
+// readEvents handles the events of a process of hollow workers until the process exits. It does not report
+// an early exit: region.sample does.
 func (r *region) readEvents(h *host, from *io.PipeReader) {
 	events := json.NewDecoder(from)
 	for {
 		var e hollow.Event
 		if err := events.Decode(&e); err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-				r.run.fail(fmt.Errorf("%s: events of hollow workers: %w", r.name, err))
+				r.run.fail(fmt.Errorf("%s: read events of hollow workers: %w", r.name, err))
 			}
-			_ = from.CloseWithError(err) // always nil; the process must not block on its output
+			_ = from.CloseWithError(err) // never fails; keeps the process from blocking on its output
 			return
 		}
 		switch {
-		case e.Up != nil:
-			r.machineUp(e.Up)
+		case e.StartResult != nil:
+			r.handleStartResult(e.StartResult)
 		case e.Task != nil:
 			r.taskChanged(e.At, e.Task)
 		case e.Usage != nil:
@@ -206,14 +208,15 @@
 	}
 }
 
-// taskEvents are the recorded events by the kinds of task events of hollow workers.
+// taskEvents maps the kinds of task events of hollow workers to kinds of recorded events.
 var taskEvents = map[string]invariants.Kind{
-	hollow.TaskOn:   invariants.TaskStarted,
-	hollow.TaskOff:  invariants.TaskStopped,
-	hollow.TaskDone: invariants.TaskDone,
+	hollow.TaskPlaced:  invariants.TaskStarted,
+	hollow.TaskRemoved: invariants.TaskStopped,
+	hollow.TaskDone:    invariants.TaskDone,
 }
 
-// taskChanged records an event of a task, and has gangs run or break.
+// taskChanged records a task event. It tells all hollow workers to run or stop the task's gang if the event
+// completes or breaks it.
 func (r *region) taskChanged(at int64, t *hollow.Task) {
 	r.record(invariants.Event{At: at, Kind: taskEvents[t.Kind], Job: t.Job, Task: t.Task, Attempt: t.Attempt, Machine: t.Machine})
 	attempt := hollow.Attempt{Job: t.Job, Attempt: t.Attempt}
@@ -225,17 +228,17 @@
 	}
 }
 
-// record appends an event to the history that the invariants are checked on.
+// record appends an event to the history against which the invariants are checked.
 func (r *region) record(e invariants.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, e)
 }
 
-// now returns the Unix time in microseconds, the clock of all processes of a run.
+// now returns the Unix time in microseconds. All processes of a run use this clock.
 func now() int64 { return time.Now().UnixMicro() }
 
-// close kills all processes, and waits for their end and that of all goroutines of the region.
+// close kills all processes and waits until they and all goroutines of the region have ended.
 func (r *region) close() {
 	r.stop()
 	for _, c := range r.controllers {
@@ -246,19 +249,19 @@
 	}
 	for _, s := range r.listeners {
 		if err := s.Close(); err != nil {
-			r.run.logf("%s: a server was not closed: %v", r.name, err)
+			r.run.logf("%s: close emulator server: %v", r.name, err)
 		}
 	}
-	r.stopBoots()
+	r.stopBootTimers()
 	r.background.Wait()
 }
 
-// stopBoots has no more machines boot.
-func (r *region) stopBoots() {
+// stopBootTimers stops the timers of booting machines and prevents new ones.
+func (r *region) stopBootTimers() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
-	for _, t := range r.boots {
+	for _, t := range r.bootTimers {
 		t.Stop()
 	}
 }
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -17,91 +17,92 @@
 	"coralhub/internal/quantile"
 )
 
-// urgentWithin is the time within which urgent tasks are to start.
-const urgentWithin = 2500 * time.Millisecond
+// urgentStartTarget is the time from a job's submission within which its urgent tasks should start.
+const urgentStartTarget = 2500 * time.Millisecond
 
 // Result is the result of a run.
 type Result struct {
-	Settings  Settings       `json:"settings"`
-	Cores     int            `json:"cores"`     // of the machine
-	MemoryMB  float64        `json:"memory_mb"` // of the machine
-	Processes int            `json:"processes"`
-	HeldMB    float64        `json:"held_mb"` // by all processes at the end
-	TookS     float64        `json:"took_s"`
-	Regions   []RegionResult `json:"regions"`
+	Settings      Settings       `json:"settings"`
+	Cores         int            `json:"cores"`     // of the machine
+	MemoryMB      float64        `json:"memory_mb"` // of the machine
+	Processes     int            `json:"processes"`
+	MemoryInUseMB float64        `json:"held_mb"` // resident memory of all processes at the end
+	DurationS     float64        `json:"took_s"`
+	Regions       []RegionResult `json:"regions"`
 }
 
-// RegionResult is the result of a region. Rates are per second of the measured time, and start times
-// are those of jobs that were submitted in it.
+// RegionResult is the result of a region. Rates are means over the measured time. Times in seconds are
+// those of jobs that were submitted within the measured time. RequestsPerS and
+// ChangesPerS are as counted by the controllers. Jobs, Faults, Errors and Broken are of the whole run.
 type RegionResult struct {
-	Region          string                 `json:"region"`
-	AskedPerS       float64                `json:"asked_per_s"`  // task starts that the settings ask for
-	StartsPerS      float64                `json:"starts_per_s"` // task starts
-	EndsPerS        float64                `json:"ends_per_s"`
-	Jobs            Jobs                   `json:"jobs"`
-	UrgentS         quantile.Times         `json:"urgent_start_s"` // from a job's submission to the first start of a task
-	UrgentInTime    float64                `json:"urgent_in_time"` // fraction of the urgent tasks that started in time
-	OtherS          quantile.Times         `json:"other_start_s"`
-	SubmitS         quantile.Times         `json:"submit_s"`
-	RequestsPerS    map[string]float64     `json:"requests_per_s"` // to the state service, as controllers count them, by purpose
-	ChangesPerS     map[string]float64     `json:"changes_per_s"`
-	RefusedPerS     float64                `json:"refused_per_s"`
-	ChangesPerStart float64                `json:"changes_per_start"`
-	Controllers     []ControllerResult     `json:"controllers"`
-	Workers         WorkerResult           `json:"workers"`
-	Faults          faultCounts            `json:"troubles"`
-	Errors          map[string]int         `json:"errors,omitempty"` // unsuccessful answers to users, by request and status
-	Broken          []invariants.Violation `json:"rules_broken"`
+	Region              string                 `json:"region"`
+	RequestedStartsPerS float64                `json:"asked_per_s"`  // task starts, as set in the settings
+	StartsPerS          float64                `json:"starts_per_s"` // task starts
+	EndsPerS            float64                `json:"ends_per_s"`
+	Jobs                Jobs                   `json:"jobs"`
+	UrgentStartS        quantile.Times         `json:"urgent_start_s"` // from submission to a task's first start
+	UrgentInTime        float64                `json:"urgent_in_time"` // fraction of urgent tasks started in time
+	OtherStartS         quantile.Times         `json:"other_start_s"`
+	SubmitS             quantile.Times         `json:"submit_s"`
+	RequestsPerS        map[string]float64     `json:"requests_per_s"`    // to the state service, by purpose
+	ChangesPerS         map[string]float64     `json:"changes_per_s"`     // in the state service, by purpose
+	RefusedPerS         float64                `json:"refused_per_s"`     // by the state service, due to its quotas
+	ChangesPerStart     float64                `json:"changes_per_start"` // per task start
+	Controllers         []ControllerResult     `json:"controllers"`
+	Workers             WorkerResult           `json:"workers"`
+	Faults              faultCounts            `json:"troubles"`
+	Errors              map[string]int         `json:"errors,omitempty"` // unsuccessful responses, by request and status
+	Broken              []invariants.Violation `json:"rules_broken"`
 }
 
-// Jobs are the numbers of jobs of the whole run.
+// Jobs holds the numbers of jobs in the whole run.
 type Jobs struct {
 	Submitted int `json:"submitted"`
 	Accepted  int `json:"accepted"`
-	Over      int `json:"over"`
+	Ended     int `json:"over"`
 }
 
 // ControllerResult is the result of a controller.
 type ControllerResult struct {
-	Name       string             `json:"name"`
-	Leads      bool               `json:"leads"`
-	Cores      float64            `json:"cores"` // processor time per second
-	MemoryMB   float64            `json:"memory_mb"`
-	HeapMB     float64            `json:"heap_mb"`
-	Files      int                `json:"files"`
-	HandedPerS float64            `json:"handed_per_s"`       // heartbeats forwarded to the leader
-	CoreS      map[string]float64 `json:"core_seconds_per_s"` // of the core, by kind of input
-	InputsPerS map[string]float64 `json:"inputs_per_s"`       // of the core, by kind
-	Machines   map[string]float64 `json:"machines_by_state"`  // as the leader sees them
-	Waiting    float64            `json:"waiting_jobs"`
-	Restarted  bool               `json:"restarted,omitempty"` // it restarted during the run
+	Name            string             `json:"name"`
+	IsLeader        bool               `json:"leads"`
+	Cores           float64            `json:"cores"` // processor seconds per second
+	MemoryMB        float64            `json:"memory_mb"`
+	HeapMB          float64            `json:"heap_mb"`
+	Files           int                `json:"files"`
+	ForwardedPerS   float64            `json:"handed_per_s"`       // heartbeats forwarded to the leader
+	StepSecondsPerS map[string]float64 `json:"core_seconds_per_s"` // spent in steps of the state machine, by input type
+	InputsPerS      map[string]float64 `json:"inputs_per_s"`       // steps of the state machine, by input type
+	Machines        map[string]float64 `json:"machines_by_state"`  // as counted by the leader
+	Waiting         float64            `json:"waiting_jobs"`
+	Restarted       bool               `json:"restarted,omitempty"` // detected by a decrease of processor time
 }
 
-// WorkerResult is the result of the mean worker.
+// WorkerResult holds means per worker, except for Workers and LeasesExpired.
 type WorkerResult struct {
-	Workers       int     `json:"workers"`
-	CoresEach     float64 `json:"cores_each"`
-	MemoryMBEach  float64 `json:"memory_mb_each"` // of the hosting processes
-	BytesPerS     float64 `json:"bytes_per_s"`    // in and out, with the overhead of HTTP
-	ReportsPerS   float64 `json:"reports_per_s"`
-	CommandsPerS  float64 `json:"commands_per_s"`
-	LeasesExpired int64   `json:"leases_expired"`
+	Workers        int     `json:"workers"`
+	CoresEach      float64 `json:"cores_each"`
+	MemoryMBEach   float64 `json:"memory_mb_each"` // resident memory of the hosting processes
+	BytesPerS      float64 `json:"bytes_per_s"`    // received and sent, including the overhead of HTTP
+	HeartbeatsPerS float64 `json:"reports_per_s"`
+	CommandsPerS   float64 `json:"commands_per_s"` // requests received by the worker
+	LeasesExpired  int64   `json:"leases_expired"` // total of all workers in the whole run
 }
 
-// newResult returns the result of a run with those of its regions.
+// newResult returns the result of a run from the results of its regions.
 func newResult(s *Settings, regions []*region, results []RegionResult, took time.Duration) *Result {
 	return &Result{
-		Settings:  *s,
-		Cores:     runtime.NumCPU(),
-		MemoryMB:  process.TotalMB(),
-		Processes: 1 + s.Regions*s.Controllers + s.Regions*len(regions[0].hosts),
-		HeldMB:    memoryInUse(regions),
-		TookS:     took.Seconds(),
-		Regions:   results,
+		Settings:      *s,
+		Cores:         runtime.NumCPU(),
+		MemoryMB:      process.TotalMB(),
+		Processes:     1 + s.Regions*s.Controllers + s.Regions*len(regions[0].hosts),
+		MemoryInUseMB: memoryInUse(regions),
+		DurationS:     took.Seconds(),
+		Regions:       results,
 	}
 }
 
-// countJobs counts jobs by how far they got.
+// countJobs counts the submitted, accepted and ended jobs.
 func countJobs(jobs map[string]submission) (counts Jobs) {
 	for _, job := range jobs {
 		counts.Submitted++
@@ -109,25 +110,26 @@
 			counts.Accepted++
 		}
 		if job.ended {
-			counts.Over++
+			counts.Ended++
 		}
 	}
 	return counts
 }
 
-// result computes the result from two samples and the recorded events.
+// result computes the result of the region from the samples at the start and the end of the measurement
+// and from the recorded events.
 func (r *region) result(u *users, first, last *sample) *RegionResult {
 	elapsedS := last.at.Sub(first.at).Seconds()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	res := &RegionResult{
-		Region:       r.name,
-		AskedPerS:    r.settings.StartsPerS,
-		RefusedPerS:  float64(last.refused-first.refused) / elapsedS,
-		RequestsPerS: map[string]float64{},
-		ChangesPerS:  map[string]float64{},
-		Faults:       r.faults,
-		Broken:       []invariants.Violation{},
+		Region:              r.name,
+		RequestedStartsPerS: r.settings.StartsPerS,
+		RefusedPerS:         float64(last.refused-first.refused) / elapsedS,
+		RequestsPerS:        map[string]float64{},
+		ChangesPerS:         map[string]float64{},
+		Faults:              r.faults,
+		Broken:              []invariants.Violation{},
 	}
 	jobs := u.submissions()
 	res.Jobs = countJobs(jobs)
@@ -149,7 +151,7 @@
 	return res
 }
 
-// Bounds of the rules.
+// Bounds of the checked rules, see invariants.Rules.
 const (
 	maxSilence    = 90 * config.Second
 	maxUnanswered = 75 * config.Second
@@ -170,10 +172,10 @@
 	return rules
 }
 
-// maxRecordedS bounds the times in histograms, in seconds.
+// maxRecordedS is the largest time in histograms, in seconds.
 const maxRecordedS = 3600
 
-// significantDigits is the precision of histograms.
+// significantDigits is the precision of recorded times.
 const significantDigits = 3
 
 // newHistogram returns a histogram of microseconds.
@@ -181,22 +183,22 @@
 	return hdrhistogram.New(1, maxRecordedS*config.Second, significantDigits)
 }
 
-// recordMicros records a time in a histogram, within its range.
+// recordMicros records a time in a histogram, clamped to the range of the histogram.
 func recordMicros(h *hdrhistogram.Histogram, micros int64) {
-	_ = h.RecordValue(min(max(micros, 1), maxRecordedS*config.Second)) // within its range
+	_ = h.RecordValue(min(max(micros, 1), maxRecordedS*config.Second)) // no error: the value is in range
 }
 
-// window is the measured time, from a Unix time in microseconds until before another.
+// window is a half-open interval [from, to) of Unix times in microseconds.
 type window struct{ from, to int64 }
 
 func (w window) contains(at int64) bool { return at >= w.from && at < w.to }
 
-// startTimes collects the starts and ends of tasks within a window, and the times from the
-// submission of jobs in the window to the first start of their tasks.
+// startTimes counts the starts and ends of tasks within a window. For jobs that were submitted within the
+// window, it collects the times from submission to the first start of each task.
 type startTimes struct {
 	window        window
 	urgent, other *hdrhistogram.Histogram
-	started       map[startedTask]bool // tasks that have started once
+	started       map[startedTask]bool // tasks that have started at least once
 	starts, ends  int
 	urgentInTime  int
 }
@@ -206,7 +208,7 @@
 	task int
 }
 
-// addEvent adds an event of a task of a job.
+// addEvent adds a task event of a job.
 func (t *startTimes) addEvent(e *invariants.Event, job *submission) {
 	inside := t.window.contains(e.At)
 	switch e.Kind {
@@ -229,19 +231,19 @@
 	}
 }
 
-// addFirstStart adds the time in microseconds until a task started.
+// addFirstStart adds the time in microseconds from the submission of a job to the first start of a task.
 func (t *startTimes) addFirstStart(waited int64, class *Class) {
 	if !class.Urgent {
 		recordMicros(t.other, waited)
 		return
 	}
 	recordMicros(t.urgent, waited)
-	if waited <= urgentWithin.Microseconds() {
+	if waited <= urgentStartTarget.Microseconds() {
 		t.urgentInTime++
 	}
 }
 
-// addStarts sets the rates and times of starts within a window. The lock is held.
+// addStarts sets the fields of res for task starts and submissions within a window. The caller holds r.mu.
 func (r *region) addStarts(res *RegionResult, jobs map[string]submission, w window) {
 	times := startTimes{window: w, urgent: newHistogram(), other: newHistogram(), started: map[startedTask]bool{}}
 	for i := range r.events {
@@ -266,8 +268,8 @@
 	elapsedS := float64(w.to-w.from) / 1e6
 	res.StartsPerS = float64(times.starts) / elapsedS
 	res.EndsPerS = float64(times.ends) / elapsedS
-	res.UrgentS = quantile.Of(times.urgent, 1)
-	res.OtherS = quantile.Of(times.other, 1)
+	res.UrgentStartS = quantile.Of(times.urgent, 1)
+	res.OtherStartS = quantile.Of(times.other, 1)
 	res.SubmitS = quantile.Of(submit, 1)
 	if urgentTasks > 0 {
 		res.UrgentInTime = float64(times.urgentInTime) / float64(urgentTasks)
@@ -277,25 +279,25 @@
 // controllerResult computes the result of a controller from two samples.
 func controllerResult(name string, first, last *controllerSample, elapsedS float64) ControllerResult {
 	c := ControllerResult{
-		Name:       name,
-		Leads:      last.leads,
-		Cores:      (last.cpu - first.cpu).Seconds() / elapsedS,
-		MemoryMB:   last.memoryMB,
-		HeapMB:     last.heapMB,
-		Files:      last.files,
-		HandedPerS: (last.forwarded - first.forwarded) / elapsedS,
-		CoreS:      map[string]float64{},
-		InputsPerS: map[string]float64{},
-		Machines:   last.machines,
-		Waiting:    last.waiting,
-		Restarted:  last.cpu < first.cpu,
+		Name:            name,
+		IsLeader:        last.isLeader,
+		Cores:           (last.cpu - first.cpu).Seconds() / elapsedS,
+		MemoryMB:        last.memoryMB,
+		HeapMB:          last.heapMB,
+		Files:           last.files,
+		ForwardedPerS:   (last.forwarded - first.forwarded) / elapsedS,
+		StepSecondsPerS: map[string]float64{},
+		InputsPerS:      map[string]float64{},
+		Machines:        last.machines,
+		Waiting:         last.waiting,
+		Restarted:       last.cpu < first.cpu,
 	}
-	addRates(c.CoreS, first.steps, last.steps, elapsedS)
+	addRates(c.StepSecondsPerS, first.steps, last.steps, elapsedS)
 	addRates(c.InputsPerS, first.inputs, last.inputs, elapsedS)
 	return c
 }
 
-// workerResult computes the result of the mean worker from two samples of each process.
+// workerResult computes the means per worker from two samples of each process of hollow workers.
 func workerResult(workers int, first, last []hostSample, elapsedS float64) WorkerResult {
 	w := WorkerResult{Workers: workers}
 	n := float64(workers)
@@ -304,14 +306,14 @@
 		w.CoresEach += (b.cpu - a.cpu).Seconds() / elapsedS / n
 		w.MemoryMBEach += b.memoryMB / n
 		w.BytesPerS += float64(b.usage.BytesIn+b.usage.BytesOut-a.usage.BytesIn-a.usage.BytesOut) / elapsedS / n
-		w.ReportsPerS += float64(b.usage.Reports-a.usage.Reports) / elapsedS / n
+		w.HeartbeatsPerS += float64(b.usage.Heartbeats-a.usage.Heartbeats) / elapsedS / n
 		w.CommandsPerS += float64(b.usage.Commands-a.usage.Commands) / elapsedS / n
 		w.LeasesExpired += b.usage.LeasesExpired
 	}
 	return w
 }
 
-// addRates adds the rates per second at which counters have grown, without those that have not.
+// addRates adds the growth per second of each counter to the map. Counters that have not grown are omitted.
 func addRates(to, first, last map[string]float64, elapsedS float64) {
 	for name, v := range last {
 		if grown := v - first[name]; grown > 0 {
@@ -320,7 +322,6 @@
 	}
 }
 
-// sum returns the sum of the values.
 func sum(values map[string]float64) float64 {
 	total := 0.0
 	for _, v := range values {
@@ -329,10 +330,10 @@
 	return total
 }
 
-// Print writes the result as text.
+// Print writes the result as text for people.
 func (res *Result) Print(out io.Writer) error {
 	s := &res.Settings
-	fmt.Fprintf(out, "%d processes hold %.0f of %.0f MB; %d cores; %.0f s\n", res.Processes, res.HeldMB, res.MemoryMB, res.Cores, res.TookS)
+	fmt.Fprintf(out, "%d processes use %.0f of %.0f MB; %d cores; %.0f s\n", res.Processes, res.MemoryInUseMB, res.MemoryMB, res.Cores, res.DurationS)
 	for i := range res.Regions {
 		if err := res.Regions[i].print(out, s); err != nil {
 			return err
@@ -341,45 +342,45 @@
 	return nil
 }
 
-// print writes the result of a region as text.
+// print writes the result of the region as text for people.
 func (r *RegionResult) print(out io.Writer, s *Settings) error {
-	fmt.Fprintf(out, "%s: starts a second: asked %.1f, had %.1f (ends %.1f); jobs submitted %d, accepted %d, over %d\n",
-		r.Region, r.AskedPerS, r.StartsPerS, r.EndsPerS, r.Jobs.Submitted, r.Jobs.Accepted, r.Jobs.Over)
+	fmt.Fprintf(out, "%s: task starts per second: requested %.1f, measured %.1f (ends %.1f); jobs submitted %d, accepted %d, ended %d\n",
+		r.Region, r.RequestedStartsPerS, r.StartsPerS, r.EndsPerS, r.Jobs.Submitted, r.Jobs.Accepted, r.Jobs.Ended)
 	fmt.Fprintf(out, "  urgent tasks start after p50 %.3f p99 %.3f max %.3f s, %.3f of them within %v; others p50 %.3f p99 %.3f max %.3f s\n",
-		r.UrgentS.P50, r.UrgentS.P99, r.UrgentS.Max, r.UrgentInTime, urgentWithin, r.OtherS.P50, r.OtherS.P99, r.OtherS.Max)
+		r.UrgentStartS.P50, r.UrgentStartS.P99, r.UrgentStartS.Max, r.UrgentInTime, urgentStartTarget, r.OtherStartS.P50, r.OtherStartS.P99, r.OtherStartS.Max)
 	fmt.Fprintf(out, "  submissions are accepted after p50 %.3f p99 %.3f max %.3f s; errors %v\n", r.SubmitS.P50, r.SubmitS.P99, r.SubmitS.Max, r.Errors)
-	fmt.Fprintf(out, "  state service: %.1f requests a second of %g, %.1f changes of %g (%.3f a start), %.1f refused\n", sum(r.RequestsPerS), s.State.RPS,
+	fmt.Fprintf(out, "  state service, per second: %.1f requests (quota %g), %.1f changes (quota %g; %.3f per start), %.1f refused\n", sum(r.RequestsPerS), s.State.RPS,
 		sum(r.ChangesPerS), s.State.WriteRPS, r.ChangesPerStart, r.RefusedPerS)
 	fmt.Fprintf(out, "    changes:  %s\n    requests: %s\n", rates(r.ChangesPerS), rates(r.RequestsPerS))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "  controller\tcores\tstate machine\tMB\theap MB\tfiles\treports handed on\twaiting jobs\t")
+	fmt.Fprintln(w, "  controller\tcores\tstate machine\tMB\theap MB\tfiles\tforwarded heartbeats/s\twaiting jobs\t")
 	for i := range r.Controllers {
 		c := &r.Controllers[i]
 		name := c.Name
-		if c.Leads {
-			name += " (leads)"
+		if c.IsLeader {
+			name += " (leader)"
 		}
-		fmt.Fprintf(w, "  %s\t%.3f\t%.3f\t%.0f\t%.0f\t%d\t%.1f\t%.0f\t\n", name, c.Cores, sum(c.CoreS), c.MemoryMB, c.HeapMB, c.Files, c.HandedPerS, c.Waiting)
+		fmt.Fprintf(w, "  %s\t%.3f\t%.3f\t%.0f\t%.0f\t%d\t%.1f\t%.0f\t\n", name, c.Cores, sum(c.StepSecondsPerS), c.MemoryMB, c.HeapMB, c.Files, c.ForwardedPerS, c.Waiting)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "  a worker: %.5f cores, %.0f bytes a second, %.3f MB, %.2f reports and %.2f commands a second; %d leases ended in all\n",
-		r.Workers.CoresEach, r.Workers.BytesPerS, r.Workers.MemoryMBEach, r.Workers.ReportsPerS, r.Workers.CommandsPerS, r.Workers.LeasesExpired)
-	fmt.Fprintf(out, "  machines failed %d, restarted %d; rules broken: %d\n", r.Faults.Failed, r.Faults.Restarted, len(r.Broken))
+	fmt.Fprintf(out, "  per worker: %.5f cores, %.0f bytes/s, %.3f MB, %.2f heartbeats/s, %.2f command requests/s; %d leases expired in total\n",
+		r.Workers.CoresEach, r.Workers.BytesPerS, r.Workers.MemoryMBEach, r.Workers.HeartbeatsPerS, r.Workers.CommandsPerS, r.Workers.LeasesExpired)
+	fmt.Fprintf(out, "  machines failed %d, restarted %d; rule violations: %d\n", r.Faults.Failed, r.Faults.Restarted, len(r.Broken))
 	for i, b := range r.Broken {
 		if i == maxPrintedViolations {
 			break
 		}
-		fmt.Fprintf(out, "  broken: %s\n", b)
+		fmt.Fprintf(out, "  violation: %s\n", b)
 	}
 	return nil
 }
 
-// maxPrintedViolations is how many violated rules are printed; the JSON has all.
+// maxPrintedViolations is the maximum number of printed rule violations; the JSON has all.
 const maxPrintedViolations = 10
 
-// rates formats rates in the order of their names.
+// rates formats rates, sorted by name.
 func rates(values map[string]float64) string {
 	text := ""
 	for _, name := range slices.Sorted(maps.Keys(values)) {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -12,47 +12,48 @@
 	"coralhub/internal/wait"
 )
 
-// Options describe how a run is made.
+// Options describe how a run is executed.
 type Options struct {
 	Program    string       // path of the executable of controllers and hollow workers
-	ServeArgs  []string     // its arguments before --settings and --config, for a controller
-	HollowArgs []string     // its arguments for a process of hollow workers
-	Dir        string       // for settings and logs
+	ServeArgs  []string     // arguments of a controller before --settings and --config
+	HollowArgs []string     // arguments of a process of hollow workers
+	Dir        string       // folder for settings and logs; created if missing
 	Log        string       // LOG_LEVEL of the controllers
-	Progress   func(string) // called with a line about the progress; may be nil
+	Progress   func(string) // called with each progress line, also concurrently; may be nil
 }
 
 // run is a run in progress.
 type run struct {
 	Options
-	hostsPerRegion int                // processes of hollow workers
+	hostsPerRegion int                // processes of hollow workers per region
 	stop           context.CancelFunc // ends the run
 
 	mu  sync.Mutex
-	err error // why the run itself can\'t continue
+	err error // first error of the run itself, which ended it
 }
 
 const (
-	// filesPerWorker is how many files a hollow worker may have open: its listener, its connection
-	// to a controller, and controllers' connections to it.
+	// filesPerWorker is the maximum number of open files per hollow worker: its listener, its connection
+	// to a controller, and the connections from controllers.
 	filesPerWorker = 8
-	// reservedFiles are the files for the rest of a process.
+	// reservedFiles is the number of open files reserved for the rest of a process.
 	reservedFiles = 500
-	// maxProcesses bounds the processes of a run.
+	// maxProcesses is the maximum number of processes of a run.
 	maxProcesses = 300
-	// minHostsPerRegion is the least number of processes that share the hollow workers of a region.
+	// minHostsPerRegion is the minimum number of processes of hollow workers per region.
 	minHostsPerRegion = 2
 	// maxMemoryFraction is the fraction of the machine's memory that all processes together may use.
 	maxMemoryFraction = 0.5
-	// workerMB and ownMB estimate the memory of a hollow worker and of this process, in MB, to reject
-	// runs that would need too much.
+	// workerMB and ownMB are estimates of the memory of a hollow worker and of this process, in MB. They
+	// serve to reject runs that would need too much memory.
 	workerMB = 0.15
 	ownMB    = 500
 	// memoryCheckInterval is how often the memory in use is checked.
 	memoryCheckInterval = time.Second
 )
 
-// plan computes how many processes a run needs. The error says why the run can't be made.
+// plan computes the number of processes of hollow workers. It returns an error if the run would exceed a
+// limit of the machine.
 func (o *run) plan(s *Settings) error {
 	limit, err := process.FileLimit()
 	if err != nil {
@@ -73,14 +74,15 @@
 	return nil
 }
 
-// logf reports progress.
+// logf passes a progress line to Options.Progress.
 func (o *run) logf(format string, args ...any) {
 	if o.Progress != nil {
 		o.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// fail ends the run because of an error that is not one of the service.
+// fail ends the run because of an error of the run itself, not of the measured service. Only the first
+// error is kept.
 func (o *run) fail(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -90,22 +92,23 @@
 	}
 }
 
-// failure returns why the run itself can't continue, or nil.
+// failure returns the error that was passed to fail, or nil.
 func (o *run) failure() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.err
 }
 
-// requestFailed takes why a user's request got no answer. That this process has reached its limit of
-// open files is no fault of the service: it ends the run.
+// requestFailed handles the error of a request that received no response. It ends the run if this process
+// has reached its limit of open files, because that is not a failure of the service.
 func (o *run) requestFailed(err error) {
 	if process.OutOfFiles(err) {
-		o.fail(fmt.Errorf("this process can't open more files: %w", err))
+		o.fail(fmt.Errorf("this process has reached its limit of open files: %w", err))
 	}
 }
 
-// Run makes a run. The error says in one line why the run could not be made or completed.
+// Run executes a run and returns its result. It returns an error if the run could not be started or
+// completed; the error is one line if settings are rejected. All processes and goroutines of the run have ended when it returns.
 func Run(ctx context.Context, s Settings, opt Options) (*Result, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -134,7 +137,7 @@
 	if err := each(regions, func(r *region) error { return r.start(ctx) }); err != nil {
 		return nil, o.failureOr(err)
 	}
-	o.logf("%d regions of %d controllers serve; %d workers listen after %.1f s", s.Regions, s.Controllers, s.Regions*s.Workers, time.Since(start).Seconds())
+	o.logf("%d regions with %d controllers each are ready; %d workers listen after %.1f s", s.Regions, s.Controllers, s.Regions*s.Workers, time.Since(start).Seconds())
 	background.Go(func() { o.watchMemory(ctx, regions) })
 	results := make([]RegionResult, len(regions))
 	err := each(regions, func(r *region) error {
@@ -150,7 +153,7 @@
 	return newResult(&s, regions, results, time.Since(start)), nil
 }
 
-// failureOr returns why the run itself can't continue, or else the error.
+// failureOr returns the error that was passed to fail, or err if there is none.
 func (o *run) failureOr(err error) error {
 	if why := o.failure(); why != nil {
 		return why
@@ -158,7 +161,7 @@
 	return err
 }
 
-// each calls f for all regions concurrently and returns the errors.
+// each calls f for all regions concurrently and returns the joined errors.
 func each(regions []*region, f func(*region) error) error {
 	errs := make([]error, len(regions))
 	var wg sync.WaitGroup
@@ -169,17 +172,17 @@
 	return errors.Join(errs...)
 }
 
-// watchMemory ends the run if it uses too much of the machine's memory.
+// watchMemory ends the run if it uses more than maxMemoryFraction of the machine's memory.
 func (o *run) watchMemory(ctx context.Context, regions []*region) {
 	total := process.TotalMB()
 	wait.Every(ctx, memoryCheckInterval, func() {
 		if used := memoryInUse(regions); total > 0 && used > total*maxMemoryFraction {
-			o.fail(fmt.Errorf("the run holds %.0f MB, more than half of the machine's %.0f MB", used, total))
+			o.fail(fmt.Errorf("the run uses %.0f MB, more than half of the machine's %.0f MB", used, total))
 		}
 	})
 }
 
-// memoryInUse returns the memory of this process and all that it has started, in MB.
+// memoryInUse returns the resident memory of this process and all processes that it started, in MB.
 func memoryInUse(regions []*region) float64 {
 	used := process.ResidentMB(os.Getpid())
 	for _, r := range regions {
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -14,12 +14,12 @@
 	"coralhub/internal/node/metrics"
 )
 
-// sample is a measurement of a region's processes at a moment.
+// sample is a measurement of a region's processes at one time.
 type sample struct {
 	at          time.Time
 	controllers []controllerSample
 	hosts       []hostSample
-	requests    int // of the state service, as its emulator counts them
+	requests    int // to the state service, as counted by its emulator
 	refused     int
 	revision    uint64
 }
@@ -29,14 +29,14 @@
 	cpu       time.Duration
 	memoryMB  float64
 	files     int
-	leads     bool
-	requests  map[string]float64 // of the state service, by purpose
+	isLeader  bool
+	requests  map[string]float64 // to the state service, by purpose
 	changes   map[string]float64
 	forwarded float64            // heartbeats forwarded to the leader
-	steps     map[string]float64 // seconds of the core's steps, by kind of input
-	inputs    map[string]float64 // number of the core's steps, by kind of input
-	machines  map[string]float64 // by state; of the leader
-	waiting   float64            // waiting jobs; of the leader
+	steps     map[string]float64 // seconds spent in steps of the state machine, by type of input
+	inputs    map[string]float64 // number of steps of the state machine, by type of input
+	machines  map[string]float64 // by state, as counted by the leader
+	waiting   float64            // waiting jobs, as counted by the leader
 	heapMB    float64
 }
 
@@ -47,7 +47,7 @@
 	usage    hollow.Usage
 }
 
-// sampleTimeout is how long the processes may take to answer.
+// sampleTimeout is the timeout of sampling all processes of a region.
 const sampleTimeout = 10 * time.Second
 
 // sample measures all processes of the region.
@@ -61,7 +61,7 @@
 		s := controllerSample{cpu: c.CPU(), memoryMB: c.Measure(), files: c.Files()}
 		page, err := scrape(ctx, client, c.listen)
 		if err != nil {
-			return result, fmt.Errorf("metrics of %s: %w", c.name, err)
+			return result, fmt.Errorf("read metrics of %s: %w", c.name, err)
 		}
 		page.fill(&s)
 		result.controllers = append(result.controllers, s)
@@ -72,9 +72,9 @@
 		case usage := <-h.usage:
 			result.hosts = append(result.hosts, hostSample{cpu: h.CPU(), memoryMB: h.Measure(), usage: usage})
 		case <-h.Gone():
-			return result, fmt.Errorf("%s: a process of hollow workers has ended", r.name)
+			return result, fmt.Errorf("%s: a process of hollow workers has exited", r.name)
 		case <-ctx.Done():
-			return result, fmt.Errorf("%s: hollow workers: %w", r.name, ctx.Err())
+			return result, fmt.Errorf("%s: read usage of hollow workers: %w", r.name, ctx.Err())
 		}
 	}
 	r.servers.With(func() {
@@ -85,7 +85,7 @@
 	return result, nil
 }
 
-// metricsPage is the metrics of a controller, by name.
+// metricsPage holds the metrics of a controller, by name.
 type metricsPage map[string]*dto.MetricFamily
 
 // scrape reads a controller's metrics.
@@ -100,15 +100,15 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("status %d", res.StatusCode)
+		return nil, fmt.Errorf("unexpected status %d", res.StatusCode)
 	}
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	return parser.TextToMetricFamilies(res.Body)
 }
 
-// fill sets the fields of a sample that are read from the metrics.
+// fill sets the fields of a sample that come from the metrics.
 func (p metricsPage) fill(s *controllerSample) {
-	s.leads = p.sum("coralhub_leading") == 1
+	s.isLeader = p.sum("coralhub_leading") == 1
 	s.requests = p.by("coralhub_state_requests_total", "purpose")
 	s.changes = p.by("coralhub_state_changes_total", "purpose")
 	s.forwarded = p.by("coralhub_reports_total", "what")["handed"]
@@ -123,7 +123,7 @@
 	}
 }
 
-// by returns a metric's values, added up by a label.
+// by returns the sums of a metric's values for each value of a label.
 func (p metricsPage) by(family, name string) map[string]float64 {
 	values := map[string]float64{}
 	for _, m := range p[family].GetMetric() {
@@ -132,7 +132,7 @@
 	return values
 }
 
-// sum returns the sum of a metric's values.
+// sum returns the sum of a metric's values over all labels.
 func (p metricsPage) sum(family string) float64 {
 	sum := 0.0
 	for _, m := range p[family].GetMetric() {
@@ -141,7 +141,7 @@
 	return sum
 }
 
-// label returns the value of a label; "" if there is none.
+// label returns the value of a label, or "" if the metric does not have it.
 func label(m *dto.Metric, name string) string {
 	for _, l := range m.GetLabel() {
 		if l.GetName() == name {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -16,8 +16,8 @@
 	"coralhub/internal/node"
 )
 
-// TestMain runs the test program as a controller or a process of hollow workers of a test's run, if its
-// arguments say so.
+// TestMain runs the test program as a controller or as a process of hollow workers if the first argument is
+// "serve" or "hollow-workers". Runs in tests start these processes.
 func TestMain(m *testing.M) {
 	if len(os.Args) < 2 {
 		os.Exit(m.Run())
@@ -37,20 +37,20 @@
 	}
 }
 
-// serve runs a controller: serve --settings FILE --config FILE.
+// serve runs a controller with the arguments serve --settings FILE --config FILE.
 func serve(args []string) error {
 	cfg, err := config.Load(args[5], args[3])
 	if err != nil {
 		return err
 	}
 	go func() {
-		_, _ = io.Copy(io.Discard, os.Stdin) // ends with the test
+		_, _ = io.Copy(io.Discard, os.Stdin) // ends when the parent exits
 		os.Exit(0)
 	}()
 	return node.New(cfg).Run(context.Background())
 }
 
-// smallRun returns the settings of a run of some seconds.
+// smallRun returns the settings and options of a run that takes some seconds.
 func smallRun(t *testing.T) (Settings, Options) {
 	t.Helper()
 	s, err := Parse([]byte(`
@@ -105,7 +105,7 @@
 	return s, Options{Program: program, ServeArgs: []string{"serve"}, HollowArgs: []string{"hollow-workers"}, Dir: t.TempDir(), Log: "error"}
 }
 
-// A small run completes without violated rules, and every part of its result is measured.
+// A small run completes without rule violations, and all parts of its result are measured.
 func TestScale(t *testing.T) {
 	s, opt := smallRun(t)
 	res, err := Run(t.Context(), s, opt)
@@ -114,28 +114,28 @@
 	}
 	r := &res.Regions[0]
 	if len(r.Broken) > 0 {
-		t.Errorf("rules broken: %v", r.Broken)
+		t.Errorf("rule violations: %v", r.Broken)
 	}
-	if r.Jobs.Accepted == 0 || r.Jobs.Accepted < r.Jobs.Submitted*9/10 || r.Jobs.Over < r.Jobs.Accepted*9/10 {
+	if r.Jobs.Accepted == 0 || r.Jobs.Accepted < r.Jobs.Submitted*9/10 || r.Jobs.Ended < r.Jobs.Accepted*9/10 {
 		t.Errorf("jobs: %+v", r.Jobs)
 	}
-	if r.StartsPerS < s.StartsPerS/4 || r.UrgentS.P50 <= 0 || r.OtherS.P50 <= 0 {
-		t.Errorf("%.1f starts a second, urgent ones after %+v, others after %+v", r.StartsPerS, r.UrgentS, r.OtherS)
+	if r.StartsPerS < s.StartsPerS/4 || r.UrgentStartS.P50 <= 0 || r.OtherStartS.P50 <= 0 {
+		t.Errorf("%.1f starts per second; time to start: urgent tasks %+v, others %+v", r.StartsPerS, r.UrgentStartS, r.OtherStartS)
 	}
 	leaders, forwarded := 0, 0.0
 	for _, c := range r.Controllers {
-		forwarded += c.HandedPerS
-		if c.Leads {
+		forwarded += c.ForwardedPerS
+		if c.IsLeader {
 			leaders++
 		}
-		if c.Cores <= 0 || c.MemoryMB <= 0 || c.Files <= 0 || len(c.CoreS) == 0 {
+		if c.Cores <= 0 || c.MemoryMB <= 0 || c.Files <= 0 || len(c.StepSecondsPerS) == 0 {
 			t.Errorf("controller: %+v", c)
 		}
 	}
 	if leaders != 1 || forwarded == 0 {
-		t.Errorf("%d leaders, %.1f reports handed on a second", leaders, forwarded)
+		t.Errorf("%d leaders, %.1f heartbeats forwarded per second; want 1 leader and forwarded heartbeats", leaders, forwarded)
 	}
-	if w := r.Workers; w.BytesPerS <= 0 || w.ReportsPerS < 0.5 || w.ReportsPerS > 4 || w.MemoryMBEach <= 0 {
+	if w := r.Workers; w.BytesPerS <= 0 || w.HeartbeatsPerS < 0.5 || w.HeartbeatsPerS > 4 || w.MemoryMBEach <= 0 {
 		t.Errorf("workers: %+v", w)
 	}
 	if r.ChangesPerS["accept"] == 0 || r.ChangesPerS["placement"] == 0 || r.RequestsPerS["watch"] == 0 {
@@ -149,7 +149,8 @@
 	}
 }
 
-// A run that can't be made is rejected before anything is started.
+// Settings that exceed a limit of the machine or contradict each other are rejected before any process
+// starts.
 func TestImpossibleRunsAreRejected(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"processes are needed":   func(s *Settings) { s.Regions, s.Controllers = 5, 90 },
@@ -189,21 +190,22 @@
 		}
 	}
 	if _, err := Load("no-such-file.toml"); err == nil {
-		t.Error("a file that doesn't exist was read")
+		t.Error("Load of a missing file returned no error")
 	}
 	d := Defaults()
 	if err := d.Check(); err != nil {
-		t.Errorf("the defaults: %v", err)
+		t.Errorf("check of the defaults: %v", err)
 	}
 }
 
-// When this process can open no more files, the run ends with that error and the service isn't blamed.
+// If this process reaches its limit of open files, the run ends with that error, so that it is not counted
+// as a failure of the service.
 func TestOutOfFilesEndsTheRun(t *testing.T) {
 	stopped := false
 	o := &run{stop: func() { stopped = true }}
 	o.requestFailed(errors.New("reset"))
 	if o.failure() != nil || stopped {
-		t.Error("another failure ends the run")
+		t.Error("the run ended because of another error")
 	}
 	o.requestFailed(&net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)})
 	if err := o.failure(); err == nil || !stopped || !strings.Contains(err.Error(), "files") {
@@ -211,7 +213,7 @@
 	}
 }
 
-// A gang runs once all its tasks are placed, and breaks once when one of them stops.
+// A gang is reported complete when all its tasks are placed, and broken, once, when one of them stops.
 func TestGangsRunAndBreak(t *testing.T) {
 	g := newGangs()
 	g.add("j-1", 2)
@@ -224,23 +226,23 @@
 		attempt uint64
 		want    gangChange
 	}{
-		{hollow.TaskOn, 0, 1, gangUnchanged},
-		{hollow.TaskOn, 0, 1, gangUnchanged}, // repeated
-		{hollow.TaskOff, 0, 1, gangUnchanged},
-		{hollow.TaskOn, 0, 1, gangUnchanged},
-		{hollow.TaskOn, 1, 1, gangComplete},
-		{hollow.TaskOff, 0, 1, gangBroken},
-		{hollow.TaskOff, 1, 1, gangUnchanged}, // reported once
-		{hollow.TaskOn, 1, 2, gangUnchanged},
-		{hollow.TaskOn, 0, 2, gangComplete},
+		{hollow.TaskPlaced, 0, 1, gangUnchanged},
+		{hollow.TaskPlaced, 0, 1, gangUnchanged}, // repeated
+		{hollow.TaskRemoved, 0, 1, gangUnchanged},
+		{hollow.TaskPlaced, 0, 1, gangUnchanged},
+		{hollow.TaskPlaced, 1, 1, gangComplete},
+		{hollow.TaskRemoved, 0, 1, gangBroken},
+		{hollow.TaskRemoved, 1, 1, gangUnchanged}, // reported once
+		{hollow.TaskPlaced, 1, 2, gangUnchanged},
+		{hollow.TaskPlaced, 0, 2, gangComplete},
 		{hollow.TaskDone, 0, 2, gangUnchanged},
-		{hollow.TaskOff, 0, 2, gangUnchanged}, // the gang has completed
+		{hollow.TaskRemoved, 0, 2, gangUnchanged}, // the gang has completed
 	} {
 		if got := change(step.kind, step.task, step.attempt); got != step.want {
 			t.Errorf("step %d: %v, want %v", i, got, step.want)
 		}
 	}
-	if got := g.taskChanged(&hollow.Task{Kind: hollow.TaskOn, Job: "j-2"}); got != gangUnchanged {
-		t.Errorf("a job that is no gang: %v", got)
+	if got := g.taskChanged(&hollow.Task{Kind: hollow.TaskPlaced, Job: "j-2"}); got != gangUnchanged {
+		t.Errorf("job that is not a gang: %v, want gangUnchanged", got)
 	}
 }
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -1,6 +1,6 @@
-// Package scale measures the control plane at a size for which there are no machines: real
-// controller processes, hollow workers, and emulators of the state service and the cloud, on
-// loopback sockets without proxies.
+// Package scale measures the control plane with more workers than there are machines. A run consists of
+// real controller processes, hollow workers, and emulators of the state service and the cloud, connected
+// by loopback sockets without proxies.
 package scale
 
 import (
@@ -16,16 +16,16 @@
 	"coralhub/wire"
 )
 
-// Settings describe what is measured. All counts are per region.
+// Settings are the settings of a run. All counts except Regions are per region.
 type Settings struct {
-	Regions     int     `toml:"regions" json:"regions"` // equal and independent
+	Regions     int     `toml:"regions" json:"regions"` // independent regions with the same settings
 	Workers     int     `toml:"workers" json:"workers"`
 	Zones       int     `toml:"zones" json:"zones"`
 	Controllers int     `toml:"controllers" json:"controllers"`
 	Teams       int     `toml:"teams" json:"teams"`
-	StartsPerS  float64 `toml:"starts_per_s" json:"starts_per_s"` // of tasks
-	// The measurement lasts for DurationS and starts RampS after the first submissions. No jobs are
-	// submitted in the SettleS after it, in which the others may end.
+	StartsPerS  float64 `toml:"starts_per_s" json:"starts_per_s"` // task starts
+	// The measurement starts RampS after the start of the load and lasts for DurationS. After it no jobs
+	// are submitted, and the run waits up to SettleS until all accepted jobs have ended.
 	RampS     float64 `toml:"ramp_s" json:"ramp_s"`
 	DurationS float64 `toml:"duration_s" json:"duration_s"`
 	SettleS   float64 `toml:"settle_s" json:"settle_s"`
@@ -62,7 +62,7 @@
 	WriteRPS float64 `toml:"write_rps" json:"write_rps"`
 	ValueKB  float64 `toml:"value_kb" json:"value_kb"`
 	TxnOps   int     `toml:"txn_ops" json:"txn_ops"`
-	DelayMS  float64 `toml:"delay_ms" json:"delay_ms"` // added to each answer
+	DelayMS  float64 `toml:"delay_ms" json:"delay_ms"` // added to each response
 }
 
 // Cloud holds the limits and times of a region's cloud.
@@ -72,18 +72,19 @@
 	BootS    float64 `toml:"boot_s" json:"boot_s"`
 }
 
-// Limits are those of a controller process.
+// Limits holds the limits of a controller process.
 type Limits struct {
 	MemoryMB       float64 `toml:"memory_mb" json:"memory_mb"`
 	MaxConnections int     `toml:"max_connections" json:"max_connections"`
 }
 
-// Failures are how many of a region's machines fail and restart on a day; Times multiplies both.
+// Failures holds the numbers of machines of a region that fail and restart per day. Both are multiplied by
+// Multiplier.
 type Failures struct {
-	FailedPerDay    float64 `toml:"failed_per_day" json:"failed_per_day"`
-	RestartedPerDay float64 `toml:"restarted_per_day" json:"restarted_per_day"`
-	Times           float64 `toml:"times" json:"times"`
-	AwayS           float64 `toml:"away_s" json:"away_s"` // duration of a restart
+	FailedPerDay     float64 `toml:"failed_per_day" json:"failed_per_day"`
+	RestartedPerDay  float64 `toml:"restarted_per_day" json:"restarted_per_day"`
+	Multiplier       float64 `toml:"times" json:"times"`
+	RestartDurationS float64 `toml:"away_s" json:"away_s"` // duration of a restart
 }
 
 // Class is a class of jobs.
@@ -92,16 +93,16 @@
 	Shape     string    `toml:"shape" json:"shape"`       // array or gang
 	Priority  string    `toml:"priority" json:"priority"` // production, high, normal or low
 	Share     float64   `toml:"share" json:"share"`       // of all task starts, relative to the other classes
-	Tasks     []int     `toml:"tasks" json:"tasks"`       // sizes, each with the same probability
-	GPUs      float64   `toml:"gpus" json:"gpus"`         // of a task
-	RunS      []float64 `toml:"run_s" json:"run_s"`       // least and greatest run time
+	Tasks     []int     `toml:"tasks" json:"tasks"`       // numbers of tasks of a job, each with the same probability
+	GPUs      float64   `toml:"gpus" json:"gpus"`         // per task
+	RunS      []float64 `toml:"run_s" json:"run_s"`       // minimum and maximum run time of a task
 	Urgent    bool      `toml:"urgent" json:"urgent"`
 	Cancelled float64   `toml:"cancelled" json:"cancelled"` // fraction of the jobs that are cancelled
 }
 
-// Defaults returns the settings of one region of the target: a fifth of 23,000 workers, 4,200 task
-// starts per second, 1,100 teams and 45 controllers, with today's largest limits of a state service
-// and a controller.
+// Defaults returns the settings of one region of the target, which is a fifth of 23,000 workers, 4,200
+// task starts per second, 1,100 teams and 45 controllers. The limits of the state service and of a
+// controller are the largest that are in use.
 func Defaults() Settings {
 	return Settings{
 		Regions: 1, Workers: 4600, Zones: 3, Controllers: 9, Teams: 220, StartsPerS: 840, RampS: 30, DurationS: 60, SettleS: 40, Seed: 1,
@@ -110,7 +111,7 @@
 		State:    State{RPS: 400, WriteRPS: 150, ValueKB: 8, TxnOps: 12, DelayMS: 3},
 		Cloud:    Cloud{RPS: 8, ListLagS: 8, BootS: 5},
 		Limits:   Limits{MemoryMB: 356, MaxConnections: 3744},
-		Failures: Failures{FailedPerDay: 62, RestartedPerDay: 1340, Times: 10, AwayS: 3},
+		Failures: Failures{FailedPerDay: 62, RestartedPerDay: 1340, Multiplier: 10, RestartDurationS: 3},
 		Classes: []Class{
 			{Name: "urgent", Shape: "array", Priority: "production", Share: 0.02, Tasks: []int{1}, GPUs: 1, RunS: []float64{5, 20}, Urgent: true},
 			{Name: "array", Shape: "array", Priority: "normal", Share: 0.88, Tasks: []int{16, 32, 64, 128}, GPUs: 1, RunS: []float64{10, 40}, Cancelled: 0.02},
@@ -122,8 +123,8 @@
 //go:embed settings.schema.json
 var schemaText []byte
 
-// Load reads settings from a file over the defaults; without a name it returns the defaults. Its
-// errors are one line that names the file and what is wrong.
+// Load returns the defaults overridden by the settings of a file, or the defaults if file is empty. Its
+// errors are one line that names the file and the invalid setting.
 func Load(file string) (Settings, error) {
 	s := Defaults()
 	if file == "" {
@@ -139,7 +140,7 @@
 	return s, nil
 }
 
-// Parse parses settings over the defaults. Classes replace the default ones.
+// Parse returns the defaults overridden by the settings in raw (TOML). Classes replace all default classes.
 func Parse(raw []byte) (Settings, error) {
 	s := Defaults()
 	var doc any
@@ -160,7 +161,7 @@
 	return s, s.Check()
 }
 
-// Check rejects settings that fit the schema and can't be run.
+// Check returns an error if the settings are inconsistent or out of range, also if they match the schema.
 func (s *Settings) Check() error {
 	switch {
 	case s.Regions < 1 || s.Workers < 1 || s.Zones < 1 || s.Controllers < 1 || s.Teams < 1:
@@ -190,23 +191,23 @@
 }
 
 const (
-	teamLimitFactor = 4
-	leastTeamLimit  = 640 // GPUs
+	teamLimitFactor  = 4
+	minTeamLimitGPUs = 640
 )
 
-// teamGuarantee returns each team's guaranteed GPUs: an equal part of all.
+// teamGuarantee returns the guaranteed GPUs of each team, which is an equal part of all GPUs of a region.
 func (s *Settings) teamGuarantee() float64 {
 	return float64(s.Workers) * s.Machine.GPUs / float64(s.Teams)
 }
 
-// teamLimit returns each team's maximum of GPUs: four times its guarantee, and no less than a gang of
-// 512 tasks needs where a region has as many GPUs.
+// teamLimit returns the maximum number of GPUs of each team: four times its guarantee, but at least
+// minTeamLimitGPUs, which is enough for a gang of 512 tasks of one GPU, and at most all GPUs of the region.
 func (s *Settings) teamLimit() float64 {
 	all := float64(s.Workers) * s.Machine.GPUs
-	return min(all, max(teamLimitFactor*s.teamGuarantee(), leastTeamLimit))
+	return min(all, max(teamLimitFactor*s.teamGuarantee(), minTeamLimitGPUs))
 }
 
-// zoneNames returns the zones of a region.
+// zoneNames returns the names of a region's zones.
 func (s *Settings) zoneNames() []string {
 	names := make([]string, s.Zones)
 	for i := range names {
@@ -215,7 +216,7 @@
 	return names
 }
 
-// cluster returns the description of a region's cluster for its controllers.
+// cluster returns the cluster section of the configuration of a region's controllers.
 func (s *Settings) cluster() config.Cluster {
 	c := config.Cluster{Size: s.Controllers, Zones: s.zoneNames(), SkewMS: 25,
 		Workers: config.Workers{ReportS: s.Protocol.ReportS, LeaseS: s.Protocol.LeaseS, GangWaitS: s.Protocol.GangWaitS, GangPeerS: s.Protocol.GangPeerS, CancelS: s.Protocol.CancelS},
@@ -229,7 +230,6 @@
 	return c
 }
 
-// teamName returns the name of the i-th team.
 func teamName(i int) string { return fmt.Sprintf("team-%d", i) }
 
 // machineType returns the only machine type that the cloud offers.
@@ -238,7 +238,7 @@
 		Price: 4, SpotPrice: 2, BootS: s.Cloud.BootS, Zones: s.zoneNames()}
 }
 
-// meanTasks returns the mean number of tasks of the class's jobs.
+// meanTasks returns the mean number of tasks per job.
 func (c *Class) meanTasks() float64 {
 	sum := 0
 	for _, n := range c.Tasks {
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -21,7 +21,7 @@
 	maxCancelDelay = 10 * time.Second // from the acceptance of a job to its cancellation
 )
 
-// users submit, poll and cancel a region's jobs.
+// users simulates the users of a region, who submit, poll and cancel jobs.
 type users struct {
 	region *region
 	client *jobclient.Client
@@ -29,15 +29,15 @@
 	mu        sync.Mutex
 	ready     []string // addresses of the controllers that are ready
 	submitted map[string]*submission
-	errors    map[string]int // unsuccessful answers, by request and status
+	errors    map[string]int // unsuccessful responses, by request and status; status 0 if there was no response
 }
 
 // submission is a submitted job.
 type submission struct {
 	class       *Class
 	tasks       int
-	submittedAt int64 // when it was first submitted, Unix time in microseconds
-	acceptedAt  int64 // 0: not yet
+	submittedAt int64 // time of the first attempt to submit it, Unix microseconds
+	acceptedAt  int64 // Unix microseconds; 0 if it is not accepted
 	ended       bool
 }
 
@@ -51,7 +51,7 @@
 	return u
 }
 
-// probe probes which controllers are ready, until ctx ends.
+// probe determines at intervals which controllers are ready, until ctx ends.
 func (u *users) probe(ctx context.Context) {
 	probeAll := func() {
 		var ready []string
@@ -68,7 +68,8 @@
 	wait.Every(ctx, probeInterval, probeAll)
 }
 
-// pickNode returns the address of a random controller that is ready, or of any if none is known to be.
+// pickNode returns the address of a random ready controller, or of any controller if none is known to be
+// ready.
 func (u *users) pickNode() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -78,8 +79,8 @@
 	return u.region.controllers[rand.IntN(len(u.region.controllers))].listen
 }
 
-// submitUntil submits a class's jobs at random times until ctx ends. The submitted jobs are followed
-// until followCtx ends.
+// submitUntil submits jobs of a class at random times until ctx ends. Submitted jobs are polled until they
+// end or followCtx ends.
 func (u *users) submitUntil(ctx, followCtx context.Context, class int, rnd *rand.Rand, followed *sync.WaitGroup) {
 	s := u.region.settings
 	c := &s.Classes[class]
@@ -101,10 +102,10 @@
 	}
 }
 
-// minEstimateS bounds the estimates of jobs from below, in seconds.
+// minEstimateS is the minimum run-time estimate of a job, in seconds.
 const minEstimateS = 0.1
 
-// drawJob draws the class's next job.
+// drawJob returns a job of the class with random run time, team and size.
 func (c *Class) drawJob(rnd *rand.Rand, s *Settings, class, number int) *drawnJob {
 	runS := c.RunS[0] + rnd.Float64()*(c.RunS[1]-c.RunS[0])
 	team := teamName(rnd.IntN(s.Teams))
@@ -128,13 +129,13 @@
 	}
 }
 
-// drawnJob is a job and how long each of its tasks runs, in seconds.
+// drawnJob is a job with the run time of each of its tasks, in seconds.
 type drawnJob struct {
 	wire.Job
 	runS float64
 }
 
-// follow submits a job and polls it until it has ended or ctx ends.
+// follow submits a job and, once accepted, polls it until it has ended or ctx ends.
 func (u *users) follow(ctx context.Context, c *Class, j *drawnJob, cancelIn time.Duration) {
 	r := u.region
 	if j.Shape == wire.Gang {
@@ -162,7 +163,8 @@
 	u.mu.Unlock()
 }
 
-// poll polls a job until it has ended, and cancels it if cancelIn is above 0.
+// poll polls a job until it has ended or ctx ends. If cancelIn is above 0, it cancels the job after that
+// time.
 func (u *users) poll(ctx context.Context, id string, cancelIn time.Duration) {
 	u.client.Follow(ctx, id, cancelIn, func(a *jobclient.Answer) { u.recordAnswer(id, invariants.ByPoll, a) }, func() {
 		u.region.record(invariants.Event{At: now(), Kind: invariants.CancelRequested, Job: id})
@@ -170,12 +172,13 @@
 	})
 }
 
-// retry makes a request until it is accepted.
+// retry sends a request and retries it as jobclient.Client.Repeat does. It reports whether the request was
+// accepted.
 func (u *users) retry(ctx context.Context, id, via, path string, body []byte) bool {
 	return u.client.Repeat(ctx, http.MethodPost, path, body, func(a *jobclient.Answer) { u.recordAnswer(id, via, a) })
 }
 
-// recordAnswer records an answer to a user.
+// recordAnswer records the result of a user's request.
 func (u *users) recordAnswer(id, via string, a *jobclient.Answer) {
 	u.region.record(invariants.Event{At: now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
 	if !a.Accepted() {
@@ -185,7 +188,7 @@
 	}
 }
 
-// submissions returns the submitted jobs by their ids.
+// submissions returns copies of the submitted jobs, by job id.
 func (u *users) submissions() map[string]submission {
 	u.mu.Lock()
 	defer u.mu.Unlock()
