--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity extrapolates what each role of a deployment takes at sizes that were
-// not measured, from slopes that were. The data are in slopes.toml; totals are computed,
-// never edited.
+// Package capacity extrapolates the resources that each role of a deployment needs at sizes that were not
+// measured, from measured slopes. The data are in slopes.toml. Totals are always computed from them, never
+// stored.
 package capacity
 
 import (
@@ -15,77 +15,79 @@
 )
 
 //go:embed slopes.toml
-var data []byte
+var embeddedData []byte
 
-// Data is the measured slopes, the situations that they are extrapolated to, and the rows of
-// the resulting tables.
+// Data holds the measured slopes, the situations to which they are extrapolated, and the rows of the
+// resulting tables.
 type Data struct {
 	Slopes     []Slope     `toml:"slope"`
 	Situations []Situation `toml:"situation"`
 	Rows       []Row       `toml:"row"`
 }
 
-// Slope is a measured cost of one unit of a driver.
+// Slope is a cost that was measured at several amounts of a driver, the quantity that the cost depends on.
 type Slope struct {
 	ID     string       `toml:"id"`
-	What   string       `toml:"what"`   // the cost, in words
-	Unit   string       `toml:"unit"`   // of the cost
-	Driver string       `toml:"driver"` // what it grows with, in words
-	Points [][2]float64 `toml:"points"` // measured pairs of an amount of the driver and the cost
-	From   string       `toml:"from"`   // the command that measures the points
+	Cost   string       `toml:"what"`   // description of the cost
+	Unit   string       `toml:"unit"`   // unit of the cost
+	Driver string       `toml:"driver"` // description of one unit of the driver
+	Points [][2]float64 `toml:"points"` // measured pairs of amount of the driver and cost
+	Source string       `toml:"from"`   // command that measures the points
 }
 
-// Fit is the regression line of a slope's points.
+// Fit is the regression line through a slope's points.
 type Fit struct {
-	PerUnit   float64
-	Intercept float64
-	Spread    float64 // root mean square of the residuals
-	Top       float64 // the largest measured amount of the driver
+	PerUnit     float64 // cost per unit of the driver
+	Intercept   float64
+	ResidualRMS float64 // root mean square of the residuals
+	MaxAmount   float64 // largest measured amount of the driver
 }
 
-// Situation is a load of a region, by driver.
+// Situation is a load of a region.
 type Situation struct {
-	Name    string             `toml:"name"`
-	About   string             `toml:"about"`
-	Drivers map[string]float64 `toml:"drivers"`
+	Name        string             `toml:"name"`
+	Description string             `toml:"about"`
+	Drivers     map[string]float64 `toml:"drivers"` // amounts, by driver
 }
 
-// Row is what a role takes of a resource: the sum of its terms.
+// Row is the amount of a resource that a role needs. It is the sum of the terms.
 type Row struct {
-	Role      string   `toml:"role"`
-	What      string   `toml:"what"`
-	Unit      string   `toml:"unit"`
-	Limit     float64  `toml:"limit"` // 0: none
-	LimitFrom string   `toml:"limit_from"`
-	Terms     []Term   `toml:"term"` // summands
-	Only      []string `toml:"only"` // situations that it is computed for; empty: all
-	Mechanism string   `toml:"mechanism"`
+	Role        string   `toml:"role"`
+	Resource    string   `toml:"what"`
+	Unit        string   `toml:"unit"`
+	Limit       float64  `toml:"limit"`      // 0 if there is none
+	LimitSource string   `toml:"limit_from"` // origin of the limit
+	Terms       []Term   `toml:"term"`
+	Situations  []string `toml:"only"`      // names of situations for which it is computed; all if empty
+	Mechanism   string   `toml:"mechanism"` // how the design handles the load
 }
 
-// Term is a summand of a row: a slope times the amount of a driver.
+// Term is a summand of a row: the product of a slope and the amount of a driver.
 type Term struct {
-	Slope string `toml:"slope"` // "": none, the term is Times times the driver
-	// InterceptOf names a slope whose intercept is the cost of one unit of the driver, for a cost
-	// that was measured against a ratio of two drivers.
+	Slope string `toml:"slope"` // id; if empty, the term is Factor times the amount of the driver
+	// InterceptOf is the id of a slope whose intercept is the cost per unit of the driver. It is for costs
+	// that were measured against a ratio of two drivers.
 	InterceptOf string `toml:"intercept_of"`
-	// Ratio names the denominator if the slope's driver is a ratio: how far the term goes beyond what
-	// was measured is judged by the ratio.
-	Ratio     string  `toml:"ratio_to"`
-	Driver    string  `toml:"driver"`    // of the situation; "": the term is Times alone
-	Times     float64 `toml:"times"`     // 0 means 1
-	Intercept bool    `toml:"intercept"` // add the slope's intercept
+	// Denominator is the driver in the denominator if the slope was measured against a ratio of two drivers.
+	// The extrapolation ratio of the term is then computed from that ratio.
+	Denominator string  `toml:"ratio_to"`
+	Driver      string  `toml:"driver"`    // of the situation; if empty, its amount is 1
+	Factor      float64 `toml:"times"`     // 1 if it is 0
+	Intercept   bool    `toml:"intercept"` // add Factor times the slope's intercept
 }
 
-// Total is a row in a situation.
+// Total is the value of a row in a situation.
 type Total struct {
-	Row       *Row
-	Value     float64
-	Stretched float64 // the largest ratio of a driver's amount to its largest measured amount
+	Row   *Row
+	Value float64
+	// ExtrapolationRatio is the largest ratio, over all terms, of the amount of a driver to its largest measured
+	// amount. It is 0 if no term has a slope.
+	ExtrapolationRatio float64
 }
 
-// Over returns the ratio of a total to its limit: more than 1 if it exceeds the limit, 0 if there is
-// none.
-func (t *Total) Over() float64 {
+// LimitRatio returns the ratio of the total to the limit of its row. It is above 1 if the limit is exceeded,
+// and 0 if there is no limit.
+func (t *Total) LimitRatio() float64 {
 	if t.Row.Limit <= 0 {
 		return 0
 	}
@@ -93,18 +95,18 @@
 }
 
 // Load returns the embedded data.
-func Load() (*Data, error) { return Parse(data) }
+func Load() (*Data, error) { return Parse(embeddedData) }
 
-// Parse parses and checks data. Its errors name the invalid entry.
+// Parse parses and checks data in the format of slopes.toml. Its errors name the invalid entry.
 func Parse(raw []byte) (*Data, error) {
 	d := &Data{}
 	if err := toml.Unmarshal(raw, d); err != nil {
-		return nil, fmt.Errorf("capacity: %w", err)
+		return nil, fmt.Errorf("capacity: parse data: %w", err)
 	}
 	return d, d.check()
 }
 
-// minPoints is the least number of points of a slope.
+// minPoints is the minimum number of points of a slope.
 const minPoints = 3
 
 func (d *Data) check() error {
@@ -112,7 +114,7 @@
 		return err
 	}
 	if len(d.Situations) == 0 {
-		return errors.New("capacity: no situation")
+		return errors.New("capacity: data must have at least one situation")
 	}
 	for i := range d.Rows {
 		if err := d.checkRow(&d.Rows[i]); err != nil {
@@ -126,28 +128,28 @@
 	known := map[string]bool{}
 	for i := range d.Slopes {
 		s := &d.Slopes[i]
-		incomplete := s.ID == "" || len(s.Points) < minPoints || s.From == "" || s.Unit == ""
+		incomplete := s.ID == "" || len(s.Points) < minPoints || s.Source == "" || s.Unit == ""
 		if incomplete || known[s.ID] {
-			return fmt.Errorf("capacity: slope %q: it needs an id of its own, a unit, three points or more, and where they are from", s.ID)
+			return fmt.Errorf("capacity: slope %q: needs a unique id, a unit, at least three points and a source (from)", s.ID)
 		}
 		known[s.ID] = true
 		if f := s.Fit(); math.IsNaN(f.PerUnit) || math.IsInf(f.PerUnit, 0) {
-			return fmt.Errorf("capacity: slope %q: its points are all of one amount", s.ID)
+			return fmt.Errorf("capacity: slope %q: all points have the same driver amount", s.ID)
 		}
 	}
 	return nil
 }
 
-// checkRow checks that the slopes, drivers and situations that a row names exist.
+// checkRow checks that the slopes, drivers and situations to which a row refers exist.
 func (d *Data) checkRow(r *Row) error {
 	for i := range r.Terms {
 		if err := d.checkTerm(r, &r.Terms[i]); err != nil {
 			return err
 		}
 	}
-	for _, name := range r.Only {
+	for _, name := range r.Situations {
 		if !slices.ContainsFunc(d.Situations, func(s Situation) bool { return s.Name == name }) {
-			return fmt.Errorf("capacity: %s, %s: no situation %q", r.Role, r.What, name)
+			return fmt.Errorf("capacity: %s, %s: no situation %q", r.Role, r.Resource, name)
 		}
 	}
 	return nil
@@ -156,7 +158,7 @@
 func (d *Data) checkTerm(r *Row, t *Term) error {
 	for _, id := range []string{t.Slope, t.InterceptOf} {
 		if id != "" && d.slope(id) == nil {
-			return fmt.Errorf("capacity: %s, %s: no slope %q", r.Role, r.What, id)
+			return fmt.Errorf("capacity: %s, %s: no slope %q", r.Role, r.Resource, id)
 		}
 	}
 	for i := range d.Situations {
@@ -164,34 +166,34 @@
 		if !r.appliesTo(s.Name) {
 			continue
 		}
-		for _, driver := range []string{t.Driver, t.Ratio} {
+		for _, driver := range []string{t.Driver, t.Denominator} {
 			if _, known := s.Drivers[driver]; driver != "" && !known {
-				return fmt.Errorf("capacity: %s, %s: situation %q has no driver %q", r.Role, r.What, s.Name, driver)
+				return fmt.Errorf("capacity: %s, %s: situation %q has no driver %q", r.Role, r.Resource, s.Name, driver)
 			}
 		}
 	}
 	return nil
 }
 
-// Fit returns the regression line of the points, by least squares.
+// Fit returns the least-squares regression line through the points.
 func (s *Slope) Fit() Fit {
 	var xs, ys []float64
 	f := Fit{}
 	for _, p := range s.Points {
 		xs = append(xs, p[0])
 		ys = append(ys, p[1])
-		f.Top = max(f.Top, p[0])
+		f.MaxAmount = max(f.MaxAmount, p[0])
 	}
 	f.Intercept, f.PerUnit = stat.LinearRegression(xs, ys, nil, false)
 	for i := range xs {
 		residual := ys[i] - f.Intercept - f.PerUnit*xs[i]
-		f.Spread += residual * residual / float64(len(xs))
+		f.ResidualRMS += residual * residual / float64(len(xs))
 	}
-	f.Spread = math.Sqrt(f.Spread)
+	f.ResidualRMS = math.Sqrt(f.ResidualRMS)
 	return f
 }
 
-// slope returns the slope of an id, or nil.
+// slope returns the slope with an id, or nil if there is none.
 func (d *Data) slope(id string) *Slope {
 	i := slices.IndexFunc(d.Slopes, func(s Slope) bool { return s.ID == id })
 	if i < 0 {
@@ -202,10 +204,10 @@
 
 // appliesTo reports whether the row is computed for a situation.
 func (r *Row) appliesTo(situation string) bool {
-	return len(r.Only) == 0 || slices.Contains(r.Only, situation)
+	return len(r.Situations) == 0 || slices.Contains(r.Situations, situation)
 }
 
-// Totals computes the rows for a situation.
+// Totals computes all rows that apply to a situation.
 func (d *Data) Totals(s *Situation) []Total {
 	var totals []Total
 	for i := range d.Rows {
@@ -215,21 +217,21 @@
 		}
 		t := Total{Row: r}
 		for _, term := range r.Terms {
-			value, stretched := d.term(&term, s)
+			value, extrapolation := d.term(&term, s)
 			t.Value += value
-			t.Stretched = max(t.Stretched, stretched)
+			t.ExtrapolationRatio = max(t.ExtrapolationRatio, extrapolation)
 		}
 		totals = append(totals, t)
 	}
 	return totals
 }
 
-// term returns the value of a term, and the ratio of the driver's amount to its largest measured
-// amount; 0 if the term has no slope.
-func (d *Data) term(t *Term, s *Situation) (value, stretched float64) {
-	times := t.Times
-	if times == 0 {
-		times = 1
+// term returns the value of a term, and the ratio of the driver's amount to its largest measured amount. The
+// ratio is 0 if the term has no slope.
+func (d *Data) term(t *Term, s *Situation) (value, extrapolation float64) {
+	factor := t.Factor
+	if factor == 0 {
+		factor = 1
 	}
 	amount := 1.0
 	if t.Driver != "" {
@@ -237,17 +239,17 @@
 	}
 	switch {
 	case t.InterceptOf != "":
-		return times * amount * d.slope(t.InterceptOf).Fit().Intercept, 0
+		return factor * amount * d.slope(t.InterceptOf).Fit().Intercept, 0
 	case t.Slope == "":
-		return times * amount, 0
+		return factor * amount, 0
 	}
 	f := d.slope(t.Slope).Fit()
-	value = times * amount * f.PerUnit
+	value = factor * amount * f.PerUnit
 	if t.Intercept {
-		value += times * f.Intercept
+		value += factor * f.Intercept
 	}
-	if ratio := s.Drivers[t.Ratio]; ratio > 0 {
-		amount /= ratio
+	if denominator := s.Drivers[t.Denominator]; denominator > 0 {
+		amount /= denominator
 	}
-	return value, amount / f.Top
+	return value, amount / f.MaxAmount
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// docs/CAPACITY.md is what the slopes give.
+// docs/CAPACITY.md is the page that is generated from slopes.toml.
 func TestPageIsUpToDate(t *testing.T) {
 	var page bytes.Buffer
 	if err := Write(&page); err != nil {
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(committed, page.Bytes()) {
-		t.Error("docs/CAPACITY.md is not what the slopes give: coralhub capacity --write docs/CAPACITY.md")
+		t.Error("docs/CAPACITY.md is out of date; run coralhub capacity --write docs/CAPACITY.md")
 	}
 }
 
@@ -57,11 +57,11 @@
 		t.Fatal(err)
 	}
 	f := d.Slopes[0].Fit()
-	if math.Abs(f.PerUnit-2) > 1e-9 || math.Abs(f.Intercept-10) > 1e-9 || f.Spread > 1e-9 || f.Top != 3 {
+	if math.Abs(f.PerUnit-2) > 1e-9 || math.Abs(f.Intercept-10) > 1e-9 || f.ResidualRMS > 1e-9 || f.MaxAmount != 3 {
 		t.Errorf("%+v", f)
 	}
 	totals := d.Totals(&d.Situations[0])
-	if len(totals) != 1 || math.Abs(totals[0].Value-(28+2+9)) > 1e-9 || totals[0].Stretched != 3 || math.Abs(totals[0].Over()-39.0/20) > 1e-9 {
+	if len(totals) != 1 || math.Abs(totals[0].Value-(28+2+9)) > 1e-9 || totals[0].ExtrapolationRatio != 3 || math.Abs(totals[0].LimitRatio()-39.0/20) > 1e-9 {
 		t.Errorf("%+v", totals)
 	}
 	var page bytes.Buffer
@@ -74,9 +74,9 @@
 func TestInvalidDataIsRejected(t *testing.T) {
 	for change, want := range map[string]string{
 		`id = "a"|id = ""`:                                        "slope",
-		`[[1, 12], [2, 14], [3, 16]]|[[1, 12]]`:                   "three points",
-		`[[1, 12], [2, 14], [3, 16]]|[[1, 12], [1, 13], [1, 14]]`: "one amount",
-		`from = "a run"|from = ""`:                                "where they are from",
+		`[[1, 12], [2, 14], [3, 16]]|[[1, 12]]`:                   "at least three points",
+		`[[1, 12], [2, 14], [3, 16]]|[[1, 12], [1, 13], [1, 14]]`: "same driver amount",
+		`from = "a run"|from = ""`:                                "a source (from)",
 		`slope = "a"|slope = "b"`:                                 `no slope "b"`,
 		`driver = "jobs"|driver = "days"`:                         `no driver "days"`,
 		`limit = 20|only = ["night"]`:                             `no situation "night"`,
@@ -91,7 +91,7 @@
 
 func TestNumber(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 1234.4: "1234", 12.34: "12.3", 0.01234: "0.0123", 4600: "4600", -2.5: "-2.50"} {
-		if got := Number(v); got != want {
+		if got := FormatNumber(v); got != want {
 			t.Errorf("%v: %s, want %s", v, got, want)
 		}
 	}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -11,17 +11,17 @@
 	"strings"
 )
 
-// Page writes the totals, slopes and fits as a page of Markdown, after a preface.
+// Page writes the preface, followed by the totals, slopes and fits, as a page of Markdown.
 func (d *Data) Page(out io.Writer, preface string) error {
 	var b strings.Builder
 	b.WriteString(strings.TrimRight(preface, "\n") + "\n")
 	for i := range d.Situations {
 		s := &d.Situations[i]
-		fmt.Fprintf(&b, "\n## %s\n\n%s\n\n", s.Name, s.About)
-		fmt.Fprintf(&b, "Drivers: %s.\n\n", drivers(s))
+		fmt.Fprintf(&b, "\n## %s\n\n%s\n\n", s.Name, s.Description)
+		fmt.Fprintf(&b, "Drivers: %s.\n\n", formatDrivers(s))
 		b.WriteString("| role | what | amount | limit | of the limit | beyond what was measured | carried by |\n| --- | --- | --- | --- | --- | --- | --- |\n")
 		for _, t := range d.Totals(s) {
-			fmt.Fprintf(&b, "| %s | %s | %s %s | %s | %s | %s | %s |\n", t.Row.Role, t.Row.What, Number(t.Value), t.Row.Unit, limit(t.Row), ofLimit(&t), beyond(&t), t.Row.Mechanism)
+			fmt.Fprintf(&b, "| %s | %s | %s %s | %s | %s | %s | %s |\n", t.Row.Role, t.Row.Resource, FormatNumber(t.Value), t.Row.Unit, formatLimit(t.Row), formatLimitRatio(&t), formatExtrapolation(&t), t.Row.Mechanism)
 		}
 	}
 	b.WriteString("\n## Slopes\n\nA line through the measured points by least squares; the spread is the root of the mean squared distance from it.\n\n")
@@ -29,14 +29,14 @@
 	for i := range d.Slopes {
 		s := &d.Slopes[i]
 		f := s.Fit()
-		fmt.Fprintf(&b, "| `%s` | %s, %s | %s | %s | %s | %s | %s | %s |\n", s.ID, s.What, s.Unit, s.Driver, Number(f.PerUnit), Number(f.Intercept), Number(f.Spread), points(s), s.From)
+		fmt.Fprintf(&b, "| `%s` | %s, %s | %s | %s | %s | %s | %s | %s |\n", s.ID, s.Cost, s.Unit, s.Driver, FormatNumber(f.PerUnit), FormatNumber(f.Intercept), FormatNumber(f.ResidualRMS), formatPoints(s), s.Source)
 	}
 	_, err := io.WriteString(out, b.String())
 	return err
 }
 
-// Number formats an amount with three significant digits.
-func Number(v float64) string {
+// FormatNumber formats an amount with three significant digits; integer digits are never cut.
+func FormatNumber(v float64) string {
 	if v == 0 {
 		return "0"
 	}
@@ -47,61 +47,61 @@
 	return strconv.FormatFloat(v, 'f', min(digits, 9), 64)
 }
 
-func drivers(s *Situation) string {
+func formatDrivers(s *Situation) string {
 	var amounts []string
 	for _, name := range slices.Sorted(maps.Keys(s.Drivers)) {
-		amounts = append(amounts, name+" "+Number(s.Drivers[name]))
+		amounts = append(amounts, name+" "+FormatNumber(s.Drivers[name]))
 	}
 	return strings.Join(amounts, ", ")
 }
 
-func limit(r *Row) string {
+func formatLimit(r *Row) string {
 	if r.Limit <= 0 {
 		return "none given"
 	}
-	return Number(r.Limit) + " " + r.Unit + " (" + r.LimitFrom + ")"
+	return FormatNumber(r.Limit) + " " + r.Unit + " (" + r.LimitSource + ")"
 }
 
-// ofLimit formats the ratio to the limit, in bold if the limit is exceeded.
-func ofLimit(t *Total) string {
-	switch over := t.Over(); {
-	case over == 0:
+// formatLimitRatio formats the ratio of a total to its limit, in bold if the limit is exceeded.
+func formatLimitRatio(t *Total) string {
+	switch ratio := t.LimitRatio(); {
+	case ratio == 0:
 		return ""
-	case over > 1:
-		return "**over: x" + Number(over) + "**"
+	case ratio > 1:
+		return "**over: x" + FormatNumber(ratio) + "**"
 	default:
-		return Number(over)
+		return FormatNumber(ratio)
 	}
 }
 
-// beyond formats how far a total goes beyond what was measured.
-func beyond(t *Total) string {
+// formatExtrapolation formats the extrapolation ratio of a total.
+func formatExtrapolation(t *Total) string {
 	switch {
-	case t.Stretched == 0:
+	case t.ExtrapolationRatio == 0:
 		return "not measured"
-	case t.Stretched <= 1:
+	case t.ExtrapolationRatio <= 1:
 		return "no"
 	default:
-		return "x" + Number(t.Stretched)
+		return "x" + FormatNumber(t.ExtrapolationRatio)
 	}
 }
 
-func points(s *Slope) string {
+func formatPoints(s *Slope) string {
 	var amounts []string
 	for _, p := range s.Points {
-		amounts = append(amounts, Number(p[0]))
+		amounts = append(amounts, FormatNumber(p[0]))
 	}
 	return strings.Join(amounts, ", ")
 }
 
 //go:embed page.md
-var capacityPreface string
+var embeddedPreface string
 
-// Write writes the page of the embedded data.
+// Write writes the page of the embedded data, with the embedded preface.
 func Write(out io.Writer) error {
 	d, err := Load()
 	if err != nil {
 		return err
 	}
-	return d.Page(out, capacityPreface)
+	return d.Page(out, embeddedPreface)
 }
