--- a/internal/jobclient/client.go
+++ b/internal/jobclient/client.go
@@ -1,5 +1,5 @@
-// Package jobclient is a client of the service's job API that retries as the protocol asks
-// users to.
+// Package jobclient is a client of the job API that retries requests as the protocol requires of
+// users.
 package jobclient
 
 import (
@@ -15,42 +15,42 @@
 	"coralhub/wire"
 )
 
-// Timeouts and intervals of requests.
+// Timeouts and intervals.
 const (
-	SubmitWait = 5 * time.Second  // timeout of a submission
-	PollWait   = 2 * time.Second  // timeout of a poll
-	TryFor     = 60 * time.Second // how long requests are retried
-	PollEvery  = 5 * time.Second  // poll interval of users who follow a job
+	SubmitTimeout = 5 * time.Second  // timeout of a submission
+	PollTimeout   = 2 * time.Second  // timeout of a poll
+	MaxRetryTime  = 60 * time.Second // maximum time for which a request is retried
+	PollInterval  = 5 * time.Second  // poll interval of users who follow a job
 
-	// Bounds of the pause before a retry, whatever Retry-After says.
+	// Bounds of the delay before a retry; a Retry-After outside of them is clamped.
 	minPause = time.Second
 	maxPause = 30 * time.Second
 )
 
-// Answer is the answer to a request.
+// Answer is the result of a request.
 type Answer struct {
-	Status     int // HTTP status; 0: there was no answer
+	Status     int // HTTP status, or 0 if there was no valid response
 	Job        wire.JobStatus
 	RetryAfter time.Duration
 }
 
-// Accepted reports whether the request succeeded.
+// Accepted reports whether the status is 200 or 201.
 func (a *Answer) Accepted() bool { return a.Status == http.StatusOK || a.Status == http.StatusCreated }
 
-// Refused reports whether a retry is useless.
-func (a *Answer) Refused() bool {
+// Rejected reports whether the request was rejected permanently: it must not be retried.
+func (a *Answer) Rejected() bool {
 	return a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity || a.Status == http.StatusNotFound
 }
 
-// Client makes requests, each to the address that PickNode returns. It is safe for concurrent
-// use if its functions are.
+// Client sends requests, each to the address that PickNode returns. It is safe for concurrent use if
+// PickNode and Failed are.
 type Client struct {
 	HTTP     *http.Client
-	PickNode func() string
-	Failed   func(error) // called with the reason if a request got no answer; may be nil
+	PickNode func() string // returns HOST:PORT
+	Failed   func(error)   // called with the error if a request received no response; may be nil
 }
 
-// Request makes one request. The zero Answer means that there was none.
+// Request sends one request. It returns the zero Answer if there was no valid response.
 func (c *Client) Request(ctx context.Context, timeout time.Duration, method, path string, body []byte) (a Answer) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -80,12 +80,12 @@
 	return a
 }
 
-// Repeat makes a request and retries it until it is accepted or refused, TryFor would be
-// exceeded or ctx ends. It calls onAnswer with each answer and reports whether the request
-// was accepted.
+// Repeat sends a request and retries it until it is accepted or rejected, the next retry would exceed
+// MaxRetryTime, or ctx ends. It calls onAnswer with the result of each attempt and reports whether the
+// request was accepted.
 func (c *Client) Repeat(ctx context.Context, method, path string, body []byte, onAnswer func(*Answer)) bool {
 	for start := time.Now(); ctx.Err() == nil; {
-		a := c.Request(ctx, SubmitWait, method, path, body)
+		a := c.Request(ctx, SubmitTimeout, method, path, body)
 		if ctx.Err() != nil {
 			return false
 		}
@@ -94,7 +94,7 @@
 		switch {
 		case a.Accepted():
 			return true
-		case a.Refused(), time.Since(start)+pause > TryFor, !wait.For(ctx, pause):
+		case a.Rejected(), time.Since(start)+pause > MaxRetryTime, !wait.For(ctx, pause):
 			return false
 		}
 	}
@@ -103,11 +103,11 @@
 
 // Poll requests the status of a job.
 func (c *Client) Poll(ctx context.Context, id string) Answer {
-	return c.Request(ctx, PollWait, http.MethodGet, wire.PathJobs+"/"+id, nil)
+	return c.Request(ctx, PollTimeout, http.MethodGet, wire.PathJobs+"/"+id, nil)
 }
 
-// Follow polls a job until it has ended or ctx ends, and calls onAnswer with each answer. If
-// cancelIn is above 0 it calls cancel once, that long after the call.
+// Follow polls a job until it has ended or ctx ends, and calls onAnswer with the result of each poll. If
+// cancelIn is above 0, it calls cancel once after cancelIn, unless the job has ended before.
 func (c *Client) Follow(ctx context.Context, id string, cancelIn time.Duration, onAnswer func(*Answer), cancel func()) {
 	var cancelAt <-chan time.Time
 	if cancelIn > 0 {
@@ -115,7 +115,7 @@
 		defer t.Stop()
 		cancelAt = t.C
 	}
-	poll := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(PollEvery)))
+	poll := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(PollInterval)))
 	defer poll.Stop()
 	for {
 		select {
@@ -130,23 +130,23 @@
 				return
 			}
 			onAnswer(&a)
-			if a.Over() {
+			if a.Ended() {
 				return
 			}
-			poll.Reset(PollEvery)
+			poll.Reset(PollInterval)
 		}
 	}
 }
 
-// Over reports whether the job has ended, according to the answer.
-func (a *Answer) Over() bool {
+// Ended reports whether the answer has the status of a job that is done or cancelled.
+func (a *Answer) Ended() bool {
 	return a.Status == http.StatusOK && (a.Job.Status == wire.Done || a.Job.Status == wire.Cancelled)
 }
 
 // readyTimeout is the timeout of a readiness probe.
 const readyTimeout = time.Second
 
-// Ready reports whether the node at an address is ready, by the probe that load balancers use.
+// Ready reports whether the node at an address is ready. It uses the same probe as load balancers.
 func Ready(ctx context.Context, client *http.Client, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,6 @@
-// Package load is an open-loop load generator: it submits jobs to a service at random times
-// that don't depend on the answers, and measures the latency that users would have
-// observed. A submission's latency counts from when it was due: a slow answer delays no
-// other submission.
+// Package load is an open-loop load generator. It submits jobs at random times that don't depend on the
+// responses, and measures the latency that users would observe. The latency of a submission is measured
+// from its scheduled time, and a slow response delays no other submission.
 package load
 
 import (
@@ -24,34 +23,35 @@
 // Options describe the load.
 type Options struct {
 	To    []string // HOST:PORT of nodes or of a load balancer
-	Jobs  int
-	Rate  float64 // mean submissions per second
+	Jobs  int      // number of submissions
+	Rate  float64  // mean submissions per second
 	Seed  uint64
-	First int // number in the first job's id
+	First int // number in the id of the first job
 	Spec  wire.Job
-	// Limit bounds the concurrent jobs; submissions that are due beyond it are counted as missed.
+	// Limit is the maximum number of concurrent jobs. A submission that is due while the limit is reached is
+	// not sent and counted as missed.
 	Limit int
-	Wait  bool // follow jobs until they end
+	Wait  bool // poll each job until it ends
 }
 
-// Result is what was measured; times are in seconds.
+// Result holds the measurements. Times are in seconds.
 type Result struct {
 	Jobs     int            `json:"jobs"`
 	Accepted int            `json:"accepted"`
 	Ended    int            `json:"ended"`
-	Missed   int            `json:"missed"` // due while Limit was reached
-	Statuses map[string]int `json:"statuses"`
-	Submit   quantile.Times `json:"submit_s"`
-	End      quantile.Times `json:"end_s"`
+	Missed   int            `json:"missed"`   // due while Limit was reached
+	Statuses map[string]int `json:"statuses"` // responses to submissions, by HTTP status; 0 if there was none
+	Submit   quantile.Times `json:"submit_s"` // until a job was accepted
+	End      quantile.Times `json:"end_s"`    // until a job had ended
 }
 
 const (
 	pollInterval      = time.Second
-	maxMicros         = int64(time.Hour / time.Microsecond) // of a recorded time
+	maxMicros         = int64(time.Hour / time.Microsecond) // largest recorded time
 	significantDigits = 3
 )
 
-// generator is the state of a run.
+// generator is a run of the load generator.
 type generator struct {
 	options     Options
 	client      *jobclient.Client
@@ -61,11 +61,12 @@
 	endTimes    *hdrhistogram.Histogram
 }
 
-// Run generates the load and returns when all jobs are answered, or with Options.Wait
-// ended. It returns an error if the options are invalid or ctx ends.
+// Run generates the load. It returns when all submissions have been accepted or have failed and, with
+// Options.Wait, all accepted jobs except services have ended. It returns an error if the options are
+// invalid or ctx ends.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if len(options.To) == 0 || options.Jobs < 1 || !(options.Rate > 0) || options.Limit < 1 {
-		return nil, fmt.Errorf("load: %d jobs at %v a second, %d at a time, to %d addresses", options.Jobs, options.Rate, options.Limit, len(options.To))
+		return nil, fmt.Errorf("load: invalid options: jobs %d, rate %v, limit %d, addresses %d: all must be above 0", options.Jobs, options.Rate, options.Limit, len(options.To))
 	}
 	g := newGenerator(options)
 	defer g.client.HTTP.CloseIdleConnections()
@@ -90,8 +91,8 @@
 	}
 }
 
-// submitAll starts each job when it is due and waits for all of them. It returns false if
-// ctx ends before all are due.
+// submitAll starts each job at its scheduled time and waits for all started jobs. It returns false if ctx
+// ends before all jobs are due.
 func (g *generator) submitAll(ctx context.Context) bool {
 	rnd := rand.New(rand.NewPCG(g.options.Seed, 1))
 	slots := make(chan struct{}, g.options.Limit)
@@ -120,21 +121,22 @@
 	return true
 }
 
-// update changes the result.
+// update calls change with the result while holding g.mu.
 func (g *generator) update(change func(*Result)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	change(&g.result)
 }
 
-// recordSince records the time since a submission was due.
+// recordSince records the time since a submission was due, clamped to the range of the histogram.
 func (g *generator) recordSince(h *hdrhistogram.Histogram, due time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_ = h.RecordValue(min(max(time.Since(due).Microseconds(), 1), maxMicros)) // within its range
+	_ = h.RecordValue(min(max(time.Since(due).Microseconds(), 1), maxMicros)) // no error: the value is in range
 }
 
-// runJob submits a job and, with Options.Wait, follows it until it ends.
+// runJob submits a job and, with Options.Wait, polls it until it ends. Services are not polled, because
+// they don't end.
 func (g *generator) runJob(ctx context.Context, j *wire.Job, due time.Time) {
 	raw, err := wire.Marshal(j)
 	if err != nil {
@@ -149,7 +151,7 @@
 	g.recordSince(g.submitTimes, due)
 	g.update(func(r *Result) { r.Accepted++ })
 	for g.options.Wait && j.Shape != wire.Service && wait.For(ctx, pollInterval) {
-		if a := g.client.Poll(ctx, j.ID); a.Over() {
+		if a := g.client.Poll(ctx, j.ID); a.Ended() {
 			g.recordSince(g.endTimes, due)
 			g.update(func(r *Result) { r.Ended++ })
 			return
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,13 +12,13 @@
 	"coralhub/wire"
 )
 
-// service simulates a service: it accepts submissions, those with an id that ends in 5 only
-// on a retry, and reports all jobs as done.
+// service is a fake job API. It accepts submissions, those with an id that ends in 5 only when they are
+// retried, and reports all jobs as done.
 type service struct {
 	mu       sync.Mutex
 	rejected map[string]bool
-	gate     chan struct{} // if not nil, requests wait until it is closed
-	arrived  chan struct{} // receives for each request that waits for the gate
+	gate     chan struct{} // if not nil, requests block until it is closed
+	arrived  chan struct{} // receives a value for each request that blocks on gate
 }
 
 func (s *service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -58,7 +58,7 @@
 		Spec: wire.Job{Class: "c", Team: "t", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i"}}
 }
 
-// Rejected submissions are retried, and jobs are followed until they end.
+// Submissions that are answered with 503 are retried, and jobs are polled until they end.
 func TestLoadRetriesAndFollows(t *testing.T) {
 	h := httptest.NewServer(&service{rejected: map[string]bool{}})
 	defer h.Close()
@@ -70,12 +70,12 @@
 		t.Errorf("%+v", res)
 	}
 	if res.Submit.Max < 1 || res.Submit.P50 > res.Submit.Max {
-		t.Errorf("a submission that was to be retried after a second took %v", res.Submit)
+		t.Errorf("submission times %v: a submission that is retried after 1 s must take 1 s or more", res.Submit)
 	}
 }
 
-// A service that doesn't answer delays no submission: those due are sent up to the limit,
-// and the others are counted as missed.
+// A service that does not respond delays no submission: submissions are sent at their scheduled times
+// until the limit is reached, and the others are counted as missed.
 func TestSlowAnswersDelayNoSubmissions(t *testing.T) {
 	s := &service{rejected: map[string]bool{}, gate: make(chan struct{}), arrived: make(chan struct{})}
 	h := httptest.NewServer(s)
@@ -90,15 +90,15 @@
 		}
 		done <- res
 	}()
-	for range opt.Limit { // the limit is reached, and none is answered
+	for range opt.Limit { // the limit is reached and no request has a response
 		<-s.arrived
 	}
-	opened := time.AfterFunc(time.Second, func() { close(s.gate) }) // twenty are due within a twentieth of that
+	opened := time.AfterFunc(time.Second, func() { close(s.gate) }) // the 20 jobs are due within about 50 ms
 	defer opened.Stop()
 	if res := <-done; res == nil || res.Accepted != opt.Limit || res.Missed != 20-opt.Limit {
 		t.Errorf("%+v", res)
 	}
 	if _, err := Run(t.Context(), Options{}); err == nil {
-		t.Error("empty options are accepted")
+		t.Error("Run accepted empty options")
 	}
 }
--- a/internal/load/names_test.go
+++ b/internal/load/names_test.go
@@ -6,7 +6,7 @@
 	"coralhub/internal/golden"
 )
 
-// The JSON names of results don't change.
+// The JSON field names of results are stable.
 func TestJSONNames(t *testing.T) {
 	golden.Check(t, "result-names.txt", golden.Names("json", Result{}))
 }
