--- a/internal/ci/knownred/knownred.go
+++ b/internal/ci/knownred/knownred.go
@@ -1,11 +1,11 @@
-// Command knownred judges a test run when some tests are known to fail for a real fault that
-// could not be mended yet. It reads the output of "go test" from standard input:
+// Command knownred decides whether a test run passes when some tests are known to fail because of a
+// defect that is not fixed yet. It reads the output of "go test" from standard input:
 //
 //	go test ./... 2>&1 | knownred -list KNOWN-RED.txt -status 1
 //
 // A line of the list is "package test | cause | issue". The command ignores the failures of exactly
-// those tests and prints them. It fails if anything else failed, if the list is longer than three
-// lines or can't be read, and if a listed test has not failed, whether it passes or doesn't exist.
+// those tests and prints them. It fails if anything else failed, if the list has more than three entries
+// or can't be read, or if a listed test has not failed, because it passed or does not exist.
 package main
 
 import (
@@ -20,12 +20,12 @@
 	"strings"
 )
 
-// maxKnown is how many tests may be listed.
+// maxKnown is the maximum number of listed tests.
 const maxKnown = 3
 
 func main() {
-	list := flag.String("list", "KNOWN-RED.txt", "the tests that are known to fail")
-	status := flag.Int("status", 0, "how the test command ended")
+	list := flag.String("list", "KNOWN-RED.txt", "`file` that lists the tests that are known to fail")
+	status := flag.Int("status", 0, "exit status of the test command")
 	flag.Parse()
 	if err := run(*list, *status, os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "known red:", err)
@@ -33,7 +33,8 @@
 	}
 }
 
-// run judges a test log by the list. It returns nil if nothing failed but the listed tests.
+// run checks a test log against the list. It returns nil if exactly the listed tests failed and,
+// if none did, status is 0.
 func run(list string, status int, log io.Reader, out io.Writer) error {
 	known, err := readList(list)
 	if err != nil {
@@ -45,7 +46,7 @@
 	}
 	for _, listed := range known {
 		if !slices.Contains(failed, listed.test) {
-			return fmt.Errorf("%s is listed and has not failed: it passes, or there is no such test", listed.test)
+			return fmt.Errorf("%s is listed and has not failed: it passed or does not exist", listed.test)
 		}
 	}
 	for _, test := range failed {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// entry is a line of the list. A test is written as "package test".
+// entry is a line of the list. A test is identified by "package test".
 type entry struct{ test, cause, issue string }
 
 // readList reads the list. A file that doesn't exist is an empty list.
@@ -95,16 +96,16 @@
 }
 
 var (
-	failedTest    = regexp.MustCompile(`^\s*--- FAIL: (\S+)`)
-	endOfPackage  = regexp.MustCompile(`^(ok|FAIL)\s+(\S+)\s+(\S+)`)
-	brokenPackage = regexp.MustCompile(`^(panic: |fatal error: |FAIL\s+\S+ \[(build|setup) failed\])`)
+	failedTest     = regexp.MustCompile(`^\s*--- FAIL: (\S+)`)
+	endOfPackage   = regexp.MustCompile(`^(ok|FAIL)\s+(\S+)\s+(\S+)`)
+	packageFailure = regexp.MustCompile(`^(panic: |fatal error: |FAIL\s+\S+ \[(build|setup) failed\])`)
 )
 
-// maxLineBytes bounds the length of a line of the log.
+// maxLineBytes is the maximum length of a line of the log.
 const maxLineBytes = 16 << 20
 
-// failures returns the tests of a log that failed by themselves, not by a subtest. It fails if
-// something other than a test failed.
+// failures returns the tests of a log that failed, without those whose subtest failed. It returns an
+// error if something other than a test failed.
 func failures(log io.Reader) ([]string, error) {
 	var failed, failedInPackage []string
 	broken := ""
@@ -112,8 +113,8 @@
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		line := lines.Text()
-		if brokenPackage.MatchString(line) && broken == "" {
-			broken = line // the other tests of the package have no results
+		if packageFailure.MatchString(line) && broken == "" {
+			broken = line // results of the package's other tests are missing
 		}
 		if match := failedTest.FindStringSubmatch(line); match != nil {
 			failedInPackage = append(failedInPackage, match[1])
@@ -136,15 +137,15 @@
 		return nil, err
 	}
 	if broken != "" {
-		return nil, fmt.Errorf("not a test's failure: %s", broken)
+		return nil, fmt.Errorf("failure outside of a test: %s", broken)
 	}
 	if len(failedInPackage) > 0 {
-		return nil, fmt.Errorf("the log ends before the package of %s", failedInPackage[0])
+		return nil, fmt.Errorf("test log ends before the result of the package of %s", failedInPackage[0])
 	}
 	return failed, nil
 }
 
-// withoutParents returns the tests that have no subtest among them.
+// withoutParents returns the tests that have no subtest in the list.
 func withoutParents(tests []string) []string {
 	var leaves []string
 	for _, test := range tests {
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -15,28 +15,28 @@
 	line  = "coralhub/a TestX/sub/7 | a fault of ours | issue 1\n"
 )
 
-// The script that CI runs judges a test run by the list. Commands stand for the tests.
+// The script that CI runs passes or fails a test run by the list. Shell commands replace the tests.
 func TestScript(t *testing.T) {
 	for _, c := range []struct {
 		name, list, log, status string
 		ok                      bool
-		says                    string
+		want                    string
 	}{
 		{"all pass, nothing listed", "", green, "0", true, ""},
-		{"one fails, nothing listed", "", one, "1", false, "coralhub/a TestX/sub/7 has failed"},
-		{"the listed one fails", line, one, "1", true, "known red: coralhub/a TestX/sub/7: a fault of ours (issue 1)"},
-		{"another fails too", line, two, "1", false, "coralhub/a TestY has failed"},
-		{"the listed one passes", line, green, "0", false, "has not failed"},
+		{"a test fails, nothing listed", "", one, "1", false, "coralhub/a TestX/sub/7 has failed"},
+		{"the listed test fails", line, one, "1", true, "known red: coralhub/a TestX/sub/7: a fault of ours (issue 1)"},
+		{"another test fails too", line, two, "1", false, "coralhub/a TestY has failed"},
+		{"the listed test passes", line, green, "0", false, "has not failed"},
 		{"no such test", "coralhub/a TestZ | a fault | issue 1\n", one, "1", false, "coralhub/a TestZ is listed and has not failed"},
-		{"of another package", "coralhub/b TestX/sub/7 | a fault | issue 1\n", one, "1", false, "has not failed"},
-		{"its parent is listed", "coralhub/a TestX | a fault | issue 1\n", one, "1", false, "has not failed"},
-		{"a fourth line", strings.Repeat(line, 4), one, "1", false, "lists 4 tests, 3 may be"},
+		{"the list names another package", "coralhub/b TestX/sub/7 | a fault | issue 1\n", one, "1", false, "has not failed"},
+		{"the parent test is listed", "coralhub/a TestX | a fault | issue 1\n", one, "1", false, "has not failed"},
+		{"a fourth entry", strings.Repeat(line, 4), one, "1", false, "lists 4 tests, 3 may be"},
 		{"no cause", "coralhub/a TestX/sub/7\n", one, "1", false, "line 1"},
 		{"a panic", line, "panic: no\n" + one, "2", false, "panic: no"},
-		{"a package that isn't built", line, one + "FAIL\tcoralhub/c [build failed]\n", "1", false, "build failed"},
-		{"a package without a test's failure", line, one + "FAIL\tcoralhub/c\t0.1s\n", "1", false, "coralhub/c"},
-		{"the command fails without a word", "", green, "3", false, "status 3"},
-		{"no log at all", "", "", "127", false, "status 127"},
+		{"a package that does not build", line, one + "FAIL\tcoralhub/c [build failed]\n", "1", false, "build failed"},
+		{"a package fails without a failed test", line, one + "FAIL\tcoralhub/c\t0.1s\n", "1", false, "coralhub/c"},
+		{"the command fails without output", "", green, "3", false, "status 3"},
+		{"no log, the command is not found", "", "", "127", false, "status 127"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -52,11 +52,11 @@
 			}
 			cmd := exec.CommandContext(t.Context(), "bash", "../../../.ci/test", list, "cat "+log+"; exit "+c.status)
 			out, err := cmd.CombinedOutput()
-			if (err == nil) != c.ok || !strings.Contains(string(out), c.says) {
-				t.Errorf("%v, want ok %v and %q:\n%s", err, c.ok, c.says, out)
+			if (err == nil) != c.ok || !strings.Contains(string(out), c.want) {
+				t.Errorf("%v, want ok %v and %q:\n%s", err, c.ok, c.want, out)
 			}
 			if !strings.Contains(string(out), c.log) {
-				t.Errorf("what the tests print is not shown:\n%s", out)
+				t.Errorf("output of the tests is missing:\n%s", out)
 			}
 		})
 	}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,5 @@
-// Package golden lets tests hold what the program writes against recorded files. It is for
-// everything that other versions, other programs or people rely on: stored values, messages,
-// field names.
+// Package golden compares the output of tests with recorded files. It is for output that other versions,
+// other programs or people rely on: stored values, messages, field names.
 package golden
 
 import (
@@ -13,8 +12,8 @@
 	"testing"
 )
 
-// Check compares got with the file testdata/NAME of the test's package. A file that does not
-// exist is recorded, and the test fails so that the recording is read before it is committed.
+// Check compares got with the file testdata/NAME of the test's package. If the file does not exist, Check
+// records it and fails the test, so that the recording is reviewed before it is committed.
 func Check(tb testing.TB, name, got string) {
 	tb.Helper()
 	path := filepath.Join("testdata", name)
@@ -26,7 +25,7 @@
 		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
 			tb.Fatal(err)
 		}
-		tb.Errorf("%s did not exist and was recorded: read it before committing it", path)
+		tb.Errorf("%s did not exist and was recorded: review it before committing it", path)
 		return
 	}
 	if err != nil {
@@ -37,7 +36,7 @@
 	}
 }
 
-// Bytes reads a file of hexadecimal text, as CheckBytes records it.
+// Bytes returns the bytes that CheckBytes recorded in a file.
 func Bytes(tb testing.TB, name string) []byte {
 	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -51,15 +50,15 @@
 	return raw
 }
 
-// CheckBytes compares bytes with a file of hexadecimal text.
+// CheckBytes compares got with a recorded file of hexadecimal text, like Check.
 func CheckBytes(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	Check(tb, name, hex.EncodeToString(got)+"\n")
 }
 
-// Names describes a type as an encoder sees it that goes by the struct tag key: each field's
-// name in the encoding, its options and its kind, and so on for the types of the fields. A field
-// without a tag goes by its Go name.
+// Names describes types as an encoder that uses the struct tag key encodes them: the encoded name, the
+// kind and the tag options of each field, and recursively those of the fields' types. A field without a
+// tag has its Go name.
 func Names(key string, types ...any) string {
 	var out strings.Builder
 	for i, v := range types {
--- a/internal/leaktest/leaktest.go
+++ b/internal/leaktest/leaktest.go
@@ -1,4 +1,4 @@
-// Package leaktest lets tests check that no goroutine of the tested code outlives its owner.
+// Package leaktest checks in tests that no goroutine of the tested code outlives its owner.
 package leaktest
 
 import (
@@ -7,11 +7,12 @@
 	"testing"
 )
 
-// maxDumpBytes bounds the dump of all goroutines.
+// maxDumpBytes is the maximum size of the stack dump of all goroutines; a longer dump is truncated.
 const maxDumpBytes = 16 << 20
 
-// Check fails the test if a goroutine is executing a function whose name, as stack traces write it,
-// contains one of names. It doesn't wait for goroutines to end: whoever started them must have done so.
+// Check fails the test if the stack trace of a goroutine has a call of a function whose name contains one
+// of names, for example "scale.(*region)". It does not wait for goroutines to end: the code that started
+// them must already have waited.
 func Check(tb testing.TB, names ...string) {
 	tb.Helper()
 	dump := make([]byte, maxDumpBytes)
@@ -19,7 +20,7 @@
 	for goroutine := range strings.SplitSeq(string(dump), "\n\n") {
 		for _, name := range names {
 			if executes(goroutine, name) {
-				tb.Errorf("a goroutine was left running:\n%s", goroutine)
+				tb.Errorf("leaked goroutine:\n%s", goroutine)
 				break
 			}
 		}
@@ -27,7 +28,7 @@
 }
 
 // executes reports whether a goroutine's stack trace has a call of a function whose name contains name.
-// The line that says which function has started the goroutine is no call.
+// The "created by" line, which names the function that started the goroutine, is not a call.
 func executes(goroutine, name string) bool {
 	for line := range strings.SplitSeq(goroutine, "\n") {
 		isCall := !strings.HasPrefix(line, "created by ") && !strings.HasPrefix(line, "\t")
--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -1,9 +1,9 @@
-// Package quantile summarises measured times by quantiles.
+// Package quantile summarises histograms of times by quantiles.
 package quantile
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// Times are quantiles of measured times; their unit is up to the user.
+// Times are quantiles of measured times, in the unit that was passed to Of.
 type Times struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
@@ -11,8 +11,8 @@
 	Max float64 `json:"max"`
 }
 
-// Of returns the quantiles of a histogram of microseconds, in the unit of which there are
-// perSecond in a second: 1 for seconds, 1000 for milliseconds.
+// Of returns the quantiles of a histogram of microseconds, or zeros if it is empty. perSecond is the
+// number of units of the result per second: 1 for seconds, 1000 for milliseconds.
 func Of(h *hdrhistogram.Histogram, perSecond float64) Times {
 	if h.TotalCount() == 0 {
 		return Times{}
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for time to pass or for a context to end.
+// Package wait provides waits and periodic calls that end with a context.
 package wait
 
 import (
