--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestNumber(t *testing.T) {
+func TestFormatNumber(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 1234.4: "1234", 12.34: "12.3", 0.01234: "0.0123", 4600: "4600", -2.5: "-2.50"} {
 		if got := FormatNumber(v); got != want {
 			t.Errorf("%v: %s, want %s", v, got, want)
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -35,7 +35,7 @@
 		{"a panic", line, "panic: no\n" + one, "2", false, "panic: no"},
 		{"a package that does not build", line, one + "FAIL\tcoralhub/c [build failed]\n", "1", false, "build failed"},
 		{"a package fails without a failed test", line, one + "FAIL\tcoralhub/c\t0.1s\n", "1", false, "coralhub/c"},
-		{"the command fails without output", "", green, "3", false, "status 3"},
+		{"the command fails and no test does", "", green, "3", false, "status 3"},
 		{"no log, the command is not found", "", "", "127", false, "status 127"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -215,8 +215,8 @@
 	hollow.TaskDone:    invariants.TaskDone,
 }
 
-// taskChanged records a task event. It tells all hollow workers to run or stop the task's gang if the event
-// completes or breaks it.
+// taskChanged records a task event. If the event completes or breaks a gang, it sends all hollow workers the
+// command to run or stop that gang.
 func (r *region) taskChanged(at int64, t *hollow.Task) {
 	r.record(invariants.Event{At: at, Kind: taskEvents[t.Kind], Job: t.Job, Task: t.Task, Attempt: t.Attempt, Machine: t.Machine})
 	attempt := hollow.Attempt{Job: t.Job, Attempt: t.Attempt}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -108,7 +108,8 @@
 }
 
 // Run executes a run and returns its result. It returns an error if the run could not be started or
-// completed; the error is one line if settings are rejected. All processes and goroutines of the run have ended when it returns.
+// completed; the error is one line if the settings are rejected. All processes and goroutines of the run
+// have ended when it returns.
 func Run(ctx context.Context, s Settings, opt Options) (*Result, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
