--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,10 +6,10 @@
 	"net"
 )
 
-// maxNumber bounds every number of the platform's file.
+// maxNumber is the upper limit of the numbers that checkNumbers checks.
 const maxNumber = 1e9
 
-// FieldError is a field of the platform's file that the service can't run with.
+// FieldError is the error for a field of the platform file that is missing or has an invalid value.
 type FieldError struct {
 	Field  string
 	Reason string
@@ -23,7 +23,7 @@
 	value float64
 }
 
-// check returns a *FieldError for the first field that the service can't run with.
+// check returns a *FieldError for the first field that is missing or invalid, or nil if there is none.
 func (p *Platform) check() error {
 	if p.Node == "" {
 		return &FieldError{"node", "missing"}
@@ -47,7 +47,7 @@
 	names := map[string]bool{p.Node: true}
 	for i, peer := range p.Peers {
 		if peer.Node == "" || names[peer.Node] {
-			return &FieldError{fmt.Sprintf("peers[%d].node", i), "missing or used twice"}
+			return &FieldError{fmt.Sprintf("peers[%d].node", i), "missing or not unique"}
 		}
 		names[peer.Node] = true
 	}
@@ -70,7 +70,7 @@
 			return &FieldError{a.field, "missing"}
 		}
 		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
-			return &FieldError{a.field, fmt.Sprintf("%q is not HOST:PORT", a.value)}
+			return &FieldError{a.field, fmt.Sprintf("expected HOST:PORT, found %q", a.value)}
 		}
 	}
 	return nil
@@ -80,12 +80,13 @@
 	names := map[string]bool{}
 	for i, t := range teams {
 		if t.Name == "" || names[t.Name] {
-			return &FieldError{fmt.Sprintf("cluster.teams[%d].name", i), "missing or used twice"}
+			return &FieldError{fmt.Sprintf("cluster.teams[%d].name", i), "missing or not unique"}
 		}
 		names[t.Name] = true
 		for _, amount := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
 			if math.IsNaN(amount) || amount < 0 {
-				return &FieldError{fmt.Sprintf("cluster.teams[%d]", i), fmt.Sprintf("%v is not an amount", amount)}
+				return &FieldError{fmt.Sprintf("cluster.teams[%d]", i),
+					fmt.Sprintf("expected amounts of 0 or more, found %v", amount)}
 			}
 		}
 	}
@@ -107,7 +108,7 @@
 	}
 	for _, n := range positive {
 		if math.IsNaN(n.value) || n.value <= 0 || n.value > maxNumber {
-			return &FieldError{n.field, fmt.Sprintf("%v is missing or not above 0", n.value)}
+			return &FieldError{n.field, fmt.Sprintf("missing, or %v is not above 0 and at most %g", n.value, maxNumber)}
 		}
 	}
 	optional := []namedNumber{
@@ -123,7 +124,7 @@
 	}
 	for _, n := range optional {
 		if math.IsNaN(n.value) || n.value < 0 || n.value > maxNumber {
-			return &FieldError{n.field, fmt.Sprintf("%v is out of range", n.value)}
+			return &FieldError{n.field, fmt.Sprintf("expected a number from 0 to %g, found %v", maxNumber, n.value)}
 		}
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a node is told at its start: the platform's file (TOML) and the operators' settings (JSON).
+// Package config reads the configuration of a node: the platform file (TOML) and the operators' settings (JSON).
 package config
 
 import "math"
@@ -9,20 +9,20 @@
 // Second is a second in Micros.
 const Second Micros = 1_000_000
 
-// FromSeconds converts an amount of seconds.
+// FromSeconds converts seconds to Micros, rounded to the nearest microsecond.
 func FromSeconds(s float64) Micros { return Micros(math.Round(s * 1e6)) }
 
-// FromMillis converts an amount of milliseconds.
+// FromMillis converts milliseconds to Micros, rounded to the nearest microsecond.
 func FromMillis(ms float64) Micros { return Micros(math.Round(ms * 1e3)) }
 
-// Config is everything that a node is told at its start.
+// Config is the configuration with which a node starts.
 type Config struct {
 	Platform
 	Settings Settings
 }
 
 // WorkerTimeout returns how long a worker may send no message before its machine is deleted. Unless the operators set
-// it, it is a few heartbeat intervals, but no less than half the worker's lease.
+// it, it is two and a half heartbeat intervals and 2 s, but no less than half the worker's lease.
 func (c *Config) WorkerTimeout() Micros {
 	if s := c.Settings.WorkerTimeoutS; s > 0 {
 		return FromSeconds(s)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -97,26 +97,26 @@
 			}
 			var typed *Error
 			if !errors.As(err, &typed) || typed.Path == "" || (typed.File == SettingsFile) != (tt.settings != "") {
-				t.Errorf("error %+v does not name the file", typed)
+				t.Errorf("error %+v, want an *Error with the path and the kind of the file", typed)
 			}
 		})
 	}
 }
 
-// Whoever starts a node can tell a file that is not there from one that is wrong, and which field it is.
+// By the types of the errors, a caller can distinguish a missing file from an invalid one, and find the invalid field.
 func TestErrorsAreTyped(t *testing.T) {
 	_, err := Load(filepath.Join(t.TempDir(), "none.toml"), "")
 	if !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("missing file: error %v, want os.ErrNotExist", err)
 	}
 	_, err = Load(write(t, "p.toml", strings.Replace(platform, `zones = ["a", "b"]`, "", 1)), "")
 	var field *FieldError
 	if !errors.As(err, &field) || field.Field != "cluster.zones" {
-		t.Errorf("a missing field: %v", err)
+		t.Errorf("missing field: error %v, want a *FieldError for cluster.zones", err)
 	}
 	_, err = Load(write(t, "p.toml", strings.Replace(platform, "[external]", "[external", 1)), "")
 	var parse *ParseError
 	if !errors.As(err, &parse) || parse.Row == 0 || parse.Err == nil {
-		t.Errorf("not TOML: %v", err)
+		t.Errorf("invalid TOML: error %v, want a *ParseError with the row and the cause", err)
 	}
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -16,16 +16,16 @@
 //go:embed settings.schema.json
 var settingsSchema []byte
 
-// The files of an Error.
+// Values of Error.File.
 const (
 	PlatformFile = "platform file"
 	SettingsFile = "settings"
 )
 
-// Error is a file that can't be read or that the service can't run with.
+// Error is the error for a configuration file that can't be read or whose content is invalid.
 type Error struct {
 	File string // PlatformFile or SettingsFile
-	Path string // empty if it could not be opened: Err says which
+	Path string // empty if the file could not be read, because Err names it then
 	Err  error
 }
 
@@ -38,10 +38,10 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// ParseError is a platform file that does not parse.
+// ParseError is the error for a platform file that is not valid TOML or has a value of the wrong type.
 type ParseError struct {
-	Row, Column int    // 0: not known
-	Field       string // that is at fault, if the row is known
+	Row, Column int    // 0 if not known
+	Field       string // the field with the error, if Row is known
 	Err         error
 }
 
@@ -55,8 +55,8 @@
 
 func (e *ParseError) Unwrap() error { return e.Err }
 
-// Load reads the platform's file and, unless settings is empty, the operators' settings. Its errors are of type *Error,
-// of one line that names the file and, if the content is at fault, the field.
+// Load reads the platform file and, unless settings is empty, the operators' settings; both arguments are paths. Its
+// errors are of type *Error. Their text is one line that names the file and, if the content is invalid, the field.
 func Load(platform, settings string) (*Config, error) {
 	raw, err := os.ReadFile(platform)
 	if err != nil {
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -6,7 +6,7 @@
 	"coralhub/internal/golden"
 )
 
-// The platform's file and the operators' settings keep their names, whatever the code calls them.
+// The names of fields in the platform file and in the operators' settings must not change when Go fields are renamed.
 func TestNamesOfSettings(t *testing.T) {
 	golden.Check(t, "platform-names.txt", golden.Names("toml", Platform{}))
 	golden.Check(t, "settings-names.txt", golden.Names("json", Settings{}))
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,6 +1,6 @@
 package config
 
-// Platform is the platform's file. Fields that it does not name are ignored.
+// Platform is the content of the platform file. Fields of the file that it does not have are ignored.
 type Platform struct {
 	Node         string   `toml:"node"`
 	Location     string   `toml:"location"`
@@ -18,13 +18,13 @@
 	Address  string `toml:"address"`
 }
 
-// External holds the addresses of the systems that the service depends on.
+// External holds the addresses of the services that a node depends on, as HOST:PORT.
 type External struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Cluster is the part of the file that is the same for every node.
+// Cluster is the part of the platform file that is the same on every node.
 type Cluster struct {
 	Size       int         `toml:"initial_size"`
 	Zones      []string    `toml:"zones"`
@@ -37,8 +37,8 @@
 	Limits     Limits      `toml:"machine_limits"`
 }
 
-// Team has a quota: what it is guaranteed, and what it may use at most (Max); 0 means none. Amounts are whole or parts
-// of cores and GPUs.
+// Team is a team with its quota: the guarantee (CPUs, GPUs) and the limit (CPUsMax, GPUsMax). 0 means that there is no
+// guarantee or no limit. Amounts are numbers of cores and GPUs, which may be fractional.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -58,27 +58,27 @@
 
 // Workers holds the intervals of the protocol with workers, in seconds.
 type Workers struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
+	ReportS   float64 `toml:"report_s"` // time between heartbeats
+	LeaseS    float64 `toml:"lease_s"`  // time without a renewal after which a worker ends its tasks
 	GangWaitS float64 `toml:"gang_wait_s"`
 	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+	CancelS   float64 `toml:"cancel_s"` // time within which a cancellation must take effect
 }
 
-// clockDriftMargin is by how much a worker's clock may be slow against this node's, both drifting by 0.05%.
+// clockDriftMargin is the fraction by which a worker's clock may run slower than this node's: each may drift by 0.05%.
 const clockDriftMargin = 0.001
 
-// LeaseExpiresBeforeCancel reports whether a worker's lease that is not renewed any more is certain to expire within
-// the time of a cancellation. If not, a cancellation can't rely on it.
+// LeaseExpiresBeforeCancel reports whether a worker's lease that is no longer renewed is certain to expire within the
+// time allowed for a cancellation. If not, a cancellation can't rely on the expiry of leases.
 func (w *Workers) LeaseExpiresBeforeCancel() bool { return w.LeaseS*(1+clockDriftMargin) < w.CancelS }
 
-// State holds the quotas and limits of the state service, a second and in KiB, and those that it will have from some
-// unannounced moment on (Next); 0 means that a limit stays as it is.
+// State holds the quotas and limits of the state service, the key-value store in which the records are stored. Next
+// holds those that will apply from a time that is not announced; a 0 in Next means that the limit will not change.
 type State struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // changes per second
+	ValueKB  float64 `toml:"value_kb"`  // size of a value in KiB
+	TxnOps   int     `toml:"txn_ops"`   // changes in a transaction
 	Next     struct {
 		RPS      float64 `toml:"rps"`
 		WriteRPS float64 `toml:"write_rps"`
@@ -87,6 +87,7 @@
 	} `toml:"next"`
 }
 
+// lowerLimit returns the lower of a limit and the next one, which is ignored if it is 0.
 func lowerLimit[N int | float64](now, next N) N {
 	if next > 0 {
 		return min(now, next)
@@ -94,29 +95,29 @@
 	return now
 }
 
-// MaxValueBytes returns the maximum size of a value, the lower of the limits now and later.
+// MaxValueBytes returns the maximum size of a value: the lower of the current and the next limit.
 func (s *State) MaxValueBytes() int { return int(lowerLimit(s.ValueKB, s.Next.ValueKB) * 1024) }
 
-// MaxTxnOps returns the maximum number of changes in a transaction, the lower of the limits now and later.
+// MaxTxnOps returns the maximum number of changes in a transaction: the lower of the current and the next limit.
 func (s *State) MaxTxnOps() int { return lowerLimit(s.TxnOps, s.Next.TxnOps) }
 
-// MinWriteRPS returns the quota of changes per second, the lower of the quotas now and later.
+// MinWriteRPS returns the quota of changes per second: the lower of the current and the next quota.
 func (s *State) MinWriteRPS() float64 { return lowerLimit(s.WriteRPS, s.Next.WriteRPS) }
 
-// Cloud holds the limits of the cloud's interface.
+// Cloud holds the limits of the cloud's API.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	RPS      float64 `toml:"rps"`        // requests per second
+	ListLagS float64 `toml:"list_lag_s"` // how old the cloud's lists of machines may be, in seconds
 }
 
-// Limits is what the node itself may use of its machine.
+// Limits holds the resources of its machine that a node may use; 0 means that there is no limit.
 type Limits struct {
 	Cores          float64 `toml:"cores"`
 	MemoryMB       float64 `toml:"memory_mb"`
 	MaxConnections int     `toml:"max_connections"`
 }
 
-// TeamsByName returns the teams by their names.
+// TeamsByName returns the teams by name. The values point into c.Teams.
 func (c *Cluster) TeamsByName() map[string]*Team {
 	out := make(map[string]*Team, len(c.Teams))
 	for i := range c.Teams {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,6 +1,6 @@
 package config
 
-// Settings are the operators' settings. settings.schema.json says what each means and which values it may have.
+// Settings are the operators' settings. Their meanings and allowed values are described in settings.schema.json.
 type Settings struct {
 	AgeWeight          float64 `json:"age_weight"`
 	ShareWeight        float64 `json:"share_weight"`
@@ -34,15 +34,16 @@
 	ScaleOutAgainstBoot bool    `json:"rent_against_boot"`
 }
 
-// Values of the setting rank: how jobs of one priority level are ordered.
+// Values of the setting rank, which selects what orders jobs of one priority level before their credit does.
 const (
 	RankCredit   = "credit"
 	RankSlack    = "slack"
 	RankShortest = "shortest"
 )
 
-// Defaults returns the settings that hold where the operators give none. A WorkerTimeoutS of 0 stands for a time by
-// lease and heartbeat interval, an IdleScaleInS of 0 for one by the machine's boot time.
+// Defaults returns the values of settings that the operators do not set. A WorkerTimeoutS of 0 stands for a time that
+// depends on the worker's lease and heartbeat interval, an IdleScaleInS of 0 for one that depends on the boot time of
+// the machine's type.
 func Defaults() Settings {
 	return Settings{
 		AgeWeight:          1,
