--- a/internal/core/leader/admin.go
+++ b/internal/core/leader/admin.go
@@ -67,7 +67,8 @@
 // answerFromEstimates answers the queries that need the run-time model.
 func (oq *operatorQueries) answerFromEstimates(x msg.AdminIn, limit int) {
 	if oq.estimates.model == nil {
-		oq.outbox.Respond(x.RequestID, http.StatusNotFound, query.Error{Error: "run times are not learnt: see the setting estimates"})
+		oq.outbox.Respond(x.RequestID, http.StatusNotFound,
+			query.Error{Error: "run times are not learnt: see the setting estimates"})
 		return
 	}
 	switch x.Query {
@@ -95,7 +96,12 @@
 // listEstimates lists the estimates of at most limit kinds of jobs, and at most limit slow machines.
 func (oq *operatorQueries) listEstimates(limit int) query.Estimates {
 	m := oq.estimates.model
-	out := query.Estimates{Runs: m.Observed(), SuddenChanges: m.Changes(), Kinds: []query.EstimateRow{}, Machines: []query.SlowMachine{}}
+	out := query.Estimates{
+		Runs:          m.Observed(),
+		SuddenChanges: m.Changes(),
+		Kinds:         []query.EstimateRow{},
+		Machines:      []query.SlowMachine{},
+	}
 	m.Kinds(func(f estimate.Features) bool {
 		if out.More = len(out.Kinds) == limit; out.More {
 			return false
@@ -196,7 +202,8 @@
 		}
 	}
 	j.EachPlacement(func(p job.Placement) {
-		if _, runs := j.startedAt[p.Task]; runs && len(out.Overdue) < maxListed && perTask.Overdue(oq.estimates.workedTime(j, &p)) {
+		if _, runs := j.startedAt[p.Task]; runs && len(out.Overdue) < maxListed &&
+			perTask.Overdue(oq.estimates.workedTime(j, &p)) {
 			out.Overdue = append(out.Overdue, wire.TaskName(j.ID, p.Task))
 		}
 	})
--- a/internal/core/leader/admin_lists.go
+++ b/internal/core/leader/admin_lists.go
@@ -41,8 +41,13 @@
 		if len(out.Decisions) == limit {
 			break
 		}
-		row := query.DecisionRow{Preemptor: decision.Preemptor, Reason: decision.Reason.String(), RemainingS: roundedSeconds(decision.Until - wall),
-			Machines: decision.ReservedMachines, PreemptedJobs: []string{}}
+		row := query.DecisionRow{
+			Preemptor:     decision.Preemptor,
+			Reason:        decision.Reason.String(),
+			RemainingS:    roundedSeconds(decision.Until - wall),
+			Machines:      decision.ReservedMachines,
+			PreemptedJobs: []string{},
+		}
 		for _, victim := range decision.Victims {
 			row.PreemptedJobs = append(row.PreemptedJobs, victim.Job)
 		}
--- a/internal/core/leader/bidding.go
+++ b/internal/core/leader/bidding.go
@@ -75,8 +75,17 @@
 // may be preempted for it.
 func (bd *bidder) zoneRequest(c *cycle, j *Job, e *queue.Entry) *zone.Request {
 	spec := j.Record.Spec
-	q := &zone.Request{Job: j.ID, Needs: taskResources(spec), AllOrNothing: spec.Shape == wire.Gang, Spot: spec.Spot,
-		Types: j.types.set, TypeKey: j.types.key, Image: spec.Image, Avoid: j.avoidUntil, ShareFetches: bd.cfg.Settings.ShareFetches}
+	q := &zone.Request{
+		Job:          j.ID,
+		Needs:        taskResources(spec),
+		AllOrNothing: spec.Shape == wire.Gang,
+		Spot:         spec.Spot,
+		Types:        j.types.set,
+		TypeKey:      j.types.key,
+		Image:        spec.Image,
+		Avoid:        j.avoidUntil,
+		ShareFetches: bd.cfg.Settings.ShareFetches,
+	}
 	if bd.outbox.Now() < j.preemptingUntil {
 		q.ReservedMachines = j.reservedMachines
 		return q
@@ -149,7 +158,8 @@
 	}
 	bid := z.Plan(bd.outbox.Now(), &q)
 	if bid == nil && len(a.request.Avoid) == 0 { // if machines are avoided, the failure need not apply to other jobs
-		a.cycle.failedRequests = append(a.cycle.failedRequests, failedRequest{z.Name, q.Needs, q.Spot, q.TypeKey, a.level, minTasks(&q)})
+		a.cycle.failedRequests = append(a.cycle.failedRequests,
+			failedRequest{z.Name, q.Needs, q.Spot, q.TypeKey, a.level, minTasks(&q)})
 	}
 	return bid
 }
--- a/internal/core/leader/class_statistics.go
+++ b/internal/core/leader/class_statistics.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// startLeadDivisor gives the part of the time that a job has to start (one in startLeadDivisor)
-	// that passes between its placement and its start: its image has to be fetched, too.
+	// startLeadDivisor determines how much of the time within which a job should start is set aside
+	// for fetching its image after its placement: one part in startLeadDivisor.
 	startLeadDivisor = 8
 	// lateTolerance is the number of jobs of a class that may be late without the class being short
 	// of capacity: a single job may need resources that no other job needs.
 	lateTolerance = 2
-	// longQueueDivisor gives the part of the time to start (one in longQueueDivisor) in which the
-	// queue of a class has to drain. If it takes longer, the class is short of capacity before any
-	// job is late.
+	// longQueueDivisor determines how fast the queue of a class has to drain: within one part in
+	// longQueueDivisor of startDeadline. If it takes longer, the class counts as short of capacity
+	// before any job is late.
 	longQueueDivisor = 2
 	// shortageMinWaiting and shortageMinAge are the minimum number of waiting jobs, and the minimum
 	// age of the oldest of them, for which the queue indicates a shortage: jobs that have just
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// updateShortages determines which classes are short of capacity among the jobs that lack
-// placements, and the tiers of the jobs of these classes.
+// updateShortages determines from the jobs that lack placements which classes are short of capacity,
+// and assigns tiers to the jobs of these classes.
 func (so *startOrder) updateShortages() {
 	if !so.cfg.Settings.StartDeadlineFirst {
 		return
--- a/internal/core/leader/commit_answers.go
+++ b/internal/core/leader/commit_answers.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// readKey reads a key of a job from the key-value store, updates the replica and calls onRead, whose argument is false
+// readKey reads a key of a job from the state service, updates the replica and calls onRead, whose argument is false
 // if the read failed. If this node is no longer the leader by then, the response is ignored and onRead is not called.
 func (jc *jobCommitter) readKey(j *Job, key string, onRead func(ok bool)) {
 	jc.outbox.Read(key, func(d msg.ReadDone) {
--- a/internal/core/leader/commits.go
+++ b/internal/core/leader/commits.go
@@ -44,7 +44,7 @@
 	cancelConfirmable bool            // the cancellation may be confirmed to the user
 	tooLargeLogged    bool            // a value too large to be written was logged; later ones are not
 	movingToShards    bool            // the tasks have to be moved from the record into shards
-	ownRecordOnly     bool            // placed by its record: the plan exceeds one transaction on placement pages
+	ownRecordOnly     bool            // placements are written to its record: the plan exceeds a transaction on pages
 }
 
 // resetCommits clears the state that is valid for one term only.
@@ -154,7 +154,7 @@
 	return 1
 }
 
-// maxInFlightChanges is the maximum number of changes to jobs in flight: as many as the key-value store accepts in
+// maxInFlightChanges is the maximum number of changes to jobs in flight: as many as the state service accepts in
 // about half a second. Further changes would wait in a queue without priorities.
 func (jc *jobCommitter) maxInFlightChanges() int {
 	return max(jc.encoding.MaxOps(), int(jc.cfg.Cluster.State.MinWriteRPS()/2))
--- a/internal/core/leader/counters.go
+++ b/internal/core/leader/counters.go
@@ -26,7 +26,7 @@
 	placed    int // tasks
 	pending   int // jobs in the queue of the last cycle
 	unplaced  int // pending jobs that could not be placed completely
-	deferred  int // pending jobs that wait for the key-value store
+	deferred  int // pending jobs that wait for the state service
 	moved     int // replicas moved by defragmentation
 }
 
@@ -101,9 +101,12 @@
 		completions += len(j.completions)
 	}
 	n := &dx.counters
-	fields := []any{"cycles", n.cycles, "placed", n.placed, "pending", n.pending, "unplaced", n.unplaced, "deferred", n.deferred, "moved", n.moved,
-		"changes_in_flight", dx.commits.inFlightChanges, "commits_waiting", len(dx.commits.pendingCommits) + len(dx.commits.deferredCommits),
-		"completions_pending", completions, "completion_log_pending", dx.completionLog.Pending()}
+	fields := []any{
+		"cycles", n.cycles, "placed", n.placed, "pending", n.pending, "unplaced", n.unplaced,
+		"deferred", n.deferred, "moved", n.moved, "changes_in_flight", dx.commits.inFlightChanges,
+		"commits_waiting", len(dx.commits.pendingCommits) + len(dx.commits.deferredCommits),
+		"completions_pending", completions, "completion_log_pending", dx.completionLog.Pending(),
+	}
 	states := dx.countMachinesByState()
 	for _, k := range stateKeys {
 		fields = append(fields, k.key, states[k.state])
--- a/internal/core/leader/cycle.go
+++ b/internal/core/leader/cycle.go
@@ -56,8 +56,8 @@
 	victims           map[string][]*zone.Victim // by zone; nil until victims are listed
 	running           *runningSummary           // nil until it is computed
 	inZone            map[string]int            // inZone of the current placementAttempt; all attempts reuse the map
-	quotaLimited      bool                      // a job waits because of its team's limit
-	changeBudget      float64                   // changes that the key-value store still accepts in this cycle
+	teamLimited       bool                      // a job waits because of its team's limit
+	changeBudget      float64                   // changes that the state service still accepts in this cycle
 }
 
 // machineTypes is the set of machine types on which the tasks of a job fit and may run.
@@ -91,7 +91,7 @@
 		sc.placeJob(c, e)
 	})
 	sc.snapshot.demandUnmet = sc.diagnostics.counters.unplaced > 0
-	sc.snapshot.capacityShort = sc.snapshot.demandUnmet || c.quotaLimited
+	sc.snapshot.capacityShort = sc.snapshot.demandUnmet || c.teamLimited
 	sc.scaleOut(c)
 	if sc.snapshot.deadlinesDue {
 		sc.snapshot.deadlinesDue = false
--- a/internal/core/leader/deadline_outlook.go
+++ b/internal/core/leader/deadline_outlook.go
@@ -166,7 +166,8 @@
 		return
 	}
 	if j.verdict != "" || verdict != verdictSafe {
-		es.outbox.Debug("deadline outlook changed", "job", j.ID, "class", j.Record.Spec.Class, "outlook", verdict, "previous", j.verdict, "probability", math.Round(probability*100)/100)
+		es.outbox.Debug("deadline outlook changed", "job", j.ID, "class", j.Record.Spec.Class, "outlook", verdict,
+			"previous", j.verdict, "probability", math.Round(probability*100)/100)
 	}
 	j.verdict = verdict
 }
--- a/internal/core/leader/defragmentation.go
+++ b/internal/core/leader/defragmentation.go
@@ -70,7 +70,8 @@
 	victims := df.moveReplicas(plan)
 	df.preemptions.addDecision(j, preemption.ReasonDefragmentation, level, machines, victims, defragReservation)
 	df.diagnostics.counters.moved += plan.MovedReplicas
-	df.outbox.Debug("defragmenting", "job", j.ID, "class", j.Record.Spec.Class, "machines", len(plan.Clear), "whole", len(plan.WithCapacity), "replicas", plan.MovedReplicas)
+	df.outbox.Debug("defragmenting", "job", j.ID, "class", j.Record.Spec.Class, "machines", len(plan.Clear),
+		"whole", len(plan.WithCapacity), "replicas", plan.MovedReplicas)
 }
 
 // mayDefragment reports whether machines may be cleared now for a job that could not be placed.
@@ -85,7 +86,13 @@
 
 // bestDefragPlan returns the plan that moves the fewest replicas, and no more than maxMoves, or nil
 // if there is none.
-func (df *defragmenter) bestDefragPlan(c *cycle, j *Job, q *zone.Request, demand *autoscaler.Demand, maxMoves int) *defrag.Plan {
+func (df *defragmenter) bestDefragPlan(
+	c *cycle,
+	j *Job,
+	q *zone.Request,
+	demand *autoscaler.Demand,
+	maxMoves int,
+) *defrag.Plan {
 	var best *defrag.Plan
 	for _, z := range c.zones {
 		if !c.mayUseZone(j.Record.Spec, z.Name) {
@@ -137,8 +144,14 @@
 		if m.Zone != z.Name || m.Offer == nil || m.Offer.Reserved {
 			continue
 		}
-		described := &defrag.Machine{Name: m.Name, Type: m.Type, Spot: m.Spot, Free: m.Offer.Free, Movable: len(df.snapshot.planned[m.Name]) == 0,
-			Suitable: q.Types[m.Type] && (q.Spot || !m.Spot) && q.Avoid[m.Name] <= df.outbox.Now()}
+		described := &defrag.Machine{
+			Name:     m.Name,
+			Type:     m.Type,
+			Spot:     m.Spot,
+			Free:     m.Offer.Free,
+			Movable:  len(df.snapshot.planned[m.Name]) == 0,
+			Suitable: q.Types[m.Type] && (q.Spot || !m.Spot) && q.Avoid[m.Name] <= df.outbox.Now(),
+		}
 		open := df.replica.PlacementsOn(m.Name)
 		for _, key := range job.SortedAttemptKeys(open) {
 			j := df.jobs[key.Job]
@@ -147,7 +160,13 @@
 				continue
 			}
 			df.snapshot.classify(j)
-			described.Replicas = append(described.Replicas, defrag.Replica{Job: key.Job, Task: key.Task, Needs: taskResources(j.Record.Spec), Types: j.types.set, Spot: j.Record.Spec.Spot})
+			described.Replicas = append(described.Replicas, defrag.Replica{
+				Job:   key.Job,
+				Task:  key.Task,
+				Needs: taskResources(j.Record.Spec),
+				Types: j.types.set,
+				Spot:  j.Record.Spec.Spot,
+			})
 		}
 		out = append(out, described)
 	}
--- a/internal/core/leader/equivalence.go
+++ b/internal/core/leader/equivalence.go
@@ -42,8 +42,17 @@
 // classOf returns the number of a job's class, starting at 1.
 func (ec equivalenceClasses) classOf(j *Job, priority string) int {
 	spec := j.Record.Spec
-	key := equivalenceKey{needs: taskResources(spec), types: j.types.key, zone: spec.Zone, shape: spec.Shape, spot: spec.Spot,
-		oneZone: spec.OneZone, spread: spec.Spread, team: spec.Team, priority: priority}
+	key := equivalenceKey{
+		needs:    taskResources(spec),
+		types:    j.types.key,
+		zone:     spec.Zone,
+		shape:    spec.Shape,
+		spot:     spec.Spot,
+		oneZone:  spec.OneZone,
+		spread:   spec.Spread,
+		team:     spec.Team,
+		priority: priority,
+	}
 	if spec.Shape == wire.Gang {
 		key.tasks = spec.Tasks
 	}
@@ -139,9 +148,10 @@
 	return reservationAllowed(&sc.snapshot.zoneReservedSince, sc.outbox.Now(), zoneReservationTime)
 }
 
-// reservationAllowed reports whether a reservation is allowed now: it is for the given length of
-// time from the first request on, and then is not for the same length, however often it is
-// requested. The beginning of the allowed time is stored in since.
+// reservationAllowed reports whether a reservation is allowed now. The first request begins a period
+// of the given length in which it is. In the period of the same length after that it is not, however
+// often it is requested, and the next request then begins again. The beginning of the period in
+// which it is allowed is stored in since.
 func reservationAllowed(since *Micros, now, length Micros) bool {
 	if *since == 0 || now-*since > 2*length {
 		*since = now
--- a/internal/core/leader/estimates.go
+++ b/internal/core/leader/estimates.go
@@ -66,7 +66,8 @@
 	if es.model == nil || !es.store.WriteDue() {
 		return
 	}
-	otherChanges := es.commits.inFlightChanges > 0 || es.completionLog.Pending() > 0 || es.diagnostics.counters.deferred > 0
+	otherChanges := es.commits.inFlightChanges > 0 || es.completionLog.Pending() > 0 ||
+		es.diagnostics.counters.deferred > 0
 	if !otherChanges {
 		es.store.Write(es.model)
 	}
@@ -100,7 +101,14 @@
 // is empty for tasks that are not placed.
 func (es *runTimeEstimates) features(j *Job, machine string) estimate.Features {
 	s := j.Record.Spec
-	return estimate.Features{Image: s.Image, Shape: wire.ShapeName(s.Shape), Class: s.Class, Team: s.Team, Expect: config.FromSeconds(s.EstimateS), Machine: machine}
+	return estimate.Features{
+		Image:   s.Image,
+		Shape:   wire.ShapeName(s.Shape),
+		Class:   s.Class,
+		Team:    s.Team,
+		Expect:  config.FromSeconds(s.EstimateS),
+		Machine: machine,
+	}
 }
 
 // remainingTime estimates the remaining run time of a running task. It returns false if there is
--- a/internal/core/leader/gang_reservation.go
+++ b/internal/core/leader/gang_reservation.go
@@ -23,8 +23,8 @@
 	return reservationAllowed(&j.reservingSince, so.outbox.Now(), duration)
 }
 
-// reserveFreedMachines reserves free machines of a zone for a gang that could not be placed. A zone
-// has one such gang at a time.
+// reserveFreedMachines reserves free machines of a zone for a gang that could not be placed. In each
+// cycle, machines of a zone are reserved for at most one such gang.
 func (so *startOrder) reserveFreedMachines(c *cycle, j *Job, q *zone.Request) {
 	if !so.mayReserveFreedMachines(j) {
 		return
--- a/internal/core/leader/job_transaction.go
+++ b/internal/core/leader/job_transaction.go
@@ -103,7 +103,11 @@
 	if jc.encoding.Format >= job.FormatPreemption {
 		record.Account = job.NewUsageAccount(spec, j.usage(true), jc.wallClock())
 	}
-	t := &jobTransaction{fencingToken: jc.elector.FencingToken(), completions: slices.Clone(j.completions), writesRecord: true}
+	t := &jobTransaction{
+		fencingToken: jc.elector.FencingToken(),
+		completions:  slices.Clone(j.completions),
+		writesRecord: true,
+	}
 	if err := jc.encodeTransaction(j, t, record); err != nil {
 		jc.outbox.Log("record not written", "job", j.ID, "error", err.Error())
 		return nil
@@ -147,7 +151,8 @@
 // condition, except in the first format, in which it is always written.
 func (jc *jobCommitter) encodeTransaction(j *Job, t *jobTransaction, record *job.Record) error {
 	key := job.RecordKey(j.ID)
-	t.transaction.Conditions = append(t.transaction.Conditions, jc.elector.Condition(), wire.Condition{Key: key, Version: j.Version})
+	t.transaction.Conditions = append(t.transaction.Conditions,
+		jc.elector.Condition(), wire.Condition{Key: key, Version: j.Version})
 	if t.writesRecord || jc.encoding.Format < job.FormatGrouped {
 		value, err := job.EncodeRecord(record, jc.encoding.Format)
 		if err != nil {
--- a/internal/core/leader/job_usage.go
+++ b/internal/core/leader/job_usage.go
@@ -33,7 +33,8 @@
 func (j *Job) accountUsage() (accounting.Key, job.ResourceUsage) {
 	switch rec := &j.Record; {
 	case rec.Account != nil:
-		return accounting.Key{Team: rec.Account.Team, Class: rec.Account.Class, Service: rec.Account.Service}, rec.Account.Usage
+		return accounting.Key{Team: rec.Account.Team, Class: rec.Account.Class, Service: rec.Account.Service},
+			rec.Account.Usage
 	case rec.Spec != nil:
 		return accounting.KeyOf(rec.Spec), job.ResourceUsageOf(rec.Spec, j.usage(false))
 	}
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -1,5 +1,5 @@
 // Package leader schedules jobs while its node is the elected leader: it orders the queue, places and preempts jobs in
-// scheduling cycles, commits its decisions to the records in the key-value store, and handles the task states that
+// scheduling cycles, commits its decisions to the records in the state service, and handles the task states that
 // workers report. The records are authoritative: a task is started only after its placement is committed, and a
 // placement is closed only on proof that the task has ended.
 //
@@ -68,7 +68,13 @@
 }
 
 // New returns a Leader for a node that may be elected. Attach must be called before it is used.
-func New(cfg *config.Config, out *outbox.Outbox, encoding *records.Encoding, catalog *zone.Catalog, elector *election.Elector) *Leader {
+func New(
+	cfg *config.Config,
+	out *outbox.Outbox,
+	encoding *records.Encoding,
+	catalog *zone.Catalog,
+	elector *election.Elector,
+) *Leader {
 	return &Leader{environment: &environment{
 		cfg:      cfg,
 		outbox:   out,
@@ -82,7 +88,11 @@
 
 // Attach sets the replica of the records, the reconciler and the autoscaler, and creates the leader's components. It
 // must be called once, before the node handles its first input.
-func (l *Leader) Attach(replica *records.Replica, reconciler *reconciler.Reconciler, autoscaler *autoscaler.Autoscaler) {
+func (l *Leader) Attach(
+	replica *records.Replica,
+	reconciler *reconciler.Reconciler,
+	autoscaler *autoscaler.Autoscaler,
+) {
 	l.replica = replica
 	l.reconciler = reconciler
 	l.autoscaler = autoscaler
@@ -334,7 +344,8 @@
 	l.estimates.restoreEstimates()
 	l.usageAccounts.restoreUsage(ids)
 	l.scheduler.requestCycle()
-	l.outbox.Log("records read", "open_placements", open, "machines", l.reconciler.Registry().Len(), "after_ms", (l.outbox.Now()-l.electedAt)/1000)
+	l.outbox.Log("records read", "open_placements", open, "machines", l.reconciler.Registry().Len(),
+		"after_ms", (l.outbox.Now()-l.electedAt)/1000)
 }
 
 // takeOverJob initializes the state of a job for a new term from its records.
@@ -389,7 +400,8 @@
 // AnswerQuery responds to an operator's query through the outbox.
 func (l *Leader) AnswerQuery(x msg.AdminIn) { l.queries.answerQuery(x) }
 
-// CycleStatistics returns the counts of what the scheduling cycles of this process have examined.
+// CycleStatistics returns the numbers of scheduling cycles, and of examined jobs and machines, since this process
+// started.
 func (l *Leader) CycleStatistics() query.CycleStatistics { return l.snapshot.cycleStatistics() }
 
 // UsageLedger returns the resource usage by team and class that the records account for.
--- a/internal/core/leader/observed_runs.go
+++ b/internal/core/leader/observed_runs.go
@@ -97,9 +97,23 @@
 	}
 	spec := j.Record.Spec
 	wallSeconds := func(at Micros) float64 { return inSeconds(at + es.wallClockOffset) }
-	line := history.Line{Ref: j.ID, Class: spec.Class, Team: spec.Team, Shape: wire.ShapeName(spec.Shape), Tasks: spec.Tasks, CPUs: spec.CPUs, GPUs: spec.GPUs,
-		MemoryGB: spec.MemoryGB, Image: spec.Image, ExpectS: spec.EstimateS, Submitted: inSeconds(j.Record.CreatedAt),
-		Started: wallSeconds(startedAt), Ended: wallSeconds(es.outbox.Now()), Outcome: es.runOutcome(j, key, machine, done), Machine: machine}
+	line := history.Line{
+		Ref:       j.ID,
+		Class:     spec.Class,
+		Team:      spec.Team,
+		Shape:     wire.ShapeName(spec.Shape),
+		Tasks:     spec.Tasks,
+		CPUs:      spec.CPUs,
+		GPUs:      spec.GPUs,
+		MemoryGB:  spec.MemoryGB,
+		Image:     spec.Image,
+		ExpectS:   spec.EstimateS,
+		Submitted: inSeconds(j.Record.CreatedAt),
+		Started:   wallSeconds(startedAt),
+		Ended:     wallSeconds(es.outbox.Now()),
+		Outcome:   es.runOutcome(j, key, machine, done),
+		Machine:   machine,
+	}
 	if spec.Shape == wire.Array {
 		line.Ref = wire.TaskName(j.ID, key.Task)
 		line.Tasks = 1
--- a/internal/core/leader/placement_attempt.go
+++ b/internal/core/leader/placement_attempt.go
@@ -20,9 +20,9 @@
 	attempt uint64         // attempt number under which the tasks are started
 	inZone  map[string]int // placed tasks of the job by zone
 	spread  *replicaSpread
-	// commit is false when the key-value store accepts no more changes for now, because the jobs
-	// that rank highest have been committed. The others only take their capacity for this cycle, so
-	// that no lower-ranking job gets it and machines are requested for what is missing then.
+	// commit is false when the change budget of the cycle has been used up by jobs of higher rank. The
+	// tasks are not placed then, but their capacity is allocated for the rest of the cycle, so that no
+	// lower-ranking job gets it and machines are requested for the tasks that found no capacity.
 	commit bool
 }
 
@@ -39,8 +39,8 @@
 // placeJob finds machines for the missing tasks of a job.
 func (sc *scheduler) placeJob(c *cycle, e *queue.Entry) {
 	j := sc.jobs[e.ID]
-	if sc.quotaExhausted(c, j) {
-		c.quotaLimited = true
+	if sc.teamLimitReached(c, j) {
+		c.teamLimited = true
 		j.clearReservation()
 		return // checked first because it may apply to most jobs of a long queue
 	}
@@ -54,7 +54,7 @@
 	if !ok {
 		return
 	}
-	tasks, ok := sc.tasksWithinQuota(c, j, missing)
+	tasks, ok := sc.tasksWithinLimit(c, j, missing)
 	if !ok {
 		return
 	}
@@ -88,9 +88,9 @@
 	j.reservedMachines = nil
 }
 
-// quotaExhausted reports whether the team's limit leaves no capacity for one more task of a job.
-// Gangs are checked as a whole, see tasksWithinQuota.
-func (sc *scheduler) quotaExhausted(c *cycle, j *Job) bool {
+// teamLimitReached reports whether the team's limit leaves no capacity for one more task of a job.
+// Gangs are checked as a whole, see tasksWithinLimit.
+func (sc *scheduler) teamLimitReached(c *cycle, j *Job) bool {
 	spec := j.Record.Spec
 	return spec.Shape != wire.Gang && !queue.WithinLimit(sc.teams[spec.Team], c.used[spec.Team].Plus(taskAmount(spec), 1))
 }
@@ -129,16 +129,16 @@
 	return last, true
 }
 
-// tasksWithinQuota returns the tasks for which the team's limit has capacity. It returns false for
+// tasksWithinLimit returns the tasks for which the team's limit has capacity. It returns false for
 // a gang that doesn't fit as a whole and has to wait.
-func (sc *scheduler) tasksWithinQuota(c *cycle, j *Job, tasks []int) ([]int, bool) {
+func (sc *scheduler) tasksWithinLimit(c *cycle, j *Job, tasks []int) ([]int, bool) {
 	spec := j.Record.Spec
 	team := sc.teams[spec.Team]
 	for n := range tasks {
 		if queue.WithinLimit(team, c.used[spec.Team].Plus(taskAmount(spec), float64(n+1))) {
 			continue
 		}
-		c.quotaLimited = true
+		c.teamLimited = true
 		if spec.Shape != wire.Gang {
 			return tasks[:n], true
 		}
@@ -208,7 +208,8 @@
 		}
 	}
 	if a.commit {
-		sc.outbox.Debug("placing", "job", j.ID, "class", spec.Class, "tasks", len(bid.Offers), "images_cached", bid.CachedImages, "zone", bid.Zone,
+		sc.outbox.Debug("placing", "job", j.ID, "class", spec.Class, "tasks", len(bid.Offers),
+			"images_cached", bid.CachedImages, "zone", bid.Zone,
 			"age_ms", (sc.outbox.Now()-j.arrivedAt)/1000, "level", a.level)
 		sc.commits.requestCommit(j.ID)
 		sc.diagnostics.counters.placed += len(bid.Offers)
@@ -236,13 +237,21 @@
 	if task >= job.TasksPerShard && task%job.TasksPerShard == 0 {
 		a.cycle.changeBudget -= sc.commits.placementCost(j) // first task of another shard: one more value
 	}
-	sc.snapshot.addPlan(j, job.Placement{Task: task, Attempt: a.attempt, Machine: m.Name, Incarnation: m.Incarnation, Zone: m.Zone,
-		PlacedAt: job.EncodeTime(j.Record.CreatedAt, sc.wallClock()), Spot: m.Spot})
+	sc.snapshot.addPlan(j, job.Placement{
+		Task:        task,
+		Attempt:     a.attempt,
+		Machine:     m.Name,
+		Incarnation: m.Incarnation,
+		Zone:        m.Zone,
+		PlacedAt:    job.EncodeTime(j.Record.CreatedAt, sc.wallClock()),
+		Spot:        m.Spot,
+	})
 }
 
 // recordUnplaced records that there is no free capacity for the remaining tasks of a job: as a
-// demand for machines and, if classOnly is set, in the cache of unschedulable classes. It also
-// tries to free capacity for the job by defragmentation, or to reserve capacity that becomes free.
+// demand for machines and, if classOnly is set, in the cache of unschedulable equivalence classes. It
+// also tries to free capacity for the job by defragmentation, and to reserve capacity that becomes
+// free.
 func (sc *scheduler) recordUnplaced(a *placementAttempt, classOnly bool) {
 	c, j := a.cycle, a.job
 	spec := j.Record.Spec
--- a/internal/core/leader/placement_commits.go
+++ b/internal/core/leader/placement_commits.go
@@ -11,7 +11,7 @@
 	"coralhub/wire"
 )
 
-// Group commit of placements. The key-value store limits the rate of changes, and placing jobs by their records takes
+// Group commit of placements. The state service limits the rate of changes, and placing jobs by their records takes
 // one change for each job. From job.FormatPlacementPages on, the plans of a scheduling cycle are written to placement
 // pages instead (package records): a transaction rewrites one or a few pages, and thereby places tasks of as many jobs
 // as its number of conditions allows. The record of each job is a condition and is not written. A cancellation that was
@@ -65,7 +65,9 @@
 // priority is the write priority of the transaction. A transaction that places a production job or many jobs is not
 // deferred behind the ends of jobs, each of which is a separate change.
 func (t *placementTransaction) priority() msg.WritePriority {
-	urgent := slices.ContainsFunc(t.jobs, func(j *Job) bool { return j.Record.Spec != nil && j.Priority() == wire.Production })
+	urgent := slices.ContainsFunc(t.jobs, func(j *Job) bool {
+		return j.Record.Spec != nil && j.Priority() == wire.Production
+	})
 	if urgent || len(t.jobs) >= minCriticalJobs {
 		return msg.Critical
 	}
@@ -121,8 +123,8 @@
 	}
 }
 
-// countAwaitingResponse counts the transactions whose response is still expected soon, which excludes those that have
-// been sent with an unknown outcome before.
+// countAwaitingResponse counts the transactions in flight, except for those that an earlier send left with an unknown
+// outcome: their responses may take long.
 func (pc *placementCommits) countAwaitingResponse() int {
 	n := 0
 	for _, t := range pc.inFlight {
@@ -166,7 +168,8 @@
 		}
 		pages = extended
 		t.jobs = append(t.jobs, j)
-		t.transaction.Conditions = append(t.transaction.Conditions, wire.Condition{Key: job.RecordKey(j.ID), Version: j.Version})
+		t.transaction.Conditions = append(t.transaction.Conditions,
+			wire.Condition{Key: job.RecordKey(j.ID), Version: j.Version})
 	}
 	pc.waiting = slices.Delete(pc.waiting, 0, taken)
 	if len(pages) == 0 || !pc.encodePages(t, pages) {
@@ -223,7 +226,8 @@
 	for _, page := range pages {
 		value, err := records.EncodePlacementPage(mergeEntries(page.entries))
 		if err != nil || !pc.encoding.Fits(value) {
-			pc.outbox.Log("placements not written", "page", page.number, "entries", len(page.entries), "limit", pc.encoding.MaxValueBytes())
+			pc.outbox.Log("placements not written", "page", page.number, "entries", len(page.entries),
+				"limit", pc.encoding.MaxValueBytes())
 			for _, j := range t.jobs {
 				pc.snapshot.setPlan(j, nil)
 				j.retryAt = pc.outbox.Now() + config.Second
--- a/internal/core/leader/preemption.go
+++ b/internal/core/leader/preemption.go
@@ -83,13 +83,26 @@
 
 // addDecision reserves machines for a job, for the time wait, and has victims stopped to free them:
 // once the decision is committed or, if decisions can't be stored, at once.
-func (pd *preemptionDecisions) addDecision(j *Job, why preemption.Reason, level int, machines []string, victims []preemption.Victim, wait Micros) {
+func (pd *preemptionDecisions) addDecision(
+	j *Job,
+	why preemption.Reason,
+	level int,
+	machines []string,
+	victims []preemption.Victim,
+	wait Micros,
+) {
 	j.reservedMachines = make(map[string]bool, len(machines))
 	for _, name := range machines {
 		j.reservedMachines[name] = true
 	}
 	j.preemptingUntil = pd.outbox.Now() + wait
-	decision := preemption.Decision{Preemptor: j.ID, Reason: why, Level: level, ReservedMachines: machines, Victims: victims}
+	decision := preemption.Decision{
+		Preemptor:        j.ID,
+		Reason:           why,
+		Level:            level,
+		ReservedMachines: machines,
+		Victims:          victims,
+	}
 	if pd.encoding.Format < job.FormatPreemption || pd.wallClock() == 0 {
 		pd.executeDecision(&decision)
 		return
@@ -162,8 +175,10 @@
 		pd.reconciler.Terminate(victim.Job, attempts, d.Reason.String()+" of "+d.Preemptor)
 		pair := preemption.Pair{Preemptor: preemptor.Record.Spec.Class, Victim: victim.Record.Spec.Class, Reason: d.Reason}
 		pd.committer.Counts().Add(pair, len(attempts))
-		pd.outbox.Debug("preempting", "job", victim.ID, "class", pair.Victim, "team", victim.Record.Spec.Team, "tasks", len(attempts),
-			"to", d.Preemptor, "class_to", pair.Preemptor, "team_to", preemptor.Record.Spec.Team, "by", d.Reason.String(), "level", d.Level)
+		pd.outbox.Debug("preempting",
+			"job", victim.ID, "class", pair.Victim, "team", victim.Record.Spec.Team, "tasks", len(attempts),
+			"to", d.Preemptor, "class_to", pair.Preemptor, "team_to", preemptor.Record.Spec.Team,
+			"by", d.Reason.String(), "level", d.Level)
 	}
 }
 
--- a/internal/core/leader/snapshot.go
+++ b/internal/core/leader/snapshot.go
@@ -39,8 +39,8 @@
 	statistics query.CycleStatistics
 }
 
-// cycleStatistics returns the number of cycles that this process has run, and of the jobs and
-// machines that these have updated.
+// cycleStatistics returns the numbers of cycles, and of updates of jobs and machines in the snapshot,
+// since this process started.
 func (ss *clusterSnapshot) cycleStatistics() query.CycleStatistics { return ss.statistics }
 
 // reset empties the snapshot, so that the next cycle rebuilds it.
--- a/internal/core/leader/snapshot_jobs.go
+++ b/internal/core/leader/snapshot_jobs.go
@@ -159,8 +159,8 @@
 	return zone.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB}
 }
 
-// startAmount returns the part of its team's quota that a job needs to start: that of one task, or
-// of a whole gang.
+// startAmount returns what a job needs to start, as counted against its team's limit and guarantee:
+// the amount of one task, or of a whole gang.
 func startAmount(s *wire.Job) queue.Amount {
 	if s.Shape == wire.Gang {
 		return queue.Amount{}.Plus(taskAmount(s), float64(s.Tasks))
@@ -168,5 +168,5 @@
 	return taskAmount(s)
 }
 
-// taskAmount returns what one task of a job counts against its team's quota.
+// taskAmount returns what one task of a job counts against its team's limit and guarantee.
 func taskAmount(s *wire.Job) queue.Amount { return queue.Amount{CPUs: s.CPUs, GPUs: s.GPUs} }
--- a/internal/core/leader/snapshot_machines.go
+++ b/internal/core/leader/snapshot_machines.go
@@ -61,7 +61,8 @@
 // on the machine for failureBackoff. Another failure ends the probation, a success ends the
 // quarantine.
 func (ss *clusterSnapshot) updateProbation(m *zone.Machine) {
-	m.OnProbation = m.Quarantined() && (m.OnProbation || ss.demandUnmet && ss.outbox.Now()-m.LastFailureAt() > failureBackoff)
+	m.OnProbation = m.Quarantined() &&
+		(m.OnProbation || ss.demandUnmet && ss.outbox.Now()-m.LastFailureAt() > failureBackoff)
 }
 
 // heartbeatTimeout returns the time without contact to a worker after which no more tasks are
--- a/internal/core/leader/start_order.go
+++ b/internal/core/leader/start_order.go
@@ -87,7 +87,9 @@
 		ofClass := attainment[name]
 		cs.largestFrom = ofClass.LargestBucket
 		cs.tiers = [sizeBands]int{normalTier, normalTier}
-		shares = append(shares, bandShare{cs, otherBand, ofClass.Rest.Value()}, bandShare{cs, largestBand, ofClass.Largest.Value()})
+		shares = append(shares,
+			bandShare{cs, otherBand, ofClass.Rest.Value()},
+			bandShare{cs, largestBand, ofClass.Largest.Value()})
 	}
 	slices.SortStableFunc(shares, func(a, b bandShare) int { return cmp.Compare(a.started, b.started) })
 	for i, share := range shares {
--- a/internal/core/leader/usage.go
+++ b/internal/core/leader/usage.go
@@ -90,7 +90,8 @@
 	var out []string
 	for _, team := range teams[:min(len(teams), maxClasses)] {
 		u := byTeam[team]
-		out = append(out, fmt.Sprintf("%s=%d/%d/%d share=%.2f fair_share=%.2f", team, u.GPU/config.Second, u.CPU/config.Second, u.Lost/config.Second, shares[team], ua.fairShare(team)))
+		out = append(out, fmt.Sprintf("%s=%d/%d/%d share=%.2f fair_share=%.2f", team,
+			u.GPU/config.Second, u.CPU/config.Second, u.Lost/config.Second, shares[team], ua.fairShare(team)))
 	}
 	ua.outbox.Log("resource usage", "gpu_s/cpu_s/repeated_task_s", strings.Join(out, " "))
 }
--- a/internal/core/leader/victims.go
+++ b/internal/core/leader/victims.go
@@ -45,7 +45,8 @@
 	listed := map[string]bool{}
 	j.EachPlacement(func(p job.Placement) {
 		m := vf.reconciler.Registry().Get(p.Machine)
-		if vf.reconciler.IsTerminating(p.AttemptKey(j.ID)) || vf.preemptions.isPendingVictim(j.ID, p.Task) || m == nil || m.Offer == nil {
+		if vf.reconciler.IsTerminating(p.AttemptKey(j.ID)) || vf.preemptions.isPendingVictim(j.ID, p.Task) ||
+			m == nil || m.Offer == nil {
 			return
 		}
 		reclaim := zone.Reclaim{Offer: m.Offer, Resources: needs}
--- a/internal/core/leader/wait_reasons.go
+++ b/internal/core/leader/wait_reasons.go
@@ -30,7 +30,8 @@
 	case now < j.preemptingUntil:
 		return "others are leaving machines for it"
 	}
-	if team := oq.teams[spec.Team]; team != nil && !queue.WithinLimit(team, oq.snapshot.used[spec.Team].Plus(startAmount(spec), 1)) {
+	if team := oq.teams[spec.Team]; team != nil &&
+		!queue.WithinLimit(team, oq.snapshot.used[spec.Team].Plus(startAmount(spec), 1)) {
 		return "its team's limit"
 	}
 	return "no machine has room, or others go before it"
@@ -39,7 +40,13 @@
 // waitReason returns why a job waits, with its rank in the queue and the preemption decisions in
 // force for it.
 func (oq *operatorQueries) waitReason(j *Job) query.WaitReason {
-	out := query.WaitReason{Job: oq.stateOfJob(j), Reason: oq.waitReasonText(j), Ahead: []string{}, ReservedMachines: []string{}, PreemptedJobs: []string{}}
+	out := query.WaitReason{
+		Job:              oq.stateOfJob(j),
+		Reason:           oq.waitReasonText(j),
+		Ahead:            []string{},
+		ReservedMachines: []string{},
+		PreemptedJobs:    []string{},
+	}
 	if j.Record.Spec == nil {
 		return out
 	}
