--- a/internal/core/zone/machine.go
+++ b/internal/core/zone/machine.go
@@ -58,8 +58,9 @@
 	Relayed            bool   // the newest message arrived through the state service
 	NeedsFullHeartbeat bool   // the next heartbeat has to be sent directly to the leader
 	// HeartbeatsLostSince is the time since when the worker's heartbeats are known to reach no node, 0 if
-	// they reach one. Calls to the worker are answered, but its lease has expired, and no heartbeat of the
-	// later incarnation has arrived by any path. Its tasks end with each lease, regardless of calls.
+	// they reach one. They are known to be lost if a call shows that the worker has begun another
+	// incarnation, so its lease has expired, and no heartbeat of that incarnation has arrived by any path.
+	// Calls don't renew the lease, so the worker's tasks end each time that it expires.
 	HeartbeatsLostSince Micros
 	Reachability        Reachability
 }
@@ -102,7 +103,7 @@
 	DeletionUncertain bool // a deletion without an answer may still be executed
 }
 
-// Faults holds the reasons against placing tasks on the machine.
+// Faults holds the failures on the machine, which may prevent the placement of tasks on it.
 type Faults struct {
 	FailedJobs       map[string]Micros // times of failures since the last success, by job
 	OnProbation      bool              // tasks are placed on it despite its quarantine, to test whether it still fails
@@ -119,7 +120,7 @@
 }
 
 // Describe sets the description of a machine from a source other than its worker. An empty address is
-// ignored. It does nothing and returns false once the worker has reported.
+// ignored. Once the worker has sent a message, it does nothing and returns false.
 func (m *Machine) Describe(addr, machineType, zone string, spot bool) bool {
 	if m.Incarnation != 0 {
 		return false
@@ -141,12 +142,13 @@
 	m.updateContact(now, h, isHeartbeat)
 	m.updateExpectedReply(h, isHeartbeat)
 	m.applyReport(now, h)
-	m.startsResolved = isHeartbeat && !m.StartInFlight && m.FencingToken > m.UncertainStartToken && h.Sequence > m.ReplySequence
+	m.startsResolved = isHeartbeat && !m.StartInFlight && m.FencingToken > m.UncertainStartToken &&
+		h.Sequence > m.ReplySequence
 	return true
 }
 
-// updateContact records that a message arrived, and is called before the message is applied. If a later
-// incarnation first appears in the answer to a call, the worker's heartbeats have not reached any node.
+// updateContact records that a message arrived. It is called before the message is applied. If the first
+// message of a later incarnation is the answer to a call, the worker's heartbeats reach no node.
 func (m *Machine) updateContact(now Micros, h *wire.Heartbeat, isHeartbeat bool) {
 	switch {
 	case isHeartbeat:
@@ -237,7 +239,7 @@
 // rejects it once it has seen a higher fencing token.
 func (m *Machine) StartUncertain() bool { return m.FencingToken <= m.UncertainStartToken }
 
-// replyClockTolerance is the inverse of the fraction by which a worker's clock may run slow.
+// replyClockTolerance is the inverse of the fraction by which a worker's clock may run slower than this node's.
 const replyClockTolerance = 100
 
 // StartMayArrive reports whether a start that was sent may still take effect. A start in the response to
--- a/internal/core/zone/preemption.go
+++ b/internal/core/zone/preemption.go
@@ -18,8 +18,8 @@
 	Task      int    // -1 for a whole gang
 	Level     int    // priority level
 	Since     Micros // when it started
-	Loss      Micros // work since its last checkpoint, which would have to be repeated
-	Remaining Micros // expected remaining duration, 0 where it does not matter
+	Loss      Micros // running time to be repeated, 0 for services and for work that saves checkpoints
+	Remaining Micros // expected remaining run time, 0 if unknown or not considered
 	Reclaims  []Reclaim
 	Preempted bool // by an earlier placement of the scheduling cycle
 }
@@ -43,7 +43,7 @@
 }
 
 // SortByLoss sorts victims into the order of preemption: lowest priority first, then the least loss,
-// then the longest remaining duration, then the longest running. To sort by running time alone would
+// then the longest remaining run time, then the longest running. To sort by running time alone would
 // assume that all work can be saved in a checkpoint.
 func SortByLoss(victims []*Victim) {
 	slices.SortFunc(victims, func(a, b *Victim) int {
