--- a/internal/core/records/completion_encoding.go
+++ b/internal/core/records/completion_encoding.go
@@ -12,8 +12,8 @@
 func CompletionPageKey(n uint64) string { return completionPrefix + strconv.FormatUint(n, 10) }
 
 // CompletionEntry is an entry of the completion log. It records that an attempt of a task is no
-// longer on a machine. This never becomes untrue, so an entry can be applied to any version of a
-// record and any number of times.
+// longer on a machine. As an attempt never returns to a machine, an entry can be applied to any
+// version of a record and any number of times.
 type CompletionEntry struct {
 	//lint:ignore U1000 read by the encoder: an entry is encoded as an array, to be short
 	_msgpack      struct{} `msgpack:",as_array"`
--- a/internal/core/records/completion_pages.go
+++ b/internal/core/records/completion_pages.go
@@ -13,7 +13,7 @@
 type Completion struct {
 	CompletionEntry
 	Merged bool       // whether the stored value of the job's record, shard or placement page includes it
-	entry  *pageEntry // placement page entry whose stored value has the attempt open, or nil
+	entry  *pageEntry // entry of a placement page whose stored value has the attempt open, or nil
 }
 
 // PlacementPage returns the placement page that has to be rewritten before the completion can be
@@ -85,7 +85,7 @@
 	}
 	n := j.Record.ShardOf(c.Task)
 	if j.Version == 0 || j.Archived() || n > len(j.Shards) {
-		return // there is no record or shard to update: it will be applied later, or never
+		return // no record or shard to update yet: c is applied when one arrives, unless the job is archived
 	}
 	shard, _ := j.Shard(n)
 	updated := shard.Clone()
--- a/internal/core/records/dependencies_test.go
+++ b/internal/core/records/dependencies_test.go
@@ -22,8 +22,10 @@
 func (l *recordingListener) RecordChanged(*Job)                                       {}
 func (l *recordingListener) JobFinished(*Job)                                         {}
 func (l *recordingListener) JobChanged(*Job)                                          {}
-func (l *recordingListener) DependenciesMet(j *Job)                                   { l.unblocked = append(l.unblocked, j.ID) }
-func (l *recordingListener) DependencyCancelled(*Job)                                 {}
+func (l *recordingListener) DependenciesMet(j *Job) {
+	l.unblocked = append(l.unblocked, j.ID)
+}
+func (l *recordingListener) DependencyCancelled(*Job) {}
 
 // putRecord applies a put of the record of job j-n.
 func putRecord(t *testing.T, r *Replica, version uint64, record job.Record, n int) {
@@ -32,7 +34,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if handled, err := r.Apply(&wire.Change{Put: job.RecordKey(fmt.Sprintf("j-%d", n)), Value: value, Version: version}); !handled || err != nil {
+	if handled, err := r.Apply(&wire.Change{
+		Put:     job.RecordKey(fmt.Sprintf("j-%d", n)),
+		Value:   value,
+		Version: version,
+	}); !handled || err != nil {
 		t.Fatalf("apply the record of j-%d: handled %v, error %v", n, handled, err)
 	}
 }
@@ -74,7 +80,8 @@
 			}
 		}
 		putRecord(t, replica, chainLength+1, job.Record{Phase: job.Done}, 0)
-		if replica.Job("j-1").Blocked() || !replica.Job("j-2").Blocked() || !slices.Equal(listener.unblocked, []string{"j-1"}) {
+		if replica.Job("j-1").Blocked() || !replica.Job("j-2").Blocked() ||
+			!slices.Equal(listener.unblocked, []string{"j-1"}) {
 			t.Fatalf("after j-0 is done: unblocked %q, want only j-1; blocked: j-1 %v, j-2 %v",
 				listener.unblocked, replica.Job("j-1").Blocked(), replica.Job("j-2").Blocked())
 		}
--- a/internal/core/records/encoding.go
+++ b/internal/core/records/encoding.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// valueSlackBytes is the margin between the largest value and the limit of the key-value store.
+	// valueSlackBytes is the margin between the largest value and the limit of the state service.
 	valueSlackBytes = 32
 	// minValueBytes is the lower bound of a reduced value limit.
 	minValueBytes = 1024
-	// minWritesPerSecond limits the interval between writes when a share of the write rate is tiny.
+	// minWritesPerSecond is the lower bound of the rate in IntervalForShare. It limits the interval when the
+	// share of the write rate is tiny.
 	minWritesPerSecond = 0.01
 )
 
 // FormatKey is the key of the format in force.
 const FormatKey = job.KeyRoot + "format"
 
-// Encoding determines how values are encoded: the format in force, and the size limits of the
-// key-value store.
+// Encoding determines how values are encoded: the format in force, and the size limits of the state
+// service.
 type Encoding struct {
 	Format  job.Format // format in force, as last observed by this node
 	Version uint64     // version of FormatKey, 0 if it does not exist
@@ -28,7 +29,7 @@
 	reducedLimit int // limit of values in bytes set by ReduceMaxValueBytes, 0 if it was not called
 }
 
-// NewEncoding returns an Encoding with the first format and the limits of a key-value store.
+// NewEncoding returns an Encoding with the first format and the limits of the state service.
 func NewEncoding(state *config.State) *Encoding {
 	return &Encoding{Format: job.FormatPlacements, state: state}
 }
@@ -48,8 +49,8 @@
 	return e.state.MaxValueBytes()
 }
 
-// MaxValueBytes returns the maximum size of a value. It respects the current limit of the key-value
-// store as well as announced ones, since it is not known when those take effect.
+// MaxValueBytes returns the maximum size of a value. It respects the current limit of the state service
+// and the next one, since it is not known when that takes effect.
 func (e *Encoding) MaxValueBytes() int { return e.valueLimit() - valueSlackBytes }
 
 // Fits reports whether an encoded value is small enough to be put.
@@ -58,12 +59,12 @@
 // MaxOps returns the maximum number of changes in a transaction.
 func (e *Encoding) MaxOps() int { return e.state.MaxTxnOps() }
 
-// ReduceMaxValueBytes lowers the limit of values by a quarter, to minValueBytes at the lowest. It is
-// called when the key-value store has rejected a transaction as malformed.
+// ReduceMaxValueBytes lowers the size limit of values by a quarter, but not below minValueBytes. It is
+// called when the state service has rejected a transaction as malformed.
 func (e *Encoding) ReduceMaxValueBytes() { e.reducedLimit = max(minValueBytes, e.valueLimit()*3/4) }
 
 // IntervalForShare returns the time between writes that together use the given share, from 0 to 1, of
-// the key-value store's write rate.
+// the state service's write rate.
 func (e *Encoding) IntervalForShare(share float64) Micros {
 	return config.FromSeconds(1 / max(minWritesPerSecond, share*e.state.MinWriteRPS()))
 }
--- a/internal/core/records/placement_pages_test.go
+++ b/internal/core/records/placement_pages_test.go
@@ -17,12 +17,16 @@
 // An encoded page decodes to the same entries, and a malformed one is rejected.
 func TestPlacementPageEncoding(t *testing.T) {
 	entries := []PlacementEntry{
-		{Job: "j-1", Index: 0, LastAttempt: 3, Shard: job.Shard{DoneSet: "5", Usage: &job.Usage{Time: 7, Spot: 2, Lost: 1}, Open: []job.Placement{
-			{Task: 1, Attempt: 2, Machine: "m-1", Incarnation: 1, Zone: "a", PlacedAt: 12},
-			{Task: 4, Attempt: 2, Machine: "m-1", Incarnation: 1, Zone: "a", PlacedAt: 12},
-			{Task: 6, Attempt: 2, Machine: "m-2", Incarnation: 9, Zone: "b", PlacedAt: 12, Spot: true},
-			{Task: 31, Attempt: 3, Machine: "m-2", Incarnation: 9, Zone: "b", PlacedAt: 13, Spot: true}}}},
-		{Job: "j-2", Index: 3, LastAttempt: 1, Shard: job.Shard{Open: []job.Placement{{Task: 96, Attempt: 1, Machine: "m-3", Incarnation: 1, Zone: "a"}}}},
+		{Job: "j-1", Index: 0, LastAttempt: 3, Shard: job.Shard{
+			DoneSet: "5",
+			Usage:   &job.Usage{Time: 7, Spot: 2, Lost: 1},
+			Open: []job.Placement{
+				{Task: 1, Attempt: 2, Machine: "m-1", Incarnation: 1, Zone: "a", PlacedAt: 12},
+				{Task: 4, Attempt: 2, Machine: "m-1", Incarnation: 1, Zone: "a", PlacedAt: 12},
+				{Task: 6, Attempt: 2, Machine: "m-2", Incarnation: 9, Zone: "b", PlacedAt: 12, Spot: true},
+				{Task: 31, Attempt: 3, Machine: "m-2", Incarnation: 9, Zone: "b", PlacedAt: 13, Spot: true}}}},
+		{Job: "j-2", Index: 3, LastAttempt: 1, Shard: job.Shard{
+			Open: []job.Placement{{Task: 96, Attempt: 1, Machine: "m-3", Incarnation: 1, Zone: "a"}}}},
 		{Job: "j-3", Index: 0, LastAttempt: 8},
 	}
 	value, err := EncodePlacementPage(entries)
@@ -35,9 +39,12 @@
 	}
 	for _, page := range []storedPage{
 		{Entries: []storedEntry{{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "1", Zone: 2}}}}}}},
-		{Zones: []string{"a"}, Entries: []storedEntry{{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "x"}}}}}}},
-		{Zones: []string{"a"}, Entries: []storedEntry{{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "1ffffffff"}}}}}}},
-		{Zones: []string{"a"}, Entries: []storedEntry{{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "1", Zone: -1}}}}}}},
+		{Zones: []string{"a"}, Entries: []storedEntry{
+			{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "x"}}}}}}},
+		{Zones: []string{"a"}, Entries: []storedEntry{
+			{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "1ffffffff"}}}}}}},
+		{Zones: []string{"a"}, Entries: []storedEntry{
+			{Job: "j-1", Attempts: []storedAttempt{{Machines: []storedMachine{{Tasks: "1", Zone: -1}}}}}}},
 	} {
 		value, err := job.Encode(&page)
 		if err != nil {
@@ -49,7 +56,7 @@
 	}
 }
 
-// leaderModel is a key-value store with a single writer that changes it as a leader does, and the
+// leaderModel is a state service with a single writer that changes it as a leader does, and the
 // writer's replica.
 type leaderModel struct {
 	t       *rapid.T
@@ -76,7 +83,8 @@
 	id := fmt.Sprintf("j-%d", m.jobs)
 	m.jobs++
 	tasks := rapid.IntRange(1, 70).Draw(m.t, "tasks")
-	m.putRecord(id, &job.Record{CreatedAt: 1, Spec: &wire.Job{ID: id, Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks, CPUs: 1}})
+	m.putRecord(id, &job.Record{CreatedAt: 1, Spec: &wire.Job{
+		ID: id, Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks, CPUs: 1}})
 }
 
 func (m *leaderModel) putRecord(id string, record *job.Record) {
@@ -119,9 +127,12 @@
 		missing = missing[:rapid.IntRange(1, len(missing)).Draw(m.t, "how many")]
 		added := PlacementEntry{Job: j.ID, Index: first / job.TasksPerShard, LastAttempt: attempt}
 		for _, i := range missing {
-			added.Open = append(added.Open, job.Placement{Task: first + i, Attempt: attempt, Machine: fmt.Sprintf("m-%d", i%5), Incarnation: 1, Zone: "a", PlacedAt: 5})
+			added.Open = append(added.Open, job.Placement{
+				Task: first + i, Attempt: attempt, Machine: fmt.Sprintf("m-%d", i%5), Incarnation: 1, Zone: "a", PlacedAt: 5})
 		}
-		if i := slices.IndexFunc(entries, func(p PlacementEntry) bool { return p.Job == j.ID && p.Index == added.Index }); i >= 0 {
+		if i := slices.IndexFunc(entries, func(p PlacementEntry) bool {
+			return p.Job == j.ID && p.Index == added.Index
+		}); i >= 0 {
 			entry := &entries[i]
 			entry.Open = append(slices.Clip(entry.Open), added.Open...)
 			entry.LastAttempt = attempt
@@ -162,8 +173,14 @@
 	}
 	j.EachPlacement(func(p job.Placement) {
 		if rapid.Bool().Draw(m.t, "completes") {
-			completions = append(completions, CompletionEntry{Job: j.ID, Task: p.Task, Attempt: p.Attempt, Machine: p.Machine, Done: rapid.Bool().Draw(m.t, "done"),
-				Occupancy: job.Occupancy{End: p.PlacedAt + 10}})
+			completions = append(completions, CompletionEntry{
+				Job:       j.ID,
+				Task:      p.Task,
+				Attempt:   p.Attempt,
+				Machine:   p.Machine,
+				Done:      rapid.Bool().Draw(m.t, "done"),
+				Occupancy: job.Occupancy{End: p.PlacedAt + 10},
+			})
 		}
 	})
 	value, err := EncodeCompletionPage(completions, job.NewestFormat)
@@ -203,7 +220,11 @@
 // finish cancels a job that has no open placements.
 func (m *leaderModel) finish() {
 	if j := m.pick(); j != nil && j.OpenTasks == 0 {
-		m.putRecord(j.ID, &job.Record{Phase: job.Cancelled, DoneTasks: j.DoneTasks, Account: job.NewUsageAccount(j.Record.Spec, m.usage(j), 0)})
+		m.putRecord(j.ID, &job.Record{
+			Phase:     job.Cancelled,
+			DoneTasks: j.DoneTasks,
+			Account:   job.NewUsageAccount(j.Record.Spec, m.usage(j), 0),
+		})
 	}
 }
 
@@ -250,7 +271,9 @@
 		m := &leaderModel{t: t, store: map[string]wire.KeyValue{}, replica: New(noopListener{}), logPage: 1}
 		m.submit()
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			step := rapid.SampledFrom([]func(){m.submit, m.place, m.place, m.place, m.complete, m.complete, m.compact, m.deleteMerged, m.rewrite, m.finish}).Draw(t, "step")
+			step := rapid.SampledFrom([]func(){
+				m.submit, m.place, m.place, m.place, m.complete, m.complete, m.compact, m.deleteMerged, m.rewrite, m.finish,
+			}).Draw(t, "step")
 			step()
 		}
 		want := m.jobStates(m.replica)
--- a/internal/core/records/replica.go
+++ b/internal/core/records/replica.go
@@ -1,7 +1,7 @@
 // Package records implements a node's replica of the committed state of jobs: their records and
 // shards, the completion log, the placement pages, and the dependencies between jobs. It applies
 // changes in any order, and notifies a listener of their effects. It makes no decisions and writes
-// nothing to the key-value store.
+// nothing to the state service.
 package records
 
 import (
