--- a/internal/core/catalog.go
+++ b/internal/core/catalog.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// catalogDone applies the machine types received from the cloud. The leader stores them in the key-value
-// store, so that nodes that start during an outage of the cloud can read them.
+// catalogDone applies the machine types received from the cloud. The leader stores them in the state
+// service, so that nodes that start during an outage of the cloud can read them.
 func (c *Core) catalogDone(done msg.CatalogDone) {
 	if done.Outcome != msg.OK || len(done.Catalog.Types) == 0 {
 		return
@@ -65,7 +65,7 @@
 	return true
 }
 
-// storeCatalog writes the machine types to the key-value store, unless they exceed the size limit of a value.
+// storeCatalog writes the machine types to the state service, unless they exceed the size limit of a value.
 func (c *Core) storeCatalog(catalog *wire.Catalog) {
 	value, err := job.Encode(catalog)
 	if err != nil || !c.encoding.Fits(value) {
--- a/internal/core/changes.go
+++ b/internal/core/changes.go
@@ -8,7 +8,7 @@
 	"coralhub/wire"
 )
 
-// applySnapshot replaces all that this node has read from the key-value store with a listing. The watch
+// applySnapshot replaces all that this node has read from the state service with a listing. The watch
 // reports again any key that was changed after the listing began.
 func (c *Core) applySnapshot(snapshot msg.Snapshot) {
 	listed := make(map[string]bool, len(snapshot.Items))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -2,9 +2,9 @@
 // and returns the effects that the node has to execute. A core has no clock, does no I/O and starts no
 // goroutines, and nothing in it depends on the iteration order of a map.
 //
-// Every node keeps a replica of the records, answers users and is ready to become the leader. Each of
-// these concerns is implemented by a component in a package of its own; the core dispatches inputs to the
-// components. See docs/design.md.
+// Every node keeps a replica of the records, which are stored in the state service (a key-value store),
+// answers users and is ready to become the leader. Each of these concerns is implemented by a component in
+// a package of its own; the core dispatches inputs to the components. See docs/design.md.
 package core
 
 import (
@@ -47,7 +47,7 @@
 	autoscaler *autoscaler.Autoscaler
 	reconciler *reconciler.Reconciler
 
-	loaded  bool // whether a Snapshot has been applied
+	loaded  bool // whether a msg.Snapshot, a listing of the state service, has been applied
 	replica *records.Replica
 
 	catalogState
@@ -168,9 +168,9 @@
 // canServe reports whether this node can answer users and workers.
 func (c *Core) canServe() bool { return c.notServingReason() == "" }
 
-// reduceMaxValueBytes is called with a transaction that the key-value store has rejected as malformed,
-// either because of a defect or because the store's limits are below the configured ones. So that the same
-// bytes are not sent indefinitely, it reduces the maximum size of values, down to a lower bound.
+// reduceMaxValueBytes is called with a transaction that the state service has rejected as malformed, either
+// because of a defect or because the service's limits are below the configured ones. So that the same bytes
+// are not sent indefinitely, it reduces the maximum size of values, down to a lower bound.
 func (c *Core) reduceMaxValueBytes(transaction *wire.Transaction) {
 	var puts []string
 	for i := range transaction.Changes {
--- a/internal/core/election_test.go
+++ b/internal/core/election_test.go
@@ -10,7 +10,7 @@
 	"coralhub/wire"
 )
 
-// candidate is a core without peers. The test supplies the responses of the key-value store.
+// candidate is a core without peers. The test supplies the responses of the state service.
 type candidate struct {
 	t    *testing.T
 	core *core.Core
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -9,11 +9,11 @@
 )
 
 // An upgrade raises the format of stored values once, while nodes of both versions serve. Each node writes
-// a permanent announcement of the newest format that it reads; a node without an announcement reads only
-// the first one. Once all configured nodes read a newer format, the leader raises the format in a
-// transaction that is conditional on its leadership. The format is never lowered. Until it is raised, all
-// values are written so that the older version can read them, and no job is admitted of which the older
-// version would lose a part.
+// a permanent announcement of the newest format that it reads; a node without an announcement is assumed to
+// read only the first one. Once all configured nodes have announced a newer format, the leader raises the
+// format in a transaction that is conditional on its leadership. The format is never lowered. Until it is
+// raised, all values are written so that the older version can read them, and a job of which the older
+// version would lose a part is not admitted.
 
 const (
 	formatKey      = records.FormatKey
@@ -76,8 +76,8 @@
 	})
 }
 
-// targetFormat returns the format that this node announces: the newest one, unless placement pages are
-// disabled.
+// targetFormat returns the format that this node announces: the newest one or, if placement pages are
+// disabled, the last one without them.
 func (c *Core) targetFormat() job.Format {
 	if !c.cfg.Settings.PlacementPages {
 		return job.FormatPlacementPages - 1
--- a/internal/core/leader/placement_commits.go
+++ b/internal/core/leader/placement_commits.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// countAwaitingResponse counts the transactions in flight, except for those that an earlier send left with an unknown
-// outcome: their responses may take long.
+// countAwaitingResponse counts the transactions in flight whose response is expected soon. Those for which an earlier
+// send received no response are not counted.
 func (pc *placementCommits) countAwaitingResponse() int {
 	n := 0
 	for _, t := range pc.inFlight {
--- a/internal/core/term_test.go
+++ b/internal/core/term_test.go
@@ -78,8 +78,9 @@
 	}
 }
 
-// A command of an earlier leader may reach a worker that has not seen this leader's token yet after any delay.
-// Therefore it proves nothing if such a worker doesn't report the tasks of a cancelled job.
+// A worker that has not seen this leader's token yet accepts commands of an earlier leader, which may arrive
+// after any delay. Therefore such a worker may still start the tasks of a cancelled job that it doesn't
+// report now, and their placements stay open.
 func TestPredecessorsCommandsMayArriveLate(t *testing.T) {
 	// closingWrites returns the number of writes of the record and the completion log after the worker
 	// has reported none of the tasks.
--- a/internal/core/units_test.go
+++ b/internal/core/units_test.go
@@ -17,7 +17,7 @@
 // jobsPerRound is the number of one-task jobs in a round of a benchmark.
 const jobsPerRound = 40
 
-// simulatedCluster is a leader of a fleet with additional free machines, with a key-value store that commits
+// simulatedCluster is a leader of a fleet with additional free machines, with a state service that commits
 // all transactions at once and workers that execute their commands.
 type simulatedCluster struct {
 	*fleet
