--- a/internal/core/autoscaler/cloud_list.go
+++ b/internal/core/autoscaler/cloud_list.go
@@ -10,7 +10,7 @@
 const (
 	// minListInterval is the shortest time between two requests for the cloud's list.
 	minListInterval = 2 * config.Second
-	// deletedRetentionLags is how long a deleted machine is remembered, in list lags.
+	// deletedRetentionLags is how long the deletion of a machine stays recorded at least, in list lags.
 	deletedRetentionLags = 5
 	// missingLags is how long a machine must be absent from the lists to count as missing, in list lags.
 	missingLags = 3
--- a/internal/core/autoscaler/correlated_failure.go
+++ b/internal/core/autoscaler/correlated_failure.go
@@ -6,8 +6,8 @@
 	// correlatedFailureFactor is how many times longer a machine is kept without contact while its
 	// zone has a correlated failure.
 	correlatedFailureFactor = 6
-	// A zone has a correlated failure if more than one of its machines, and more than one in
-	// correlatedFailureShare, are without contact.
+	// A zone has a correlated failure if at least two of its machines, and more than
+	// 1/correlatedFailureShare of them, are without contact.
 	correlatedFailureShare = 3
 )
 
--- a/internal/core/autoscaler/provisioner.go
+++ b/internal/core/autoscaler/provisioner.go
@@ -20,9 +20,9 @@
 	// requestRetryDelay is the delay before a request without an answer is sent again.
 	requestRetryDelay = config.Second
 	// lookaheadSeconds limits pending requests to the number that the cloud accepts in this time.
-	// Requesting the whole demand of a flood at once led to some 300 requests, which delayed the
-	// list of machines and the deletion of failed ones by a minute, although the first answer showed
-	// that the cloud had no capacity.
+	// If the whole demand of a flood were requested at once, some 300 requests would delay the list of
+	// machines and the deletion of failed ones by a minute, although the first answer would show that
+	// the cloud has no capacity.
 	lookaheadSeconds = 5
 	// maxInFlight is the maximum number of requests in flight.
 	maxInFlight = 8
--- a/internal/core/completionlog/completionlog.go
+++ b/internal/core/completionlog/completionlog.go
@@ -1,4 +1,4 @@
-// Package completionlog writes completions of tasks into the completion log. Changes of the key-value store are
+// Package completionlog writes completions of tasks into the completion log. Changes of the state service are
 // expensive, and large arrays complete task by task. A completion that neither finishes its job nor is committed
 // together with new placements is therefore not written into the job's record, but into a page of this log, together
 // with the completions of all other jobs.
@@ -20,7 +20,7 @@
 )
 
 const (
-	// completionShare is the share of the key-value store's write rate that the log may use while any job waits for
+	// completionShare is the share of the state service's write rate that the log may use while any job waits for
 	// the capacity or the part of a limit that a completion frees, and idleCompletionShare the share while none does.
 	completionShare, idleCompletionShare = 0.2, 0.03
 	// maxCompletionDelay limits the time for which completions are collected while no job waits for what they free.
@@ -29,8 +29,8 @@
 	// the term's first fencing token: if a number were reused after its page was deleted, the new page could be
 	// mistaken for the old one with more entries.
 	pageNumberBits = 20
-	// maxCompletionLogBytes is the size of all pages, each counted as full, above which the records and placement
-	// pages that the oldest page's entries concern are written, so that this page can be deleted.
+	// maxCompletionLogBytes limits the size of all pages, each counted as full. Above it, the records and placement
+	// pages that hold the tasks of the oldest page's entries are written, so that the oldest page can be deleted.
 	maxCompletionLogBytes = 64 << 10
 )
 
@@ -70,14 +70,16 @@
 }
 
 // New returns a log without entries to write.
-func New(out *outbox.Outbox, encoding *records.Encoding, elector *election.Elector, replica *records.Replica, jobs Jobs) *Log {
+func New(
+	out *outbox.Outbox, encoding *records.Encoding, elector *election.Elector, replica *records.Replica, jobs Jobs,
+) *Log {
 	l := &Log{outbox: out, encoding: encoding, elector: elector, replica: replica, jobs: jobs}
 	l.Reset()
 	return l
 }
 
 // Reset discards the entries and the state of the term, so that the next term begins new pages. The time of the next
-// write is kept, to stay within the key-value store's quota.
+// write is kept, to stay within the state service's quota.
 func (l *Log) Reset() {
 	l.pagesStarted = 0
 	l.currentPage = 0
@@ -210,8 +212,8 @@
 	})
 }
 
-// dropStoredEntries drops the unwritten entries that pages or records hold by now, and the completions from which they
-// were made.
+// dropStoredEntries drops the unwritten entries whose placements are no longer open in the replica, since a page or a
+// record holds them by now, and calls EntryStored for each.
 func (l *Log) dropStoredEntries() {
 	kept := l.unwritten[:0]
 	for i := range l.unwritten {
--- a/internal/core/defrag/plan_test.go
+++ b/internal/core/defrag/plan_test.go
@@ -49,7 +49,8 @@
 		t.Errorf("%+v", p)
 	}
 	ms = append(ms, machine("e", 0))
-	if p := NewPlan(whole, 2, 10, ms); p == nil || len(p.WithCapacity) != 1 || p.WithCapacity[0].Name != "e" || len(p.Clear) != 1 {
+	if p := NewPlan(whole, 2, 10, ms); p == nil || len(p.WithCapacity) != 1 || p.WithCapacity[0].Name != "e" ||
+		len(p.Clear) != 1 {
 		t.Errorf("machine e is free, want it in WithCapacity: %+v", p)
 	}
 	if p := NewPlan(whole, 1, 10, ms); p != nil {
--- a/internal/core/delegation/delegation_test.go
+++ b/internal/core/delegation/delegation_test.go
@@ -24,7 +24,7 @@
 		t.Error("a cancellation waits although there is no delegate")
 	}
 	if grant("", 100) != 0 || !delegations.DelegatesReached(200) {
-		t.Error("a node of a version that sends no name and revision got a delegation")
+		t.Error("a node whose version sends neither name nor revision got a delegation")
 	}
 	if grant("n2", 90) != 60*config.Second || grant("n3", 120) != 60*config.Second {
 		t.Error("a node got no delegation")
--- a/internal/core/election/elector.go
+++ b/internal/core/election/elector.go
@@ -1,4 +1,4 @@
-// Package election elects a leader by means of a key of the key-value store that is bound to a
+// Package election elects a leader by means of a key of the state service that is bound to a
 // lease, and tracks which node holds that key. A leader's fencing token is the store's revision of
 // the write that made it the leader, or of the write that last replaced the token. Revisions only
 // increase, so a later leader's token is higher, and no counter has to be stored.
--- a/internal/core/election/elector_test.go
+++ b/internal/core/election/elector_test.go
@@ -84,12 +84,14 @@
 	pair.t.Helper()
 	pair.step(elector.Tick)
 	campaign := pair.transaction(pair.step(func() { elector.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: lease}) }))
-	if campaign.Transaction.Conditions[0] != (wire.Condition{Key: elector.Key()}) || campaign.Transaction.Changes[0].Lease != lease {
+	if campaign.Transaction.Conditions[0] != (wire.Condition{Key: elector.Key()}) ||
+		campaign.Transaction.Changes[0].Lease != lease {
 		pair.t.Fatalf("campaign transaction %+v, want the condition that %s does not exist, and lease %d",
 			campaign.Transaction, elector.Key(), lease)
 	}
 	pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: revision}) })
-	if !elector.IsLeader() || elector.FencingToken() != revision || elector.TermStart() != revision || elector.Condition() != (wire.Condition{Key: elector.Key(), Version: revision}) {
+	if !elector.IsLeader() || elector.FencingToken() != revision || elector.TermStart() != revision ||
+		elector.Condition() != (wire.Condition{Key: elector.Key(), Version: revision}) {
 		pair.t.Fatalf("after the campaign: leading %v, token %d, term start %d, condition %+v; want token %d",
 			elector.IsLeader(), elector.FencingToken(), elector.TermStart(), elector.Condition(), revision)
 	}
@@ -139,7 +141,8 @@
 	pair.step(pair.a.ReplaceTokenIfRequested)
 	pair.a.RequestNewToken()
 	replacement := pair.transaction(pair.step(pair.a.ReplaceTokenIfRequested))
-	if replacement.Transaction.Conditions[0] != (wire.Condition{Key: "zone/a", Version: 40}) || !pair.a.TokenChangePending() {
+	if replacement.Transaction.Conditions[0] != (wire.Condition{Key: "zone/a", Version: 40}) ||
+		!pair.a.TokenChangePending() {
 		t.Fatalf("transaction %+v, want the condition that zone/a has version 40; token change pending %v, want true",
 			replacement.Transaction, pair.a.TokenChangePending())
 	}
@@ -166,7 +169,9 @@
 	pair := newElectorPair(t)
 	pair.step(pair.a.Tick)
 	pair.put(pair.a, "n1", 3, 30)
-	if effects := pair.step(func() { pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7}) }); len(effects) != 0 || pair.a.IsLeader() {
+	if effects := pair.step(func() {
+		pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: 7})
+	}); len(effects) != 0 || pair.a.IsLeader() {
 		t.Fatalf("after a lease was granted: effects %v, want none; leading %v, want false", effects, pair.a.IsLeader())
 	}
 	for range 10 {
@@ -203,7 +208,9 @@
 		case i == 11 && delay > config.Second:
 			t.Errorf("delay of the campaign after a long term: %d us, want at most 1 s", delay)
 		}
-		campaign := pair.transaction(pair.step(func() { pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: uint64(i + 1)}) }))
+		campaign := pair.transaction(pair.step(func() {
+			pair.a.LeaseDone(msg.LeaseDone{Outcome: msg.OK, Lease: uint64(i + 1)})
+		}))
 		pair.step(func() { pair.outbox.CommitDone(msg.CommitDone{ID: campaign.ID, Outcome: msg.OK, Revision: revision}) })
 		if i == 10 {
 			pair.now += shortTermThreshold // a long term resets the backoff
--- a/internal/core/election/lease.go
+++ b/internal/core/election/lease.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// noteLeaseExpiry updates shortTerms when a term ends because the lease has expired. Any other than a
-// short term resets it.
+// noteLeaseExpiry updates shortTerms when the lease has expired. A short term that ends with the lease is
+// counted. If the term was not short, or this node did not lead, the count is reset.
 func (e *Elector) noteLeaseExpiry() {
 	if e.leading && e.outbox.Now()-e.electedAt < shortTermThreshold {
 		e.shortTerms++
--- a/internal/core/election/watch.go
+++ b/internal/core/election/watch.go
@@ -72,7 +72,8 @@
 
 // applyOwnPut handles a value of the leader key with this node's name: either this process wrote it
 // and the response was lost, or an earlier process of this node wrote it. In the latter case the key
-// has to expire before this process can campaign.
+// has to expire before this process can campaign. While a write of this process is in flight, nothing
+// is done: its result is handled by campaignDone or replaceTokenDone.
 func (e *Elector) applyOwnPut(nonce, version uint64) {
 	switch {
 	case e.campaigning || e.tokenChanging:
--- a/internal/core/frontend/submissions.go
+++ b/internal/core/frontend/submissions.go
@@ -18,7 +18,7 @@
 }
 
 // Submit handles POST /v1/jobs. A job is accepted once the creation of its record has been confirmed, on the condition
-// that there was none. The submission of a job that exists already is answered with 200, whatever it contains.
+// that there was none. The submission of a job that exists already is answered with 200, whatever its body contains.
 func (f *Frontend) Submit(x msg.SubmitIn) {
 	spec, err := wire.ParseJob(x.Body)
 	if spec.ID == "" {
@@ -106,8 +106,9 @@
 	return ""
 }
 
-// dependsOnService reports whether a submission depends on a service, as far as this node knows. A job for which this
-// is not recognized waits until the service is cancelled, and is cancelled with it.
+// dependsOnService reports whether a submission depends on a service, according to this node's replica. If the replica
+// lacks the service's record, the job may be accepted: it then waits until the service is cancelled, and is cancelled
+// with it.
 func (f *Frontend) dependsOnService(spec *wire.Job) bool {
 	return slices.ContainsFunc(spec.Needs, func(id string) bool {
 		n := f.replica.Job(id)
--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -20,8 +20,9 @@
 	CreatedAt       int64     `msgpack:"t,omitempty"` // time of day of the submission, in microseconds
 	LastAttempt     uint64    `msgpack:"a,omitempty"` // highest attempt placed so far
 	DoneTasks       int       `msgpack:"n,omitempty"` // number of done tasks, for display only
-	// ShardsOnly is set if the spec is so large that no tasks fit into the record beside it: all of
-	// them are in shards of their own, from shard 1 on. It is written from FormatGrouped on.
+	// ShardsOnly is set if the spec is so large that the record has too little space for placements
+	// beside it. All tasks are then in shards with keys of their own, from shard 1 on. It is written
+	// from FormatGrouped on.
 	ShardsOnly bool `msgpack:"p,omitempty"`
 	// Account is the total usage of the job. It is set only in shrunk records, from
 	// FormatPreemption on.
--- a/internal/core/job/job_test.go
+++ b/internal/core/job/job_test.go
@@ -11,8 +11,10 @@
 
 func fullRecord(zone string) *Record {
 	deadline := 900.5
-	r := &Record{Spec: &wire.Job{ID: "j-123456789012", Class: strings.Repeat("c", 40), Team: strings.Repeat("t", 40), Shape: wire.Array, Priority: wire.Normal,
-		Tasks: wire.MaxTasks, CPUs: 1.2345678901234, GPUs: 1, MemoryGB: 29.000001, Image: strings.Repeat("i", 40), Types: []string{"g8", "g16"}, DeadlineS: &deadline},
+	r := &Record{Spec: &wire.Job{ID: "j-123456789012", Class: strings.Repeat("c", 40), Team: strings.Repeat("t", 40),
+		Shape: wire.Array, Priority: wire.Normal,
+		Tasks: wire.MaxTasks, CPUs: 1.2345678901234, GPUs: 1, MemoryGB: 29.000001, Image: strings.Repeat("i", 40),
+		Types: []string{"g8", "g16"}, DeadlineS: &deadline},
 		CreatedAt: 1_900_000_000_000_000, LastAttempt: 123456, DoneTasks: wire.MaxTasks}
 	for i := range TasksPerShard {
 		r.Open = append(r.Open, Placement{Task: i, Attempt: 123456, Machine: "m-00000231", Incarnation: 12, Zone: zone})
@@ -87,7 +89,7 @@
 		}
 		for _, m := range shard.Pending(TasksPerShard) {
 			if done[m] || open[m] {
-				t.Fatalf("Missing returned task %d: done %v, open %v, want neither", m, done[m], open[m])
+				t.Fatalf("Pending returned task %d: done %v, open %v, want neither", m, done[m], open[m])
 			}
 		}
 	}
--- a/internal/core/job/keys.go
+++ b/internal/core/job/keys.go
@@ -8,7 +8,7 @@
 	"coralhub/wire"
 )
 
-// KeyRoot is the prefix of every key in the key-value store.
+// KeyRoot is the prefix of every key in the state service.
 const KeyRoot = "ch/"
 
 const (
--- a/internal/core/job/shard.go
+++ b/internal/core/job/shard.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// TasksPerShard is the number of tasks that share one value of the key-value store: the open
+// TasksPerShard is the number of tasks that share one value of the state service: the open
 // placements of this many tasks fit into 2 KiB with names of usual length.
 const TasksPerShard = 32
 
--- a/internal/core/job/usage_test.go
+++ b/internal/core/job/usage_test.go
@@ -21,9 +21,11 @@
 		var ended []endedPlacement
 		var want Usage
 		for i := range rapid.IntRange(1, 12).Draw(t, "placements") {
-			placement := Placement{Task: rapid.IntRange(0, 3).Draw(t, "task"), Attempt: uint64(i + 1), Machine: "m", Incarnation: 1, Zone: "a",
+			placement := Placement{Task: rapid.IntRange(0, 3).Draw(t, "task"), Attempt: uint64(i + 1),
+				Machine: "m", Incarnation: 1, Zone: "a",
 				PlacedAt: int64(rapid.IntRange(0, 50).Draw(t, "at")), Spot: rapid.Bool().Draw(t, "spot")}
-			occupancy := Occupancy{End: int64(rapid.IntRange(0, 90).Draw(t, "end")), Lost: int64(rapid.IntRange(0, 60).Draw(t, "lost"))}
+			occupancy := Occupancy{End: int64(rapid.IntRange(0, 90).Draw(t, "end")),
+				Lost: int64(rapid.IntRange(0, 60).Draw(t, "lost"))}
 			shard.Open = append(shard.Open, placement)
 			ended = append(ended, endedPlacement{placement, occupancy})
 			if placement.PlacedAt == 0 || occupancy.End <= placement.PlacedAt {
@@ -60,7 +62,8 @@
 // The record of a finished job must stay small, because there is one for each job ever submitted.
 func TestUsageAccountIsSmall(t *testing.T) {
 	spec := &wire.Job{Class: "loudness-sweep", Team: "newsroom-north", Shape: wire.Array, CPUs: 5, GPUs: 1, MemoryGB: 36}
-	record := Record{Phase: Done, DoneTasks: 10, Account: NewUsageAccount(spec, &Usage{Time: 400_000_000, Lost: 3_000_000}, 1_900_000_000_000_000)}
+	record := Record{Phase: Done, DoneTasks: 10,
+		Account: NewUsageAccount(spec, &Usage{Time: 400_000_000, Lost: 3_000_000}, 1_900_000_000_000_000)}
 	raw, err := EncodeRecord(&record, FormatPreemption)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/machinecache/machinecache.go
+++ b/internal/core/machinecache/machinecache.go
@@ -2,7 +2,7 @@
 // again: their addresses, types, zones and images. The cache is no evidence of their present state.
 //
 // Machines are grouped into pages of one key each, and the pages that have changed are written
-// round-robin, so that the cache uses a small share of the changes that the key-value store allows,
+// round-robin, so that the cache uses a small share of the changes that the state service allows,
 // regardless of the size of the fleet.
 package machinecache
 
@@ -45,7 +45,7 @@
 	nextWriteAt config.Micros // earliest time of the next write
 }
 
-// New returns the cache of the machines that a reconciler knows.
+// New returns the cache of the machines in a reconciler's registry.
 func New(
 	out *outbox.Outbox, encoding *records.Encoding, elector *election.Elector, reconciler *reconciler.Reconciler,
 ) *Cache {
@@ -137,7 +137,8 @@
 }
 
 // fitPage encodes machines so that they fit the size limit of a value: images are dropped first, then
-// the youngest machines. It returns nil if they can't be encoded.
+// machines from the end of the list, which is sorted by name, so that they are the youngest ones if the
+// cloud numbers its machines. It returns nil if they can't be encoded.
 func (c *Cache) fitPage(machines []Machine) []byte {
 	for imageLimit := maxImages; ; imageLimit /= 2 {
 		for i := range machines {
--- a/internal/core/msg/effects.go
+++ b/internal/core/msg/effects.go
@@ -2,7 +2,7 @@
 
 import "coralhub/wire"
 
-// Commit requests a transaction of the key-value store.
+// Commit requests a transaction of the state service.
 type Commit struct {
 	ID          uint64
 	Transaction wire.Transaction
@@ -36,7 +36,7 @@
 type Relist struct{}
 
 // Respond answers a request of a user or worker. RetryAfter is in seconds, or 0 if the response has
-// none. Busy is set if the node was too busy to pass the request to its core.
+// none. Busy is set if the node was too busy to handle the request in time.
 type Respond struct {
 	RequestID  uint64
 	Status     int
@@ -80,7 +80,7 @@
 // HeartbeatBatch reports to the leader the heartbeats that this node has answered on its behalf.
 type HeartbeatBatch struct {
 	Node     string // the leader
-	Term     uint64 // version of the leader key that the sender knows
+	Term     uint64 // version of the leader key that the sender last observed
 	SentAt   Micros
 	Revision uint64 // this node's replica holds all changes up to this revision
 	Acks     []HeartbeatAck
--- a/internal/core/msg/inputs.go
+++ b/internal/core/msg/inputs.go
@@ -5,7 +5,7 @@
 // Tick reports the passage of time and the time of day.
 type Tick struct{ WallClock Micros }
 
-// Snapshot is a listing of all keys, with the revision that the key-value store had before the
+// Snapshot is a listing of all keys, with the revision that the state service had before the
 // listing began.
 type Snapshot struct {
 	Items    []wire.KeyValue
--- a/internal/core/msg/outcomes.go
+++ b/internal/core/msg/outcomes.go
@@ -13,12 +13,12 @@
 	Unknown          // may have been executed, or may be executed later
 )
 
-// WritePriority is the priority of a transaction when the write rate of the key-value store is insufficient for all.
+// WritePriority is the priority of a transaction when the write rate of the state service is insufficient for all.
 type WritePriority int
 
 // Write priorities.
 const (
-	Critical        WritePriority = iota // a response or the leadership depends on it
+	Critical        WritePriority = iota // not to be delayed: for instance, a response or the leadership depends on it
 	Admission                            // the admission of a job
 	Deferrable                           // yields to the other priorities
 	WritePriorities                      // number of priorities
--- a/internal/core/msg/purpose.go
+++ b/internal/core/msg/purpose.go
@@ -6,7 +6,7 @@
 
 // Purposes of transactions.
 const (
-	PurposeOther         Purpose = iota // format and machine types
+	PurposeOther         Purpose = iota // stores a format or the machine types
 	PurposeElection                     // creates the leader key, or replaces the fencing token
 	PurposeAdmission                    // admits a job
 	PurposeCancellation                 // records that a job is to be cancelled, or is cancelled
@@ -17,7 +17,7 @@
 	PurposeCleanup                      // deletes outdated keys
 	PurposePreemption                   // commits a preemption decision
 	PurposeMachineCache                 // stores machines' addresses and images for later leaders
-	PurposeRelay                        // relays heartbeats through the key-value store
+	PurposeRelay                        // relays heartbeats through the state service
 	PurposeEstimates                    // stores estimates of run times
 	PurposeReadCheck                    // verifies that the replica is current; changes nothing
 	Purposes                            // number of purposes
--- a/internal/core/outbox/outbox.go
+++ b/internal/core/outbox/outbox.go
@@ -29,7 +29,7 @@
 	onInvalid func(*wire.Transaction)
 }
 
-// New returns an empty Outbox. It calls onInvalid with each transaction that the key-value store
+// New returns an empty Outbox. It calls onInvalid with each transaction that the state service
 // rejects as malformed, before the callback of that transaction.
 func New(onInvalid func(*wire.Transaction)) *Outbox {
 	return &Outbox{
@@ -88,14 +88,14 @@
 	return o.nextID
 }
 
-// Commit requests a transaction that should not be delayed, because a response or the leadership depends
-// on it.
+// Commit requests a transaction that should not be delayed, for instance because a response or the
+// leadership depends on it.
 func (o *Outbox) Commit(transaction wire.Transaction, purpose msg.Purpose, callback func(msg.CommitDone)) {
 	o.CommitWithPriority(transaction, msg.Critical, purpose, callback)
 }
 
 // CommitDeferrable requests a transaction that yields to those of Commit when the write rate of the
-// key-value store does not suffice for all.
+// state service does not suffice for all.
 func (o *Outbox) CommitDeferrable(transaction wire.Transaction, purpose msg.Purpose, callback func(msg.CommitDone)) {
 	o.CommitWithPriority(transaction, msg.Deferrable, purpose, callback)
 }
--- a/internal/core/preemption/committer.go
+++ b/internal/core/preemption/committer.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// decisionInterval is the delay of the next write for each decision in the last one, and
+	// decisionInterval is the delay of the next write for each decision in the previous write, and
 	// maxDecisionInterval bounds that delay, both in microseconds. A single decision is
 	// written at once, and the decisions of a burst share changes.
 	decisionInterval    = 50 * 1000
@@ -75,7 +75,8 @@
 	c.countsWrittenAt = 0
 }
 
-// CanAdd reports whether another decision can be added without exceeding MaxOpenDecisions.
+// CanAdd reports whether another decision may be added, because fewer than MaxOpenDecisions are not yet known to be
+// committed.
 func (c *Committer) CanAdd() bool { return len(c.unwritten)+len(c.writing) < MaxOpenDecisions }
 
 // Add queues a decision to be committed, in parts if it doesn't fit a value.
@@ -116,7 +117,8 @@
 	if c.inFlight || c.elector.TokenChangePending() || c.outbox.Now() < c.nextWriteAt {
 		return
 	}
-	if c.transaction != nil { // had no response: resent unchanged, its conditions let only one attempt take effect
+	if c.transaction != nil {
+		// It had no response. It is resent unchanged, and its conditions let only one attempt take effect.
 		c.send()
 		return
 	}
@@ -124,7 +126,7 @@
 		return
 	}
 	writes, packed := c.decisions.Pack(c.unwritten, c.encoding.MaxOps()-1, c.stillNeeded(), c.encoding.Fits)
-	if packed == 0 { // every page is full of decisions in force
+	if packed == 0 { // every page is full of decisions that are still needed
 		c.executor.DecisionsDropped(c.unwritten)
 		c.unwritten = nil
 		return
--- a/internal/core/preemption/counts.go
+++ b/internal/core/preemption/counts.go
@@ -20,7 +20,7 @@
 	Reason            Reason
 }
 
-// countRow is the stored form of a row.
+// countRow is the stored form of a pair with its number of tasks.
 type countRow struct {
 	//lint:ignore U1000 read by the encoder: a row is stored as a list, which is shorter
 	_msgpack          struct{} `msgpack:",as_array"`
@@ -64,7 +64,7 @@
 	}
 }
 
-// Version returns the version of the stored counts that this node knows.
+// Version returns the version of the stored counts that this node has last read or written.
 func (c *Counts) Version() uint64 { return c.version }
 
 // Value returns the encoded counts, without the smallest rows if they don't all fit. It returns nil if not even
--- a/internal/core/preemption/decisions.go
+++ b/internal/core/preemption/decisions.go
@@ -25,7 +25,7 @@
 	KeyPrefix = job.KeyRoot + "standing/"
 	// PageCount is the number of pages of decisions.
 	PageCount = 8
-	// MaxOpenDecisions bounds the number of decisions that are in force or to be committed.
+	// MaxOpenDecisions bounds the number of decisions that are not yet known to be committed.
 	MaxOpenDecisions = 256
 	// MaxDuration is the maximum time for which a decision can be in force.
 	MaxDuration = 60 * config.Second
@@ -84,7 +84,7 @@
 	Preemptor        string   // ID of the job
 	Reason           Reason
 	Level            int    // queue level of the preemptor when the decision was made
-	Order            uint64 // always 0; reserved for a revision of the order in force
+	Order            uint64 // reserved, always 0; its place in the stored array must stay
 	Until            Micros // time of day until which the machines are reserved
 	ReservedMachines []string
 	Victims          []Victim
--- a/internal/core/query/query.go
+++ b/internal/core/query/query.go
@@ -50,7 +50,7 @@
 	DueInS              *float64     `json:"due_in_s,omitempty"` // seconds until its deadline
 	Verdict             string       `json:"deadline,omitempty"`
 	DeadlineProbability *float64     `json:"chance,omitempty"`        // probability that it meets its deadline
-	Overdue             []string     `json:"overdue_tasks,omitempty"` // tasks that have run longer than the widest interval
+	Overdue             []string     `json:"overdue_tasks,omitempty"` // tasks running longer than the widest interval
 }
 
 // JobState is the state of a job, as users see it.
@@ -70,12 +70,14 @@
 
 // WaitReason explains why a job waits and which jobs are placed before it.
 type WaitReason struct {
-	Job                  JobState `json:"job"`
-	Reason               string   `json:"why"`
-	Priority             string   `json:"priority,omitempty"`
-	WithinGuarantee      bool     `json:"within_guarantee"`
-	Late                 bool     `json:"late"`           // it can no longer start in time
-	ClassShortOfCapacity bool     `json:"class_is_short"` // its class is: see "When there is too little"
+	Job             JobState `json:"job"`
+	Reason          string   `json:"why"`
+	Priority        string   `json:"priority,omitempty"`
+	WithinGuarantee bool     `json:"within_guarantee"`
+	Late            bool     `json:"late"` // it can no longer start in time
+	// ClassShortOfCapacity is set if the job's class is short of capacity; see the section "When there is too little" of
+	// the operators' manual, docs/operations.md.
+	ClassShortOfCapacity bool     `json:"class_is_short"`
 	Rank                 int      `json:"rank,omitempty"` // position in the queue, starting at 1; 0 if not in the queue
 	QueueLength          int      `json:"queue"`          // number of jobs in the queue
 	Ahead                []string `json:"before"`         // the jobs ranked before it, the nearest first
@@ -129,17 +131,17 @@
 type Gauges struct {
 	Leading         bool
 	Records         int            // number of known jobs, including finished ones
-	Unfinished      int            // number of unfinished jobs
-	Waiting         map[string]int // jobs that lack placements, by class; on the leader
-	Machines        map[string]int // by state; on the leader
+	Unfinished      int            // number of jobs that are unfinished, or finished but not yet archived
+	Waiting         map[string]int // jobs that lack placements, by class; set on the leader only
+	Machines        map[string]int // by state; set on the leader only
 	Placements      int            // number of open placements
 	InFlightChanges int            // number of changes of jobs in flight
 	Failovers       uint64         // number of times this node was elected
 	Statistics      CycleStatistics
-	EstimateRuns    uint64 // number of runs observed by the model of run times; on the leader
+	EstimateRuns    uint64 // number of runs observed by the model of run times; set on the leader only
 
-	CompletedInTime, StartedInTime slo.Attainment // on the leader
-	Usage                          []UsageRow     // on the leader
+	CompletedInTime, StartedInTime slo.Attainment // set on the leader only
+	Usage                          []UsageRow     // set on the leader only
 }
 
 // CycleStatistics counts the scheduling cycles of this process and the machines and jobs that they have
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -65,7 +65,7 @@
 type Usage struct {
 	window  float64 // microseconds
 	at      config.Micros
-	average map[string]float64 // by team, see GPUEquivalents
+	average map[string]float64 // by team, in GPU equivalents
 }
 
 // NewUsage returns an empty Usage over a window in microseconds.
--- a/internal/core/reconciler/reachability.go
+++ b/internal/core/reconciler/reachability.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// markUnreachable handles the change of a machine to unreachable: it gets no more work and is probed.
+// markUnreachable marks a machine as unreachable: no more work is placed on it, and it is probed.
 func (r *Reconciler) markUnreachable(m *zone.Machine, reason string) {
 	r.outbox.Log("machine unreachable", "machine", m.Name, "reason", reason, "episodes", m.Reachability.Episodes)
 	r.unreachable[m] = true
--- a/internal/core/reconciler/terminations.go
+++ b/internal/core/reconciler/terminations.go
@@ -79,7 +79,7 @@
 		}
 		left := m.ReclaimedAt - r.outbox.Now()
 		if left > config.FromSeconds(j.Record.Spec.SaveS) {
-			r.Terminate(j, map[job.AttemptKey]bool{key: true}, "spot machine reclaimed")
+			r.Terminate(j, map[job.AttemptKey]bool{key: true}, "spot instance reclaimed")
 		}
 	}
 }
--- a/internal/core/relay/delegation.go
+++ b/internal/core/relay/delegation.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// replicaAgeMargin is how much earlier than necessary a node stops relying on its replica.
+	// replicaAgeMargin is how much earlier than necessary a node without a delegation stops relying on its replica.
 	replicaAgeMargin = 4 * config.Second
 	// listingGrace is how long after an election the leader is assumed to have read the records,
-	// provided that the key-value store has responded to this node after that time.
+	// provided that the state service has responded to this node after that time.
 	listingGrace = 2 * config.Second
 )
 
@@ -49,7 +49,7 @@
 }
 
 // actAsDelegate answers a heartbeat in place of a leader that did not, if this node's replica is
-// fresh. If enqueue is set, the heartbeat is also relayed through the key-value store. enqueue is not
+// fresh. If enqueue is set, the heartbeat is also relayed through the state service. enqueue is not
 // set for a leader that is only busy: a relayed heartbeat would cost it more than a direct one, which
 // the worker sends again anyway.
 func (r *Relay) actAsDelegate(in msg.HeartbeatIn, enqueue bool) {
@@ -72,8 +72,8 @@
 // leaderCaughtUp reports whether the leader is assumed to have read the records since its election.
 // Until then it answers no worker. The previous leader cannot keep a worker alive that has seen the
 // new token, and delegates can do so only while their replicas are recent. If delegates sent the new
-// token at once and the key-value store failed between the election and the listing of the records,
-// every worker would be affected.
+// token at once and the state service failed between the election and the listing of the records, no
+// worker could be kept alive for longer than that.
 func (r *Relay) leaderCaughtUp() bool {
 	return r.leaderResponded || r.replica.CurrentAt() >= r.leaderChangedAt+listingGrace
 }
--- a/internal/core/relay/redirect.go
+++ b/internal/core/relay/redirect.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// redirectReturnWindow is how long a redirect is remembered. A worker that reports here again within this
-	// time is assumed to be unable to reach the node that it was redirected to.
+	// redirectReturnWindow is the time after a redirect within which a worker that reports here again is assumed
+	// to be unable to reach the node that it was redirected to.
 	redirectReturnWindow = 3 * peerTimeout
 	// redirectExemption is how long such a worker may report here before it is redirected again.
 	redirectExemption = 20 * config.Second
--- a/internal/core/relay/relay.go
+++ b/internal/core/relay/relay.go
@@ -5,7 +5,7 @@
 // acknowledged, while the records require nothing of the worker, is answered by this node, which
 // reports such heartbeats to the leader in batches. If the leader is unreachable, as in a network
 // partition between zones, this node acts as its delegate and relays heartbeats through the
-// key-value store.
+// state service.
 //
 // In both cases the node relies on its replica of the records; see replicaFresh for how old the
 // replica may be. A node that is not the leader stops the tasks of cancelled jobs, but sends no
@@ -54,10 +54,10 @@
 	nextBatchAt Micros
 	delegation  delegation
 
-	leaderChangedAt Micros // when this node first knew of the current leader
+	leaderChangedAt Micros // when this node first observed the current leader
 	leaderResponded bool   // whether that node has responded as the leader since then
 
-	queued       map[string]RelayedHeartbeat // to be written to the key-value store, by machine
+	queued       map[string]RelayedHeartbeat // to be written to the state service, by machine
 	written      map[string]RelayedHeartbeat // what was written last, by machine
 	writePending bool
 	nextWriteAt  Micros
@@ -101,7 +101,7 @@
 		r.leaderChangedAt = r.outbox.Now()
 		r.leaderResponded = false
 	}
-	clear(r.written) // a new leader has not read what was written before
+	clear(r.written) // a new leader ignores heartbeats that were written before its term
 }
 
 // PeerAlive records that another node has responded.
--- a/internal/core/relay/relayed_heartbeats.go
+++ b/internal/core/relay/relayed_heartbeats.go
@@ -10,13 +10,13 @@
 )
 
 // KeyPrefix is the prefix of the keys under which nodes write heartbeats for the leader; a node's name
-// completes its key. Earlier versions share the key-value store, so the prefix is the one they use.
+// completes its key. Earlier versions share the state service, so the prefix is the one they use.
 const KeyPrefix = job.KeyRoot + "mail/"
 
 // relayWriteShare is the fraction of the write rate that one node's relayed heartbeats may use.
 const relayWriteShare = 0.1
 
-// RelayedHeartbeat is a heartbeat that is relayed to the leader through the key-value store.
+// RelayedHeartbeat is a heartbeat that is relayed to the leader through the state service.
 type RelayedHeartbeat struct {
 	//lint:ignore U1000 read by the encoder: a heartbeat is encoded as an array, to be short
 	_msgpack     struct{} `msgpack:",as_array"`
@@ -74,7 +74,7 @@
 	r.queued[hb.Machine] = relayed
 }
 
-// writeQueued writes the queued heartbeats to the key-value store, as many as fit into one value.
+// writeQueued writes the queued heartbeats to the state service, as many as fit into one value.
 func (r *Relay) writeQueued() {
 	if len(r.queued) == 0 || r.writePending || r.outbox.Now() < r.nextWriteAt || r.elector.Holder().Version == 0 {
 		return
--- a/internal/core/slo/recorder.go
+++ b/internal/core/slo/recorder.go
@@ -16,7 +16,7 @@
 const (
 	// logInterval is the time between two log lines on the SLO attainment.
 	logInterval = 60 * config.Second
-	// maxLogged is the number of classes, or teams, that are listed in a log line.
+	// maxLogged is the maximum number of classes, or of teams, that are listed in a log line.
 	maxLogged = 100
 )
 
--- a/internal/core/slo/tracker.go
+++ b/internal/core/slo/tracker.go
@@ -58,7 +58,7 @@
 
 // Job is a Tracker's state of a job.
 type Job struct {
-	cancelled          bool // it is no longer counted
+	cancelled          bool // set by JobCancelled: later events have no effect
 	completed, started outcome
 }
 
