--- a/internal/node/inbox/inbox.go
+++ b/internal/node/inbox/inbox.go
@@ -83,8 +83,8 @@
 	b.add(class, item[T]{input, b.now(), false})
 }
 
-// Close makes the inbox drop all further inputs, and ends blocked calls of Post. It is called when no input will be
-// taken any more.
+// Close makes the inbox drop all further inputs, and ends blocked calls of Post. It is called after the
+// last call of Next.
 func (b *Inbox[T]) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,7 +119,8 @@
 	}
 }
 
-// expired reports whether an input has waited longer than the maximum of its class, for which its sender waits.
+// expired reports whether an input has waited longer than the maximum of its class, after which its sender has stopped
+// waiting for the response or is about to.
 func (b *Inbox[T]) expired(class Class, x *item[T]) bool {
 	return b.now().Sub(x.postedAt) > limits[class].maxWait
 }
--- a/internal/node/kvstore/rate_limiter.go
+++ b/internal/node/kvstore/rate_limiter.go
@@ -49,11 +49,11 @@
 }
 
 var (
-	// fastRecovery is for a share that only one node uses, which may take whatever quota is idle.
+	// fastRecovery is for a share that only one node uses, which may use all of the idle quota.
 	fastRecovery = aimdParameters{decreaseFactor: 0.7, increase: 0.03, fullRecovery: recoveryTime}
-	// slowRecovery is for a share that all nodes use. All of them find the same quota idle, so each
-	// is slower to take it: a refusal lowers its rate further. If every refusal decreased the rate, a
-	// third of the quota would be idle for 20 s when hundreds of jobs arrive at once.
+	// slowRecovery is for a share that all nodes use. The same idle quota is available to all of them,
+	// so a refusal lowers the rate of each further than with fastRecovery. If every refusal decreased
+	// the rate, a third of the quota would be idle for 20 s when hundreds of jobs arrive at once.
 	slowRecovery = aimdParameters{
 		decreaseFactor:   0.6,
 		increase:         0.03,
@@ -118,7 +118,7 @@
 	return newRateLimiter(rate.Limit(s.RPS*maxRequestShare), share, share, burst, slowRecovery)
 }
 
-// setMinRate sets the lower bound of the rate, in events per second.
+// setMinRate sets the lower bound of the rate and of the ceiling, in events per second.
 func (l *rateLimiter) setMinRate(now time.Time, minRate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/kvstore/store.go
+++ b/internal/node/kvstore/store.go
@@ -32,8 +32,8 @@
 	// each time after quotaRetryInterval.
 	quotaRetries       = 3
 	quotaRetryInterval = 80 * time.Millisecond
-	// maxWatchWait is how long a watch without changes stays open. How relays answer workers depends on
-	// the age of the last watch response.
+	// maxWatchWait is how long a watch without changes stays open. Whether a relay may answer workers
+	// depends on the age of the last watch response.
 	maxWatchWait = 3 * time.Second
 	// watchInterval is the minimum time between the starts of two watches.
 	watchInterval = 100 * time.Millisecond
@@ -53,7 +53,7 @@
 	post    func(msg.Input)
 	client  *http.Client
 	// keepAliveClient is used for leases and the watch only, so that these never wait behind requests
-	// that users cause.
+	// that are sent on behalf of users.
 	keepAliveClient *http.Client
 	renewer         leaserenewal.Renewer
 	calls           sync.WaitGroup // running in the background
--- a/internal/node/leaserenewal/renewer.go
+++ b/internal/node/leaserenewal/renewer.go
@@ -1,8 +1,8 @@
 // Package leaserenewal decides when a node's lease is renewed while its loop is busy. The core requests a
 // renewal every quarter of the lease's time to live. If a request is late, the lease is renewed without it,
 // on connections that other requests don't delay. So one long step, or a long queue of inputs, does not
-// depose a leader: a leader that was slow for three seconds would be replaced by a successor that is slow for
-// longer, since it has to rebuild all of its state. A loop that requests no renewal for too long is considered
+// depose a leader. Otherwise a leader that was slow for three seconds would be replaced by a successor that is
+// slow for longer, since it has to rebuild all of its state. A loop that requests no renewal for too long is considered
 // dead, and its lease expires.
 package leaserenewal
 
@@ -14,7 +14,8 @@
 const (
 	// renewalsPerTTL leaves time to repeat a lost renewal, which times out after one second.
 	renewalsPerTTL = 4
-	// maxRequestGapTTLs is how many times to live may pass since the core's last request before renewals stop.
+	// maxRequestGapTTLs is the time since the core's last request after which renewals stop, as a multiple of the
+	// time to live.
 	maxRequestGapTTLs = 3
 	// retryInterval is how soon a refused renewal is sent again.
 	retryInterval = 100 * time.Millisecond
@@ -50,8 +51,8 @@
 	}
 }
 
-// NoteRefused schedules a retry after retryInterval for a renewal that was refused for the service's quota: the
-// quota is used up for a moment only, and leadership depends on the lease.
+// NoteRefused schedules a retry after retryInterval for a renewal that was refused for the state service's quota:
+// the quota is used up for a moment only, and leadership depends on the lease.
 func (r *Renewer) NoteRefused(lease uint64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/leaserenewal/renewer_test.go
+++ b/internal/node/leaserenewal/renewer_test.go
@@ -7,7 +7,7 @@
 
 const ttl = 3 * time.Second
 
-// A loop that is blocked for some seconds keeps its lease; one that stays blocked loses it.
+// The lease of a loop that is blocked for some seconds is renewed; that of a loop that stays blocked is not.
 func TestRenewsForBlockedLoop(t *testing.T) {
 	now := time.Unix(100, 0)
 	var r Renewer
--- a/internal/node/metrics/collector.go
+++ b/internal/node/metrics/collector.go
@@ -45,7 +45,7 @@
 		"GPU time of placements whose end is proven, by team, class and kind; exported by the leader only.",
 		"team", "class", "kind")
 	usedTask = newDesc("used_task_seconds",
-		"Task time of placements whose end is proven: all, on spot machines, and with work that had to be repeated; "+
+		"Task time of placements whose end is proven: all, on spot instances, and with work that had to be repeated; "+
 			"exported by the leader only.",
 		"team", "class", "kind", "of")
 	startedShare = newDesc("begun_share",
--- a/internal/node/metrics/metrics.go
+++ b/internal/node/metrics/metrics.go
@@ -51,15 +51,15 @@
 
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.handler.ServeHTTP(w, r) }
 
-// ObserveStep records how long the core took to process an input.
+// ObserveStep records the duration of the step that handled an input, including the start of its effects.
 func (m *Metrics) ObserveStep(in msg.Input, took time.Duration) {
 	if m != nil {
 		m.steps.WithLabelValues(inputLabel(in)).Observe(took.Seconds())
 	}
 }
 
-// inputLabel returns the label of an input's type. Dashboards depend on the labels, which stay as they were
-// first released.
+// inputLabel returns the label of an input's type. Dashboards depend on the labels, so these must stay as
+// first released, even if a type is renamed.
 func inputLabel(in msg.Input) string {
 	switch in.(type) {
 	case msg.HeartbeatIn:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -305,7 +305,7 @@
 	return peer.Status{StateOK: n.store.FailingFor() == 0, Says: true, Accepts: n.store.AdmissionDemand()}
 }
 
-// watchPeers requests the status of the other nodes at an interval, which shows whether only this node has lost the
+// watchPeers requests the status of the other nodes at an interval, which shows whether only this node can't reach the
 // state service. If so, the node is not ready. If no peer reaches the state service either, all nodes stay ready
 // and answer with status 503 and Retry-After, so that clients don't have to wait for the load balancer once the
 // service is back.
--- a/internal/node/peer/compat_test.go
+++ b/internal/node/peer/compat_test.go
@@ -14,8 +14,8 @@
 )
 
 // During an upgrade, nodes of two versions run side by side. gob matches fields by name and net/rpc matches
-// methods by name. A node that uses other names is not understood, and renamed fields are lost without an
-// error. These are the names used by the versions in production, as they were first released.
+// methods by name. Calls of renamed methods fail, and renamed fields are lost without an error.
+// These are the names used by the versions in production, as they were first released.
 type (
 	oldEvent struct {
 		Key     string
--- a/internal/node/peer/messages.go
+++ b/internal/node/peer/messages.go
@@ -13,7 +13,7 @@
 	Version uint64
 }
 
-// Report is a worker's heartbeat that its relay forwards to the leader. Body is encoded as by package wire.
+// Report is a worker's heartbeat that its relay forwards to the leader. Body is encoded by package wire.
 type Report struct{ Body []byte }
 
 // ReportAnswer is the leader's response to a forwarded heartbeat. Body is empty unless the status is 200. Busy
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -55,7 +55,7 @@
 	calls     sync.WaitGroup // started by Do
 
 	mu          sync.Mutex
-	isClosed    bool // set by Close: no connection is opened any more
+	isClosed    bool // set by Close; no connection is opened after that
 	connections map[connectionKey]*connection
 
 	// Forwarded heartbeats by result (answered, lost, busy), calls rejected because too many were in flight, and
@@ -153,7 +153,7 @@
 		}
 		p.post(done)
 	}, func() {
-		done.Busy = true                    // not known to be unreachable: heartbeat batches show that
+		done.Busy = true                    // the leader may be reachable; heartbeat batches show whether it is
 		p.calls.Go(func() { p.post(done) }) // post may block, and the node's loop must not
 	})
 }
@@ -165,7 +165,7 @@
 	}
 	var out ReportAnswer
 	if err := p.call(ctx, x.Node, methodReport, &Report{body}, &out); err != nil {
-		return nil, errors.Is(err, errSlowPeer) // don't read out: a late answer may still be written to it
+		return nil, errors.Is(err, errSlowPeer) // out is not read, since a late answer may still be written to it
 	}
 	response = &wire.HeartbeatResponse{}
 	if len(out.Body) == 0 || wire.Unmarshal(out.Body, response) != nil {
--- a/internal/node/peer/shutdown_test.go
+++ b/internal/node/peer/shutdown_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// slowHandler answers once it is told to.
+// slowHandler responds to heartbeats only once its channel answer is closed.
 type slowHandler struct {
 	called chan struct{}
 	answer chan struct{}
