--- a/internal/core/autoscaler/autoscaler.go
+++ b/internal/core/autoscaler/autoscaler.go
@@ -113,8 +113,9 @@
 	delete(a.candidates, m)
 }
 
-// UpdateMachine updates the pools, and the machine as UpdateScaleInCandidate does, after a change of the
-// machine. empty is set if no open placement is on it, used if a placement is on it or planned there.
+// UpdateMachine updates the counts of the pools after a change of a machine, and calls
+// UpdateScaleInCandidate for it. empty is set if no open placement is on it, used if a placement is on it
+// or planned there.
 func (a *Autoscaler) UpdateMachine(m *zone.Machine, empty, used bool) {
 	a.pools.remove(m)
 	a.UpdateScaleInCandidate(m, used)
--- a/internal/core/autoscaler/cloud_list.go
+++ b/internal/core/autoscaler/cloud_list.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// pruneDeleted removes the deleted machines that no list can contain any more, in spite of its lag.
+// pruneDeleted removes the deleted machines that are not in the list and were deleted so long ago that no
+// later list can contain them either, in spite of its lag.
 func (a *Autoscaler) pruneDeleted(listed map[string]bool) {
 	for name, since := range a.list.deletedAt {
 		if !listed[name] && a.outbox.Now()-since > deletedRetentionLags*a.listLag() {
--- a/internal/core/autoscaler/scale_in.go
+++ b/internal/core/autoscaler/scale_in.go
@@ -40,9 +40,9 @@
 	reasonIdle                  scaleInReason = "idle"
 )
 
-// scaleIn releases machines that are idle, failed, without contact, faulty or that never booted. The answer
-// to a deletion request proves that all tasks on the machine are over. Only machines that are unused,
-// faulty or send no heartbeats are examined.
+// scaleIn releases machines that are idle, failed, without contact, faulty or that never booted, by
+// requesting their deletion from the cloud. The answer to a deletion request proves that all tasks on the
+// machine are over. Only machines that are unused, faulty or send no heartbeats are examined.
 func (a *Autoscaler) scaleIn() {
 	var failures correlatedFailures
 	var names []string
--- a/internal/core/election/lease.go
+++ b/internal/core/election/lease.go
@@ -74,7 +74,7 @@
 }
 
 // releaseUnusedLease stops renewing the lease while the key has a holder and this node does not
-// lead. If this node wrote the key without learning of its success, the key expires with the lease,
+// lead. If this node wrote the key but received no confirmation, the key expires with the lease,
 // and an election can follow; otherwise the key would keep that value indefinitely.
 func (e *Elector) releaseUnusedLease() {
 	if !e.leading && !e.campaigning && e.holder.Version != 0 {
--- a/internal/core/frontend/cancellations.go
+++ b/internal/core/frontend/cancellations.go
@@ -15,7 +15,7 @@
 const pagesStableTime = config.Second
 
 // Cancel handles POST /v1/jobs/{id}/withdraw. The request to cancel is committed first, and no task starts after that.
-// The user receives the status "cancelled" once the leader has made sure that every worker concerned will stop its
+// The user receives the status "cancelled" once the leader has ensured that every worker concerned will stop its
 // tasks.
 func (f *Frontend) Cancel(x msg.CancelIn) {
 	if !f.canAnswer(x.RequestID, x.JobID) {
--- a/internal/core/frontend/polls.go
+++ b/internal/core/frontend/polls.go
@@ -118,7 +118,7 @@
 }
 
 // watchAdvanced answers the polls that arrived before the watch's last request: the replica holds everything that was
-// committed before it. Under a flood of polls the watch responds continually, whereas each check takes a request to the
+// committed before it. Under a flood of polls the watch responds continually, whereas each check costs a request to the
 // state service for some 40 polls.
 func (q *pollQueue) watchAdvanced() {
 	remaining := q.pending[:0]
--- a/internal/core/query/query.go
+++ b/internal/core/query/query.go
@@ -53,7 +53,7 @@
 	Overdue             []string     `json:"overdue_tasks,omitempty"` // tasks running longer than the widest interval
 }
 
-// JobState is the state of a job, as users see it.
+// JobState is the state of a job in the form shown to users.
 type JobState struct {
 	ID      string `json:"id"`
 	Status  string `json:"status"`
--- a/internal/core/queue/team_queue_test.go
+++ b/internal/core/queue/team_queue_test.go
@@ -13,8 +13,8 @@
 // Every run checks the same cases; -rapid.seed selects others.
 var _ = flag.Set("rapid.seed", "1")
 
-// After any sequence of additions, updates and removals, the jobs within the guarantee are those that adding up all
-// amounts, the oldest job first, finds.
+// After any sequence of additions, updates and removals, the jobs within the guarantee are the same as when all amounts
+// are added up again, the oldest job first.
 func TestTeamQueueMatchesFullSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		team := &config.Team{GPUs: float64(rapid.IntRange(0, 20).Draw(t, "gpus")), CPUs: 8}
--- a/internal/core/reconciler/calls.go
+++ b/internal/core/reconciler/calls.go
@@ -87,8 +87,8 @@
 // canCall reports whether a direct call to a machine is possible now.
 func canCall(m *zone.Machine) bool { return m.Addr != "" && !m.CallInFlight && !m.Releasing }
 
-// AnnounceToken sends the fencing token to machines that have not reported one of this term yet. It makes workers drop
-// an earlier leader that still answers them although it is cut off from the other nodes.
+// AnnounceToken sends the fencing token to machines that have not reported one of this term yet. Workers then
+// ignore an earlier leader that still answers them although it is cut off from the other nodes.
 func (r *Reconciler) AnnounceToken() {
 	for _, m := range slices.SortedFunc(maps.Keys(r.unfenced), zone.ByName) {
 		if m.FencingToken >= r.elector.TermStart() || !m.Registered() {
--- a/internal/core/reconciler/reconciler.go
+++ b/internal/core/reconciler/reconciler.go
@@ -19,7 +19,7 @@
 type Listener interface {
 	WorkerJoined(*zone.Machine)                                   // the worker has sent its first message
 	MachineChanged(*zone.Machine)                                 // something about the machine has changed
-	AvailabilityChanged(*zone.Machine)                            // whether the machine may get work may have changed
+	AvailabilityChanged(*zone.Machine)                            // whether tasks may be placed on it may have changed
 	ImagesChanged(*zone.Machine)                                  // the images assumed to be on the machine have changed
 	CacheGB(*zone.Machine) float64                                // size of the image cache in GB, 0 if not known
 	TaskRunning(key job.AttemptKey)                               // the worker reports the task as running
--- a/internal/core/relay/delegation.go
+++ b/internal/core/relay/delegation.go
@@ -57,7 +57,7 @@
 	if !caughtUp && r.KeepAlive(in) {
 		return
 	}
-	// A worker that has seen no token has no tasks to keep alive, and would report the new token to the
+	// A worker that has received no token has no tasks to keep alive, and would report the new token to the
 	// previous leader.
 	newWorker := in.Heartbeat.FencingToken == 0
 	if !caughtUp && newWorker || !r.replicaFresh() {
@@ -70,7 +70,7 @@
 }
 
 // leaderCaughtUp reports whether the leader is assumed to have read the records since its election.
-// Until then it answers no worker. The previous leader cannot keep a worker alive that has seen the
+// Until then it answers no worker. The previous leader cannot keep a worker alive that has received the
 // new token, and delegates can do so only while their replicas are recent. If delegates sent the new
 // token at once and the state service failed between the election and the listing of the records, no
 // worker could be kept alive for longer than that.
@@ -78,12 +78,12 @@
 	return r.leaderResponded || r.replica.CurrentAt() >= r.leaderChangedAt+listingGrace
 }
 
-// KeepAlive answers a worker that has seen no token of the current leader's term with the token that
-// it has seen, if that is safe, and reports whether it did. However old the replica gets, this does
+// KeepAlive answers a worker that has received no token of the current leader's term with the token
+// that it has received, if that is safe, and reports whether it did. However old the replica gets, this does
 // not keep a task of a cancelled job running. What earlier leaders have confirmed to clients is in
 // the replica if the replica reaches the start of the term, since transactions of earlier leaders
 // fail from then on. What the current leader or a successor confirms depends only on workers that
-// have seen its token, and those ignore this answer.
+// have received its token, and those ignore this answer.
 func (r *Relay) KeepAlive(in msg.HeartbeatIn) bool {
 	termStart := r.elector.Holder().TermStart
 	token := in.Heartbeat.FencingToken
--- a/internal/core/relay/relay_test.go
+++ b/internal/core/relay/relay_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// A worker that has seen no token of the current term is kept alive under the token that it has seen,
-// however old the replica is, if the replica reaches the start of the term.
+// A worker that has received no token of the current term is kept alive under the token that it has
+// received, however old the replica is, if the replica reaches the start of the term.
 func TestKeepAlive(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -127,7 +127,7 @@
 		{"token of this term that was replaced", 9, 11, false, true, false},
 		{"replica does not reach the start of the term", 5, 8, false, false, false},
 		{"start of the term is unknown", 5, 9, true, false, false},
-		{"worker has seen no token", 0, 9, false, false, false},
+		{"worker has received no token", 0, 9, false, false, false},
 	} {
 		r, leaderValue := newRelay(t)
 		r.elector.ApplyListingWithoutHolder(1)
@@ -154,7 +154,7 @@
 	}
 }
 
-// A worker that has seen no token does not receive the token of a leader that cannot have read the
+// A worker that has received no token is not sent the token of a leader that cannot have read the
 // records yet: the worker would report it to the previous leader, which would then resign.
 func TestNewWorkersWaitUntilLeaderCaughtUp(t *testing.T) {
 	r, leaderValue := newRelay(t)
--- a/internal/node/peer/messages.go
+++ b/internal/node/peer/messages.go
@@ -43,7 +43,7 @@
 }
 
 // Status is a node's status. StateOK reports whether the node reaches the state service. Accepts is how many jobs
-// per second the node is asked to accept; versions that don't report it leave Says false.
+// per second the node is asked to accept. Says is set if Accepts is reported, which earlier versions don't do.
 type Status struct {
 	StateOK bool
 	Says    bool
