--- a/internal/core/autoscaler/cloud_list.go
+++ b/internal/core/autoscaler/cloud_list.go
@@ -10,7 +10,7 @@
 const (
 	// minListInterval is the shortest time between two requests for the cloud's list.
 	minListInterval = 2 * config.Second
-	// deletedRetentionLags is how long a deleted machine is remembered, in list lags.
+	// deletedRetentionLags is how long the deletion of a machine stays recorded at least, in list lags.
 	deletedRetentionLags = 5
 	// missingLags is how long a machine must be absent from the lists to count as missing, in list lags.
 	missingLags = 3
@@ -97,7 +97,8 @@
 	}
 }
 
-// pruneDeleted removes the deleted machines that no list can contain any more, in spite of its lag.
+// pruneDeleted removes the deleted machines that are not in the list and were deleted so long ago that no
+// later list can contain them either, in spite of its lag.
 func (a *Autoscaler) pruneDeleted(listed map[string]bool) {
 	for name, since := range a.list.deletedAt {
 		if !listed[name] && a.outbox.Now()-since > deletedRetentionLags*a.listLag() {
--- a/internal/core/election/lease.go
+++ b/internal/core/election/lease.go
@@ -74,7 +74,7 @@
 }
 
 // releaseUnusedLease stops renewing the lease while the key has a holder and this node does not
-// lead. If this node wrote the key without learning of its success, the key expires with the lease,
+// lead. If this node wrote the key but received no confirmation, the key expires with the lease,
 // and an election can follow; otherwise the key would keep that value indefinitely.
 func (e *Elector) releaseUnusedLease() {
 	if !e.leading && !e.campaigning && e.holder.Version != 0 {
@@ -90,8 +90,8 @@
 	}
 }
 
-// noteLeaseExpiry updates shortTerms when a term ends because the lease has expired. Any other than a
-// short term resets it.
+// noteLeaseExpiry updates shortTerms when the lease has expired. A short term that ends with the lease is
+// counted. If the term was not short, or this node did not lead, the count is reset.
 func (e *Elector) noteLeaseExpiry() {
 	if e.leading && e.outbox.Now()-e.electedAt < shortTermThreshold {
 		e.shortTerms++
--- a/internal/core/relay/delegation.go
+++ b/internal/core/relay/delegation.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// replicaAgeMargin is how much earlier than necessary a node stops relying on its replica.
+	// replicaAgeMargin is how much earlier than necessary a node without a delegation stops relying on its replica.
 	replicaAgeMargin = 4 * config.Second
 	// listingGrace is how long after an election the leader is assumed to have read the records,
-	// provided that the key-value store has responded to this node after that time.
+	// provided that the state service has responded to this node after that time.
 	listingGrace = 2 * config.Second
 )
 
@@ -49,7 +49,7 @@
 }
 
 // actAsDelegate answers a heartbeat in place of a leader that did not, if this node's replica is
-// fresh. If enqueue is set, the heartbeat is also relayed through the key-value store. enqueue is not
+// fresh. If enqueue is set, the heartbeat is also relayed through the state service. enqueue is not
 // set for a leader that is only busy: a relayed heartbeat would cost it more than a direct one, which
 // the worker sends again anyway.
 func (r *Relay) actAsDelegate(in msg.HeartbeatIn, enqueue bool) {
@@ -57,7 +57,7 @@
 	if !caughtUp && r.KeepAlive(in) {
 		return
 	}
-	// A worker that has seen no token has no tasks to keep alive, and would report the new token to the
+	// A worker that has received no token has no tasks to keep alive, and would report the new token to the
 	// previous leader.
 	newWorker := in.Heartbeat.FencingToken == 0
 	if !caughtUp && newWorker || !r.replicaFresh() {
@@ -70,20 +70,20 @@
 }
 
 // leaderCaughtUp reports whether the leader is assumed to have read the records since its election.
-// Until then it answers no worker. The previous leader cannot keep a worker alive that has seen the
+// Until then it answers no worker. The previous leader cannot keep a worker alive that has received the
 // new token, and delegates can do so only while their replicas are recent. If delegates sent the new
-// token at once and the key-value store failed between the election and the listing of the records,
-// every worker would be affected.
+// token at once and the state service failed between the election and the listing of the records, no
+// worker could be kept alive for longer than that.
 func (r *Relay) leaderCaughtUp() bool {
 	return r.leaderResponded || r.replica.CurrentAt() >= r.leaderChangedAt+listingGrace
 }
 
-// KeepAlive answers a worker that has seen no token of the current leader's term with the token that
-// it has seen, if that is safe, and reports whether it did. However old the replica gets, this does
+// KeepAlive answers a worker that has received no token of the current leader's term with the token
+// that it has received, if that is safe, and reports whether it did. However old the replica gets, this does
 // not keep a task of a cancelled job running. What earlier leaders have confirmed to clients is in
 // the replica if the replica reaches the start of the term, since transactions of earlier leaders
 // fail from then on. What the current leader or a successor confirms depends only on workers that
-// have seen its token, and those ignore this answer.
+// have received its token, and those ignore this answer.
 func (r *Relay) KeepAlive(in msg.HeartbeatIn) bool {
 	termStart := r.elector.Holder().TermStart
 	token := in.Heartbeat.FencingToken
--- a/internal/node/peer/messages.go
+++ b/internal/node/peer/messages.go
@@ -13,7 +13,7 @@
 	Version uint64
 }
 
-// Report is a worker's heartbeat that its relay forwards to the leader. Body is encoded as by package wire.
+// Report is a worker's heartbeat that its relay forwards to the leader. Body is encoded by package wire.
 type Report struct{ Body []byte }
 
 // ReportAnswer is the leader's response to a forwarded heartbeat. Body is empty unless the status is 200. Busy
@@ -43,7 +43,7 @@
 }
 
 // Status is a node's status. StateOK reports whether the node reaches the state service. Accepts is how many jobs
-// per second the node is asked to accept; versions that don't report it leave Says false.
+// per second the node is asked to accept. Says is set if Accepts is reported, which earlier versions don't do.
 type Status struct {
 	StateOK bool
 	Says    bool
