--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -86,7 +86,7 @@
 	if err := c.startNodes(ctx); err != nil {
 		return nil, err
 	}
-	c.wg.Go(func() { c.Servers.Drive(ctx, workersAddr) })
+	c.wg.Go(func() { c.Servers.Run(ctx, workersAddr) })
 	c.wg.Go(func() { c.measureMemory(ctx) })
 	return c, nil
 }
@@ -111,7 +111,7 @@
 	s := c.Servers
 	limits := &c.opt.Cluster
 	s.OnFailure = c.opt.Failed
-	s.State.Keep = watchHistory
+	s.State.MinHistory = watchHistory
 	s.State.ValueBytes = int(limits.State.ValueKB * 1024)
 	s.State.TxnOps = limits.State.TxnOps
 	s.SetQuotas(limits.State.RPS, limits.State.WriteRPS, limits.Cloud.RPS)
@@ -119,12 +119,12 @@
 	e.Types = c.opt.Types
 	e.Capacity = c.opt.Capacity
 	e.Model = c.opt.Model
-	e.Boot = c.opt.Boot
-	e.Watch = c.opt.Watch
+	e.BootTime = c.opt.Boot
+	e.OnEvent = c.opt.Watch
 	e.Lease = config.FromSeconds(limits.Workers.LeaseS)
 	e.GangWait = config.FromSeconds(limits.Workers.GangWaitS)
-	e.CancelIn = config.FromSeconds(limits.Workers.CancelS)
-	e.ReportEvery = config.FromSeconds(limits.Workers.ReportS)
+	e.CancelTimeout = config.FromSeconds(limits.Workers.CancelS)
+	e.HeartbeatInterval = config.FromSeconds(limits.Workers.ReportS)
 }
 
 // startServers starts the servers of the emulators, creates the nodes with their links to them, and writes
@@ -149,8 +149,8 @@
 		if err := c.writeConfig(n); err != nil {
 			return "", err
 		}
-		c.Servers.Nodes = append(c.Servers.Nodes, n.Workers.Addr())
-		c.Servers.Names = append(c.Servers.Names, n.Name)
+		c.Servers.NodeAddrs = append(c.Servers.NodeAddrs, n.Workers.Addr())
+		c.Servers.NodeNames = append(c.Servers.NodeNames, n.Name)
 	}
 	return workersAddr, nil
 }
@@ -212,7 +212,7 @@
 	for _, p := range c.proxies {
 		p.Close()
 	}
-	c.Servers.With(func() { // a request to a machine that hangs ends when the machine is deleted
+	c.Servers.WithLock(func() { // a request to a machine that hangs ends when the machine is deleted
 		for name := range c.Servers.Environment.Machines {
 			delete(c.Servers.Environment.Machines, name)
 		}
--- a/internal/cluster/load_balancer.go
+++ b/internal/cluster/load_balancer.go
@@ -134,10 +134,10 @@
 		return
 	}
 	run := config.FromSeconds(max(j.EstimateS, 1) * math.Exp(runSpread*rand.NormFloat64()))
-	b.cluster.Servers.With(func() {
+	b.cluster.Servers.WithLock(func() {
 		e := b.cluster.Servers.Environment
 		if e.Jobs[j.ID] == nil {
-			e.Jobs[j.ID] = &emulator.SubmittedJob{Job: j, Run: run}
+			e.Jobs[j.ID] = &emulator.SubmittedJob{Job: j, RunTime: run}
 			b.cluster.disk.SaveUpload(e.Jobs[j.ID])
 		}
 	})
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -8,7 +8,7 @@
 
 // Checker checks what happens on the machines against the rules of the protocol.
 type Checker struct {
-	Broken []string // the violations found
+	Violations []string // the violations found
 
 	protocol *Protocol
 	cloud    *Cloud
@@ -16,18 +16,18 @@
 }
 
 func (c *Checker) addViolation(now Micros, format string, args ...any) {
-	c.Broken = append(c.Broken, fmt.Sprintf("%.1fs ", float64(now)/1e6)+fmt.Sprintf(format, args...))
+	c.Violations = append(c.Violations, fmt.Sprintf("%.1fs ", float64(now)/1e6)+fmt.Sprintf(format, args...))
 }
 
-// checkCancelled finds tasks that are still on a machine more than CancelIn after a user received the
+// checkCancelled finds tasks that are still on a machine more than CancelTimeout after a user received the
 // answer that their job is cancelled.
 func (c *Checker) checkCancelled(now Micros) {
 	for id := range c.jobs.Jobs {
 		cancelledAt := c.jobs.CancelledAt(id)
-		if cancelledAt == 0 || now-cancelledAt <= c.protocol.CancelIn {
+		if cancelledAt == 0 || now-cancelledAt <= c.protocol.CancelTimeout {
 			continue
 		}
-		for _, task := range c.cloud.On(id, true) {
+		for _, task := range c.cloud.TasksOf(id, true) {
 			c.addViolation(now, "ran_cancelled %s", task)
 		}
 	}
@@ -42,8 +42,8 @@
 			c.addViolation(now, "too_early %s before %s", t.Task, need)
 		}
 	}
-	if j.Cancelled != 0 { // no task of the job may be started from then on
-		afterMS := (now - j.Cancelled) / 1000
+	if j.CancelledAt != 0 { // no task of the job may be started from then on
+		afterMS := (now - j.CancelledAt) / 1000
 		c.addViolation(now, "started_cancelled %s on %s, %d ms after its cancellation was confirmed to the user",
 			t.Task, m.Name, afterMS)
 	}
@@ -61,7 +61,7 @@
 func (c *Checker) checkRanTwice(now Micros, m *Machine, t *task) (zones map[string]int) {
 	id, n, _ := wire.ParseTaskName(t.Task)
 	zones = map[string]int{}
-	for _, name := range c.cloud.Names() {
+	for _, name := range c.cloud.MachineNames() {
 		for _, other := range c.cloud.Machines[name].tasks {
 			otherID, otherN, _ := wire.ParseTaskName(other.Task)
 			if other == t || otherID != id || other.State == wire.Exited {
@@ -76,12 +76,12 @@
 	return zones
 }
 
-// Used returns the number of GPUs that a team's tasks use, on all machines, including those that hang.
-func (c *Checker) Used(team string) float64 {
+// UsedGPUs returns the number of GPUs that a team's tasks use, on all machines, including those that hang.
+func (c *Checker) UsedGPUs(team string) float64 {
 	used := 0.0
 	for id, j := range c.jobs.Jobs {
 		if j.Team == team {
-			used += j.GPUs * float64(len(c.cloud.On(id, true)))
+			used += j.GPUs * float64(len(c.cloud.TasksOf(id, true)))
 		}
 	}
 	return used
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -12,13 +12,13 @@
 // Cloud emulates the cloud: it rents machines and lists them.
 type Cloud struct {
 	Types    []wire.MachineType
-	Boot     Micros         // boot time of a machine
+	BootTime Micros         // boot time of a machine
 	Capacity map[string]int // on-demand machines that can still be rented, by zone
 	Machines map[string]*Machine
-	// Unlisted is how long lists omit a new machine, which may have booted by then.
-	Unlisted Micros
-	CloudOff bool // simulates an outage, in which the cloud answers 503
-	Rented   int  // number of machines rented so far
+	// ListingDelay is how long lists omit a new machine, which may have booted by then.
+	ListingDelay Micros
+	CloudDown    bool // simulates an outage, in which the cloud answers 503
+	Rented       int  // number of machines rented so far
 	// Model varies boot times and speeds, delays lists, limits spot instances, and has tasks fetch images
 	// and save checkpoints. If it is nil, everything takes its specified time.
 	Model *Model
@@ -33,7 +33,7 @@
 	return &Cloud{
 		Types: []wire.MachineType{{Name: "t4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 100, FetchGBs: 1,
 			Price: 4, SpotPrice: 2, BootS: 2, Zones: []string{"a", "b"}}},
-		Boot:     2 * Second,
+		BootTime: 2 * Second,
 		Capacity: map[string]int{"a": 8, "b": 8},
 		Machines: map[string]*Machine{},
 		events:   events,
@@ -68,9 +68,9 @@
 		Machine: wire.Machine{
 			Name: name, Addr: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: wire.MachineBooting,
 		},
-		Up:           now + c.Boot,
+		StartsAt:     now + c.BootTime,
 		Incarnation:  1,
-		leaseStart:   now + c.Boot,
+		leaseStart:   now + c.BootTime,
 		rentedAt:     now,
 		Speed:        1,
 		imageReadyAt: map[string]Micros{},
@@ -94,9 +94,9 @@
 // listNow returns the current machines, without those that are too new to be listed.
 func (c *Cloud) listNow(now Micros) []wire.Machine {
 	var out []wire.Machine
-	for _, name := range c.Names() {
+	for _, name := range c.MachineNames() {
 		m := c.Machines[name]
-		if now-m.rentedAt < c.Unlisted {
+		if now-m.rentedAt < c.ListingDelay {
 			continue
 		}
 		m.AgeS = float64(now-m.rentedAt) / 1e6
@@ -105,8 +105,8 @@
 	return out
 }
 
-// Names returns the names of the machines in sorted order.
-func (c *Cloud) Names() []string {
+// MachineNames returns the names of the machines in sorted order.
+func (c *Cloud) MachineNames() []string {
 	return slices.Sorted(maps.Keys(c.Machines))
 }
 
@@ -147,13 +147,13 @@
 	delete(c.Machines, m.Name)
 }
 
-// On lists the tasks of a job that have not exited, with their machines and states. If all is set, it
+// TasksOf lists the tasks of a job that have not exited, with their machines and states. If all is set, it
 // includes tasks on machines that hang.
-func (c *Cloud) On(id string, all bool) []string {
+func (c *Cloud) TasksOf(id string, all bool) []string {
 	var out []string
-	for _, name := range c.Names() {
+	for _, name := range c.MachineNames() {
 		m := c.Machines[name]
-		if m.Hang && !all {
+		if m.Hanging && !all {
 			continue
 		}
 		for _, t := range m.tasks {
--- a/internal/emulator/cloud_server.go
+++ b/internal/emulator/cloud_server.go
@@ -24,7 +24,7 @@
 func (s *Servers) admitCloud(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		off := false
-		s.With(func() { off = s.Environment.CloudOff })
+		s.WithLock(func() { off = s.Environment.CloudDown })
 		switch {
 		case off:
 			writeOutage(w)
--- a/internal/emulator/disk.go
+++ b/internal/emulator/disk.go
@@ -134,7 +134,7 @@
 		if err != nil {
 			return err
 		}
-		raw, err := msgpack.Marshal(&upload{j.Job, j.Run})
+		raw, err := msgpack.Marshal(&upload{j.Job, j.RunTime})
 		if err != nil {
 			return err
 		}
@@ -155,7 +155,7 @@
 			if err := msgpack.Unmarshal(v, &u); err != nil {
 				return fmt.Errorf("decode stored description of job %s: %w", k, err)
 			}
-			out[string(k)] = &SubmittedJob{Job: u.Job, Run: u.Run}
+			out[string(k)] = &SubmittedJob{Job: u.Job, RunTime: u.Run}
 			return nil
 		})
 	})
--- a/internal/emulator/gangs.go
+++ b/internal/emulator/gangs.go
@@ -30,7 +30,7 @@
 // members returns the tasks of gangs that have not exited, by job and attempt.
 func (g *gangs) members() map[string][]gangMember {
 	members := map[string][]gangMember{}
-	for _, name := range g.cloud.Names() {
+	for _, name := range g.cloud.MachineNames() {
 		m := g.cloud.Machines[name]
 		for _, t := range m.tasks {
 			id, _, _ := wire.ParseTaskName(t.Task)
@@ -50,10 +50,10 @@
 	for _, member := range members {
 		m, t := member.machine, member.task
 		switch {
-		case m.Hang:
+		case m.Hanging:
 		case waiting == j.Tasks:
 			g.tasks.run(now, m, t, j, 0)
-		case running == j.Tasks && progress >= j.Run:
+		case running == j.Tasks && progress >= j.RunTime:
 			g.tasks.complete(now, m, t)
 		case running > 0 && running < j.Tasks && t.State == wire.Running:
 			g.tasks.exit(now, m, t, wire.CausePeersGone)
@@ -66,7 +66,7 @@
 func (g *gangs) summarize(now Micros, members []gangMember) (waiting, running int, progress Micros) {
 	for _, member := range members {
 		switch {
-		case member.machine.Hang:
+		case member.machine.Hanging:
 		case member.task.State == wire.Waiting:
 			waiting++
 		case member.task.State == wire.Running:
--- a/internal/emulator/heartbeats.go
+++ b/internal/emulator/heartbeats.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// tickInterval is how often Drive advances the machines.
+	// tickInterval is how often Run advances the machines.
 	tickInterval = 50 * time.Millisecond
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
@@ -44,9 +44,9 @@
 	repeatAfter time.Duration // delay after which a copy is sent; 0 if none is
 }
 
-// Drive advances the machines and sends the workers' heartbeats until ctx ends. workersAddr is the
+// Run advances the machines and sends the workers' heartbeats until ctx ends. workersAddr is the
 // address of WorkerHandler.
-func (s *Servers) Drive(ctx context.Context, workersAddr string) {
+func (s *Servers) Run(ctx context.Context, workersAddr string) {
 	client := &http.Client{
 		Timeout:   heartbeatTimeout,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 4096, IdleConnTimeout: time.Minute},
@@ -84,10 +84,10 @@
 	s.Environment.Tick(now)
 	s.wakeWatches()
 	var due []dueHeartbeat
-	for _, name := range s.Environment.Names() {
+	for _, name := range s.Environment.MachineNames() {
 		m := s.Environment.Machines[name]
 		m.Addr = workersAddr + "/" + name
-		if len(s.Nodes) > 0 && m.Due(now) {
+		if len(s.NodeAddrs) > 0 && m.Due(now) {
 			due = append(due, s.nextHeartbeat(now, m))
 		}
 	}
@@ -97,15 +97,15 @@
 // nextHeartbeat returns the heartbeat that a machine is to send, marks it as in flight and draws when the
 // following one is due. s.mu must be held.
 func (s *Servers) nextHeartbeat(now Micros, m *Machine) dueHeartbeat {
-	d := dueHeartbeat{machine: m, heartbeat: m.Status(), sent: now, node: m.Node % len(s.Nodes)}
+	d := dueHeartbeat{machine: m, heartbeat: m.NextHeartbeat(), sent: now, node: m.Node % len(s.NodeAddrs)}
 	if s.repeatWithinS > 0 && rand.IntN(repeatOneIn) == 0 {
 		d.repeatAfter = time.Duration(minRepeatDelayS*1e9 + rand.Float64()*max(s.repeatWithinS-minRepeatDelayS, 0)*1e9)
 	}
-	interval := s.Environment.ReportEvery
+	interval := s.Environment.HeartbeatInterval
 	if interval == 0 {
 		interval = Second
 	}
-	m.Reported(now, Micros(float64(interval)*(minIntervalFactor+intervalFactorRange*rand.Float64())))
+	m.HeartbeatSent(now, Micros(float64(interval)*(minIntervalFactor+intervalFactorRange*rand.Float64())))
 	m.inFlight = true
 	return d
 }
@@ -130,12 +130,12 @@
 	var redirect wire.Redirect
 	switch {
 	case status == http.StatusOK && wire.Unmarshal(body, &response) == nil:
-		if !m.Hang {
-			s.Environment.Answered(now, d.sent, d.heartbeat.Incarnation, m, response)
+		if !m.Hanging {
+			s.Environment.HandleHeartbeatResponse(now, d.sent, d.heartbeat.Incarnation, m, response)
 		}
 		return
 	case status == http.StatusMisdirectedRequest && wire.Unmarshal(body, &redirect) == nil:
-		if i := slices.Index(s.Names, redirect.Node); i >= 0 && i != d.node {
+		if i := slices.Index(s.NodeNames, redirect.Node); i >= 0 && i != d.node {
 			m.Node = i
 			m.NextAt = now + rand.Int64N(maxRedirectDelay)
 			return
@@ -148,7 +148,7 @@
 // repeatHeartbeat sends a copy of a heartbeat to a random node after its delay. The answer is ignored.
 func (s *Servers) repeatHeartbeat(ctx context.Context, client *http.Client, d dueHeartbeat) {
 	if wait.For(ctx, d.repeatAfter) {
-		s.post(ctx, client, rand.IntN(len(s.Nodes)), &d.heartbeat)
+		s.post(ctx, client, rand.IntN(len(s.NodeAddrs)), &d.heartbeat)
 	}
 }
 
@@ -162,7 +162,7 @@
 		return 0, nil
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
-		"http://"+s.Nodes[node]+wire.PathHeartbeat, bytes.NewReader(raw))
+		"http://"+s.NodeAddrs[node]+wire.PathHeartbeat, bytes.NewReader(raw))
 	if err != nil {
 		return 0, nil
 	}
--- a/internal/emulator/jobs.go
+++ b/internal/emulator/jobs.go
@@ -6,17 +6,17 @@
 // tasks behave on the machines.
 type SubmittedJob struct {
 	wire.Job
-	Cancelled Micros  // when the user received the answer that it is cancelled; 0 if never
-	Asked     bool    // whether the user has requested its cancellation
-	Run       Micros  // run time of a task
-	Steps     Micros  // difference in run time between consecutive tasks of an array
-	Mistaken  bool    // whether its tasks fail on every machine
-	FetchGBs  float64 // rate at which its image is fetched, in GB per second; 0 is treated as defaultFetchGBs
-	Starts    int     // number of starts of its tasks
+	CancelledAt     Micros  // when the user received the answer that it is cancelled; 0 if never
+	CancelRequested bool    // whether the user has requested its cancellation
+	RunTime         Micros  // run time of a task
+	RunTimeStep     Micros  // difference in run time between consecutive tasks of an array
+	AlwaysFails     bool    // whether its tasks fail on every machine
+	FetchGBs        float64 // rate at which its image is fetched, in GB per second; 0 is treated as defaultFetchGBs
+	Starts          int     // number of starts of its tasks
 }
 
-// RunOf returns the run time of the n-th task, counted from 0.
-func (j *SubmittedJob) RunOf(n int) Micros { return j.Run + Micros(n)*j.Steps }
+// RunTimeOf returns the run time of the n-th task, counted from 0.
+func (j *SubmittedJob) RunTimeOf(n int) Micros { return j.RunTime + Micros(n)*j.RunTimeStep }
 
 // JobRegistry holds the submitted jobs, and which of their tasks have completed.
 type JobRegistry struct {
@@ -40,8 +40,8 @@
 func (r *JobRegistry) CancelledAt(id string) Micros {
 	first := Micros(0)
 	r.eachDependency(id, func(j *SubmittedJob) {
-		if j.Cancelled != 0 && (first == 0 || j.Cancelled < first) {
-			first = j.Cancelled
+		if j.CancelledAt != 0 && (first == 0 || j.CancelledAt < first) {
+			first = j.CancelledAt
 		}
 	})
 	return first
@@ -51,7 +51,7 @@
 // depends on, directly or indirectly.
 func (r *JobRegistry) MayBeCancelled(id string) bool {
 	requested := false
-	r.eachDependency(id, func(j *SubmittedJob) { requested = requested || j.Asked })
+	r.eachDependency(id, func(j *SubmittedJob) { requested = requested || j.CancelRequested })
 	return requested
 }
 
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -5,8 +5,8 @@
 // Machine is a rented machine and its worker.
 type Machine struct {
 	wire.Machine
-	Up                  Micros // when the worker starts or restarts
-	Hang                bool   // the worker neither acts nor answers requests
+	StartsAt            Micros // when the worker starts or restarts
+	Hanging             bool   // the worker neither acts nor answers requests
 	Incarnation         uint64
 	Sequence            uint64
 	FencingToken        uint64 // the highest that the worker has received
@@ -43,8 +43,8 @@
 // defaultFetchGBs is the rate at which a machine fetches images, in GB per second, if the job sets none.
 const defaultFetchGBs = 0.4
 
-// Status returns the next heartbeat of the worker and advances its sequence number.
-func (m *Machine) Status() wire.Heartbeat {
+// NextHeartbeat returns the next heartbeat of the worker and advances its sequence number.
+func (m *Machine) NextHeartbeat() wire.Heartbeat {
 	m.Sequence++
 	h := wire.Heartbeat{
 		Machine:      m.Name,
@@ -68,21 +68,22 @@
 
 // Due reports whether the worker is due to send a heartbeat.
 func (m *Machine) Due(now Micros) bool {
-	if m.Hang || m.inFlight || now < m.Up {
+	if m.Hanging || m.inFlight || now < m.StartsAt {
 		return false
 	}
 	return now >= m.NextAt || m.changed && now >= m.sentAt+minHeartbeatGap
 }
 
-// Wait sets whether a heartbeat is in flight: until it is answered or has timed out, no other is sent.
-func (m *Machine) Wait(inFlight bool) { m.inFlight = inFlight }
+// SetHeartbeatInFlight sets whether a heartbeat is in flight: until it is answered or has timed out, no other
+// is sent.
+func (m *Machine) SetHeartbeatInFlight(inFlight bool) { m.inFlight = inFlight }
 
 // HeartbeatInFlight reports whether a heartbeat has been sent that is neither answered nor timed out.
 func (m *Machine) HeartbeatInFlight() bool { return m.inFlight }
 
-// Reported records that a heartbeat is sent now, and that the next one is due after interval; 0 is
+// HeartbeatSent records that a heartbeat is sent now, and that the next one is due after interval; 0 is
 // treated as one second.
-func (m *Machine) Reported(now, interval Micros) {
+func (m *Machine) HeartbeatSent(now, interval Micros) {
 	if interval == 0 {
 		interval = Second
 	}
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -16,15 +16,15 @@
 // Model makes machines and the cloud deviate from their specification as real ones do. A nil Model
 // changes nothing.
 type Model struct {
-	Rand       *rand.Rand
-	BootSpread float64 // boots take between 1-BootSpread and 1+BootSpread times the usual time
-	BootNever  float64 // fraction of the machines that never start
-	ListLag    Micros  // lag of lists, which varies by up to half of it; a list may be older than the one before
-	Speed      float64 // maximum fraction by which a machine is faster or slower than usual
+	Rand            *rand.Rand
+	BootSpread      float64 // boots take between 1-BootSpread and 1+BootSpread times the usual time
+	BootFailureRate float64 // fraction of the machines that never start
+	ListLag         Micros  // lag of lists, which varies by up to half of it; a list may be older than the one before
+	SpeedSpread     float64 // maximum fraction by which a machine is faster or slower than usual
 	// SpotCapacity is the maximum number of spot instances rented at a time, by zone.
 	SpotCapacity map[string]int
-	// BootTimes is a factor on the boot time of machines rented from now on; 0 is treated as 1.
-	BootTimes float64
+	// BootTimeFactor is a factor on the boot time of machines rented from now on; 0 is treated as 1.
+	BootTimeFactor float64
 }
 
 // listSnapshot is the list of the machines at an earlier time.
@@ -38,16 +38,16 @@
 	if m == nil {
 		return
 	}
-	boot := float64(c.Boot) * (1 + m.BootSpread*(2*m.Rand.Float64()-1))
-	if m.BootTimes > 0 {
-		boot *= m.BootTimes
+	boot := float64(c.BootTime) * (1 + m.BootSpread*(2*m.Rand.Float64()-1))
+	if m.BootTimeFactor > 0 {
+		boot *= m.BootTimeFactor
 	}
-	machine.Up = now + Micros(boot)
-	if m.Rand.Float64() < m.BootNever {
-		machine.Up = neverStarts
+	machine.StartsAt = now + Micros(boot)
+	if m.Rand.Float64() < m.BootFailureRate {
+		machine.StartsAt = neverStarts
 	}
-	machine.leaseStart = machine.Up
-	machine.Speed = 1 + m.Speed*(2*m.Rand.Float64()-1)
+	machine.leaseStart = machine.StartsAt
+	machine.Speed = 1 + m.SpeedSpread*(2*m.Rand.Float64()-1)
 }
 
 // list returns the list of the machines as of an earlier time, which is drawn from ListLag.
--- a/internal/emulator/servers.go
+++ b/internal/emulator/servers.go
@@ -16,8 +16,8 @@
 	mu          sync.Mutex
 	State       *State
 	Environment *Environment
-	Nodes       []string // addresses that workers send heartbeats to
-	Names       []string // names of the nodes, as given in redirections, in the same order
+	NodeAddrs   []string // addresses that workers send heartbeats to
+	NodeNames   []string // names of the nodes, as given in redirections, in the same order
 	// OnFailure is called with the error of each heartbeat request that failed, from several goroutines; it
 	// may be nil.
 	OnFailure func(error)
@@ -62,18 +62,18 @@
 	l.SetBurst(max(1, int(burst)))
 }
 
-// Delay sets the delay of each answer of the state service.
-func (s *Servers) Delay(d time.Duration) { s.With(func() { s.stateDelay = d }) }
+// SetStateDelay sets the delay of each answer of the state service.
+func (s *Servers) SetStateDelay(d time.Duration) { s.WithLock(func() { s.stateDelay = d }) }
 
-// Repeat makes workers send copies of some heartbeats again, each at most withinS seconds later, but no
-// less than minRepeatDelayS, and to a random node. If withinS is 0, no heartbeats are repeated.
-func (s *Servers) Repeat(withinS float64) { s.With(func() { s.repeatWithinS = withinS }) }
+// RepeatHeartbeats makes workers send copies of some heartbeats again, each at most withinS seconds later, but
+// no less than minRepeatDelayS, and to a random node. If withinS is 0, no heartbeats are repeated.
+func (s *Servers) RepeatHeartbeats(withinS float64) { s.WithLock(func() { s.repeatWithinS = withinS }) }
 
 // Now returns the time of the emulated systems, counted from NewServers. It is never 0.
 func (s *Servers) Now() Micros { return time.Since(s.start).Microseconds() + 1 }
 
-// With calls f while holding the lock on the emulated systems. f must not call With.
-func (s *Servers) With(f func()) {
+// WithLock calls f while holding the lock on the emulated systems. f must not call WithLock.
+func (s *Servers) WithLock(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -33,8 +33,8 @@
 	leases             map[uint64]*lease
 	lastLease          uint64
 	changes            []wire.Change // in the order of their revisions
-	// Keep is the minimum number of past changes that watches can still receive; 0 means all.
-	Keep int
+	// MinHistory is the minimum number of past changes that watches can still receive; 0 means all.
+	MinHistory int
 	// Disk stores changes before they are acknowledged. If it is nil, they are kept only in memory.
 	Disk *Disk
 }
@@ -147,16 +147,16 @@
 	}
 }
 
-// trimHistory drops all but the last Keep changes, once there are more than twice as many.
+// trimHistory drops all but the last MinHistory changes, once there are more than twice as many.
 func (s *State) trimHistory() {
-	if s.Keep > 0 && len(s.changes) > 2*s.Keep {
-		s.changes = append([]wire.Change(nil), s.changes[len(s.changes)-s.Keep:]...)
+	if s.MinHistory > 0 && len(s.changes) > 2*s.MinHistory {
+		s.changes = append([]wire.Change(nil), s.changes[len(s.changes)-s.MinHistory:]...)
 	}
 }
 
 // Trimmed reports whether some of the changes after a revision have been dropped from the history.
 func (s *State) Trimmed(revision uint64) bool {
-	return s.Keep > 0 && len(s.changes) >= s.Keep && revision+1 < s.changes[0].Version
+	return s.MinHistory > 0 && len(s.changes) >= s.MinHistory && revision+1 < s.changes[0].Version
 }
 
 // Page returns the items under a prefix whose keys follow from, in order: at most limit, and at most
--- a/internal/emulator/state_server.go
+++ b/internal/emulator/state_server.go
@@ -60,7 +60,7 @@
 
 // refuse refuses a request that exceeds a quota of the state service.
 func (s *Servers) refuse(w http.ResponseWriter) {
-	s.With(func() { s.Refused++ })
+	s.WithLock(func() { s.Refused++ })
 	writeTooManyRequests(w)
 }
 
@@ -140,10 +140,10 @@
 	s.wakeWatches()
 }
 
-// Expire ends the leases of the state service that were not renewed in time. Only needed without Drive,
+// Expire ends the leases of the state service that were not renewed in time. Only needed without Run,
 // which does this as well.
 func (s *Servers) Expire() {
-	s.With(func() {
+	s.WithLock(func() {
 		s.State.Expire(s.Now())
 		s.wakeWatches()
 	})
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -18,7 +18,7 @@
 
 // TaskRunner advances tasks through their states.
 type TaskRunner struct {
-	Fails map[string]Micros // machines on which each task that starts after the given time fails
+	FailingSince map[string]Micros // machines on which each task that starts after the given time fails
 
 	protocol *Protocol
 	cloud    *Cloud // for its model
@@ -43,11 +43,11 @@
 			r.exit(now, m, t, wire.CauseIncomplete)
 		}
 	case wire.Running:
-		since, failing := r.Fails[m.Name]
+		since, failing := r.FailingSince[m.Name]
 		switch {
-		case failing && t.stateSince > since || j.Mistaken:
+		case failing && t.stateSince > since || j.AlwaysFails:
 			r.exit(now, m, t, wire.CauseError)
-		case j.Shape == wire.Array && r.progress.current(now, m, t) >= j.RunOf(n):
+		case j.Shape == wire.Array && r.progress.current(now, m, t) >= j.RunTimeOf(n):
 			r.complete(now, m, t)
 		}
 	case wire.Saving:
--- a/internal/emulator/worker_server.go
+++ b/internal/emulator/worker_server.go
@@ -39,7 +39,7 @@
 		case m == nil || !valid:
 			writeMalformed(w)
 		case verb == statusVerb:
-			writeBody(w, http.StatusOK, m.Status())
+			writeBody(w, http.StatusOK, m.NextHeartbeat())
 		default:
 			status, heartbeat := s.Environment.Commands(s.Now(), m, request)
 			writeBody(w, status, heartbeat)
@@ -70,5 +70,5 @@
 
 // reachable reports whether requests reach the worker.
 func (m *Machine) reachable(now Micros) bool {
-	return !m.Hang && m.InboundLost == "" && now >= m.Up
+	return !m.Hanging && m.InboundLost == "" && now >= m.StartsAt
 }
--- a/internal/emulator/workers.go
+++ b/internal/emulator/workers.go
@@ -18,15 +18,15 @@
 // tickWorker advances a worker that has started, and its tasks. When the worker's lease has expired, all
 // its tasks end and the next incarnation begins.
 func (w *Workers) tickWorker(now Micros, m *Machine) {
-	// Whether the lease of a machine that hangs can expire depends on HangKeeps.
-	if now-m.leaseStart > w.protocol.Lease && (!w.protocol.HangKeeps || !m.Hang) {
+	// Whether the lease of a machine that hangs can expire depends on KeepTasksOnHang.
+	if now-m.leaseStart > w.protocol.Lease && (!w.protocol.KeepTasksOnHang || !m.Hanging) {
 		w.tasks.endAll(now, m)
 		m.tasks = nil
 		m.changed = true
 		m.Incarnation++
 		m.leaseStart = now
 	}
-	if m.Hang {
+	if m.Hanging {
 		return
 	}
 	for _, t := range m.tasks {
@@ -39,10 +39,10 @@
 func (w *Workers) Commands(now Micros, m *Machine, request wire.CommandRequest) (int, wire.Heartbeat) {
 	m.observeFencingToken(request.FencingToken)
 	if request.FencingToken < m.FencingToken || request.Incarnation != m.Incarnation {
-		return http.StatusConflict, m.Status()
+		return http.StatusConflict, m.NextHeartbeat()
 	}
 	w.execute(now, m, request.Commands)
-	return http.StatusOK, m.Status()
+	return http.StatusOK, m.NextHeartbeat()
 }
 
 // execute executes commands in order. A command that doesn't apply to the task's state has no effect.
@@ -124,14 +124,14 @@
 		m.Sequence = 0
 		m.FencingToken = 0
 	}
-	m.Up = now + after
+	m.StartsAt = now + after
 	m.leaseStart = now + after
 }
 
-// Answered handles a successful answer to the heartbeat that an incarnation of a worker sent at a time. An
-// answer that has an older fencing token, is for another incarnation, or arrives more than maxAnswerAge
-// after the heartbeat was sent has no effect.
-func (w *Workers) Answered(now, sent Micros, incarnation uint64, m *Machine, response wire.HeartbeatResponse) {
+// HandleHeartbeatResponse handles a successful answer to the heartbeat that an incarnation of a worker sent
+// at a time. An answer that has an older fencing token, is for another incarnation, or arrives more than
+// maxAnswerAge after the heartbeat was sent has no effect.
+func (w *Workers) HandleHeartbeatResponse(now, sent Micros, incarnation uint64, m *Machine, response wire.HeartbeatResponse) {
 	if response.FencingToken < m.FencingToken || incarnation != m.Incarnation || now-sent > maxAnswerAge {
 		return
 	}
--- a/internal/faulttest/deployment.go
+++ b/internal/faulttest/deployment.go
@@ -62,13 +62,13 @@
 			Price: 4, SpotPrice: 2, BootS: d.BootS, Zones: d.Zones,
 		}},
 		Model: &emulator.Model{
-			Rand:         rand.New(rand.NewPCG(opt.Seed, 1)),
-			BootSpread:   0.3,
-			BootNever:    d.BootNeverShare,
-			ListLag:      config.FromSeconds(d.ListLagS),
-			Speed:        d.SpeedSpread,
-			SpotCapacity: emulator.CapacityByZone(d.Spot, d.Zones),
-			BootTimes:    1,
+			Rand:            rand.New(rand.NewPCG(opt.Seed, 1)),
+			BootSpread:      0.3,
+			BootFailureRate: d.BootNeverShare,
+			ListLag:         config.FromSeconds(d.ListLagS),
+			SpeedSpread:     d.SpeedSpread,
+			SpotCapacity:    emulator.CapacityByZone(d.Spot, d.Zones),
+			BootTimeFactor:  1,
 		},
 	}
 }
--- a/internal/faulttest/inject_machines.go
+++ b/internal/faulttest/inject_machines.go
@@ -34,8 +34,8 @@
 
 func (mf *machineFaults) hangMachines(f *Fault) undoFault {
 	return mf.affectMachines(f,
-		func(m *emulator.Machine, _ emulator.Micros) { m.Hang = true },
-		func(m *emulator.Machine) { m.Hang = false })
+		func(m *emulator.Machine, _ emulator.Micros) { m.Hanging = true },
+		func(m *emulator.Machine) { m.Hanging = false })
 }
 
 // cutMachinesInbound blocks all data to the machines, while their heartbeats still reach the nodes.
@@ -57,8 +57,8 @@
 func (mf *machineFaults) failTasksOnMachines(f *Fault) undoFault {
 	environment := mf.servers.Environment
 	return mf.affectMachines(f,
-		func(m *emulator.Machine, now emulator.Micros) { environment.Fails[m.Name] = now },
-		func(m *emulator.Machine) { delete(environment.Fails, m.Name) })
+		func(m *emulator.Machine, now emulator.Micros) { environment.FailingSince[m.Name] = now },
+		func(m *emulator.Machine) { delete(environment.FailingSince, m.Name) })
 }
 
 func (mf *machineFaults) slowMachines(f *Fault) undoFault {
@@ -73,8 +73,8 @@
 
 // repeatHeartbeats delivers copies of heartbeats to any node, up to Factor leases late.
 func (mf *machineFaults) repeatHeartbeats(f *Fault) undoFault {
-	mf.servers.Repeat(f.Factor * mf.leaseS)
-	return func() { mf.servers.Repeat(0) }
+	mf.servers.RepeatHeartbeats(f.Factor * mf.leaseS)
+	return func() { mf.servers.RepeatHeartbeats(0) }
 }
 
 func (mf *machineFaults) recallSpotMachines(f *Fault) undoFault {
@@ -94,12 +94,12 @@
 // function that undoes the effect, or nil if undo is nil.
 func (mf *machineFaults) affectMachines(f *Fault, apply machineEffect, undo func(*emulator.Machine)) undoFault {
 	var affected []string
-	mf.servers.With(func() {
-		for _, name := range mf.servers.Environment.Names() {
+	mf.servers.WithLock(func() {
+		for _, name := range mf.servers.Environment.MachineNames() {
 			m := mf.servers.Environment.Machines[name]
 			wanted := f.Count == 0 || len(affected) < f.Count
 			inTarget := f.Target == "" || f.Target == m.Zone
-			if wanted && inTarget && mf.servers.Now() >= m.Up && (m.Tasks() > 0 || f.Count == 0) {
+			if wanted && inTarget && mf.servers.Now() >= m.StartsAt && (m.Tasks() > 0 || f.Count == 0) {
 				affected = append(affected, name)
 				apply(m, mf.servers.Now())
 			}
@@ -110,7 +110,7 @@
 		return nil
 	}
 	return func() {
-		mf.servers.With(func() {
+		mf.servers.WithLock(func() {
 			for _, name := range affected {
 				if m := mf.servers.Environment.Machines[name]; m != nil {
 					undo(m)
--- a/internal/faulttest/inject_services.go
+++ b/internal/faulttest/inject_services.go
@@ -19,15 +19,15 @@
 
 func (sf *serviceFaults) takeStateDown(*Fault) undoFault {
 	setDown := func(down bool) {
-		sf.servers.With(func() { sf.servers.State.SetDown(sf.servers.Now(), down) })
+		sf.servers.WithLock(func() { sf.servers.State.SetDown(sf.servers.Now(), down) })
 	}
 	setDown(true)
 	return func() { setDown(false) }
 }
 
 func (sf *serviceFaults) slowState(f *Fault) undoFault {
-	sf.servers.Delay(time.Duration(f.Factor * float64(stateDelayUnit)))
-	return func() { sf.servers.Delay(0) }
+	sf.servers.SetStateDelay(time.Duration(f.Factor * float64(stateDelayUnit)))
+	return func() { sf.servers.SetStateDelay(0) }
 }
 
 func (sf *serviceFaults) lowerStateQuotas(f *Fault) undoFault {
@@ -36,9 +36,9 @@
 }
 
 func (sf *serviceFaults) takeCloudDown(*Fault) undoFault {
-	sf.withEnvironment(func(e *emulator.Environment) { e.CloudOff = true })
+	sf.withEnvironment(func(e *emulator.Environment) { e.CloudDown = true })
 	return func() {
-		sf.withEnvironment(func(e *emulator.Environment) { e.CloudOff = false })
+		sf.withEnvironment(func(e *emulator.Environment) { e.CloudDown = false })
 	}
 }
 
@@ -62,13 +62,13 @@
 }
 
 func (sf *serviceFaults) delayBoots(f *Fault) undoFault {
-	sf.withEnvironment(func(e *emulator.Environment) { e.Model.BootTimes = f.Factor })
+	sf.withEnvironment(func(e *emulator.Environment) { e.Model.BootTimeFactor = f.Factor })
 	return func() {
-		sf.withEnvironment(func(e *emulator.Environment) { e.Model.BootTimes = 1 })
+		sf.withEnvironment(func(e *emulator.Environment) { e.Model.BootTimeFactor = 1 })
 	}
 }
 
 // withEnvironment calls f with exclusive access to the emulated environment.
 func (sf *serviceFaults) withEnvironment(f func(*emulator.Environment)) {
-	sf.servers.With(func() { f(sf.servers.Environment) })
+	sf.servers.WithLock(func() { f(sf.servers.Environment) })
 }
--- a/internal/faulttest/leader.go
+++ b/internal/faulttest/leader.go
@@ -15,7 +15,7 @@
 func leaderOf(servers *emulator.Servers) string {
 	var lease election.LeaseRecord
 	var raw []byte
-	servers.With(func() { raw = servers.State.Get(leaderKey).Value })
+	servers.WithLock(func() { raw = servers.State.Get(leaderKey).Value })
 	if len(raw) == 0 || msgpack.Unmarshal(raw, &lease) != nil {
 		return ""
 	}
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -70,7 +70,7 @@
 		Nodes:      r.cluster.Use(),
 		Violations: []invariants.Violation{},
 	}
-	r.cluster.Servers.With(func() {
+	r.cluster.Servers.WithLock(func() {
 		s := r.cluster.Servers
 		res.Machines = s.Environment.Rented
 		res.Requests = s.Requests
--- a/internal/faulttest/status.go
+++ b/internal/faulttest/status.go
@@ -149,7 +149,7 @@
 			Restarts: usage[i].Restarts,
 		})
 	}
-	servers.With(func() {
+	servers.WithLock(func() {
 		for _, m := range servers.Environment.Machines {
 			s.Machines[machineState(m, servers.Now())]++
 		}
@@ -160,9 +160,9 @@
 // machineState returns the state of a machine, a key of Status.Machines.
 func machineState(m *emulator.Machine, now emulator.Micros) string {
 	switch {
-	case m.Hang:
+	case m.Hanging:
 		return "hanging"
-	case now < m.Up:
+	case now < m.StartsAt:
 		return "booting"
 	}
 	return "up"
--- a/internal/faulttest/users.go
+++ b/internal/faulttest/users.go
@@ -195,10 +195,10 @@
 
 // uploadJobs makes the descriptions of all jobs available to the workers, as users do before they submit.
 func uploadJobs(servers *emulator.Servers, jobs []plannedJob) {
-	servers.With(func() {
+	servers.WithLock(func() {
 		for i := range jobs {
 			p := &jobs[i]
-			servers.Environment.Jobs[p.job.ID] = &emulator.SubmittedJob{Job: p.job, Run: p.taskRunTime}
+			servers.Environment.Jobs[p.job.ID] = &emulator.SubmittedJob{Job: p.job, RunTime: p.taskRunTime}
 		}
 	})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -52,7 +52,7 @@
 	cloud := httptest.NewServer(r.servers.CloudHandler())
 	workers := httptest.NewServer(r.servers.WorkerHandler())
 	addr := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	r.servers.Environment.Boot = 0
+	r.servers.Environment.BootTime = 0
 	var base config.Cluster
 	base.Zones = []string{"a", "b"}
 	base.Teams = []config.Team{{Name: "red", GPUs: 8, GPUsMax: 16}}
@@ -67,7 +67,7 @@
 		c.ClientListen, c.PeerListen = freeAddr(t), freeAddr(t)
 		c.External = config.External{Cloud: addr(cloud), State: addr(state)}
 		r.configs = append(r.configs, c)
-		r.servers.Nodes, r.servers.Names = append(r.servers.Nodes, c.ClientListen), append(r.servers.Names, c.Node)
+		r.servers.NodeAddrs, r.servers.NodeNames = append(r.servers.NodeAddrs, c.ClientListen), append(r.servers.NodeNames, c.Node)
 	}
 	for _, c := range r.configs {
 		for _, p := range r.configs {
@@ -81,7 +81,7 @@
 		r.start(i)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r.wg.Go(func() { r.servers.Drive(ctx, addr(workers)) })
+	r.wg.Go(func() { r.servers.Run(ctx, addr(workers)) })
 	t.Cleanup(func() {
 		cancel()
 		for _, stop := range r.stops {
@@ -162,8 +162,8 @@
 func (r *testCluster) job(id, shape string, tasks int, needs ...string) *wire.Job {
 	j := &wire.Job{ID: id, Class: "c", Team: "red", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 1, GPUs: 1,
 		MemoryGB: 1, Image: "i", ImageGB: 1, Needs: needs}
-	r.servers.With(func() {
-		r.servers.Environment.Jobs[id] = &emulator.SubmittedJob{Job: *j, Run: 1_000_000}
+	r.servers.WithLock(func() {
+		r.servers.Environment.Jobs[id] = &emulator.SubmittedJob{Job: *j, RunTime: 1_000_000}
 	})
 	return j
 }
@@ -187,8 +187,8 @@
 // checkNoViolations reports the violated rules that the emulator has found.
 func (r *testCluster) checkNoViolations() {
 	r.t.Helper()
-	r.servers.With(func() {
-		for _, b := range r.servers.Environment.Broken {
+	r.servers.WithLock(func() {
+		for _, b := range r.servers.Environment.Violations {
 			r.t.Error(b)
 		}
 	})
@@ -299,11 +299,11 @@
 	})
 	r.eventually("no task of j-3 is running", func() bool {
 		gone := false
-		r.servers.With(func() { gone = len(r.servers.Environment.On("j-3", true)) == 0 })
+		r.servers.WithLock(func() { gone = len(r.servers.Environment.TasksOf("j-3", true)) == 0 })
 		return gone
 	})
 
-	r.servers.With(func() { r.servers.State.Down = true })
+	r.servers.WithLock(func() { r.servers.State.Down = true })
 	status, _, head := r.call(1, http.MethodPost, wire.PathJobs, r.job("j-5", wire.Array, 1))
 	if status != 503 || head.Get("Retry-After") == "" {
 		t.Errorf("without the state service: status %d, Retry-After %q, want 503 and a Retry-After",
@@ -323,7 +323,7 @@
 	r.awaitStatus(0, "j-3", wire.Done)
 	r.submit(0, r.job("j-4", wire.Service, 1))
 	// Further machines would boot too late, so that the jobs below stay incomplete.
-	r.servers.With(func() { r.servers.Environment.Boot = 3600 * emulator.Second })
+	r.servers.WithLock(func() { r.servers.Environment.BootTime = 3600 * emulator.Second })
 	r.submit(0, r.job("j-5", wire.Array, 15))
 	r.submit(1, r.job("j-6", wire.Array, 1, "j-5"))
 	r.submit(2, r.job("j-7", wire.Array, 1, "j-6"))
--- a/internal/scale/machines.go
+++ b/internal/scale/machines.go
@@ -15,14 +15,14 @@
 
 // rentAll rents all machines that there are, up at once: the measurement is of a running fleet.
 func (r *region) rentAll() {
-	r.servers.With(func() {
+	r.servers.WithLock(func() {
 		env := r.servers.Environment
-		boot := env.Boot
-		env.Boot = 0
+		boot := env.BootTime
+		env.BootTime = 0
 		for _, zone := range r.settings.zoneNames() {
 			env.Rent(r.servers.Now(), wire.RentalRequest{Name: "at-start-" + zone, Type: "m", Zone: zone, Count: env.Capacity[zone]})
 		}
-		env.Boot = boot
+		env.BootTime = boot
 	})
 }
 
@@ -32,7 +32,7 @@
 	r.record(e)
 	switch e.Kind {
 	case invariants.MachineAdded:
-		up := time.Duration(r.servers.Environment.Machines[e.Machine].Up-r.servers.Now()) * time.Microsecond
+		up := time.Duration(r.servers.Environment.Machines[e.Machine].StartsAt-r.servers.Now()) * time.Microsecond
 		h := r.assign(e.Machine)
 		m := hollow.Machine{Name: e.Machine, Type: e.Host.Type, Zone: e.Host.Zone, Spot: e.Host.Spot, GPUs: r.settings.Machine.GPUs}
 		start := func() { h.enqueue(hollow.Command{Start: &m}) }
@@ -88,7 +88,7 @@
 	r.mu.Lock()
 	r.listening++
 	r.mu.Unlock()
-	r.servers.With(func() {
+	r.servers.WithLock(func() {
 		if m := r.servers.Environment.Machines[u.Machine]; m != nil {
 			m.Addr, m.State = u.Address, wire.Running
 		}
@@ -156,8 +156,8 @@
 
 // randomMachine returns the name of a random machine.
 func (r *region) randomMachine(rnd *rand.Rand) (name string, err error) {
-	r.servers.With(func() {
-		names := r.servers.Environment.Names()
+	r.servers.WithLock(func() {
+		names := r.servers.Environment.MachineNames()
 		if len(names) == 0 {
 			err = errNoMachine
 			return
@@ -169,7 +169,7 @@
 
 // failMachine has a machine fail: it stays listed, as failed, until it is deleted.
 func (r *region) failMachine(name string) {
-	r.servers.With(func() {
+	r.servers.WithLock(func() {
 		if m := r.servers.Environment.Machines[name]; m != nil {
 			m.State = wire.MachineFailed
 		}
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -95,16 +95,16 @@
 // startServers starts the emulators of the state service and the cloud.
 func (r *region) startServers() error {
 	s := r.settings
-	r.servers.State.Keep = keptRevisions
+	r.servers.State.MinHistory = keptRevisions
 	r.servers.State.ValueBytes = int(s.State.ValueKB * 1024)
 	r.servers.State.TxnOps = s.State.TxnOps
 	r.servers.SetQuotas(s.State.RPS, s.State.WriteRPS, s.Cloud.RPS)
-	r.servers.Delay(time.Duration(s.State.DelayMS * float64(time.Millisecond)))
+	r.servers.SetStateDelay(time.Duration(s.State.DelayMS * float64(time.Millisecond)))
 	env := r.servers.Environment
 	env.Types = []wire.MachineType{s.machineType()}
 	env.Capacity = emulator.CapacityByZone(s.Workers, s.zoneNames())
-	env.Boot = config.FromSeconds(s.Cloud.BootS)
-	env.Watch = r.machineChanged
+	env.BootTime = config.FromSeconds(s.Cloud.BootS)
+	env.OnEvent = r.machineChanged
 	var err error
 	if r.stateAddress, err = r.serve(r.servers.StateHandler()); err != nil {
 		return err
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -77,7 +77,7 @@
 			return result, fmt.Errorf("%s: hollow workers: %w", r.name, ctx.Err())
 		}
 	}
-	r.servers.With(func() {
+	r.servers.WithLock(func() {
 		result.requests = r.servers.Requests
 		result.refused = r.servers.Refused
 		result.revision = r.servers.State.Revision()
--- a/internal/scenario/burst_test.go
+++ b/internal/scenario/burst_test.go
@@ -27,7 +27,7 @@
 	firstLeader := s.leader()
 	startRevision := s.state.Revision()
 	submit := func(i int) bool {
-		j := &emulator.SubmittedJob{Run: 3 * emulator.Second}
+		j := &emulator.SubmittedJob{RunTime: 3 * emulator.Second}
 		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i+1), Class: "flood", Team: "red", Shape: wire.Array, Priority: wire.Low,
 			Tasks: tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: fmt.Sprint("i", i%3), ImageGB: 1, EstimateS: 3}
 		a := s.submit(s.nodes[i%3], j)
@@ -75,7 +75,7 @@
 		t.Errorf("%.1f changes per job, want at most 4", changes)
 	}
 	t.Logf("%d jobs done in %d s, %.1f changes per job", jobs, seconds, float64(s.state.Revision()-startRevision)/jobs)
-	for _, b := range s.env.Broken {
+	for _, b := range s.env.Violations {
 		t.Error(b)
 	}
 }
--- a/internal/scenario/chaos_test.go
+++ b/internal/scenario/chaos_test.go
@@ -160,11 +160,11 @@
 	case 11:
 		c.state.SetDown(c.now, rnd.IntN(2) == 0)
 	case 12:
-		c.env.CloudOff = rnd.IntN(3) == 0
+		c.env.CloudDown = rnd.IntN(3) == 0
 	case 13:
-		if names := c.env.Names(); len(names) > 0 {
+		if names := c.env.MachineNames(); len(names) > 0 {
 			m := c.env.Machines[names[rnd.IntN(len(names))]]
-			m.Hang = !m.Hang
+			m.Hanging = !m.Hanging
 		}
 	default:
 		c.injectLinkFault(n, rnd)
@@ -182,7 +182,7 @@
 		if j.Shape != wire.Service {
 			c.possibleDependencies = append(c.possibleDependencies, j.ID)
 		}
-	} else if j.Cancelled == 0 {
+	} else if j.CancelledAt == 0 {
 		c.submitted[j.ID] = false
 	}
 }
@@ -190,7 +190,7 @@
 // healAll ends all faults except hanging machines, and upgrades the remaining nodes.
 func (c *chaosRun) healAll() {
 	c.state.SetDown(c.now, false)
-	c.env.CloudOff = false
+	c.env.CloudDown = false
 	for _, n := range c.nodes {
 		n.cutLinks = map[string]string{}
 		if n.formatHeld {
@@ -201,7 +201,7 @@
 			c.start(n)
 		}
 	}
-	for _, name := range c.env.Names() {
+	for _, name := range c.env.MachineNames() {
 		c.env.Machines[name].InboundLost = ""
 	}
 	c.releaseHeld()
@@ -233,7 +233,7 @@
 			t.Errorf("%s (%s, %d tasks) has not ended: %s", id, c.env.Jobs[id].Shape, c.env.Jobs[id].Tasks, formatResponse(a))
 		}
 	}
-	for _, problem := range append(c.compareUsage(), c.env.Broken...) {
+	for _, problem := range append(c.compareUsage(), c.env.Violations...) {
 		t.Error(problem)
 	}
 	if c.state.Refused > 0 {
@@ -308,7 +308,7 @@
 
 // randomJob draws a job of at most the given number of tasks.
 func randomJob(rnd *rand.Rand, id string, tasks int) *emulator.SubmittedJob {
-	j := &emulator.SubmittedJob{Run: emulator.Micros(1+rnd.IntN(8)) * emulator.Second}
+	j := &emulator.SubmittedJob{RunTime: emulator.Micros(1+rnd.IntN(8)) * emulator.Second}
 	j.Job = wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[rnd.IntN(2)],
 		Shape:    []string{wire.Array, wire.Array, wire.Gang, wire.Service}[rnd.IntN(4)],
 		Priority: []string{wire.Production, wire.High, wire.Normal, wire.Low}[rnd.IntN(4)],
--- a/internal/scenario/client_requests_test.go
+++ b/internal/scenario/client_requests_test.go
@@ -57,7 +57,7 @@
 // cancel cancels a job as a user would and checks the response.
 func (s *Sim) cancel(n *node, id string) msg.Respond {
 	if j := s.env.Jobs[id]; j != nil {
-		j.Asked = true
+		j.CancelRequested = true
 	}
 	knownStatus := s.lastStatus[id]
 	a := s.request(n, func(req uint64) msg.Input { return msg.CancelIn{RequestID: req, JobID: id} })
@@ -80,7 +80,7 @@
 // whichever node had told it. The response to an earlier request may be older.
 func (s *Sim) checkResponse(id, knownStatus string, a msg.Respond) {
 	violated := func(rule string) {
-		s.env.Broken = append(s.env.Broken, fmt.Sprintf("%s %s: %s after %q", rule, id,
+		s.env.Violations = append(s.env.Violations, fmt.Sprintf("%s %s: %s after %q", rule, id,
 			strings.TrimSpace(formatResponse(a)), knownStatus))
 	}
 	if knownStatus != "" && (a.Status == 404 || a.Status == 400 || a.Status == 422) {
@@ -106,14 +106,14 @@
 	if st.Status == wire.Cancelled && !s.env.MayBeCancelled(id) {
 		violated("went_back (cancellation not requested)")
 	}
-	if at := s.env.CancelledAt(id); at != 0 && s.now-at > s.env.CancelIn && !isFinal(st.Status) {
+	if at := s.env.CancelledAt(id); at != 0 && s.now-at > s.env.CancelTimeout && !isFinal(st.Status) {
 		violated("orphaned")
 	}
 	if st.Status == wire.Done && !s.env.Done(id) {
 		violated("not_done")
 	}
-	if st.Status == wire.Cancelled && j.Cancelled == 0 {
-		j.Cancelled = s.now
+	if st.Status == wire.Cancelled && j.CancelledAt == 0 {
+		j.CancelledAt = s.now
 	}
 	s.recordStatus(id, st.Status)
 }
--- a/internal/scenario/concurrent_faults_test.go
+++ b/internal/scenario/concurrent_faults_test.go
@@ -129,7 +129,7 @@
 			problems = append(problems, fmt.Sprintf("%s has not ended: %s", u.id, st))
 		}
 	}
-	problems = append(slices.Clone(s.env.Broken), problems...)
+	problems = append(slices.Clone(s.env.Violations), problems...)
 	if len(problems) == 0 {
 		problems = s.compareUsage()
 	}
@@ -141,7 +141,7 @@
 	s.messageFaults = nil
 	s.crash = crashTrigger{}
 	s.state.SetDown(s.now, false)
-	s.env.CloudOff = false
+	s.env.CloudDown = false
 	clear(s.reachableOnlyBy)
 	s.isolatedZone = ""
 	for _, n := range s.nodes {
@@ -150,10 +150,10 @@
 			s.start(n)
 		}
 	}
-	for _, name := range s.env.Names() {
+	for _, name := range s.env.MachineNames() {
 		m := s.env.Machines[name]
 		m.InboundLost = ""
-		m.Hang = false
+		m.Hanging = false
 		m.OutboundLost = false
 	}
 	s.releaseHeld()
@@ -177,7 +177,7 @@
 func (s *Sim) cancelLongJobs() {
 	for _, id := range s.jobIDs() {
 		j := s.env.Jobs[id]
-		if s.lastStatus[id] != "" && (j.Shape == wire.Service || j.RunOf(j.Tasks) > longRun) {
+		if s.lastStatus[id] != "" && (j.Shape == wire.Service || j.RunTimeOf(j.Tasks) > longRun) {
 			s.cancelUntilFinal(id)
 		}
 	}
--- a/internal/scenario/direct_calls_test.go
+++ b/internal/scenario/direct_calls_test.go
@@ -217,17 +217,17 @@
 	m := s.env.Machines[x.Addr]
 	d := msg.CommandDone{ID: x.ID, Machine: x.Machine, Outcome: msg.Refused}
 	run := func() (int, wire.Heartbeat) {
-		if m = s.env.Machines[x.Addr]; m == nil || s.now < m.Up {
+		if m = s.env.Machines[x.Addr]; m == nil || s.now < m.StartsAt {
 			return 0, wire.Heartbeat{}
 		}
 		return s.env.Commands(s.now, m, x.Commands)
 	}
 	switch {
 	case m != nil && !s.reaches(n, m):
-	case n.cutLinks["workers"] == "hold" || m != nil && (m.Hang || m.InboundLost == "hold"):
+	case n.cutLinks["workers"] == "hold" || m != nil && (m.Hanging || m.InboundLost == "hold"):
 		d.Outcome = msg.Unknown
 		s.heldMessages = append(s.heldMessages, func() { run() })
-	case n.cutLinks["workers"] == "" && m != nil && s.now >= m.Up && m.InboundLost == "":
+	case n.cutLinks["workers"] == "" && m != nil && s.now >= m.StartsAt && m.InboundLost == "":
 		switch fate, after := s.messageFaults.commandFate(); fate {
 		case executedLate:
 			s.schedule(after, func() { s.commandLate(m.Name, run) })
@@ -257,7 +257,7 @@
 
 // requestCloud executes a request of a node to the cloud.
 func (s *Sim) requestCloud(n *node, e msg.Effect) {
-	off := s.env.CloudOff || n.cutLinks["cloud"] != ""
+	off := s.env.CloudDown || n.cutLinks["cloud"] != ""
 	if r, ok := e.(msg.ScaleIn); ok && n.cutLinks["cloud"] == "hold" {
 		s.heldMessages = append(s.heldMessages, func() { s.env.Release(s.now, r.Machines) })
 		s.post(n, msg.ScaleInDone{Machines: r.Machines, Outcome: msg.Unknown})
@@ -298,14 +298,14 @@
 
 // sendHeartbeats sends the heartbeats of workers that are due, as the protocol requires.
 func (s *Sim) sendHeartbeats() {
-	for _, name := range s.env.Names() {
+	for _, name := range s.env.MachineNames() {
 		m := s.env.Machines[name]
 		if !m.Due(s.now) {
 			continue
 		}
 		n := s.nodes[m.Node%len(s.nodes)]
-		h := m.Status()
-		m.Reported(s.now, s.env.ReportEvery)
+		h := m.NextHeartbeat()
+		m.HeartbeatSent(s.now, s.env.HeartbeatInterval)
 		s.heartbeatCopies.add(s.now, &h)
 		s.scheduleCopy(&h)
 		if requestDelay, responseDelay := s.messageFaults.heartbeatDelays(); requestDelay+responseDelay > 0 {
@@ -347,7 +347,7 @@
 	}
 	switch body := a.Body.(type) {
 	case wire.HeartbeatResponse:
-		s.env.Answered(s.now, sent, h.Incarnation, m, body)
+		s.env.HandleHeartbeatResponse(s.now, sent, h.Incarnation, m, body)
 	case wire.Redirect:
 		to := s.node(body.Node)
 		for i := range s.nodes {
--- a/internal/scenario/idle_capacity_test.go
+++ b/internal/scenario/idle_capacity_test.go
@@ -74,8 +74,8 @@
 // recorded placements.
 func (s *Sim) freeGPUs(recorded map[string]*recordedJob) map[string]float64 {
 	free := map[string]float64{}
-	for _, name := range s.env.Names() {
-		if m := s.env.Machines[name]; s.now >= m.Up && s.env.Fails[name] == 0 {
+	for _, name := range s.env.MachineNames() {
+		if m := s.env.Machines[name]; s.now >= m.StartsAt && s.env.FailingSince[name] == 0 {
 			free[name] = s.env.Types[0].GPUs
 		}
 	}
@@ -119,7 +119,7 @@
 
 // placedTasks returns the number of a job's tasks with a placement or on a machine.
 func (s *Sim) placedTasks(id string, r *recordedJob) int {
-	return max(len(r.placements), len(s.env.On(id, true)))
+	return max(len(r.placements), len(s.env.TasksOf(id, true)))
 }
 
 // usedByTeam returns the number of GPUs of a team's placed tasks.
--- a/internal/scenario/lossy_links_test.go
+++ b/internal/scenario/lossy_links_test.go
@@ -79,7 +79,7 @@
 
 // injectLinkFault injects one of the faults that TestChaosOfLinks adds, at random.
 func (s *Sim) injectLinkFault(n *node, rnd *rand.Rand) {
-	names := s.env.Names()
+	names := s.env.MachineNames()
 	machine := func() *emulator.Machine { return s.env.Machines[names[rnd.IntN(len(names))]] }
 	switch rnd.IntN(6) {
 	case 0: // a machine becomes unreachable, or reachable again
--- a/internal/scenario/message_faults_test.go
+++ b/internal/scenario/message_faults_test.go
@@ -224,7 +224,7 @@
 	if m == nil {
 		return
 	}
-	if m.Hang || m.InboundLost == "hold" {
+	if m.Hanging || m.InboundLost == "hold" {
 		s.schedule(tick, func() { s.commandLate(machine, run) })
 		return
 	}
@@ -238,20 +238,20 @@
 func (s *Sim) sendSlowHeartbeat(n *node, m *emulator.Machine, heartbeat wire.Heartbeat, requestDelay,
 	responseDelay emulator.Micros) {
 	sent, core, waiting := s.now, n.core, true
-	m.Wait(true)
+	m.SetHeartbeatInFlight(true)
 	// stopWaiting ends the worker's wait for the response. It returns false if the worker no longer
 	// waits, or if it hangs: then it still waits when it resumes.
 	stopWaiting := func() bool {
-		if !waiting || s.env.Machines[m.Name] != m || m.Hang {
+		if !waiting || s.env.Machines[m.Name] != m || m.Hanging {
 			return false
 		}
 		waiting = false
-		m.Wait(false)
+		m.SetHeartbeatInFlight(false)
 		return true
 	}
 	var timeOut func()
 	timeOut = func() {
-		if m.Hang && waiting {
+		if m.Hanging && waiting {
 			s.schedule(tick, timeOut)
 			return
 		}
--- a/internal/scenario/preemption_test.go
+++ b/internal/scenario/preemption_test.go
@@ -44,13 +44,13 @@
 		s.start(n)
 	}
 	s.run(3 * emulator.Second)
-	filler := &emulator.SubmittedJob{Run: 900 * emulator.Second}
+	filler := &emulator.SubmittedJob{RunTime: 900 * emulator.Second}
 	filler.Job = wire.Job{ID: "j-1", Class: "idle", Team: "red", Shape: wire.Array, Priority: wire.Low, Tasks: 16,
 		CPUs: 16, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 900, CheckpointS: 3, SaveS: 3}
 	s.submit(s.nodes[0], filler)
-	for try := 0; len(s.env.On("j-1", true)) < 16; try++ {
+	for try := 0; len(s.env.TasksOf("j-1", true)) < 16; try++ {
 		if try > 200 {
-			t.Fatalf("seed %d: %d tasks placed after %d ticks, want 16", seed, len(s.env.On("j-1", true)), try)
+			t.Fatalf("seed %d: %d tasks placed after %d ticks, want 16", seed, len(s.env.TasksOf("j-1", true)), try)
 		}
 		s.run(tick)
 	}
@@ -58,7 +58,7 @@
 	var gangs []string
 	gangTasks := 0
 	for i := range 1 + rnd.IntN(3) {
-		g := &emulator.SubmittedJob{Run: 900 * emulator.Second}
+		g := &emulator.SubmittedJob{RunTime: 900 * emulator.Second}
 		g.Job = wire.Job{ID: fmt.Sprintf("j-2%d", i), Class: "urgent", Team: "red", Shape: wire.Gang,
 			Priority: wire.Production, Tasks: 1 + rnd.IntN(4),
 			CPUs: 16, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 900}
@@ -86,7 +86,7 @@
 	for try := 0; ; try++ {
 		running := 0
 		for _, id := range gangs {
-			running += len(s.env.On(id, true))
+			running += len(s.env.TasksOf(id, true))
 		}
 		if running == gangTasks {
 			break
@@ -98,7 +98,7 @@
 		s.run(tick)
 	}
 	s.run(15 * emulator.Second)
-	for _, b := range s.env.Broken {
+	for _, b := range s.env.Violations {
 		t.Errorf("seed %d: %s", seed, b)
 	}
 	return filler.Starts - 16
--- a/internal/scenario/runner_test.go
+++ b/internal/scenario/runner_test.go
@@ -161,9 +161,9 @@
 		Zones: []string{"a", "b"},
 		Teams: []config.Team{{Name: "red", GPUs: s.teamLimits["blue"], GPUsMax: s.teamLimits["red"]},
 			{Name: "blue", GPUs: s.teamLimits["blue"], GPUsMax: s.teamLimits["blue"]}},
-		Workers: config.Workers{ReportS: float64(max(s.env.ReportEvery, emulator.Second)) / 1e6,
+		Workers: config.Workers{ReportS: float64(max(s.env.HeartbeatInterval, emulator.Second)) / 1e6,
 			LeaseS: float64(s.env.Lease) / 1e6, GangWaitS: float64(s.env.GangWait) / 1e6,
-			GangPeerS: 2, CancelS: float64(s.env.CancelIn) / 1e6},
+			GangPeerS: 2, CancelS: float64(s.env.CancelTimeout) / 1e6},
 		State: config.State{RPS: 100, WriteRPS: 50, ValueKB: 4, TxnOps: 8},
 		Cloud: config.Cloud{RPS: 10, ListLagS: 2},
 	}
@@ -291,13 +291,13 @@
 	if s.now%emulator.Second < tick {
 		for _, n := range s.nodes {
 			if err := n.core.Audit(); n.alive && err != nil {
-				s.env.Broken = append(s.env.Broken, "audit of "+n.name+": "+err.Error())
+				s.env.Violations = append(s.env.Violations, "audit of "+n.name+": "+err.Error())
 			}
 		}
 	}
 	for team, limit := range s.teamLimits {
-		if s.env.Used(team) > limit {
-			s.env.Broken = append(s.env.Broken, "quota "+team)
+		if s.env.UsedGPUs(team) > limit {
+			s.env.Violations = append(s.env.Violations, "quota "+team)
 		}
 	}
 }
@@ -380,7 +380,7 @@
 	fmt.Fprintf(&b, "leader %s, %d machines\n", s.leader(), len(s.env.Machines))
 	ids := slices.Sorted(maps.Keys(s.env.Jobs))
 	for _, id := range ids {
-		for _, line := range s.env.On(id, true) {
+		for _, line := range s.env.TasksOf(id, true) {
 			fmt.Fprintln(&b, line)
 		}
 	}
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -24,7 +24,7 @@
 	s = newSimOfScale(3, scale, 0)
 	s.run(3 * emulator.Second)
 	for i := range 3 * scale {
-		j := &emulator.SubmittedJob{Run: 1000 * emulator.Second}
+		j := &emulator.SubmittedJob{RunTime: 1000 * emulator.Second}
 		j.Job = wire.Job{ID: fmt.Sprintf("j-%d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal,
 			Tasks: 8, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 1000}
 		if i%10 == 9 {
@@ -41,7 +41,7 @@
 			other = n
 		}
 	}
-	if used := s.env.Used("red"); used < s.teamLimits["red"] {
+	if used := s.env.UsedGPUs("red"); used < s.teamLimits["red"] {
 		tb.Fatalf("team red uses %v GPUs, want its limit of %v", used, s.teamLimits["red"])
 	}
 	return s, leader, other
@@ -58,8 +58,8 @@
 
 // heartbeats returns a function that returns heartbeats of the same machine with unchanged content.
 func (s *Sim) heartbeats() func() msg.Input {
-	m := s.env.Machines[s.env.Names()[0]]
-	return func() msg.Input { return msg.HeartbeatIn{RequestID: 1, Heartbeat: m.Status(), Forwarded: true} }
+	m := s.env.Machines[s.env.MachineNames()[0]]
+	return func() msg.Input { return msg.HeartbeatIn{RequestID: 1, Heartbeat: m.NextHeartbeat(), Forwarded: true} }
 }
 
 // recordChanges returns a function that returns changes of the record of a job, each with a higher
@@ -175,7 +175,7 @@
 		s.run(3 * emulator.Second)
 		start := s.now
 		for k := range jobs {
-			j := &emulator.SubmittedJob{Run: 2 * emulator.Second, Steps: emulator.Second / 2}
+			j := &emulator.SubmittedJob{RunTime: 2 * emulator.Second, RunTimeStep: emulator.Second / 2}
 			j.Job = wire.Job{ID: fmt.Sprintf("j-%d", k), Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal,
 				Tasks: tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 2}
 			s.submit(s.nodes[0], j)
@@ -191,7 +191,7 @@
 		if logChanges := len(s.state.Since(job.KeyRoot+"ended/", 0)); logChanges > 10*(seconds+1)+4 {
 			t.Errorf("%d changes of the completion log in %d s, want at most %d", logChanges, seconds, 10*(seconds+1)+4)
 		}
-		for _, b := range s.env.Broken {
+		for _, b := range s.env.Violations {
 			t.Error(b)
 		}
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -98,7 +98,7 @@
 				return "leader " + s.leader() + "\n"
 			}
 			out := executeCommand(t, s, d)
-			for _, b := range s.env.Broken {
+			for _, b := range s.env.Violations {
 				out += "BROKEN " + b + "\n"
 			}
 			if out == "" {
@@ -123,13 +123,13 @@
 		s = newSimWithUpgrade(nodes, scale, float64(quota), strings.Split(held, "+"))
 	}
 	s.env.Lease = durationArg(t, d, "lease", "4s")
-	s.env.CancelIn = durationArg(t, d, "cancel", "20s")
-	s.env.Boot = durationArg(t, d, "boot", "2s")
-	s.env.Types[0].BootS = float64(s.env.Boot) / 1e6
-	s.env.Unlisted = durationArg(t, d, "listing_delay", "0s")
-	s.env.HangKeeps = d.HasArg("hang_keeps_tasks")
+	s.env.CancelTimeout = durationArg(t, d, "cancel", "20s")
+	s.env.BootTime = durationArg(t, d, "boot", "2s")
+	s.env.Types[0].BootS = float64(s.env.BootTime) / 1e6
+	s.env.ListingDelay = durationArg(t, d, "listing_delay", "0s")
+	s.env.KeepTasksOnHang = d.HasArg("hang_keeps_tasks")
 	s.heartbeatCopies = &heartbeatCopies{maxAge: 3 * s.env.Lease}
-	s.env.ReportEvery = durationArg(t, d, "heartbeat", "1s")
+	s.env.HeartbeatInterval = durationArg(t, d, "heartbeat", "1s")
 	if d.HasArg("lease") || d.HasArg("cancel") || d.HasArg("heartbeat") || d.HasArg("unshared") {
 		for _, n := range s.nodes {
 			n.noPlacementPages = d.HasArg("unshared")
--- a/internal/scenario/script_args_test.go
+++ b/internal/scenario/script_args_test.go
@@ -110,12 +110,12 @@
 	d.MaybeScanArgs(t, "zone", &zone)
 	d.MaybeScanArgs(t, "needs", &needs)
 	d.MaybeScanArgs(t, "cpus", &cpus)
-	j := &emulator.SubmittedJob{Run: durationArg(t, d, "run", "3s"), Steps: durationArg(t, d, "steps", "0s"),
-		Mistaken: d.HasArg("mistaken")}
+	j := &emulator.SubmittedJob{RunTime: durationArg(t, d, "run", "3s"), RunTimeStep: durationArg(t, d, "steps", "0s"),
+		AlwaysFails: d.HasArg("mistaken")}
 	j.Job = wire.Job{ID: id, Class: "c", Team: team, Shape: shape, Priority: rank, Tasks: tasks, CPUs: float64(cpus),
 		GPUs: float64(gpus), MemoryGB: 1, Image: "i", ImageGB: 1, Zone: zone,
 		OneZone: d.HasArg("one_zone"), Spread: d.HasArg("spread"), Spot: d.HasArg("spot"),
-		EstimateS: float64(j.Run) / 1e6, SaveS: float64(save), CheckpointS: float64(save)}
+		EstimateS: float64(j.RunTime) / 1e6, SaveS: float64(save), CheckpointS: float64(save)}
 	if d.HasArg("wordy") { // strings of the maximum length
 		j.Class = strings.Repeat("c", 128)
 		j.Types = []string{"t4"}
--- a/internal/scenario/script_commands_test.go
+++ b/internal/scenario/script_commands_test.go
@@ -121,7 +121,7 @@
 }
 
 func cloudCommand(_ *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
-	s.env.CloudOff = d.HasArg("down")
+	s.env.CloudDown = d.HasArg("down")
 	return ""
 }
 
@@ -258,7 +258,7 @@
 	d.MaybeScanArgs(t, "state", &state)
 	if count >= 0 {
 		n := 0
-		for _, line := range s.env.On(id, true) {
+		for _, line := range s.env.TasksOf(id, true) {
 			if strings.HasSuffix(line, state) {
 				n++
 			}
@@ -368,13 +368,13 @@
 	d.MaybeScanArgs(t, "name", &name)
 	d.MaybeScanArgs(t, "of", &of)
 	if of != "" { // the machine of a task of the job
-		for _, line := range s.env.On(of, true) {
+		for _, line := range s.env.TasksOf(of, true) {
 			name = strings.Fields(line)[1]
 			break
 		}
 	}
 	if nth := 0; d.MaybeScanArgs(t, "nth", &nth) {
-		if names := s.env.Names(); len(names) > 0 {
+		if names := s.env.MachineNames(); len(names) > 0 {
 			name = names[nth%len(names)]
 		}
 	}
@@ -390,9 +390,9 @@
 			delete(s.reachableOnlyBy, name)
 		}
 	case d.HasArg("hang"):
-		m.Hang = true
+		m.Hanging = true
 	case d.HasArg("resume"):
-		m.Hang = false
+		m.Hanging = false
 		s.releaseHeld()
 	case d.HasArg("inbound_lost"):
 		m.InboundLost = "drop"
@@ -406,9 +406,9 @@
 	case d.HasArg("restart"):
 		s.env.Restart(s.now, emulator.Second/2, m, d.HasArg("lose_state"))
 	case d.HasArg("fail"):
-		s.env.Fails[name] = s.now
+		s.env.FailingSince[name] = s.now
 	case d.HasArg("repair"):
-		delete(s.env.Fails, name)
+		delete(s.env.FailingSince, name)
 	case d.HasArg("die"):
 		s.env.Release(s.now, []string{name})
 	}
@@ -418,8 +418,8 @@
 // heartbeatCommand holds back a heartbeat of the first worker, or delivers it to the leader.
 func heartbeatCommand(_ *testing.T, s *Sim, d *datadriven.TestData, _ string) string {
 	if d.HasArg("hold") {
-		m := s.env.Machines[s.env.Names()[0]]
-		s.heldHeartbeat = m.Status()
+		m := s.env.Machines[s.env.MachineNames()[0]]
+		s.heldHeartbeat = m.NextHeartbeat()
 		return m.Name + "\n"
 	}
 	return formatResponse(s.request(s.node(s.leader()), func(req uint64) msg.Input {
--- a/internal/scenario/submissions_test.go
+++ b/internal/scenario/submissions_test.go
@@ -121,7 +121,7 @@
 		t.Fatalf("valid submission: %s, want 201", formatResponse(a))
 	}
 	s.env.Jobs["j-1"] = &emulator.SubmittedJob{Job: wire.Job{ID: "j-1", Team: "red", Shape: wire.Array, Tasks: 2,
-		GPUs: 1, Zone: "a", Spot: true}, Run: 200 * emulator.Second}
+		GPUs: 1, Zone: "a", Spot: true}, RunTime: 200 * emulator.Second}
 	before := len(s.state.List(job.KeyRoot + "job/"))
 	number := 1
 	for name, bad := range invalidSubmissions() {
--- a/internal/scenario/transaction_checks_test.go
+++ b/internal/scenario/transaction_checks_test.go
@@ -44,7 +44,7 @@
 			noVersion := required.version && !conditions[key]
 			noLeader := required.leader && !conditions[job.KeyRoot+"leader"]
 			if noVersion || noLeader {
-				s.env.Broken = append(s.env.Broken, "written without the required conditions: "+key)
+				s.env.Violations = append(s.env.Violations, "written without the required conditions: "+key)
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 		}
 		placesTasks = placesTasks || added
 		if added && !byLeader {
-			s.env.Broken = append(s.env.Broken, "placement not conditional on leadership in "+c.Put)
+			s.env.Violations = append(s.env.Violations, "placement not conditional on leadership in "+c.Put)
 		}
 	}
 	return placesTasks
@@ -84,12 +84,12 @@
 	var before, after job.Record
 	_ = job.DecodeRecord(s.state.Get(c.Put).Value, &before) // no placements if it doesn't exist
 	if err := job.DecodeRecord(c.Value, &after); err != nil {
-		s.env.Broken = append(s.env.Broken, "unreadable value for "+c.Put)
+		s.env.Violations = append(s.env.Violations, "unreadable value for "+c.Put)
 	}
 	tasks := map[int]bool{}
 	for _, o := range after.Open {
 		if tasks[o.Task] {
-			s.env.Broken = append(s.env.Broken, fmt.Sprintf("task %d placed twice in %s", o.Task, c.Put))
+			s.env.Violations = append(s.env.Violations, fmt.Sprintf("task %d placed twice in %s", o.Task, c.Put))
 		}
 		tasks[o.Task] = true
 	}
@@ -106,7 +106,7 @@
 	before, err := records.DecodePlacementPage(s.state.Get(c.Put).Value)
 	after, afterErr := records.DecodePlacementPage(c.Value)
 	if afterErr != nil || err != nil && s.state.Get(c.Put).Version != 0 {
-		s.env.Broken = append(s.env.Broken, "unreadable value for "+c.Put)
+		s.env.Violations = append(s.env.Violations, "unreadable value for "+c.Put)
 		return false
 	}
 	known := map[job.AttemptKey]bool{}
@@ -135,10 +135,10 @@
 // checkNewPlacement checks the placement of a task that a transaction adds to a page.
 func (s *Sim) checkNewPlacement(stored *storedPlacements, id string, task int, page string, t *wire.Transaction) {
 	if !slices.ContainsFunc(t.Conditions, func(c wire.Condition) bool { return c.Key == job.RecordKey(id) }) {
-		s.env.Broken = append(s.env.Broken, "placed without a condition on its record: "+id+" in "+page)
+		s.env.Violations = append(s.env.Violations, "placed without a condition on its record: "+id+" in "+page)
 	}
 	if where := stored.locate(s, id, task); where != "" {
-		s.env.Broken = append(s.env.Broken, fmt.Sprintf("%s/%d placed in %s, but already placed in %s", id, task, page,
+		s.env.Violations = append(s.env.Violations, fmt.Sprintf("%s/%d placed in %s, but already placed in %s", id, task, page,
 			where))
 	}
 }
--- a/internal/scenario/users_test.go
+++ b/internal/scenario/users_test.go
@@ -44,8 +44,8 @@
 // cancelUntilFinal adds a user that cancels a job, with retries at other nodes until the response has a
 // final status. It has no effect if the job's cancellation has been requested already.
 func (s *Sim) cancelUntilFinal(id string) {
-	if j := s.env.Jobs[id]; j != nil && !j.Asked {
-		j.Asked = true
+	if j := s.env.Jobs[id]; j != nil && !j.CancelRequested {
+		j.CancelRequested = true
 		s.users = append(s.users, &user{id: id, cancel: true, nextAt: s.now, answeredAt: s.now, attempts: len(s.users)})
 	}
 }
