--- a/cmd/coralhub/estimate.go
+++ b/cmd/coralhub/estimate.go
@@ -138,7 +138,7 @@
 				defer func() { err = errors.Join(err, f.Close()) }()
 				w = f
 			}
-			r := &recorder.Recorder{Nodes: nodes, Client: &http.Client{Timeout: 5 * time.Second}, Report: func(s string) { fmt.Fprintln(cmd.ErrOrStderr(), s) }}
+			r := &recorder.Recorder{Nodes: nodes, Client: &http.Client{Timeout: 5 * time.Second}, OnProblem: func(s string) { fmt.Fprintln(cmd.ErrOrStderr(), s) }}
 			return runUntilSignal(cmd.Context(), func(ctx context.Context, _ context.CancelFunc) error {
 				if span > 0 {
 					var cancel context.CancelFunc
--- a/cmd/coralhub/experiment.go
+++ b/cmd/coralhub/experiment.go
@@ -38,8 +38,8 @@
 				if err != nil {
 					return err
 				}
-				opt := faulttest.Options{Program: program, Log: "info", Dir: folder}
-				opt.Say = func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
+				opt := faulttest.Options{Program: program, LogLevel: "info", Dir: folder}
+				opt.OnProgress = func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
 				table, err := e.Play(ctx, opt)
 				if err != nil {
 					return err
--- a/cmd/coralhub/faulttest.go
+++ b/cmd/coralhub/faulttest.go
@@ -138,7 +138,7 @@
 	if err != nil {
 		return nil, err
 	}
-	opt := faulttest.Options{Program: program, Seed: f.seed, Settings: f.settings, Log: f.logLevel, Dir: folder}
+	opt := faulttest.Options{Program: program, Seed: f.seed, Settings: f.settings, LogLevel: f.logLevel, Dir: folder}
 	screen := f.showProgress(ctx, stop, out, s, &opt)
 	res, err := faulttest.Run(ctx, s, opt)
 	if screenErr := screen.Close(); screenErr != nil {
@@ -161,11 +161,11 @@
 	title := s.Name + ": " + s.About
 	if file, ok := out.(*os.File); ok && isatty.IsTerminal(file.Fd()) {
 		screen := view.Open(ctx, file, stop, title)
-		opt.Watch = screen.Show
+		opt.OnStatus = screen.Show
 		return screen
 	}
 	began := time.Now()
-	opt.Say = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(began).Seconds(), line) }
+	opt.OnProgress = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(began).Seconds(), line) }
 	fmt.Fprintln(out, title)
 	return nil
 }
--- a/cmd/coralhub/up.go
+++ b/cmd/coralhub/up.go
@@ -95,9 +95,9 @@
 		Program:  program,
 		Nodes:    f.nodes,
 		Settings: f.settings,
-		Log:      f.logLevel,
+		LogLevel:      f.logLevel,
 		Cluster:  demo(f.nodes),
-		Boot:     2 * config.Second,
+		BootTime:     2 * config.Second,
 		Types: []wire.MachineType{{Name: "g4", CPUs: 64, GPUs: 4, MemoryGB: 256, CacheGB: 500, FetchGBs: 0.4, Price: 8, SpotPrice: 3,
 			BootS: 2, Zones: demoZones}},
 		Capacity:     map[string]int{demoZones[0]: (f.machines + 1) / 2, demoZones[1]: f.machines / 2},
@@ -106,7 +106,7 @@
 		Dir:          f.dir,
 	}
 	if f.data != "" {
-		opt.Dir, opt.Data = f.data, filepath.Join(f.data, "state.db")
+		opt.Dir, opt.StateFile = f.data, filepath.Join(f.data, "state.db")
 	}
 	if opt.Dir == "" {
 		if opt.Dir, err = os.MkdirTemp("", "coralhub-up-"); err != nil {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -21,21 +21,21 @@
 
 // Options describes the cluster to start.
 type Options struct {
-	Program  string // path of the executable that the nodes run
-	Dir      string // directory for the logs and the configurations of the nodes
-	Data     string // file that stores the state; "" keeps it in memory
-	Nodes    int
-	Settings string // file of the operators' settings; "" if there is none
-	Log      string // LOG_LEVEL of the nodes
-	Cluster  config.Cluster
-	Types    []wire.MachineType
-	Capacity map[string]int // number of on-demand machines, by zone
-	Model    *emulator.Model
-	Boot     emulator.Micros
-	Watch    func(invariants.Event) // called with each event on a machine; may be nil
-	// Failed is called with the error of each connection that this process failed to accept or make, and of
+	Program   string // path of the executable that the nodes run
+	Dir       string // directory for the logs and the configurations of the nodes
+	StateFile string // file that stores the state; "" keeps it in memory
+	Nodes     int
+	Settings  string // file of the operators' settings; "" if there is none
+	LogLevel  string // LOG_LEVEL of the nodes
+	Cluster   config.Cluster
+	Types     []wire.MachineType
+	Capacity  map[string]int // number of on-demand machines, by zone
+	Model     *emulator.Model
+	BootTime  emulator.Micros
+	OnEvent   func(invariants.Event) // called with each event on a machine; may be nil
+	// OnFailure is called with the error of each connection that this process failed to accept or make, and of
 	// each heartbeat request that failed, from several goroutines; it may be nil.
-	Failed func(error)
+	OnFailure func(error)
 	// RestartAfter is the time from the end of a node's process to its restart.
 	RestartAfter time.Duration
 }
@@ -93,10 +93,10 @@
 
 // loadState loads the state and the uploaded jobs from the state file, if there is one.
 func (c *Cluster) loadState() (err error) {
-	if c.opt.Data == "" {
+	if c.opt.StateFile == "" {
 		return nil
 	}
-	if c.disk, err = emulator.OpenDisk(c.opt.Data); err != nil {
+	if c.disk, err = emulator.OpenDisk(c.opt.StateFile); err != nil {
 		return err
 	}
 	if c.Servers.State, err = c.disk.Load(); err != nil {
@@ -110,7 +110,7 @@
 func (c *Cluster) configureServers() {
 	s := c.Servers
 	limits := &c.opt.Cluster
-	s.OnFailure = c.opt.Failed
+	s.OnFailure = c.opt.OnFailure
 	s.State.MinHistory = watchHistory
 	s.State.ValueBytes = int(limits.State.ValueKB * 1024)
 	s.State.TxnOps = limits.State.TxnOps
@@ -119,8 +119,8 @@
 	e.Types = c.opt.Types
 	e.Capacity = c.opt.Capacity
 	e.Model = c.opt.Model
-	e.BootTime = c.opt.Boot
-	e.OnEvent = c.opt.Watch
+	e.BootTime = c.opt.BootTime
+	e.OnEvent = c.opt.OnEvent
 	e.Lease = config.FromSeconds(limits.Workers.LeaseS)
 	e.GangWait = config.FromSeconds(limits.Workers.GangWaitS)
 	e.CancelTimeout = config.FromSeconds(limits.Workers.CancelS)
@@ -231,7 +231,7 @@
 	}
 	for _, n := range c.Nodes {
 		if p := n.current(); p != nil {
-			<-p.Gone()
+			<-p.Done()
 		}
 	}
 }
--- a/internal/cluster/links.go
+++ b/internal/cluster/links.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.OnFailure(c.opt.Failed)
+	p.OnFailure(c.opt.OnFailure)
 	c.proxies = append(c.proxies, p)
 	return p, nil
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -41,7 +41,7 @@
 	p, err := process.Start(process.Options{
 		Program: c.opt.Program,
 		Args:    args,
-		Env:     []string{"LOG_LEVEL=" + c.opt.Log},
+		Env:     []string{"LOG_LEVEL=" + c.opt.LogLevel},
 		Log:     c.logFile(n),
 	})
 	if err != nil {
@@ -63,7 +63,7 @@
 func (c *Cluster) superviseNode(ctx context.Context, n *Node) {
 	for {
 		select {
-		case <-n.current().Gone():
+		case <-n.current().Done():
 		case <-ctx.Done():
 			return
 		}
@@ -114,8 +114,8 @@
 	Restarts int     `json:"restarts"`
 }
 
-// Use returns the resource usage of each node, in the order of Nodes.
-func (c *Cluster) Use() []NodeUsage {
+// Usage returns the resource usage of each node, in the order of Nodes.
+func (c *Cluster) Usage() []NodeUsage {
 	var out []NodeUsage
 	for _, n := range c.Nodes {
 		p := n.current()
--- a/internal/faults/leak_test.go
+++ b/internal/faults/leak_test.go
@@ -15,7 +15,7 @@
 	for name, configure := range map[string]func(*Proxy){
 		"passing": func(*Proxy) {},
 		"holding": func(p *Proxy) { p.mustSet(t, Hold, Both) },
-		"delayed": func(p *Proxy) { p.Delay(time.Minute) },
+		"delayed": func(p *Proxy) { p.SetDelay(time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := startProxy(t)
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// Delay sets the delay of all data, in each direction.
-func (p *Proxy) Delay(d time.Duration) {
+// SetDelay sets the delay of all data, in each direction.
+func (p *Proxy) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
--- a/internal/faulttest/deployment.go
+++ b/internal/faulttest/deployment.go
@@ -43,7 +43,7 @@
 	return teams
 }
 
-// clusterOptions returns the options of the cluster that the scenario needs. The callbacks Watch and Failed
+// clusterOptions returns the options of the cluster that the scenario needs. The callbacks OnEvent and OnFailure
 // are not set.
 func (s *Scenario) clusterOptions(opt *Options) cluster.Options {
 	d := &s.Deploy
@@ -52,10 +52,10 @@
 		Dir:          opt.Dir,
 		Nodes:        d.Nodes,
 		Settings:     opt.Settings,
-		Log:          opt.Log,
+		LogLevel:     opt.LogLevel,
 		Cluster:      s.deployment(),
 		Capacity:     emulator.CapacityByZone(d.Machines, d.Zones),
-		Boot:         config.FromSeconds(d.BootS),
+		BootTime:     config.FromSeconds(d.BootS),
 		RestartAfter: wait.Seconds(d.RestartAfterS),
 		Types: []wire.MachineType{{
 			Name: "m", CPUs: 16 * d.GPUs, GPUs: d.GPUs, MemoryGB: 64 * d.GPUs, CacheGB: 500, FetchGBs: 0.4,
--- a/internal/faulttest/experiment.go
+++ b/internal/faulttest/experiment.go
@@ -76,8 +76,8 @@
 			if !res.Passed {
 				table.Failed = append(table.Failed, fmt.Sprintf("variant %s, seed %d: %s", v.Name, seed, res.Why))
 			}
-			if opt.Say != nil {
-				opt.Say(fmt.Sprintf("variant %s, seed %d: run took %.0f s", v.Name, seed, res.TookS))
+			if opt.OnProgress != nil {
+				opt.OnProgress(fmt.Sprintf("variant %s, seed %d: run took %.0f s", v.Name, seed, res.TookS))
 			}
 			results[i] = append(results[i], res)
 		}
--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	res, err := Run(t.Context(), s, Options{Program: program, Dir: dir, Seed: 3, Log: "error", wrap: wrap})
+	res, err := Run(t.Context(), s, Options{Program: program, Dir: dir, Seed: 3, LogLevel: "error", wrap: wrap})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faulttest/leak_test.go
+++ b/internal/faulttest/leak_test.go
@@ -23,8 +23,8 @@
 	}
 	ctx, interrupt := context.WithCancel(t.Context())
 	defer interrupt()
-	opt := Options{Program: program, Dir: t.TempDir(), Seed: 3, Log: "error", Watch: func(Status) {}}
-	opt.Say = func(line string) {
+	opt := Options{Program: program, Dir: t.TempDir(), Seed: 3, LogLevel: "error", OnStatus: func(Status) {}}
+	opt.OnProgress = func(line string) {
 		if strings.Contains(line, "all jobs submitted") {
 			time.AfterFunc(time.Second, interrupt)
 		}
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -67,7 +67,7 @@
 		Scenario:   r.scenario.Name,
 		About:      r.scenario.About,
 		Seed:       r.opt.Seed,
-		Nodes:      r.cluster.Use(),
+		Nodes:      r.cluster.Usage(),
 		Violations: []invariants.Violation{},
 	}
 	r.cluster.Servers.WithLock(func() {
--- a/internal/faulttest/run.go
+++ b/internal/faulttest/run.go
@@ -14,13 +14,13 @@
 
 // Options holds the parameters of a run.
 type Options struct {
-	Program  string // path of the executable of the nodes
-	Dir      string // directory for settings, logs and results
-	Seed     uint64
-	Settings string       // path of a file with operators' settings; none if empty
-	Log      string       // value of LOG_LEVEL for the nodes
-	Say      func(string) // called with each line of progress output; may be nil
-	Watch    func(Status) // called with the status of the run every statusInterval; may be nil
+	Program    string // path of the executable of the nodes
+	Dir        string // directory for settings, logs and results
+	Seed       uint64
+	Settings   string       // path of a file with operators' settings; none if empty
+	LogLevel   string       // value of LOG_LEVEL for the nodes
+	OnProgress func(string) // called with each line of progress output; may be nil
+	OnStatus   func(Status) // called with the status of the run every statusInterval; may be nil
 
 	wrap func(http.RoundTripper) http.RoundTripper // wraps the HTTP transport of the users, for tests; may be nil
 }
@@ -60,14 +60,14 @@
 	r := &run{
 		scenario: s,
 		opt:      opt,
-		progress: opt.Say,
+		progress: opt.OnProgress,
 		jobs:     s.plan(opt.Seed),
 		history:  &history{},
 		harness:  newHarness(),
 	}
 	clusterOptions := s.clusterOptions(&opt)
-	clusterOptions.Watch = r.history.record
-	clusterOptions.Failed = r.harness.recordConnectionError
+	clusterOptions.OnEvent = r.history.record
+	clusterOptions.OnFailure = r.harness.recordConnectionError
 	c, err := cluster.Start(clusterOptions)
 	if err != nil {
 		return nil, err
@@ -120,10 +120,10 @@
 	background.Go(func() { r.users.pollUnknown(ctx) })
 	injector := newFaultInjector(r.cluster, r.scenario, r.history, r.harness, r.progress)
 	background.Go(func() { injector.injectAll(ctx, began) })
-	if r.opt.Watch != nil {
+	if r.opt.OnStatus != nil {
 		w := newWatcher(r.scenario, r.jobs, r.history, r.cluster, r.users)
 		background.Go(func() {
-			wait.Every(ctx, statusInterval, func() { r.opt.Watch(w.status(time.Since(began))) })
+			wait.Every(ctx, statusInterval, func() { r.opt.OnStatus(w.status(time.Since(began))) })
 		})
 	}
 	if !r.users.submitAll(ctx, began, r.jobs, &finite, &background) {
--- a/internal/faulttest/status.go
+++ b/internal/faulttest/status.go
@@ -35,7 +35,7 @@
 	Submitted, Accepted, Started, Done, Cancelled int
 }
 
-// statusInterval is the interval between calls of Options.Watch.
+// statusInterval is the interval between calls of Options.OnStatus.
 const statusInterval = 500 * time.Millisecond
 
 // taskSet holds sets of task indices by job ID.
@@ -138,7 +138,7 @@
 	for i := range w.scenario.Classes {
 		s.Classes = append(s.Classes, *w.counts[w.scenario.Classes[i].Name])
 	}
-	usage := w.cluster.Use()
+	usage := w.cluster.Usage()
 	for i, n := range w.cluster.Nodes {
 		s.Nodes = append(s.Nodes, NodeStatus{
 			Name:     n.Name,
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -74,8 +74,8 @@
 // Input returns the pipe to the process's standard input.
 func (p *Process) Input() io.Writer { return p.input }
 
-// Gone returns a channel that is closed when the process has ended.
-func (p *Process) Gone() <-chan struct{} { return p.done }
+// Done returns a channel that is closed when the process has ended.
+func (p *Process) Done() <-chan struct{} { return p.done }
 
 // Signal sends a signal to the process. It does nothing if the process has ended.
 func (p *Process) Signal(sig syscall.Signal) error {
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -26,9 +26,9 @@
 
 // Recorder polls the leader for the runs that have ended since the last poll. If a poll fails, it tries the next node.
 type Recorder struct {
-	Nodes  []string // addresses, as HOST:PORT
-	Client *http.Client
-	Report func(string) // called with each problem that doesn't end the recording
+	Nodes     []string // addresses, as HOST:PORT
+	Client    *http.Client
+	OnProblem func(string) // called with each problem that doesn't end the recording
 
 	currentNode int    // index of the polled node in Nodes
 	nextRun     uint64 // number of the first run that has not been received
@@ -49,7 +49,7 @@
 			}
 			failures++
 			if failures%(reportAfterRounds*len(r.Nodes)) == 0 {
-				r.Report(fmt.Sprintf("no node answered as the leader; last error: %v", err))
+				r.OnProblem(fmt.Sprintf("no node answered as the leader; last error: %v", err))
 			}
 			r.currentNode = (r.currentNode + 1) % len(r.Nodes)
 			wait.For(ctx, pollInterval/time.Duration(len(r.Nodes)))
@@ -70,7 +70,7 @@
 // them.
 func (r *Recorder) write(enc *json.Encoder, page *query.Runs) error {
 	if page.Missed > 0 {
-		r.Report(fmt.Sprintf("%d runs were missed", page.Missed))
+		r.OnProblem(fmt.Sprintf("%d runs were missed", page.Missed))
 	}
 	for i := range page.Runs {
 		if err := enc.Encode(&page.Runs[i]); err != nil {
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -78,7 +78,7 @@
 	}
 	var out bytes.Buffer
 	var reported []string
-	r := &Recorder{Nodes: nodes, Client: http.DefaultClient, Report: func(s string) { reported = append(reported, s) }}
+	r := &Recorder{Nodes: nodes, Client: http.DefaultClient, OnProblem: func(s string) { reported = append(reported, s) }}
 	if err := r.Run(ctx, &out); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -120,6 +120,6 @@
 // kill kills a process and waits for its end.
 func kill(p *process.Process) {
 	if p.Signal(syscall.SIGKILL) == nil {
-		<-p.Gone()
+		<-p.Done()
 	}
 }
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -44,7 +44,7 @@
 	for {
 		select {
 		case <-h.wake:
-		case <-h.Gone():
+		case <-h.Done():
 			return
 		}
 		h.mu.Lock()
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -161,7 +161,7 @@
 		r.hosts = append(r.hosts, h)
 		r.background.Go(func() { r.readEvents(h, read) })
 		r.background.Go(func() {
-			<-p.Gone()
+			<-p.Done()
 			_ = write.Close() // always nil, see io.PipeWriter
 		})
 		if err := json.NewEncoder(p.Input()).Encode(&c); err != nil {
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -71,7 +71,7 @@
 		select {
 		case usage := <-h.usage:
 			result.hosts = append(result.hosts, hostSample{cpu: h.CPU(), memoryMB: h.Measure(), usage: usage})
-		case <-h.Gone():
+		case <-h.Done():
 			return result, fmt.Errorf("%s: a process of hollow workers has ended", r.name)
 		case <-ctx.Done():
 			return result, fmt.Errorf("%s: hollow workers: %w", r.name, ctx.Err())
