--- a/cmd/coralhub/bound.go
+++ b/cmd/coralhub/bound.go
@@ -41,7 +41,7 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "class\tjobs\tcould have begun\thad\tof the largest tenth")
 			for _, r := range rows {
-				fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\n", r.Class, r.Jobs, r.Bound, r.Started, r.Largest)
+				fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\n", r.Class, r.Jobs, r.Bound, r.StartedShare, r.LargestStartedShare)
 			}
 			return w.Flush()
 		},
--- a/internal/core/leader/admin.go
+++ b/internal/core/leader/admin.go
@@ -95,8 +95,8 @@
 // listEstimates lists the estimates of at most limit kinds of jobs, and at most limit slow machines.
 func (oq *operatorQueries) listEstimates(limit int) query.Estimates {
 	m := oq.estimates.model
-	out := query.Estimates{Runs: m.Observed(), SuddenChanges: m.Changes(), Kinds: []query.EstimateRow{}, Machines: []query.SlowMachine{}}
-	m.Kinds(func(f estimate.Features) bool {
+	out := query.Estimates{Runs: m.Observed(), SuddenChanges: m.DetectedChanges(), Kinds: []query.EstimateRow{}, Machines: []query.SlowMachine{}}
+	m.EachGroup(func(f estimate.Features) bool {
 		if out.More = len(out.Kinds) == limit; out.More {
 			return false
 		}
@@ -108,7 +108,7 @@
 		out.Kinds = append(out.Kinds, row)
 		return true
 	})
-	m.Slow(oq.cfg.Settings.SlowFactor, func(machine string) {
+	m.EachSlowMachine(oq.cfg.Settings.SlowFactor, func(machine string) {
 		if len(out.Machines) < limit {
 			out.Machines = append(out.Machines, query.SlowMachine{Machine: machine, Slowdown: round(m.Slowness(machine))})
 		}
@@ -123,13 +123,13 @@
 func roundedSeconds(micros Micros) float64 { return round(inSeconds(micros)) }
 
 // estimateRowOf converts an estimate to the form in which operators read it.
-func estimateRowOf(a *estimate.Answer) query.EstimateRow {
+func estimateRowOf(a *estimate.RunTimeEstimate) query.EstimateRow {
 	row := query.EstimateRow{Level: a.Level.String(), Samples: round(a.Samples), MedianS: roundedSeconds(a.Median)}
 	for i := range estimate.Intervals {
 		row.Intervals = append(row.Intervals, []float64{roundedSeconds(a.Low[i]), roundedSeconds(a.High[i])})
 		var coverage *float64
-		if a.Trust[i] >= 0 {
-			v := round(a.Trust[i])
+		if a.Coverage[i] >= 0 {
+			v := round(a.Coverage[i])
 			coverage = &v
 		}
 		row.Coverage = append(row.Coverage, coverage)
@@ -142,7 +142,7 @@
 func (oq *operatorQueries) listRuns(from uint64, limit int) query.Runs {
 	es := oq.estimates
 	oldest := es.runsRecorded - uint64(len(es.recentRuns))
-	out := query.Runs{Runs: []history.Line{}}
+	out := query.Runs{Runs: []history.Run{}}
 	if from > es.runsRecorded { // the number was assigned by another leader
 		from = 0
 	}
--- a/internal/core/leader/deadline_outlook.go
+++ b/internal/core/leader/deadline_outlook.go
@@ -32,20 +32,20 @@
 
 // durationOfTasks returns how long n tasks of a job take if a given number of them run
 // concurrently. The tasks of a gang all run concurrently.
-func durationOfTasks(perTask *estimate.Answer, n, concurrent int, shape string) estimate.Duration {
+func durationOfTasks(perTask *estimate.RunTimeEstimate, n, concurrent int, shape string) estimate.RandomDuration {
 	if shape == wire.Gang {
 		return perTask.Longest(1)
 	}
-	return perTask.InWaves(n, concurrent)
+	return perTask.TotalDuration(n, concurrent)
 }
 
 // jobDuration returns how long a job takes from now on, or from when its dependencies are done. It
 // returns false if there is nothing to estimate from.
-func (es *runTimeEstimates) jobDuration(j *Job) (estimate.Duration, bool) {
+func (es *runTimeEstimates) jobDuration(j *Job) (estimate.RandomDuration, bool) {
 	f := es.features(j, "")
 	perTask := es.model.Estimate(&f)
 	if perTask.Level == estimate.Unknown {
-		return estimate.Duration{}, false
+		return estimate.RandomDuration{}, false
 	}
 	if j.OpenTasks == 0 {
 		return es.waitingDuration(j, &perTask), true
@@ -55,11 +55,11 @@
 
 // waitingDuration returns how long a job without placements takes: it waits, and then its tasks
 // run, as many concurrently as its team's limit allows.
-func (es *runTimeEstimates) waitingDuration(j *Job, perTask *estimate.Answer) estimate.Duration {
+func (es *runTimeEstimates) waitingDuration(j *Job, perTask *estimate.RunTimeEstimate) estimate.RandomDuration {
 	spec := j.Record.Spec
-	var wait estimate.Duration
+	var wait estimate.RandomDuration
 	if ws := es.waits[spec.Class]; ws != nil {
-		wait = estimate.Duration{Mean: ws.mean, Variance: ws.mean * ws.mean}
+		wait = estimate.RandomDuration{Mean: ws.mean, Variance: ws.mean * ws.mean}
 	}
 	missing := spec.Tasks - j.DoneTasks
 	concurrent := missing
@@ -71,9 +71,9 @@
 
 // runningDuration returns how long a job with placed tasks takes: until the longest of these is
 // done, and then until its other tasks have run on the same capacity.
-func (es *runTimeEstimates) runningDuration(j *Job, perTask *estimate.Answer) estimate.Duration {
+func (es *runTimeEstimates) runningDuration(j *Job, perTask *estimate.RunTimeEstimate) estimate.RandomDuration {
 	spec := j.Record.Spec
-	var longest estimate.Duration
+	var longest estimate.RandomDuration
 	j.EachPlacement(func(p job.Placement) {
 		if remaining, ok := es.remainingTime(j, &p); ok {
 			if duration := remaining.Longest(1); duration.Mean > longest.Mean {
@@ -90,16 +90,16 @@
 
 // completionEstimate returns how long a job takes along the longest path through its unfinished
 // dependencies. It returns false if there is nothing to estimate one of these jobs from.
-func (es *runTimeEstimates) completionEstimate(j *Job, depth int) (estimate.Duration, bool) {
+func (es *runTimeEstimates) completionEstimate(j *Job, depth int) (estimate.RandomDuration, bool) {
 	own, ok := es.jobDuration(j)
 	if !ok || depth >= maxDependencyDepth {
 		return own, ok
 	}
-	var longest estimate.Duration
+	var longest estimate.RandomDuration
 	for _, id := range j.UnfinishedDependencies() {
 		dependency, known := es.completionEstimate(es.jobs[id], depth+1)
 		if !known {
-			return estimate.Duration{}, false
+			return estimate.RandomDuration{}, false
 		}
 		if dependency.Mean > longest.Mean {
 			longest = dependency
--- a/internal/core/leader/estimates.go
+++ b/internal/core/leader/estimates.go
@@ -32,9 +32,9 @@
 	model *estimate.Model       // nil if estimates are disabled or this node doesn't lead
 	waits map[string]*waitStats // by class: how long jobs wait for their first placement
 
-	nextDeadlineIndex int            // index of the unfinished job whose deadline is assessed next
-	recentRuns        []history.Line // ring buffer of the last maxRecentRuns runs
-	runsRecorded      uint64         // number of runs recorded so far
+	nextDeadlineIndex int           // index of the unfinished job whose deadline is assessed next
+	recentRuns        []history.Run // ring buffer of the last maxRecentRuns runs
+	runsRecorded      uint64        // number of runs recorded so far
 }
 
 // reset discards the model of this term. The stored model is kept for the next leader.
@@ -53,7 +53,7 @@
 		return
 	}
 	settings := estimate.DefaultSettings()
-	settings.Groups = es.cfg.Settings.EstimateGroups
+	settings.MaxGroups = es.cfg.Settings.EstimateGroups
 	es.model = es.store.Restore(settings)
 	es.waits = map[string]*waitStats{}
 	for _, j := range es.unfinished {
@@ -100,21 +100,21 @@
 // is empty for tasks that are not placed.
 func (es *runTimeEstimates) features(j *Job, machine string) estimate.Features {
 	s := j.Record.Spec
-	return estimate.Features{Image: s.Image, Shape: wire.ShapeName(s.Shape), Class: s.Class, Team: s.Team, Expect: config.FromSeconds(s.EstimateS), Machine: machine}
+	return estimate.Features{Image: s.Image, Shape: wire.ShapeName(s.Shape), Class: s.Class, Team: s.Team, UserEstimate: config.FromSeconds(s.EstimateS), Machine: machine}
 }
 
 // remainingTime estimates the remaining run time of a running task. It returns false if there is
 // nothing to estimate from.
-func (es *runTimeEstimates) remainingTime(j *Job, p *job.Placement) (estimate.Answer, bool) {
+func (es *runTimeEstimates) remainingTime(j *Job, p *job.Placement) (estimate.RunTimeEstimate, bool) {
 	if es.model == nil {
-		return estimate.Answer{}, false
+		return estimate.RunTimeEstimate{}, false
 	}
 	f := es.features(j, p.Machine)
-	answer := es.model.Estimate(&f)
-	if answer.Level == estimate.Unknown {
-		return answer, false
+	runTime := es.model.Estimate(&f)
+	if runTime.Level == estimate.Unknown {
+		return runTime, false
 	}
-	return answer.Left(es.workedTime(j, p)), true
+	return runTime.Remaining(es.workedTime(j, p)), true
 }
 
 // workedTime returns how long a placed task, or its gang, has worked: the saved progress of earlier
@@ -138,7 +138,7 @@
 		return avoid
 	}
 	var out map[string]Micros
-	es.model.Slow(es.cfg.Settings.SlowFactor, func(machine string) {
+	es.model.EachSlowMachine(es.cfg.Settings.SlowFactor, func(machine string) {
 		if out == nil {
 			out = make(map[string]Micros, len(avoid)+1)
 			maps.Copy(out, avoid)
@@ -212,7 +212,7 @@
 		}
 		j.EachPlacement(func(p job.Placement) {
 			if remaining, ok := es.remainingTime(j, &p); ok {
-				free += expectedFreeShare * remaining.Within(within) * taskResources(j.Record.Spec).Weight()
+				free += expectedFreeShare * remaining.ProbabilityWithin(within) * taskResources(j.Record.Spec).Weight()
 			}
 		})
 	}
--- a/internal/core/query/query.go
+++ b/internal/core/query/query.go
@@ -63,9 +63,9 @@
 
 // Runs is a page of runs that have ended.
 type Runs struct {
-	Next   uint64         `json:"next"`   // number of the run to continue from
-	Missed uint64         `json:"missed"` // number of requested runs that are no longer kept
-	Runs   []history.Line `json:"runs"`
+	Next   uint64        `json:"next"`   // number of the run to continue from
+	Missed uint64        `json:"missed"` // number of requested runs that are no longer kept
+	Runs   []history.Run `json:"runs"`
 }
 
 // WaitReason explains why a job waits and which jobs are placed before it.
--- a/internal/estimate/answer.go
+++ b/internal/estimate/answer.go
@@ -2,29 +2,29 @@
 
 import "math"
 
-// Intervals are the nominal coverages of the three intervals of an Answer: the fraction of runs that each one is
-// meant to contain.
+// Intervals are the nominal coverages of the three intervals of a RunTimeEstimate: the fraction of runs that each
+// one is meant to contain.
 var Intervals = [3]float64{0.5, 0.8, 0.95}
 
-// Answer is an estimate of a run time, with prediction intervals.
-type Answer struct {
+// RunTimeEstimate is an estimate of a run time, with prediction intervals.
+type RunTimeEstimate struct {
 	Level   Level // Unknown if there is no data to estimate from
 	Median  Micros
 	Low     [3]Micros // lower bounds, in the order of Intervals
 	High    [3]Micros // upper bounds, in the order of Intervals
 	Samples float64   // effective number of runs in the group of the level
-	// Trust is the observed coverage of each interval: the fraction of recent run times of the class that were
+	// Coverage is the observed coverage of each interval: the fraction of recent run times of the class that were
 	// inside the interval predicted for them. It is negative until enough predictions have been compared.
-	Trust [3]float64
+	Coverage [3]float64
 
 	distribution distribution
 }
 
 // Estimate returns an estimate of the run time of a run with these features. Its level is Unknown if there are no
 // past runs and no user estimate to derive it from.
-func (m *Model) Estimate(f *Features) Answer {
+func (m *Model) Estimate(f *Features) RunTimeEstimate {
 	estimate, level, samples := m.walk(f, nil)
-	a := Answer{Level: level, Samples: samples, Trust: [3]float64{-1, -1, -1}}
+	a := RunTimeEstimate{Level: level, Samples: samples, Coverage: [3]float64{-1, -1, -1}}
 	if level == Unknown {
 		return a
 	}
@@ -34,13 +34,13 @@
 	}
 	a.setIntervals()
 	if c := m.coverage[f.Class]; c != nil {
-		a.Trust = c.fractions()
+		a.Coverage = c.fractions()
 	}
 	return a
 }
 
 // setIntervals derives the median and the intervals from the distribution.
-func (a *Answer) setIntervals() {
+func (a *RunTimeEstimate) setIntervals() {
 	a.Median = fromLogSeconds(a.distribution[medianIndex])
 	for i := range Intervals {
 		a.Low[i] = fromLogSeconds(a.distribution[medianIndex-1-i])
@@ -51,9 +51,9 @@
 // minimumRemainingMicros is the lower bound of estimated remaining times, in microseconds.
 const minimumRemainingMicros = 10_000
 
-// Left returns the estimate of the remaining time of a run that has been running for the given time. It is the
+// Remaining returns the estimate of the remaining time of a run that has been running for the given time. It is the
 // distribution of run times, conditioned on exceeding that time.
-func (a *Answer) Left(ran Micros) Answer {
+func (a *RunTimeEstimate) Remaining(ran Micros) RunTimeEstimate {
 	if a.Level == Unknown || ran <= 0 {
 		return *a
 	}
@@ -72,12 +72,12 @@
 
 // Overdue reports whether the given running time exceeds the upper bound of the widest interval. It returns false if
 // the level is Unknown.
-func (a *Answer) Overdue(ran Micros) bool {
+func (a *RunTimeEstimate) Overdue(ran Micros) bool {
 	return a.Level != Unknown && ran > a.High[len(a.High)-1]
 }
 
-// Within returns the probability that the run time is at most d, or NaN if the level is Unknown.
-func (a *Answer) Within(d Micros) float64 {
+// ProbabilityWithin returns the probability that the run time is at most d, or NaN if the level is Unknown.
+func (a *RunTimeEstimate) ProbabilityWithin(d Micros) float64 {
 	if a.Level == Unknown {
 		return math.NaN()
 	}
@@ -88,4 +88,6 @@
 }
 
 // Quantile returns the run time that is not exceeded with probability p.
-func (a *Answer) Quantile(p float64) Micros { return fromLogSeconds(a.distribution.quantile(p)) }
+func (a *RunTimeEstimate) Quantile(p float64) Micros {
+	return fromLogSeconds(a.distribution.quantile(p))
+}
--- a/internal/estimate/coverage.go
+++ b/internal/estimate/coverage.go
@@ -18,7 +18,7 @@
 func (m *Model) recordCoverage(class string, logError float64, errors *distribution) {
 	c := m.coverage[class]
 	if c == nil {
-		evictOldest(m.coverage, m.settings.Groups, func(c *coverage) uint64 { return c.lastUse }, strings.Compare)
+		evictOldest(m.coverage, m.settings.MaxGroups, func(c *coverage) uint64 { return c.lastUse }, strings.Compare)
 		c = &coverage{}
 		m.coverage[class] = c
 	}
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -23,7 +23,7 @@
 // Features are the attributes of a run that its estimate depends on.
 type Features struct {
 	Image, Shape, Class, Team string
-	Expect                    Micros // the user's estimate; 0 if there is none
+	UserEstimate              Micros // the user's estimate; 0 if there is none
 	Machine                   string // the machine that it runs on; empty if it is not placed yet
 }
 
@@ -48,23 +48,23 @@
 // String returns the name of the level that is shown to users.
 func (l Level) String() string { return levelNames[min(l, levels-1)] }
 
-// Evidence is the observed outcome of a run.
-type Evidence struct {
+// Observation is the observed outcome of a run.
+type Observation struct {
 	Features
-	Ran Micros // time spent on the work, without restarts and waiting
+	Elapsed Micros // time spent on the work, without restarts and waiting
 	// Done is true for a run that completed and was observed from its start. Otherwise the observation is censored:
-	// the run time is greater than Ran.
+	// the run time is greater than Elapsed.
 	Done bool
 }
 
 // Settings bound the memory of a Model.
 type Settings struct {
-	Groups   int // maximum number of groups of similar work; the least recently used ones are evicted
-	Machines int // maximum number of machines with a recorded speed
+	MaxGroups   int // maximum number of groups of similar work; the least recently used ones are evicted
+	MaxMachines int // maximum number of machines with a recorded speed
 }
 
 // DefaultSettings returns settings for a node with little memory.
-func DefaultSettings() Settings { return Settings{Groups: 512, Machines: 4096} }
+func DefaultSettings() Settings { return Settings{MaxGroups: 512, MaxMachines: 4096} }
 
 // groupKey identifies a group of similar work by its level and the features that its runs have in common.
 type groupKey struct {
@@ -89,7 +89,7 @@
 // New returns an empty Model. The epoch distinguishes the data that it records from that of other epochs; a leader
 // passes its fencing token. If a setting is not positive, DefaultSettings apply.
 func New(s Settings, epoch uint64) *Model {
-	if s.Groups <= 0 || s.Machines <= 0 {
+	if s.MaxGroups <= 0 || s.MaxMachines <= 0 {
 		s = DefaultSettings()
 	}
 	return &Model{
@@ -101,8 +101,8 @@
 	}
 }
 
-// Changes returns the number of sudden changes of run times that were detected.
-func (m *Model) Changes() int { return m.changes }
+// DetectedChanges returns the number of sudden changes of run times that were detected.
+func (m *Model) DetectedChanges() int { return m.changes }
 
 // Observed returns the number of runs that were recorded in this epoch.
 func (m *Model) Observed() uint64 { return m.observed }
@@ -144,9 +144,9 @@
 	return Micros(math.Round(math.Exp(math.Min(math.Max(y, minLogSeconds), maxLogSeconds)) * microsPerSecond))
 }
 
-// Kinds calls f with the features of each group at the levels Class, ClassShape and ImageShape that has runs, in the
-// order of level, name and shape, until f returns false.
-func (m *Model) Kinds(f func(Features) bool) {
+// EachGroup calls f with the features of each group at the levels Class, ClassShape and ImageShape that has runs, in
+// the order of level, name and shape, until f returns false.
+func (m *Model) EachGroup(f func(Features) bool) {
 	for _, k := range sortedGroups(m.groups) {
 		g := m.groups[k]
 		var features Features
@@ -187,7 +187,7 @@
 	if g := m.groups[k]; g != nil {
 		return g
 	}
-	evictOldest(m.groups, max(m.settings.Groups, int(levels)), func(g *group) uint64 {
+	evictOldest(m.groups, max(m.settings.MaxGroups, int(levels)), func(g *group) uint64 {
 		if g.level == Everything {
 			return math.MaxUint64 // never evicted, because every estimate uses it
 		}
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -20,25 +20,25 @@
 
 func drawFeatures(t *rapid.T) Features {
 	return Features{
-		Image:   fmt.Sprint("i", rapid.IntRange(0, 3).Draw(t, "image")),
-		Shape:   rapid.SampledFrom([]string{"array", "gang"}).Draw(t, "shape"),
-		Class:   fmt.Sprint("c", rapid.IntRange(0, 2).Draw(t, "class")),
-		Team:    "t",
-		Machine: rapid.SampledFrom([]string{"", "m1", "m2"}).Draw(t, "machine"),
-		Expect:  rapid.Int64Range(-1, 1<<40).Draw(t, "expect"),
+		Image:        fmt.Sprint("i", rapid.IntRange(0, 3).Draw(t, "image")),
+		Shape:        rapid.SampledFrom([]string{"array", "gang"}).Draw(t, "shape"),
+		Class:        fmt.Sprint("c", rapid.IntRange(0, 2).Draw(t, "class")),
+		Team:         "t",
+		Machine:      rapid.SampledFrom([]string{"", "m1", "m2"}).Draw(t, "machine"),
+		UserEstimate: rapid.Int64Range(-1, 1<<40).Draw(t, "expect"),
 	}
 }
 
-func drawEvidence(t *rapid.T) *Evidence {
-	return &Evidence{
+func drawObservation(t *rapid.T) *Observation {
+	return &Observation{
 		Features: drawFeatures(t),
-		Ran:      rapid.Int64Range(-1, 1<<45).Draw(t, "ran"),
+		Elapsed:  rapid.Int64Range(-1, 1<<45).Draw(t, "ran"),
 		Done:     rapid.Bool().Draw(t, "done"),
 	}
 }
 
-// checkAnswer returns an error if the intervals of an answer are not nested or a quantile is not finite.
-func checkAnswer(a *Answer) error {
+// checkEstimate returns an error if the intervals of an estimate are not nested or a quantile is not finite.
+func checkEstimate(a *RunTimeEstimate) error {
 	if a.Level == Unknown {
 		return nil
 	}
@@ -61,20 +61,20 @@
 // Intervals are nested and all quantiles are finite after any observations, also for the remaining time of a run.
 func TestIntervalsNest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(Settings{Groups: 8, Machines: 2}, 1)
+		m := New(Settings{MaxGroups: 8, MaxMachines: 2}, 1)
 		for range rapid.IntRange(0, 60).Draw(t, "runs") {
-			m.Observe(drawEvidence(t))
+			m.Observe(drawObservation(t))
 		}
 		f := drawFeatures(t)
 		a := m.Estimate(&f)
-		if err := checkAnswer(&a); err != nil {
+		if err := checkEstimate(&a); err != nil {
 			t.Fatal(err)
 		}
-		left := a.Left(rapid.Int64Range(0, 1<<45).Draw(t, "for"))
-		if err := checkAnswer(&left); err != nil {
+		left := a.Remaining(rapid.Int64Range(0, 1<<45).Draw(t, "for"))
+		if err := checkEstimate(&left); err != nil {
 			t.Fatal("remaining time: ", err)
 		}
-		if p := a.Within(rapid.Int64Range(-1, 1<<45).Draw(t, "due")); a.Level != Unknown && !(p >= 0 && p <= 1) {
+		if p := a.ProbabilityWithin(rapid.Int64Range(-1, 1<<45).Draw(t, "due")); a.Level != Unknown && !(p >= 0 && p <= 1) {
 			t.Fatalf("probability %v is not between 0 and 1", p)
 		}
 	})
@@ -90,7 +90,7 @@
 				m = Restore(DefaultSettings(), epoch+1, all...)
 			}
 			for range rapid.IntRange(0, 30).Draw(t, "runs") {
-				m.Observe(drawEvidence(t))
+				m.Observe(drawObservation(t))
 				if rapid.IntRange(0, 9).Draw(t, "write") == 0 {
 					all = append(all, m.Chunk(rapid.IntRange(0, Chunks-1).Draw(t, "chunk"), 0))
 				}
@@ -113,12 +113,12 @@
 // A successor that has restored all values gives nearly the same estimates as the previous leader.
 func TestSuccessorRestoresEstimates(t *testing.T) {
 	m := New(DefaultSettings(), 5)
-	f := Features{Image: "i", Shape: "array", Class: "c", Team: "t", Expect: 90 * second}
+	f := Features{Image: "i", Shape: "array", Class: "c", Team: "t", UserEstimate: 90 * second}
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		m.Observe(&Evidence{
+		m.Observe(&Observation{
 			Features: f,
-			Ran:      int64(60 * second * math.Exp(0.3*rnd.NormFloat64())),
+			Elapsed:  int64(60 * second * math.Exp(0.3*rnd.NormFloat64())),
 			Done:     rnd.IntN(5) > 0,
 		})
 	}
@@ -145,7 +145,7 @@
 		math.Abs(math.Log(float64(a.High[1])/float64(b.High[1]))) > 0.1 {
 		t.Errorf("median or 0.8 interval of the successor differs: %v, of the previous leader %v", b, a)
 	}
-	if a.Samples != b.Samples || a.Level != b.Level || b.Trust[1] < 0 {
+	if a.Samples != b.Samples || a.Level != b.Level || b.Coverage[1] < 0 {
 		t.Errorf("samples, level or coverage of the successor differ: %v, of the previous leader %v", b, a)
 	}
 	if encodedBytes > 4000 {
@@ -157,9 +157,9 @@
 func TestDamagedValuesAreRejected(t *testing.T) {
 	m := New(DefaultSettings(), 1)
 	for i := range 50 {
-		m.Observe(&Evidence{
+		m.Observe(&Observation{
 			Features: Features{Class: "c", Shape: "array", Image: fmt.Sprint(i % 5)},
-			Ran:      second * int64(i+1),
+			Elapsed:  second * int64(i+1),
 			Done:     true,
 		})
 	}
@@ -187,9 +187,9 @@
 func FuzzDecode(f *testing.F) {
 	m := New(DefaultSettings(), 1)
 	for i := range 50 {
-		m.Observe(&Evidence{
+		m.Observe(&Observation{
 			Features: Features{Class: "c", Shape: "array", Image: fmt.Sprint(i % 5)},
-			Ran:      second * int64(i+1),
+			Elapsed:  second * int64(i+1),
 			Done:     i%3 > 0,
 		})
 	}
@@ -205,9 +205,9 @@
 		if err != nil {
 			return
 		}
-		restored := Restore(Settings{Groups: 16, Machines: 4}, 2, c)
-		a := restored.Estimate(&Features{Class: "c", Shape: "array", Image: "1", Expect: second})
-		if err := checkAnswer(&a); err != nil {
+		restored := Restore(Settings{MaxGroups: 16, MaxMachines: 4}, 2, c)
+		a := restored.Estimate(&Features{Class: "c", Shape: "array", Image: "1", UserEstimate: second})
+		if err := checkEstimate(&a); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -216,25 +216,25 @@
 // Observing the same runs again doesn't widen an interval beyond its earlier width or the range of the runs, whichever
 // is larger. The range is allowed because one run in nine that takes longer than the others is at the edge of the 0.8
 // interval, and may be inside or outside.
-func TestRepeatedEvidenceDoesNotWidenIntervals(t *testing.T) {
+func TestRepeatedObservationsDoNotWidenIntervals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOfN(rapid.Int64Range(40*second, 80*second), 6, 12).Draw(t, "runs")
 		m := New(DefaultSettings(), 1)
 		f := Features{Image: "i", Shape: "array", Class: "c", Team: "t"}
 		observeAll := func() {
 			for _, ran := range runs {
-				m.Observe(&Evidence{Features: f, Ran: ran, Done: true})
+				m.Observe(&Observation{Features: f, Elapsed: ran, Done: true})
 			}
 		}
 		for range 8 {
 			observeAll()
 		}
-		before, changes := m.Estimate(&f), m.Changes()
+		before, changes := m.Estimate(&f), m.DetectedChanges()
 		for range 24 {
 			observeAll()
 		}
 		after := m.Estimate(&f)
-		if m.Changes() != changes {
+		if m.DetectedChanges() != changes {
 			return // the order of the runs was detected as a change
 		}
 		// A bin of errors is 6% wide, and the location may still change by as much.
@@ -247,7 +247,7 @@
 }
 
 // width returns the width of the 0.8 interval, in natural logarithms.
-func width(a *Answer) float64 { return math.Log(float64(a.High[1]) / float64(a.Low[1])) }
+func width(a *RunTimeEstimate) float64 { return math.Log(float64(a.High[1]) / float64(a.Low[1])) }
 
 // If run times suddenly triple, the change is detected and the estimate is correct again after eight completed runs,
 // with an interval that is no narrower than before. There are few false alarms.
@@ -259,16 +259,16 @@
 		m := New(DefaultSettings(), 1)
 		f := Features{Image: "i", Shape: "array", Class: "c", Team: "t"}
 		run := func(factor float64) {
-			m.Observe(&Evidence{
+			m.Observe(&Observation{
 				Features: f,
-				Ran:      int64(60 * second * factor * math.Exp(0.25*rnd.NormFloat64())),
+				Elapsed:  int64(60 * second * factor * math.Exp(0.25*rnd.NormFloat64())),
 				Done:     true,
 			})
 		}
 		for range 100 {
 			run(1)
 		}
-		falseAlarms += m.Changes()
+		falseAlarms += m.DetectedChanges()
 		before := m.Estimate(&f)
 		if !before.Overdue(180 * second) {
 			t.Errorf("seed %d: a run of three times the usual time is not overdue: upper bounds %v", seed, before.High)
@@ -277,7 +277,7 @@
 			run(3)
 		}
 		after := m.Estimate(&f)
-		if m.Changes() == 0 {
+		if m.DetectedChanges() == 0 {
 			t.Errorf("seed %d: no change detected", seed)
 		}
 		if off := float64(after.Median) / (180 * second); off > 1/1.25 && off < 1.25 {
@@ -308,7 +308,7 @@
 		if i%10 == 7 {
 			ran *= 4
 		}
-		m.Observe(&Evidence{Features: f, Ran: int64(ran * second), Done: true})
+		m.Observe(&Observation{Features: f, Elapsed: int64(ran * second), Done: true})
 	}
 	if s := m.Slowness("m7"); s < 3 || s > 5 {
 		t.Errorf("slowness of the slow machine is %v, want 3 to 5", s)
@@ -332,7 +332,7 @@
 	f := Features{Image: "i", Shape: "array", Class: "c", Team: "t"}
 	for range 400 { // each run is stopped after a random time, if it is still running
 		ran, stop := int64(100*second*math.Exp(0.4*rnd.NormFloat64())), int64(rnd.IntN(300))*second
-		if e := (&Evidence{Features: f, Ran: min(ran, stop), Done: ran <= stop}); e.Ran > 0 {
+		if e := (&Observation{Features: f, Elapsed: min(ran, stop), Done: ran <= stop}); e.Elapsed > 0 {
 			m.Observe(e)
 			if e.Done {
 				uncensored.Observe(e)
@@ -347,24 +347,25 @@
 }
 
 // Without observed runs the level is Unknown, or the estimate is the user's with wide intervals.
-func TestNoEvidence(t *testing.T) {
+func TestNoObservations(t *testing.T) {
 	m := New(DefaultSettings(), 1)
-	if a := m.Estimate(&Features{Class: "c"}); a.Level != Unknown || a.Median != 0 || !math.IsNaN(a.Within(second)) {
+	a := m.Estimate(&Features{Class: "c"})
+	if a.Level != Unknown || a.Median != 0 || !math.IsNaN(a.ProbabilityWithin(second)) {
 		t.Errorf("%+v", a)
 	}
-	a := m.Estimate(&Features{Class: "c", Expect: 60 * second})
-	if a.Level != User || a.Median != 60*second || a.High[1] < 2*a.Median || a.Trust[0] >= 0 {
+	a = m.Estimate(&Features{Class: "c", UserEstimate: 60 * second})
+	if a.Level != User || a.Median != 60*second || a.High[1] < 2*a.Median || a.Coverage[0] >= 0 {
 		t.Errorf("%+v", a)
 	}
 	// The mean error of users' estimates is also corrected for work that was never observed.
 	for i := range 100 {
-		m.Observe(&Evidence{
-			Features: Features{Class: fmt.Sprint("o", i%10), Shape: "array", Expect: int64(i+10) * second},
-			Ran:      2 * int64(i+10) * second,
+		m.Observe(&Observation{
+			Features: Features{Class: fmt.Sprint("o", i%10), Shape: "array", UserEstimate: int64(i+10) * second},
+			Elapsed:  2 * int64(i+10) * second,
 			Done:     true,
 		})
 	}
-	if a := m.Estimate(&Features{Class: "c", Team: "new", Expect: 60 * second}); a.Level != Everything ||
+	if a := m.Estimate(&Features{Class: "c", Team: "new", UserEstimate: 60 * second}); a.Level != Everything ||
 		a.Median < 100*second || a.Median > 140*second {
 		t.Errorf("%+v", a)
 	}
@@ -372,9 +373,9 @@
 
 // The numbers of groups, machines and classes of a model are bounded, and Estimate doesn't allocate.
 func TestMemoryIsBounded(t *testing.T) {
-	m := New(Settings{Groups: 64, Machines: 32}, 1)
+	m := New(Settings{MaxGroups: 64, MaxMachines: 32}, 1)
 	for i := range 5000 {
-		m.Observe(&Evidence{
+		m.Observe(&Observation{
 			Features: Features{
 				Image:   fmt.Sprint("i", i),
 				Class:   fmt.Sprint("c", i%700),
@@ -382,14 +383,14 @@
 				Team:    fmt.Sprint("t", i%90),
 				Machine: fmt.Sprint("m", i),
 			},
-			Ran:  second,
-			Done: true,
+			Elapsed: second,
+			Done:    true,
 		})
 	}
 	if len(m.groups) > 64 || len(m.machines) > 32 || len(m.coverage) > 64 {
 		t.Errorf("%d groups, %d machines, %d classes", len(m.groups), len(m.machines), len(m.coverage))
 	}
-	f := Features{Image: "i4999", Class: "c99", Shape: "array", Team: "t49", Expect: second, Machine: "m4999"}
+	f := Features{Image: "i4999", Class: "c99", Shape: "array", Team: "t49", UserEstimate: second, Machine: "m4999"}
 	if n := testing.AllocsPerRun(100, func() { m.Estimate(&f) }); n != 0 {
 		t.Errorf("Estimate makes %v allocations, want 0", n)
 	}
@@ -397,7 +398,7 @@
 
 func BenchmarkObserve(b *testing.B) {
 	m, f := newTrainedModel()
-	e := &Evidence{Features: f, Ran: 50 * second, Done: true}
+	e := &Observation{Features: f, Elapsed: 50 * second, Done: true}
 	for b.Loop() {
 		m.Observe(e)
 	}
@@ -413,10 +414,10 @@
 func newTrainedModel() (*Model, Features) {
 	rnd := rand.New(rand.NewPCG(1, 9))
 	m := New(DefaultSettings(), 1)
-	f := Features{Shape: "array", Team: "t", Expect: 60 * second}
+	f := Features{Shape: "array", Team: "t", UserEstimate: 60 * second}
 	for i := range 2000 {
 		f.Image, f.Class, f.Machine = fmt.Sprint("image-", i%40), fmt.Sprint("class-", i%4), fmt.Sprint("m-", i%100)
-		m.Observe(&Evidence{Features: f, Ran: int64(60 * second * math.Exp(0.4*rnd.NormFloat64())), Done: i%5 > 0})
+		m.Observe(&Observation{Features: f, Elapsed: int64(60 * second * math.Exp(0.4*rnd.NormFloat64())), Done: i%5 > 0})
 	}
 	return m, f
 }
--- a/internal/estimate/learn.go
+++ b/internal/estimate/learn.go
@@ -25,11 +25,11 @@
 func (m *Model) walk(
 	f *Features, visit func(l Level, g *group, estimate levelEstimate),
 ) (estimate levelEstimate, attributed Level, samples float64) {
-	if f.Expect > 0 {
-		estimate = levelEstimate{location: logSeconds(f.Expect), errors: defaultUserErrors, known: true}
+	if f.UserEstimate > 0 {
+		estimate = levelEstimate{location: logSeconds(f.UserEstimate), errors: defaultUserErrors, known: true}
 		attributed = User
 	}
-	user := userEstimate{f.Expect > 0, estimate.location}
+	user := userEstimate{f.UserEstimate > 0, estimate.location}
 	keys := f.keys()
 	for l := Everything; l < levels; l++ {
 		g := m.groups[keys[l]]
@@ -84,18 +84,18 @@
 }
 
 // Observe updates the model with the outcome of a run. An outcome with a run time of 0 or less is ignored.
-func (m *Model) Observe(e *Evidence) {
-	if e.Ran <= 0 {
+func (m *Model) Observe(e *Observation) {
+	if e.Elapsed <= 0 {
 		return
 	}
 	m.clock++
 	m.observed++
 	slowness := m.slowness(e.Machine)
-	logRun := logSeconds(e.Ran) - slowness
+	logRun := logSeconds(e.Elapsed) - slowness
 	keys := e.keys()
 	user := userEstimate{}
-	if e.Expect > 0 {
-		user = userEstimate{true, logSeconds(e.Expect)}
+	if e.UserEstimate > 0 {
+		user = userEstimate{true, logSeconds(e.UserEstimate)}
 	}
 	changed := Unknown // the widest level that detects a change, or Unknown
 	estimate, level, _ := m.walk(&e.Features, func(l Level, g *group, estimate levelEstimate) {
--- a/internal/estimate/restore.go
+++ b/internal/estimate/restore.go
@@ -135,7 +135,7 @@
 func (m *Model) restoreCoverage(chunks []*Chunk) {
 	preferred := preferredByName(chunks, func(c *Chunk) []storedCoverage { return c.Trust })
 	for class, stored := range preferred {
-		if len(m.coverage) >= m.settings.Groups || stored.Outcomes == 0 {
+		if len(m.coverage) >= m.settings.MaxGroups || stored.Outcomes == 0 {
 			continue
 		}
 		restored := &coverage{outcomes: float64(stored.Outcomes)}
@@ -157,7 +157,7 @@
 func (m *Model) restoreSpeeds(chunks []*Chunk) {
 	preferred := preferredByName(chunks, func(c *Chunk) []storedSpeed { return c.Speeds })
 	for name, stored := range preferred {
-		if len(m.machines) >= m.settings.Machines || stored.N == 0 {
+		if len(m.machines) >= m.settings.MaxMachines || stored.N == 0 {
 			continue
 		}
 		m.machines[name] = &speed{
--- a/internal/estimate/speed.go
+++ b/internal/estimate/speed.go
@@ -59,8 +59,8 @@
 	return mean * s.n / (s.n + 1)
 }
 
-// Slow calls f with each machine whose Slowness is at least the given factor, in the order of their names.
-func (m *Model) Slow(factor float64, f func(machine string)) {
+// EachSlowMachine calls f with each machine whose Slowness is at least the given factor, in the order of their names.
+func (m *Model) EachSlowMachine(factor float64, f func(machine string)) {
 	var slow []string
 	for name, s := range m.machines {
 		if s.slowness() >= math.Log(factor) {
@@ -78,7 +78,7 @@
 func (m *Model) recordSpeed(machine string, logError, width float64) {
 	s := m.machines[machine]
 	if s == nil {
-		evictOldest(m.machines, m.settings.Machines, func(s *speed) uint64 { return s.lastUse }, strings.Compare)
+		evictOldest(m.machines, m.settings.MaxMachines, func(s *speed) uint64 { return s.lastUse }, strings.Compare)
 		s = &speed{}
 		m.machines[machine] = s
 	}
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -14,8 +14,8 @@
 	"slices"
 )
 
-// Line is one run of a history. Times are in seconds.
-type Line struct {
+// Run is one run of a history. Times are in seconds.
+type Run struct {
 	Ref       string  `json:"ref"`
 	Class     string  `json:"class"`
 	Team      string  `json:"team"`
@@ -48,7 +48,7 @@
 // requiredFields are the fields without which a line has no information about a run time.
 var requiredFields = []string{"class", "started_s", "ended_s", "outcome"}
 
-// knownFields are the names of all fields of a Line.
+// knownFields are the names of all fields of a Run.
 var knownFields = []string{"ref", "class", "team", "shape", "tasks", "cpus", "gpus", "memory_gb", "image", "expect_s",
 	"submitted_s", "started_s", "ended_s", "outcome", "machine", "type"}
 
@@ -76,7 +76,7 @@
 
 // Parse parses a line. For a usable line it also returns warnings about fields that are missing or unknown. The error
 // is the reason why the line is unusable.
-func Parse(raw []byte) (*Line, []string, error) {
+func Parse(raw []byte) (*Run, []string, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil {
 		return nil, nil, errors.New("not a JSON object")
@@ -85,8 +85,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	var l Line
-	if err := json.Unmarshal(raw, &l); err != nil {
+	var run Run
+	if err := json.Unmarshal(raw, &run); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
 			return nil, nil, fmt.Errorf("field %s: expected %s, found %s",
@@ -94,10 +94,10 @@
 		}
 		return nil, nil, err
 	}
-	if err := l.validate(); err != nil {
+	if err := run.validate(); err != nil {
 		return nil, nil, err
 	}
-	return &l, warnings, nil
+	return &run, warnings, nil
 }
 
 // checkFields returns warnings about missing and unknown fields, and an error if a required field is missing. A field
@@ -123,15 +123,15 @@
 }
 
 // validate checks the values of a line.
-func (l *Line) validate() error {
+func (run *Run) validate() error {
 	switch {
-	case !slices.Contains(outcomes, l.Outcome):
-		return fmt.Errorf("outcome %q is unknown", l.Outcome)
-	case !inRange(l.Started, l.Ended, l.Submitted, l.ExpectS):
+	case !slices.Contains(outcomes, run.Outcome):
+		return fmt.Errorf("outcome %q is unknown", run.Outcome)
+	case !inRange(run.Started, run.Ended, run.Submitted, run.ExpectS):
 		return errors.New("a time is out of range")
-	case l.Ended < l.Started:
+	case run.Ended < run.Started:
 		return errors.New("ended_s is before started_s")
-	case l.ExpectS < 0:
+	case run.ExpectS < 0:
 		return errors.New("expect_s is below 0")
 	}
 	return nil
@@ -152,7 +152,7 @@
 // Read reads a history and returns its runs, ordered by their end, and the number of skipped lines. It skips unusable
 // lines and calls report with each problem. A line that is out of order is reported but not skipped. The error is
 // ErrNoHistory if no line is usable, or that of the reader.
-func Read(r io.Reader, report func(Problem)) ([]Line, int, error) {
+func Read(r io.Reader, report func(Problem)) ([]Run, int, error) {
 	p := parser{report: report, latestEnd: math.Inf(-1)}
 	br := bufio.NewReaderSize(r, 64<<10)
 	for number := 1; ; number++ {
@@ -167,24 +167,24 @@
 			break
 		}
 	}
-	if len(p.lines) == 0 {
+	if len(p.runs) == 0 {
 		return nil, p.skipped, ErrNoHistory
 	}
-	slices.SortStableFunc(p.lines, func(a, b Line) int { return cmp.Compare(a.Ended, b.Ended) })
-	return p.lines, p.skipped, nil
+	slices.SortStableFunc(p.runs, func(a, b Run) int { return cmp.Compare(a.Ended, b.Ended) })
+	return p.runs, p.skipped, nil
 }
 
-// parser collects the lines of a history.
+// parser collects the runs of a history.
 type parser struct {
 	report    func(Problem)
-	lines     []Line
+	runs      []Run
 	skipped   int
 	latestEnd float64 // latest end of the runs so far
 }
 
 // parse parses the line with the given number and collects its run and its problems.
 func (p *parser) parse(number int, raw []byte, tooLong bool) {
-	l, warnings, err := Parse(raw)
+	run, warnings, err := Parse(raw)
 	if tooLong {
 		err = errors.New("longer than 1 MiB")
 	}
@@ -196,11 +196,11 @@
 	for _, warning := range warnings {
 		p.report(Problem{Line: number, Message: warning})
 	}
-	if l.Ended < p.latestEnd {
+	if run.Ended < p.latestEnd {
 		p.report(Problem{Line: number, Message: "out of order by ended_s"})
 	}
-	p.latestEnd = max(p.latestEnd, l.Ended)
-	p.lines = append(p.lines, *l)
+	p.latestEnd = max(p.latestEnd, run.Ended)
+	p.runs = append(p.runs, *run)
 }
 
 // readLine reads a line. If tooLong is true, the line exceeds maxLineBytes and is returned incompletely.
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -41,9 +41,9 @@
 }
 
 // generate returns a history of n runs, some of them concurrent.
-func generate(w workload, seed uint64, n int) []Line {
+func generate(w workload, seed uint64, n int) []Run {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	var lines []Line
+	var lines []Run
 	at := 0.0
 	for i := range n {
 		at += rnd.ExpFloat64() * 12
@@ -59,7 +59,7 @@
 			y += w.change(float64(i) / float64(n))
 		}
 		ran := math.Exp(y)
-		l := Line{
+		l := Run{
 			Ref:       fmt.Sprint("j-", i),
 			Class:     class,
 			Team:      "t",
@@ -82,7 +82,7 @@
 		}
 		lines = append(lines, l)
 	}
-	slices.SortStableFunc(lines, func(a, b Line) int { return int(math.Copysign(1, a.Ended-b.Ended)) })
+	slices.SortStableFunc(lines, func(a, b Run) int { return int(math.Copysign(1, a.Ended-b.Ended)) })
 	return lines
 }
 
--- a/internal/history/names_test.go
+++ b/internal/history/names_test.go
@@ -8,5 +8,5 @@
 
 // The JSON names of histories and of the results of replays don't change, because files and tools use them.
 func TestJSONNames(t *testing.T) {
-	golden.Check(t, "names.txt", golden.Names("json", Line{}, Result{}))
+	golden.Check(t, "names.txt", golden.Names("json", Run{}, Result{}))
 }
--- a/internal/history/replay.go
+++ b/internal/history/replay.go
@@ -56,7 +56,7 @@
 // intervals are the names of estimate.Intervals, in the same order.
 var intervals = [...]string{"0.5", "0.8", "0.95"}
 
-// runningHeap is a heap of the indices of the lines of active runs. As lines are sorted by their end, the run that ends
+// runningHeap is a heap of the indices of active runs. As runs are sorted by their end, the run that ends
 // first is at the top.
 type runningHeap struct{ indices []int }
 
@@ -72,8 +72,8 @@
 
 // prediction is the estimate of a run at its start.
 type prediction struct {
-	answer  estimate.Answer
-	similar int // number of runs of the same class and shape that had completed before
+	estimate estimate.RunTimeEstimate
+	similar  int // number of runs of the same class and shape that had completed before
 }
 
 // classScore accumulates the accuracy of the estimates of a class.
@@ -90,27 +90,27 @@
 
 // replay is the state of a replay.
 type replay struct {
-	lines       []Line
+	runs        []Run
 	model       *estimate.Model
 	scores      map[string]*classScore // by class
 	similar     map[[2]string]int      // number of completed runs, by class and shape
-	predictions []prediction           // by line
+	predictions []prediction           // by run
 	running     *runningHeap
 }
 
-// Replay replays a history, whose lines are sorted by their end, with a new model of run times. Each run is estimated
+// Replay replays a history, whose runs are sorted by their end, with a new model of run times. Each run is estimated
 // at its start, only from runs that have ended by then. The number of skipped lines is only copied to the result.
-func Replay(lines []Line, skipped int) *Result {
+func Replay(runs []Run, skipped int) *Result {
 	r := &replay{
-		lines:       lines,
+		runs:        runs,
 		model:       estimate.New(estimate.DefaultSettings(), 1),
 		scores:      map[string]*classScore{},
 		similar:     map[[2]string]int{},
-		predictions: make([]prediction, len(lines)),
+		predictions: make([]prediction, len(runs)),
 		running:     &runningHeap{},
 	}
-	for _, i := range startOrder(lines) {
-		for r.running.Len() > 0 && lines[r.running.indices[0]].Ended <= lines[i].Started {
+	for _, i := range startOrder(runs) {
+		for r.running.Len() > 0 && runs[r.running.indices[0]].Ended <= runs[i].Started {
 			r.endNext()
 		}
 		r.start(i)
@@ -121,43 +121,43 @@
 	return r.result(skipped)
 }
 
-// startOrder returns the indices of the lines, sorted by their start.
-func startOrder(lines []Line) []int {
-	order := make([]int, len(lines))
-	for i := range lines {
+// startOrder returns the indices of the runs, sorted by their start.
+func startOrder(runs []Run) []int {
+	order := make([]int, len(runs))
+	for i := range runs {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(lines[a].Started, lines[b].Started) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(runs[a].Started, runs[b].Started) })
 	return order
 }
 
 // start estimates a run and adds it to the active runs.
 func (r *replay) start(i int) {
-	l := &r.lines[i]
-	f := l.features()
-	r.predictions[i] = prediction{r.model.Estimate(&f), r.similar[[2]string{l.Class, l.Shape}]}
+	run := &r.runs[i]
+	f := run.features()
+	r.predictions[i] = prediction{r.model.Estimate(&f), r.similar[[2]string{run.Class, run.Shape}]}
 	heap.Push(r.running, i)
 }
 
 // endNext ends the active run that ends first. Its estimate is scored before the model observes its run time.
 func (r *replay) endNext() {
 	i := heap.Pop(r.running).(int)
-	l := &r.lines[i]
-	s := r.scores[l.Class]
+	run := &r.runs[i]
+	s := r.scores[run.Class]
 	if s == nil {
-		s = &classScore{ClassResult: ClassResult{Class: l.Class}}
-		r.scores[l.Class] = s
+		s = &classScore{ClassResult: ClassResult{Class: run.Class}}
+		r.scores[run.Class] = s
 	}
-	if l.Outcome == Done {
-		s.add(l, &r.predictions[i])
-		r.similar[[2]string{l.Class, l.Shape}]++
+	if run.Outcome == Done {
+		s.add(run, &r.predictions[i])
+		r.similar[[2]string{run.Class, run.Shape}]++
 	}
-	r.model.Observe(&estimate.Evidence{Features: l.features(), Ran: l.runTime(), Done: l.Outcome == Done})
+	r.model.Observe(&estimate.Observation{Features: run.features(), Elapsed: run.runTime(), Done: run.Outcome == Done})
 	r.predictions[i] = prediction{} // not needed any more
 }
 
 func (r *replay) result(skipped int) *Result {
-	result := &Result{Skipped: skipped, Changes: r.model.Changes()}
+	result := &Result{Skipped: skipped, Changes: r.model.DetectedChanges()}
 	for _, s := range r.scores {
 		result.Classes = append(result.Classes, s.result())
 	}
@@ -166,18 +166,18 @@
 }
 
 // features returns the features of the run that its estimate depends on.
-func (l *Line) features() estimate.Features {
+func (run *Run) features() estimate.Features {
 	return estimate.Features{
-		Image:   l.Image,
-		Shape:   l.Shape,
-		Class:   l.Class,
-		Team:    l.Team,
-		Expect:  micros(l.ExpectS),
-		Machine: l.Machine,
+		Image:        run.Image,
+		Shape:        run.Shape,
+		Class:        run.Class,
+		Team:         run.Team,
+		UserEstimate: micros(run.ExpectS),
+		Machine:      run.Machine,
 	}
 }
 
-func (l *Line) runTime() estimate.Micros { return micros(l.Ended - l.Started) }
+func (run *Run) runTime() estimate.Micros { return micros(run.Ended - run.Started) }
 
 func micros(s float64) estimate.Micros { return estimate.Micros(math.Round(s * 1e6)) }
 
@@ -186,14 +186,14 @@
 func logError(a, b float64) float64 { return math.Abs(math.Log(math.Max(a, 0.01) / math.Max(b, 0.01))) }
 
 // add scores the estimate of a run with the outcome Done.
-func (s *classScore) add(l *Line, p *prediction) {
+func (s *classScore) add(run *Run, p *prediction) {
 	s.Jobs++
-	ran := l.Ended - l.Started
-	median := float64(p.answer.Median) / 1e6
+	ran := run.Ended - run.Started
+	median := float64(p.estimate.Median) / 1e6
 	if p.similar == 0 {
-		s.addFirstSeen(&p.answer, logError(median, ran))
+		s.addFirstSeen(&p.estimate, logError(median, ran))
 	}
-	if p.similar < minimumSimilar || p.answer.Level == estimate.Unknown {
+	if p.similar < minimumSimilar || p.estimate.Level == estimate.Unknown {
 		return
 	}
 	s.WithSimilar++
@@ -205,26 +205,26 @@
 		}
 	}
 	for i := range intervals {
-		if d := l.runTime(); d >= p.answer.Low[i] && d <= p.answer.High[i] {
+		if d := run.runTime(); d >= p.estimate.Low[i] && d <= p.estimate.High[i] {
 			s.covered[i]++
 		}
 	}
-	if l.ExpectS > 0 {
+	if run.ExpectS > 0 {
 		s.withUserEstimate++
-		s.userLogErrors += logError(l.ExpectS, ran)
+		s.userLogErrors += logError(run.ExpectS, ran)
 	}
 	s.Points = append(s.Points, Point{
-		Ended:        l.Ended,
+		Ended:        run.Ended,
 		RunTime:      ran,
 		Median:       median,
-		Low:          float64(p.answer.Low[1]) / 1e6,
-		High:         float64(p.answer.High[1]) / 1e6,
-		UserEstimate: l.ExpectS,
+		Low:          float64(p.estimate.Low[1]) / 1e6,
+		High:         float64(p.estimate.High[1]) / 1e6,
+		UserEstimate: run.ExpectS,
 	})
 }
 
 // addFirstSeen scores the estimate of a run without similar earlier runs. The error is ignored if there is no estimate.
-func (s *classScore) addFirstSeen(a *estimate.Answer, absLogError float64) {
+func (s *classScore) addFirstSeen(a *estimate.RunTimeEstimate, absLogError float64) {
 	s.FirstSeen.Jobs++
 	if a.Level == estimate.Unknown {
 		s.FirstSeen.Unknown++
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -18,7 +18,7 @@
 // server simulates a node. If it is the leader, it has the runs from number first on.
 type server struct {
 	isLeader func() bool
-	runs     func() (first uint64, lines []history.Line)
+	runs     func() (first uint64, lines []history.Run)
 }
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -39,10 +39,10 @@
 	_ = json.NewEncoder(w).Encode(page)
 }
 
-func lines(prefix string, n int) []history.Line {
-	var out []history.Line
+func lines(prefix string, n int) []history.Run {
+	var out []history.Run
 	for i := range n {
-		out = append(out, history.Line{
+		out = append(out, history.Run{
 			Ref:     fmt.Sprint(prefix, i),
 			Class:   "c",
 			Started: 1,
@@ -59,12 +59,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	polls := 0
-	first := &server{isLeader: func() bool { return polls < 4 }, runs: func() (uint64, []history.Line) {
+	first := &server{isLeader: func() bool { return polls < 4 }, runs: func() (uint64, []history.Run) {
 		polls++
 		// Runs 0 to 2 are no longer available. One run ends before each of the first two polls.
 		return 3, lines("a", min(polls, 2))
 	}}
-	second := &server{isLeader: func() bool { return polls >= 4 }, runs: func() (uint64, []history.Line) {
+	second := &server{isLeader: func() bool { return polls >= 4 }, runs: func() (uint64, []history.Run) {
 		if polls++; polls > 7 {
 			cancel()
 		}
--- a/internal/startbound/log.go
+++ b/internal/startbound/log.go
@@ -19,11 +19,13 @@
 // Row is the result of a class in a log: the bound of the fraction of its jobs that start in time, and the fraction
 // that did start in time.
 type Row struct {
-	Class            string
-	Jobs             int
-	Gang             bool
-	Bound            float64 // 1 for a class that is not of gangs, whose jobs start with one task
-	Started, Largest float64 // fractions that started in time: of all its jobs, and of its largest jobs
+	Class string
+	Jobs  int
+	Gang  bool
+	Bound float64 // 1 for a class that is not of gangs, whose jobs start with one task
+	// StartedShare and LargestStartedShare are the fractions of all its jobs and of its largest jobs that started
+	// in time.
+	StartedShare, LargestStartedShare float64
 }
 
 // Log is the data about a workload from the debug logs of nodes.
@@ -148,8 +150,8 @@
 		row, ids := rowOf[class], jobsOf[class]
 		slices.SortStableFunc(ids, func(a, b string) int { return cmp.Compare(l.jobs[b].Tasks, l.jobs[a].Tasks) })
 		row.Jobs = len(ids)
-		row.Started = l.startedShare(ids, within)
-		row.Largest = l.startedShare(ids[:largestCount(len(ids))], within)
+		row.StartedShare = l.startedShare(ids, within)
+		row.LargestStartedShare = l.startedShare(ids[:largestCount(len(ids))], within)
 		if row.Gang {
 			row.Bound = bound.StartShare[class]
 		}
--- a/internal/startbound/log_test.go
+++ b/internal/startbound/log_test.go
@@ -30,10 +30,10 @@
 		t.Fatal(err)
 	}
 	if len(rows) != 2 || rows[1].Class != "train" || rows[1].Jobs != 8 ||
-		rows[1].Bound < 0.45 || rows[1].Bound > 0.55 || rows[1].Started != 0.125 || rows[1].Largest != 1 {
+		rows[1].Bound < 0.45 || rows[1].Bound > 0.55 || rows[1].StartedShare != 0.125 || rows[1].LargestStartedShare != 1 {
 		t.Errorf("got %+v, want 2 rows, the second of train: 8 jobs, bound 0.5, started 0.125, largest 1", rows)
 	}
-	if rows[0].Bound != 1 || rows[0].Started != 0 {
+	if rows[0].Bound != 1 || rows[0].StartedShare != 0 {
 		t.Errorf("got %+v, want bound 1 and no jobs started", rows[0])
 	}
 	if _, err := new(Log).Rows(1, 240); err == nil {
