--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -140,7 +140,7 @@
 
 // remove deletes a machine, whose tasks must have ended.
 func (c *Cloud) remove(now Micros, m *Machine) {
-	c.events.emit(invariants.Event{At: now, Kind: invariants.MachineGone, Machine: m.Name})
+	c.events.emit(invariants.Event{At: now, Kind: invariants.MachineRemoved, Machine: m.Name})
 	if !m.Spot {
 		c.Capacity[m.Zone]++
 	}
--- a/internal/faulttest/evaluation.go
+++ b/internal/faulttest/evaluation.go
@@ -49,11 +49,11 @@
 func (e *evaluation) rules() invariants.Rules {
 	d := &e.scenario.Deploy
 	rules := invariants.Rules{
-		CancelIn:   config.FromSeconds(d.CancelS),
-		Silence:    maxPollFailure,
-		Settled:    e.runStart + config.FromSeconds(e.scenario.lastFaultEndS()),
-		Unanswered: maxPollFailureAfterFaults,
-		Teams:      map[string]invariants.Limit{},
+		CancelTimeout:             config.FromSeconds(d.CancelS),
+		MaxPollFailure:            maxPollFailure,
+		FaultsEndedAt:             e.runStart + config.FromSeconds(e.scenario.lastFaultEndS()),
+		MaxPollFailureAfterFaults: maxPollFailureAfterFaults,
+		Teams:                     map[string]invariants.Limit{},
 	}
 	for _, name := range e.scenario.teams() {
 		rules.Teams[name] = invariants.Limit{GPUs: d.TeamGPUs}
--- a/internal/faulttest/outcomes.go
+++ b/internal/faulttest/outcomes.go
@@ -95,7 +95,7 @@
 	if o.accepted < 0 {
 		o.accepted = at
 	}
-	o.cancelled = o.cancelled || e.Said == wire.Cancelled
+	o.cancelled = o.cancelled || e.JobStatus == wire.Cancelled
 }
 
 func (rec *outcomeRecorder) taskStarted(o *jobOutcome, e *invariants.Event, at float64) {
--- a/internal/faulttest/status.go
+++ b/internal/faulttest/status.go
@@ -113,7 +113,7 @@
 		if e.Via == invariants.BySubmit && isSuccess(e.Status) {
 			counts.Accepted++
 		}
-		if e.Said == wire.Cancelled && !w.cancelled[e.Job] {
+		if e.JobStatus == wire.Cancelled && !w.cancelled[e.Job] {
 			w.cancelled[e.Job] = true
 			counts.Cancelled++
 		}
--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -102,7 +102,7 @@
 		c.taskStopped(e.Job, placement{e.Task, e.Attempt, e.Machine})
 	case TaskDone:
 		c.job(e.Job).done[e.Task] = true
-	case MachineGone:
+	case MachineRemoved:
 		for p, id := range c.byMachine[e.Machine] {
 			c.taskStopped(id, p)
 		}
@@ -115,7 +115,7 @@
 	j := c.jobs[e.Job]
 	if j == nil || j.spec == nil {
 		if e.Status == http.StatusOK && e.Via != BySubmit {
-			c.report(ruleNeverSubmitted, e.At, "job %s: reported as %s but never submitted", e.Job, e.Said)
+			c.report(ruleNeverSubmitted, e.At, "job %s: reported as %s but never submitted", e.Job, e.JobStatus)
 		}
 		return
 	}
@@ -130,10 +130,10 @@
 		return
 	}
 	j.accepted = true
-	if j.finalState != "" && e.Said != j.finalState {
-		c.report(ruleInvalidFinalState, e.At, "job %s: final state changed from %s to %s", e.Job, j.finalState, e.Said)
+	if j.finalState != "" && e.JobStatus != j.finalState {
+		c.report(ruleInvalidFinalState, e.At, "job %s: final state changed from %s to %s", e.Job, j.finalState, e.JobStatus)
 	}
-	switch e.Said {
+	switch e.JobStatus {
 	case statusDone:
 		c.checkReportedDone(e, j)
 	case statusCancelled:
@@ -184,19 +184,19 @@
 }
 
 // checkDependencies checks that a job that is reported as queued or running depends on no job that was
-// cancelled more than Rules.CancelIn before. Each job is reported once.
+// cancelled more than Rules.CancelTimeout before. Each job is reported once.
 func (c *checker) checkDependencies(e *Event, j *job) {
 	at := c.dependencyCancelledAt(e.Job, map[string]bool{})
-	if at != 0 && e.At-at > c.rules.CancelIn && !j.orphanReported {
+	if at != 0 && e.At-at > c.rules.CancelTimeout && !j.orphanReported {
 		j.orphanReported = true
 		c.report(ruleOrphaned, e.At, "job %s: reported as %s, but a dependency was cancelled at %.3f s",
-			e.Job, e.Said, seconds(at))
+			e.Job, e.JobStatus, seconds(at))
 	}
 }
 
-// checkPoll finds accepted jobs for which all polls have failed for too long: for Rules.Unanswered after
-// the end of the faults, or for Rules.Silence while polls for other jobs were answered. If the polls keep
-// failing, the job is reported again after the same time.
+// checkPoll finds accepted jobs for which all polls have failed for too long: for
+// Rules.MaxPollFailureAfterFaults after the end of the faults, or for Rules.MaxPollFailure while polls for
+// other jobs were answered. If the polls keep failing, the job is reported again after the same time.
 func (c *checker) checkPoll(e *Event, j *job, success bool) {
 	if success || e.Status == http.StatusNotFound {
 		j.failingSince = 0
@@ -209,15 +209,15 @@
 	if !j.accepted {
 		return
 	}
-	settledSince := max(j.failingSince, c.rules.Settled)
-	if c.rules.Unanswered != 0 && e.At-settledSince >= c.rules.Unanswered {
+	failingAfterFaultsSince := max(j.failingSince, c.rules.FaultsEndedAt)
+	if c.rules.MaxPollFailureAfterFaults != 0 && e.At-failingAfterFaultsSince >= c.rules.MaxPollFailureAfterFaults {
 		c.report(ruleJobLost, e.At, "job %s: no poll answered since %.3f s, after the end of all faults",
-			e.Job, seconds(settledSince))
+			e.Job, seconds(failingAfterFaultsSince))
 		j.failingSince = e.At
 		return
 	}
 	othersAnswered := c.lastAnsweredPoll >= j.failingSince
-	if c.rules.Silence != 0 && e.At-j.failingSince >= c.rules.Silence && othersAnswered {
+	if c.rules.MaxPollFailure != 0 && e.At-j.failingSince >= c.rules.MaxPollFailure && othersAnswered {
 		c.report(ruleJobLost, e.At, "job %s: all polls failed since %.3f s while others were answered",
 			e.Job, seconds(j.failingSince))
 		j.failingSince = e.At
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -8,7 +8,7 @@
 const second = 1_000_000
 
 // rules is applied to the histories of the tests.
-var rules = Rules{CancelIn: 10 * second, Silence: 90 * second, Teams: map[string]Limit{"red": {GPUs: 4}}}
+var rules = Rules{CancelTimeout: 10 * second, MaxPollFailure: 90 * second, Teams: map[string]Limit{"red": {GPUs: 4}}}
 
 // validHistory returns a history without violations: two jobs that run one after the other, and a third
 // that is cancelled together with a job that depends on it.
@@ -22,31 +22,31 @@
 		{At: at(0), Kind: MachineAdded, Machine: "m2", Host: &Host{"t4", "b", false}},
 		{At: at(0), Kind: MachineAdded, Machine: "m3", Host: &Host{"t4", "a", true}},
 		{At: at(1), Kind: JobSubmitted, Job: "j-1", Spec: spec(2)},
-		{At: at(1.1), Kind: Answered, Job: "j-1", Via: BySubmit, Status: 201, Said: "queued"},
+		{At: at(1.1), Kind: Answered, Job: "j-1", Via: BySubmit, Status: 201, JobStatus: "queued"},
 		{At: at(2), Kind: JobSubmitted, Job: "j-2", Spec: spec(1, "j-1")},
-		{At: at(2.1), Kind: Answered, Job: "j-2", Via: BySubmit, Status: 201, Said: "queued"},
+		{At: at(2.1), Kind: Answered, Job: "j-2", Via: BySubmit, Status: 201, JobStatus: "queued"},
 		{At: at(3), Kind: TaskStarted, Job: "j-1", Task: 0, Attempt: 1, Machine: "m1"},
 		{At: at(3), Kind: TaskStarted, Job: "j-1", Task: 1, Attempt: 1, Machine: "m1"},
-		{At: at(4), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "running"},
+		{At: at(4), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, JobStatus: "running"},
 		{At: at(5), Kind: TaskDone, Job: "j-1", Task: 0},
 		{At: at(5), Kind: TaskStopped, Job: "j-1", Task: 0, Attempt: 1, Machine: "m1"},
 		{At: at(6), Kind: TaskDone, Job: "j-1", Task: 1},
 		{At: at(6), Kind: TaskStopped, Job: "j-1", Task: 1, Attempt: 1, Machine: "m1"},
-		{At: at(7), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "done"},
+		{At: at(7), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, JobStatus: "done"},
 		{At: at(8), Kind: TaskStarted, Job: "j-2", Task: 0, Attempt: 1, Machine: "m2"},
 		{At: at(9), Kind: TaskDone, Job: "j-2", Task: 0},
 		{At: at(9), Kind: TaskStopped, Job: "j-2", Task: 0, Attempt: 1, Machine: "m2"},
 		{At: at(10), Kind: JobSubmitted, Job: "j-3", Spec: spec(2)},
-		{At: at(10.1), Kind: Answered, Job: "j-3", Via: BySubmit, Status: 201, Said: "queued"},
+		{At: at(10.1), Kind: Answered, Job: "j-3", Via: BySubmit, Status: 201, JobStatus: "queued"},
 		{At: at(11), Kind: JobSubmitted, Job: "j-4", Spec: spec(1, "j-3")},
-		{At: at(11.1), Kind: Answered, Job: "j-4", Via: BySubmit, Status: 201, Said: "queued"},
+		{At: at(11.1), Kind: Answered, Job: "j-4", Via: BySubmit, Status: 201, JobStatus: "queued"},
 		{At: at(12), Kind: TaskStarted, Job: "j-3", Task: 0, Attempt: 1, Machine: "m1"},
 		{At: at(13), Kind: CancelRequested, Job: "j-3"},
-		{At: at(14), Kind: Answered, Job: "j-3", Via: ByCancel, Status: 200, Said: "cancelled"},
+		{At: at(14), Kind: Answered, Job: "j-3", Via: ByCancel, Status: 200, JobStatus: "cancelled"},
 		{At: at(16), Kind: TaskStopped, Job: "j-3", Task: 0, Attempt: 1, Machine: "m1"},
-		{At: at(17), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, Said: "cancelled"},
+		{At: at(17), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, JobStatus: "cancelled"},
 		{At: at(18), Kind: Answered, Job: "j-99", Via: ByPoll, Status: 404},
-		{At: at(200), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "done"},
+		{At: at(200), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, JobStatus: "done"},
 	}
 }
 
@@ -61,7 +61,7 @@
 func TestUnanswered(t *testing.T) {
 	t.Parallel()
 	settled := rules
-	settled.Settled, settled.Unanswered = 300*second, 75*second
+	settled.FaultsEndedAt, settled.MaxPollFailureAfterFaults = 300*second, 75*second
 	for _, tt := range []struct {
 		upTo float64 // time in seconds until which polls fail
 		want int
@@ -122,20 +122,20 @@
 		"task starts after the cancellation":        {"ran_cancelled", insert(Event{At: at(30), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m1"})},
 		"404 for an accepted job":                   {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 404})},
 		"422 for a repeated submission":             {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: BySubmit, Status: 422})},
-		"a job that was never submitted":            {"invented", insert(Event{At: at(8), Kind: Answered, Job: "j-99", Via: ByPoll, Status: 200, Said: "queued"})},
+		"a job that was never submitted":            {"invented", insert(Event{At: at(8), Kind: Answered, Job: "j-99", Via: ByPoll, Status: 200, JobStatus: "queued"})},
 		"a task of a job that was never submitted":  {"invented", insert(Event{At: at(8), Kind: TaskStarted, Job: "j-99", Machine: "m1"})},
 		"done with a task missing":                  {"not_done", all(remove(TaskStarted, "j-2"), change(TaskDone, "j-1", func(e *Event) { e.Task = 1 }))},
-		"done and then running":                     {"went_back", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "running"})},
+		"done and then running":                     {"went_back", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, JobStatus: "running"})},
 		"cancelled without request":                 {"went_back", remove(CancelRequested, "j-3")},
 		"started before a dependency is done":       {"too_early", change(TaskStarted, "j-2", func(e *Event) { e.At = at(5.5) })},
-		"queued although a dependency is cancelled": {"orphaned", all(remove(Answered, "j-4"), insert(Event{At: at(30), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, Said: "queued"}))},
+		"queued although a dependency is cancelled": {"orphaned", all(remove(Answered, "j-4"), insert(Event{At: at(30), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, JobStatus: "queued"}))},
 		"no task starts": {"nothing_ran", func(h []Event) []Event {
-			return slices.DeleteFunc(h, func(e Event) bool { return e.Kind != JobSubmitted && (e.Kind != Answered || e.Said == "done") })
+			return slices.DeleteFunc(h, func(e Event) bool { return e.Kind != JobSubmitted && (e.Kind != Answered || e.JobStatus == "done") })
 		}},
 		"every poll fails": {"forgotten", func(h []Event) []Event {
 			for s := 20.0; s < 130; s += 5 {
 				h = append(h, Event{At: at(s), Kind: Answered, Job: "j-2", Via: ByPoll, Status: 503},
-					Event{At: at(s), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, Said: "done"})
+					Event{At: at(s), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, JobStatus: "done"})
 			}
 			return h
 		}},
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -18,7 +18,7 @@
 	CancelRequested Kind = "asked"     // a user requests the cancellation of a job
 	Answered        Kind = "told"      // a user receives an answer, or a request fails without one
 	MachineAdded    Kind = "machine"   // a machine is rented
-	MachineGone     Kind = "gone"      // a machine is removed with all tasks on it
+	MachineRemoved  Kind = "gone"      // a machine is removed with all tasks on it
 	TaskStarted     Kind = "on"        // a task starts on a machine
 	TaskStopped     Kind = "off"       // a task is no longer on its machine
 	TaskDone        Kind = "done"      // a task has completed
@@ -31,7 +31,7 @@
 	ByCancel = "cancel"
 )
 
-// The states of a job in answers to users: values of Event.Said.
+// The states of a job in answers to users: values of Event.JobStatus.
 const (
 	statusQueued    = "queued"
 	statusRunning   = "running"
@@ -56,17 +56,17 @@
 
 // Event is an observation of a user, a worker or the cloud.
 type Event struct {
-	At      Micros `json:"at"`
-	Kind    Kind   `json:"kind"`
-	Job     string `json:"job,omitempty"`
-	Task    int    `json:"task,omitempty"`
-	Attempt uint64 `json:"attempt,omitempty"`
-	Machine string `json:"machine,omitempty"`
-	Spec    *Spec  `json:"spec,omitempty"`   // of JobSubmitted
-	Host    *Host  `json:"host,omitempty"`   // of MachineAdded
-	Via     string `json:"via,omitempty"`    // of Answered: BySubmit, ByPoll or ByCancel
-	Status  int    `json:"status,omitempty"` // of Answered: the HTTP status; 0 if there was no answer
-	Said    string `json:"said,omitempty"`   // of Answered: the state of the job: queued, running, done or cancelled
+	At        Micros `json:"at"`
+	Kind      Kind   `json:"kind"`
+	Job       string `json:"job,omitempty"`
+	Task      int    `json:"task,omitempty"`
+	Attempt   uint64 `json:"attempt,omitempty"`
+	Machine   string `json:"machine,omitempty"`
+	Spec      *Spec  `json:"spec,omitempty"`   // of JobSubmitted
+	Host      *Host  `json:"host,omitempty"`   // of MachineAdded
+	Via       string `json:"via,omitempty"`    // of Answered: BySubmit, ByPoll or ByCancel
+	Status    int    `json:"status,omitempty"` // of Answered: the HTTP status; 0 if there was no answer
+	JobStatus string `json:"said,omitempty"`   // of Answered: the state of the job: queued, running, done or cancelled
 }
 
 // Spec holds the properties of a job that the rules depend on.
@@ -95,14 +95,14 @@
 
 // Rules are the parameters of the rules.
 type Rules struct {
-	// CancelIn is how long tasks may remain on machines after a user was answered that their job is cancelled.
-	CancelIn Micros
-	// Silence is how long all polls for a job may fail while others are answered; unlimited if 0.
-	Silence Micros
-	// Settled is when the last fault ended. Unanswered is how long all polls for a job may fail from then
-	// on, whether or not polls for others are answered; unlimited if 0.
-	Settled, Unanswered Micros
-	Teams               map[string]Limit // quotas by team; teams that are not listed are unlimited
+	// CancelTimeout is how long tasks may remain on machines after a user was answered that their job is cancelled.
+	CancelTimeout Micros
+	// MaxPollFailure is how long all polls for a job may fail while others are answered; unlimited if 0.
+	MaxPollFailure Micros
+	// FaultsEndedAt is when the last fault ended. MaxPollFailureAfterFaults is how long all polls for a job may
+	// fail from then on, whether or not polls for others are answered; unlimited if 0.
+	FaultsEndedAt, MaxPollFailureAfterFaults Micros
+	Teams                                    map[string]Limit // quotas by team; teams that are not listed are unlimited
 }
 
 // Violation is a violation of a rule, found in a history.
--- a/internal/invariants/tasks.go
+++ b/internal/invariants/tasks.go
@@ -19,7 +19,7 @@
 			c.report(ruleRanTwice, e.At, "task %s/%d: starts on %s while on %s", e.Job, e.Task, e.Machine, p.machine)
 		}
 	}
-	if j.cancelledAt != 0 && e.At-j.cancelledAt > c.rules.CancelIn {
+	if j.cancelledAt != 0 && e.At-j.cancelledAt > c.rules.CancelTimeout {
 		c.report(ruleRanCancelled, e.At, "task %s/%d: starts on %s, %.3f s after the cancellation was answered",
 			e.Job, e.Task, e.Machine, seconds(e.At-j.cancelledAt))
 	}
@@ -123,11 +123,11 @@
 	c.used[j.spec.Team] = used
 }
 
-// checkCancelDeadlines finds cancelled jobs with tasks that are still on machines after Rules.CancelIn.
+// checkCancelDeadlines finds cancelled jobs with tasks that are still on machines after Rules.CancelTimeout.
 // Each job is reported once.
 func (c *checker) checkCancelDeadlines(now Micros) {
 	for id, j := range c.cancelPending {
-		if now-j.cancelledAt <= c.rules.CancelIn {
+		if now-j.cancelledAt <= c.rules.CancelTimeout {
 			continue
 		}
 		delete(c.cancelPending, id)
--- a/internal/scale/machines.go
+++ b/internal/scale/machines.go
@@ -41,7 +41,7 @@
 			return
 		}
 		r.startLater(up, start)
-	case invariants.MachineGone:
+	case invariants.MachineRemoved:
 		r.mu.Lock()
 		h := r.hostByMachine[e.Machine]
 		delete(r.hostByMachine, e.Machine)
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -159,9 +159,9 @@
 func (r *region) rules() invariants.Rules {
 	s := r.settings
 	rules := invariants.Rules{
-		CancelIn:   config.FromSeconds(s.Protocol.CancelS),
-		Silence:    maxSilence,
-		Unanswered: maxUnanswered,
+		CancelTimeout:   config.FromSeconds(s.Protocol.CancelS),
+		MaxPollFailure:    maxSilence,
+		MaxPollFailureAfterFaults: maxUnanswered,
 		Teams:      map[string]invariants.Limit{},
 	}
 	for i := range s.Teams {
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -177,7 +177,7 @@
 
 // recordAnswer records an answer to a user.
 func (u *users) recordAnswer(id, via string, a *jobclient.Answer) {
-	u.region.record(invariants.Event{At: now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, Said: a.Job.Status})
+	u.region.record(invariants.Event{At: now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, JobStatus: a.Job.Status})
 	if !a.Accepted() {
 		u.mu.Lock()
 		u.errors[via+" "+strconv.Itoa(a.Status)]++
