--- a/cmd/coralhub/experiment.go
+++ b/cmd/coralhub/experiment.go
@@ -40,7 +40,7 @@
 				}
 				opt := faulttest.Options{Program: program, LogLevel: "info", Dir: folder}
 				opt.OnProgress = func(line string) { fmt.Fprintln(cmd.ErrOrStderr(), line) }
-				table, err := e.Play(ctx, opt)
+				table, err := e.Run(ctx, opt)
 				if err != nil {
 					return err
 				}
@@ -60,7 +60,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "measure\tvariant\tmedian\tspread\tratio\tverdict\t")
 	for _, r := range table.Rows {
-		fmt.Fprintf(w, "%s\t%s\t%.3g\t%.3g\t%.3f\t%s\t\n", r.Measure, r.Variant, r.Median, r.Spread, r.Against, r.Verdict)
+		fmt.Fprintf(w, "%s\t%s\t%.3g\t%.3g\t%.3f\t%s\t\n", r.Measure, r.Variant, r.Median, r.Spread, r.MedianRatio, r.Verdict)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/cmd/coralhub/faulttest.go
+++ b/cmd/coralhub/faulttest.go
@@ -40,7 +40,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(w, "%s\t%.0f s\t%s\n", name, s.DurationS, s.About)
+				fmt.Fprintf(w, "%s\t%.0f s\t%s\n", name, s.DurationS, s.Description)
 			}
 			return w.Flush()
 		},
@@ -127,7 +127,7 @@
 		s = s.Scaled(f.scale)
 	}
 	if f.speed != 1 {
-		s = s.Sped(f.speed)
+		s = s.SpedUp(f.speed)
 	}
 	return s, nil
 }
@@ -148,7 +148,7 @@
 		return nil, err
 	}
 	if err != nil {
-		return &faulttest.Result{Scenario: s.Name, Seed: f.seed, Why: err.Error()}, nil
+		return &faulttest.Result{Scenario: s.Name, Seed: f.seed, FailureReason: err.Error()}, nil
 	}
 	return res, nil
 }
@@ -158,7 +158,7 @@
 	if f.plain || f.asJSON {
 		return nil
 	}
-	title := s.Name + ": " + s.About
+	title := s.Name + ": " + s.Description
 	if file, ok := out.(*os.File); ok && isatty.IsTerminal(file.Fd()) {
 		screen := view.Open(ctx, file, stop, title)
 		opt.OnStatus = screen.Show
@@ -194,7 +194,7 @@
 		_, err := fmt.Fprintf(out, "PASS %s\n", res.Scenario)
 		return err
 	}
-	_, err := fmt.Fprintf(out, "FAIL %s: %s\n", res.Scenario, res.Why)
+	_, err := fmt.Fprintf(out, "FAIL %s: %s\n", res.Scenario, res.FailureReason)
 	return err
 }
 
@@ -220,7 +220,7 @@
 		if !f.Met {
 			mark = "missed"
 		}
-		fmt.Fprintf(out, "%s %s: %.3f of %d\n", mark, f.Expect, f.Found, f.Of)
+		fmt.Fprintf(out, "%s %s: %.3f of %d\n", mark, f.Expect, f.Share, f.Jobs)
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 		Example: "  coralhub faulttest report /tmp/coralhub-runs/surge-20261201-101500-123456789 --out surge.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			res, err := faulttest.Open(args[0])
+			res, err := faulttest.ReadResult(args[0])
 			if err != nil {
 				return err
 			}
@@ -244,7 +244,7 @@
 			if err != nil {
 				return err
 			}
-			if err := errors.Join(faulttest.Report(f, res), f.Close()); err != nil {
+			if err := errors.Join(faulttest.WriteReport(f, res), f.Close()); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintln(cmd.OutOrStdout(), out)
--- a/internal/emulator/cloud_server.go
+++ b/internal/emulator/cloud_server.go
@@ -23,10 +23,10 @@
 // admitCloud refuses requests to the cloud that exceed the quota or arrive in an outage.
 func (s *Servers) admitCloud(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		off := false
-		s.WithLock(func() { off = s.Environment.CloudDown })
+		down := false
+		s.WithLock(func() { down = s.Environment.CloudDown })
 		switch {
-		case off:
+		case down:
 			writeOutage(w)
 		case !s.cloudRequests.Allow():
 			writeTooManyRequests(w)
--- a/internal/faulttest/compare.go
+++ b/internal/faulttest/compare.go
@@ -15,13 +15,13 @@
 // Comparison holds the values of one measure for a variant and compares them with those of the first
 // variant, the baseline.
 type Comparison struct {
-	Variant string    `json:"variant"`
-	Measure string    `json:"measure"`
-	Values  []float64 `json:"values"` // one per seed
-	Median  float64   `json:"median"`
-	Spread  float64   `json:"spread"`  // interquartile range
-	Against float64   `json:"against"` // median of the pairwise ratios to the baseline
-	Verdict string    `json:"verdict"`
+	Variant     string    `json:"variant"`
+	Measure     string    `json:"measure"`
+	Values      []float64 `json:"values"` // one per seed
+	Median      float64   `json:"median"`
+	Spread      float64   `json:"spread"`  // interquartile range
+	MedianRatio float64   `json:"against"` // median of the pairwise ratios to the baseline
+	Verdict     string    `json:"verdict"`
 }
 
 // Table is the result of an experiment.
@@ -56,15 +56,15 @@
 		}
 	}
 	c.Median = median(c.Values)
-	c.Against = median(ratios)
+	c.MedianRatio = median(ratios)
 	sorted := slices.Sorted(slices.Values(c.Values))
 	c.Spread = sorted[len(sorted)*3/4] - sorted[len(sorted)/4]
 	c.Verdict = Noise
-	if math.Abs(c.Against-1) < minRelativeDifference || signTest(above, below) > maxChanceProbability {
+	if math.Abs(c.MedianRatio-1) < minRelativeDifference || signTest(above, below) > maxChanceProbability {
 		return
 	}
 	c.Verdict = Worse
-	if (c.Against > 1) == moreIsBetter {
+	if (c.MedianRatio > 1) == moreIsBetter {
 		c.Verdict = Better
 	}
 }
--- a/internal/faulttest/expectations.go
+++ b/internal/faulttest/expectations.go
@@ -19,8 +19,8 @@
 // Finding is the result of evaluating an expectation.
 type Finding struct {
 	Expect string  `json:"expect"`
-	Found  float64 `json:"found"` // the share that met it
-	Of     int     `json:"of"`    // number of jobs counted
+	Share  float64 `json:"found"` // the share that met it
+	Jobs   int     `json:"of"`    // number of jobs counted
 	Met    bool    `json:"met"`
 }
 
@@ -145,7 +145,7 @@
 		if !s.applies {
 			continue
 		}
-		f.Of++
+		f.Jobs++
 		met += s.met
 		weight += s.weight
 	}
@@ -153,8 +153,8 @@
 		f.Met = expect.Share == 0
 		return f, nil
 	}
-	f.Found = met / weight
-	f.Met = f.Found >= expect.Share-tolerance
+	f.Share = met / weight
+	f.Met = f.Share >= expect.Share-tolerance
 	return f, nil
 }
 
@@ -164,7 +164,7 @@
 		within = defaultStartWithinS
 	}
 	shares, jobs := e.startedInTime(within)
-	f := Finding{Expect: expect.String(), Found: shares.minShare(expect.Class), Of: jobs}
-	f.Met = f.Found >= expect.Share-tolerance
+	f := Finding{Expect: expect.String(), Share: shares.minShare(expect.Class), Jobs: jobs}
+	f.Met = f.Share >= expect.Share-tolerance
 	return f
 }
--- a/internal/faulttest/experiment.go
+++ b/internal/faulttest/experiment.go
@@ -62,8 +62,8 @@
 	return e, err
 }
 
-// Play runs the scenario for each seed with every variant, one run at a time, and compares the measures.
-func (e *Experiment) Play(ctx context.Context, opt Options) (*Table, error) {
+// Run runs the scenario for each seed with every variant, one run at a time, and compares the measures.
+func (e *Experiment) Run(ctx context.Context, opt Options) (*Table, error) {
 	results := make([][]*Result, len(e.Variants)) // indexed by variant, then by seed
 	table := &Table{Name: e.Name}
 	for _, seed := range e.Seeds {
@@ -74,10 +74,10 @@
 				return nil, err
 			}
 			if !res.Passed {
-				table.Failed = append(table.Failed, fmt.Sprintf("variant %s, seed %d: %s", v.Name, seed, res.Why))
+				table.Failed = append(table.Failed, fmt.Sprintf("variant %s, seed %d: %s", v.Name, seed, res.FailureReason))
 			}
 			if opt.OnProgress != nil {
-				opt.OnProgress(fmt.Sprintf("variant %s, seed %d: run took %.0f s", v.Name, seed, res.TookS))
+				opt.OnProgress(fmt.Sprintf("variant %s, seed %d: run took %.0f s", v.Name, seed, res.ElapsedS))
 			}
 			results[i] = append(results[i], res)
 		}
--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -72,7 +72,7 @@
 		if s.Name != name || len(s.Expectations) == 0 {
 			t.Errorf("scenario %s: name %q, %d expectations", name, s.Name, len(s.Expectations))
 		}
-		if x := s.Sped(4); taskSeconds(x) < 0.6*taskSeconds(s) || taskSeconds(x) > 1.7*taskSeconds(s) {
+		if x := s.SpedUp(4); taskSeconds(x) < 0.6*taskSeconds(s) || taskSeconds(x) > 1.7*taskSeconds(s) {
 			t.Errorf("scenario %s sped up by 4: %.0f task seconds, %.0f before", name, taskSeconds(x), taskSeconds(s))
 		}
 		if a, b := s.plan(5), s.plan(5); !reflect.DeepEqual(a, b) || len(a) == 0 {
@@ -169,7 +169,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := Open(dir); err != nil || again.Passed != res.Passed {
+	if again, err := ReadResult(dir); err != nil || again.Passed != res.Passed {
 		t.Errorf("result read back: %+v, error %v", again, err)
 	}
 	return res
@@ -180,7 +180,7 @@
 	t.Parallel()
 	res := runScenario(t, shortScenario, nil)
 	if !res.Passed {
-		t.Errorf("run failed: %s", res.Why)
+		t.Errorf("run failed: %s", res.FailureReason)
 	}
 	restarts := 0
 	for _, n := range res.Nodes {
@@ -190,7 +190,7 @@
 		t.Errorf("%d restarts (want 1), %d machines, %d seconds of load", restarts, res.Machines, len(res.Load))
 	}
 	var page bytes.Buffer
-	if err := Report(&page, res); err != nil || !strings.Contains(page.String(), "PASS") {
+	if err := WriteReport(&page, res); err != nil || !strings.Contains(page.String(), "PASS") {
 		t.Errorf("report without PASS, or error: %v", err)
 	}
 }
@@ -218,11 +218,11 @@
 		x.remaining.Store(20)
 		return x
 	})
-	if res.Passed || !strings.Contains(res.Why, "open files of the test process reached") || len(res.Violations) > 0 {
-		t.Errorf("passed %t, reason %q, violations %v", res.Passed, res.Why, res.Violations)
+	if res.Passed || !strings.Contains(res.FailureReason, "open files of the test process reached") || len(res.Violations) > 0 {
+		t.Errorf("passed %t, reason %q, violations %v", res.Passed, res.FailureReason, res.Violations)
 	}
-	if res.TookS > 4 {
-		t.Errorf("run took %.1f s, want at most 4", res.TookS)
+	if res.ElapsedS > 4 {
+		t.Errorf("run took %.1f s, want at most 4", res.ElapsedS)
 	}
 }
 
@@ -352,7 +352,7 @@
 				found = found || b.Rule == rule
 			}
 			if !found {
-				t.Errorf("no violation of %s: %s", rule, res.Why)
+				t.Errorf("no violation of %s: %s", rule, res.FailureReason)
 			}
 		})
 	}
--- a/internal/faulttest/measures.go
+++ b/internal/faulttest/measures.go
@@ -36,7 +36,7 @@
 	case "machines":
 		return float64(res.Machines), nil
 	case measureMet:
-		return res.meanFound(), nil
+		return res.meanShare(), nil
 	}
 	return 0, fmt.Errorf("no measure named %q; known measures: %v", name, Measures)
 }
@@ -67,11 +67,11 @@
 	return peak
 }
 
-// meanFound returns the mean of the shares found for the expectations, or 0 if there are none.
-func (r *Result) meanFound() float64 {
+// meanShare returns the mean of the shares found for the expectations, or 0 if there are none.
+func (r *Result) meanShare() float64 {
 	sum := 0.0
 	for _, f := range r.Findings {
-		sum += f.Found
+		sum += f.Share
 	}
 	return sum / float64(max(len(r.Findings), 1))
 }
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -74,11 +74,11 @@
 <style>body{font:14px sans-serif;margin:2em;max-width:960px}table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}
 td:first-child,th:first-child{text-align:left}.pass{color:#070}.fail{color:#a00}svg{background:#f7f7f7}text{font-size:10px;fill:#a00}</style>
 <h1>{{.R.Scenario}}: {{if .R.Passed}}<span class="pass">PASS</span>{{else}}<span class="fail">FAIL</span>{{end}}</h1>
-<p>{{.R.About}}. Seed {{.R.Seed}}, {{printf "%.0f" .R.TookS}} s, {{.R.Machines}} machines rented.</p>
-{{with .R.Why}}<p class="fail">{{.}}</p>{{end}}
+<p>{{.R.Description}}. Seed {{.R.Seed}}, {{printf "%.0f" .R.ElapsedS}} s, {{.R.Machines}} machines rented.</p>
+{{with .R.FailureReason}}<p class="fail">{{.}}</p>{{end}}
 <h2>Invariants</h2>{{if .R.Violations}}<ul>{{range .R.Violations}}<li class="fail">{{.}}</li>{{end}}</ul>{{else}}<p>No violations.</p>{{end}}
 {{if .R.Findings}}<h2>Expectations</h2><table><tr><th>expected<th>found<th>of<th></tr>
-{{range .R.Findings}}<tr><td>{{.Expect}}<td>{{printf "%.3f" .Found}}<td>{{.Of}}<td>{{if .Met}}<span class="pass">met</span>{{else}}<span class="fail">missed</span>{{end}}</tr>{{end}}</table>{{end}}
+{{range .R.Findings}}<tr><td>{{.Expect}}<td>{{printf "%.3f" .Share}}<td>{{.Jobs}}<td>{{if .Met}}<span class="pass">met</span>{{else}}<span class="fail">missed</span>{{end}}</tr>{{end}}</table>{{end}}
 <h2>Classes</h2><table><tr><th>class<th>submitted<th>accepted<th>started<th>done<th>cancelled<th>submit p50/p99 ms<th>start p50/p90/max s<th>done p50/p90/max s</tr>
 {{range .R.Classes}}<tr><td>{{.Class}}<td>{{.Submitted}}<td>{{.Accepted}}<td>{{.Started}}<td>{{.Done}}<td>{{.Cancelled}}<td>{{printf "%.0f/%.0f" .SubmitMS.P50 .SubmitMS.P99}}<td>{{printf "%.1f/%.1f/%.1f" .StartS.P50 .StartS.P90 .StartS.Max}}<td>{{printf "%.1f/%.1f/%.1f" .DoneS.P50 .DoneS.P90 .DoneS.Max}}</tr>{{end}}</table>
 <h2>Jobs started within four minutes</h2><table><tr><th>group<th>name<th>share</tr>
@@ -93,8 +93,8 @@
 </html>
 `))
 
-// Report writes a result as a self-contained HTML page.
-func Report(w io.Writer, res *Result) error {
+// WriteReport writes a result as a self-contained HTML page.
+func WriteReport(w io.Writer, res *Result) error {
 	var marks []plotMark
 	for _, m := range res.Marks {
 		marks = append(marks, plotMark{X: plotX(m.At, res.Load), What: m.What})
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -29,11 +29,11 @@
 // Result is the result of a run.
 type Result struct {
 	Scenario      string                 `json:"scenario"`
-	About         string                 `json:"about"`
+	Description   string                 `json:"about"`
 	Seed          uint64                 `json:"seed"`
 	Passed        bool                   `json:"passed"`
-	Why           string                 `json:"why,omitempty"` // first reason for not passing; empty if Passed
-	TookS         float64                `json:"took_s"`
+	FailureReason string                 `json:"why,omitempty"` // first reason for not passing; empty if Passed
+	ElapsedS      float64                `json:"took_s"`
 	Machines      int                    `json:"machines_rented"`
 	Violations    []invariants.Violation `json:"rules_broken"`
 	Findings      []Finding              `json:"findings"`
@@ -64,11 +64,11 @@
 // result evaluates the run.
 func (r *run) result() (*Result, error) {
 	res := &Result{
-		Scenario:   r.scenario.Name,
-		About:      r.scenario.About,
-		Seed:       r.opt.Seed,
-		Nodes:      r.cluster.Usage(),
-		Violations: []invariants.Violation{},
+		Scenario:    r.scenario.Name,
+		Description: r.scenario.Description,
+		Seed:        r.opt.Seed,
+		Nodes:       r.cluster.Usage(),
+		Violations:  []invariants.Violation{},
 	}
 	r.cluster.Servers.WithLock(func() {
 		s := r.cluster.Servers
@@ -99,8 +99,8 @@
 	for i := range res.Marks {
 		res.Marks[i].At -= inSeconds(r.startedAt)
 	}
-	res.Why = res.failureReason(harnessErr)
-	res.Passed = res.Why == ""
+	res.FailureReason = res.failureReason(harnessErr)
+	res.Passed = res.FailureReason == ""
 	return res, nil
 }
 
@@ -115,7 +115,7 @@
 	}
 	for _, f := range r.Findings {
 		if !f.Met {
-			return fmt.Sprintf("expectation missed: %s; found %.3f of %d jobs", f.Expect, f.Found, f.Of)
+			return fmt.Sprintf("expectation missed: %s; found %.3f of %d jobs", f.Expect, f.Share, f.Jobs)
 		}
 	}
 	return ""
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// Open reads the result of the run in the directory dir.
-func Open(dir string) (*Result, error) {
+// ReadResult reads the result of the run in the directory dir.
+func ReadResult(dir string) (*Result, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, resultFile))
 	if err != nil {
 		return nil, err
--- a/internal/faulttest/run.go
+++ b/internal/faulttest/run.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	res.TookS = time.Since(began).Seconds()
+	res.ElapsedS = time.Since(began).Seconds()
 	return res, save(opt.Dir, res, r.history.eventsFrom(0))
 }
 
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -21,7 +21,7 @@
 // Times are in seconds since the run began, and durations in seconds.
 type Scenario struct {
 	Name         string        `toml:"name"`
-	About        string        `toml:"about"`
+	Description  string        `toml:"about"`
 	DurationS    float64       `toml:"duration_s"`
 	SettleS      float64       `toml:"settle_s"` // maximum time after DurationS for jobs to end
 	Deploy       Deploy        `toml:"deploy"`
@@ -236,11 +236,11 @@
 	return &scaled
 }
 
-// Sped returns a copy of the scenario that compresses the work of a longer period into the same duration:
+// SpedUp returns a copy of the scenario that compresses the work of a longer period into the same duration:
 // the submission rates are multiplied by times; run times, image sizes, checkpoint intervals and boot times
 // are divided by it. The times of the protocol stay the same, and so do the expectations and the faults,
 // since faults must outlast leases.
-func (s *Scenario) Sped(times float64) *Scenario {
+func (s *Scenario) SpedUp(times float64) *Scenario {
 	sped := *s
 	sped.Deploy.BootS /= times
 	sped.Classes = slices.Clone(s.Classes)
