--- a/internal/core/leader/observed_runs.go
+++ b/internal/core/leader/observed_runs.go
@@ -69,7 +69,9 @@
 	}
 	worked := j.savedProgress[task] + es.outbox.Now() - startedAt
 	observedWhole := done && j.ownAttempts[key.Task] == key.Attempt && (!j.placedByPredecessor || spec.CheckpointS == 0)
-	es.model.Observe(&estimate.Observation{Features: es.features(j, observedMachine), Elapsed: worked, Done: observedWhole})
+	es.model.Observe(&estimate.Observation{
+		Features: es.features(j, observedMachine), Elapsed: worked, Done: observedWhole,
+	})
 	es.recordRun(j, key, observedMachine, startedAt, done)
 	if !done && spec.CheckpointS != 0 {
 		es.recordSavedProgress(j, key, task, machine, worked)
@@ -97,20 +99,20 @@
 	}
 	spec := j.Record.Spec
 	wallSeconds := func(at Micros) float64 { return inSeconds(at + es.wallClockOffset) }
-	line := history.Run{Ref: j.ID, Class: spec.Class, Team: spec.Team, Shape: wire.ShapeName(spec.Shape), Tasks: spec.Tasks, CPUs: spec.CPUs, GPUs: spec.GPUs,
+	run := history.Run{Ref: j.ID, Class: spec.Class, Team: spec.Team, Shape: wire.ShapeName(spec.Shape), Tasks: spec.Tasks, CPUs: spec.CPUs, GPUs: spec.GPUs,
 		MemoryGB: spec.MemoryGB, Image: spec.Image, ExpectS: spec.EstimateS, Submitted: inSeconds(j.Record.CreatedAt),
 		Started: wallSeconds(startedAt), Ended: wallSeconds(es.outbox.Now()), Outcome: es.runOutcome(j, key, machine, done), Machine: machine}
 	if spec.Shape == wire.Array {
-		line.Ref = wire.TaskName(j.ID, key.Task)
-		line.Tasks = 1
+		run.Ref = wire.TaskName(j.ID, key.Task)
+		run.Tasks = 1
 	}
 	if m := es.reconciler.Registry().Get(machine); m != nil {
-		line.Type = m.Type
+		run.Type = m.Type
 	}
 	if len(es.recentRuns) < maxRecentRuns {
-		es.recentRuns = append(es.recentRuns, line)
+		es.recentRuns = append(es.recentRuns, run)
 	} else {
-		es.recentRuns[es.runsRecorded%maxRecentRuns] = line
+		es.recentRuns[es.runsRecorded%maxRecentRuns] = run
 	}
 	es.runsRecorded++
 }
--- a/internal/emulator/workers.go
+++ b/internal/emulator/workers.go
@@ -131,7 +131,9 @@
 // HandleHeartbeatResponse handles a successful answer to the heartbeat that an incarnation of a worker sent
 // at a time. An answer that has an older fencing token, is for another incarnation, or arrives more than
 // maxAnswerAge after the heartbeat was sent has no effect.
-func (w *Workers) HandleHeartbeatResponse(now, sent Micros, incarnation uint64, m *Machine, response wire.HeartbeatResponse) {
+func (w *Workers) HandleHeartbeatResponse(
+	now, sent Micros, incarnation uint64, m *Machine, response wire.HeartbeatResponse,
+) {
 	if response.FencingToken < m.FencingToken || incarnation != m.Incarnation || now-sent > maxAnswerAge {
 		return
 	}
--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -218,7 +218,8 @@
 		x.remaining.Store(20)
 		return x
 	})
-	if res.Passed || !strings.Contains(res.FailureReason, "open files of the test process reached") || len(res.Violations) > 0 {
+	if res.Passed || !strings.Contains(res.FailureReason, "open files of the test process reached") ||
+		len(res.Violations) > 0 {
 		t.Errorf("passed %t, reason %q, violations %v", res.Passed, res.FailureReason, res.Violations)
 	}
 	if res.ElapsedS > 4 {
--- a/internal/faulttest/users.go
+++ b/internal/faulttest/users.go
@@ -190,7 +190,9 @@
 }
 
 func (u *users) recordAnswer(id, via string, a *jobclient.Answer) {
-	u.record(invariants.Event{At: u.now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, JobStatus: a.Job.Status})
+	u.record(invariants.Event{
+		At: u.now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, JobStatus: a.Job.Status,
+	})
 }
 
 // uploadJobs makes the descriptions of all jobs available to the workers, as users do before they submit.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -67,7 +67,8 @@
 		c.ClientListen, c.PeerListen = freeAddr(t), freeAddr(t)
 		c.External = config.External{Cloud: addr(cloud), State: addr(state)}
 		r.configs = append(r.configs, c)
-		r.servers.NodeAddrs, r.servers.NodeNames = append(r.servers.NodeAddrs, c.ClientListen), append(r.servers.NodeNames, c.Node)
+		r.servers.NodeAddrs = append(r.servers.NodeAddrs, c.ClientListen)
+		r.servers.NodeNames = append(r.servers.NodeNames, c.Node)
 	}
 	for _, c := range r.configs {
 		for _, p := range r.configs {
