--- a/cmd/coralhub/faulttest.go
+++ b/cmd/coralhub/faulttest.go
@@ -40,7 +40,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(w, "%s\t%.0f s\t%s\n", name, s.DurationS, s.About)
+				fmt.Fprintf(w, "%s\t%.0f s\t%s\n", name, s.DurationS, s.Description)
 			}
 			return w.Flush()
 		},
@@ -127,7 +127,7 @@
 		s = s.Scaled(f.scale)
 	}
 	if f.speed != 1 {
-		s = s.Sped(f.speed)
+		s = s.SpedUp(f.speed)
 	}
 	return s, nil
 }
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	opt := faulttest.Options{Program: program, Seed: f.seed, Settings: f.settings, Log: f.logLevel, Dir: runDir}
+	opt := faulttest.Options{Program: program, Seed: f.seed, Settings: f.settings, LogLevel: f.logLevel, Dir: runDir}
 	screen := f.showProgress(ctx, stop, out, s, &opt)
 	res, err := faulttest.Run(ctx, s, opt)
 	if screenErr := screen.Close(); screenErr != nil {
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	if err != nil {
-		return &faulttest.Result{Scenario: s.Name, Seed: f.seed, Why: err.Error()}, nil
+		return &faulttest.Result{Scenario: s.Name, Seed: f.seed, FailureReason: err.Error()}, nil
 	}
 	return res, nil
 }
@@ -160,14 +160,14 @@
 	if f.plain || f.asJSON {
 		return nil
 	}
-	title := s.Name + ": " + s.About
+	title := s.Name + ": " + s.Description
 	if file, ok := out.(*os.File); ok && isatty.IsTerminal(file.Fd()) {
 		screen := view.Open(ctx, file, stop, title)
-		opt.Watch = screen.Show
+		opt.OnStatus = screen.Show
 		return screen
 	}
 	startedAt := time.Now()
-	opt.Say = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(startedAt).Seconds(), line) }
+	opt.OnProgress = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(startedAt).Seconds(), line) }
 	fmt.Fprintln(out, title)
 	return nil
 }
@@ -196,7 +196,7 @@
 		_, err := fmt.Fprintf(out, "PASS %s\n", res.Scenario)
 		return err
 	}
-	_, err := fmt.Fprintf(out, "FAIL %s: %s\n", res.Scenario, res.Why)
+	_, err := fmt.Fprintf(out, "FAIL %s: %s\n", res.Scenario, res.FailureReason)
 	return err
 }
 
@@ -222,7 +222,7 @@
 		if !f.Met {
 			mark = "missed"
 		}
-		fmt.Fprintf(out, "%s %s: %.3f of %d\n", mark, f.Expect, f.Found, f.Of)
+		fmt.Fprintf(out, "%s %s: %.3f of %d\n", mark, f.Expect, f.Share, f.Jobs)
 	}
 	return nil
 }
@@ -235,7 +235,7 @@
 		Example: "  coralhub faulttest report /tmp/coralhub-runs/surge-20261201-101500-123456789 --out surge.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			res, err := faulttest.Open(args[0])
+			res, err := faulttest.ReadResult(args[0])
 			if err != nil {
 				return err
 			}
@@ -246,7 +246,7 @@
 			if err != nil {
 				return err
 			}
-			if err := errors.Join(faulttest.Report(f, res), f.Close()); err != nil {
+			if err := errors.Join(faulttest.WriteReport(f, res), f.Close()); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintln(cmd.OutOrStdout(), out)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -21,21 +21,21 @@
 
 // Options describes the cluster to start.
 type Options struct {
-	Program  string // path of the executable that the nodes run
-	Dir      string // directory for the logs and the configurations of the nodes
-	Data     string // file that stores the state; "" keeps it in memory
-	Nodes    int
-	Settings string // file of the operators' settings; "" if there is none
-	Log      string // LOG_LEVEL of the nodes
-	Cluster  config.Cluster
-	Types    []wire.MachineType
-	Capacity map[string]int // number of on-demand machines, by zone
-	Model    *emulator.Model
-	Boot     emulator.Micros
-	Watch    func(invariants.Event) // called with each event on a machine; may be nil
-	// Failed is called with the error of each connection that this process failed to accept or make, and of
+	Program   string // path of the executable that the nodes run
+	Dir       string // directory for the logs and the configurations of the nodes
+	StateFile string // file that stores the state; "" keeps it in memory
+	Nodes     int
+	Settings  string // file of the operators' settings; "" if there is none
+	LogLevel  string // LOG_LEVEL of the nodes
+	Cluster   config.Cluster
+	Types     []wire.MachineType
+	Capacity  map[string]int // number of on-demand machines, by zone
+	Model     *emulator.Model
+	BootTime  emulator.Micros
+	OnEvent   func(invariants.Event) // called with each event on a machine; may be nil
+	// OnFailure is called with the error of each connection that this process failed to accept or make, and of
 	// each heartbeat request that failed, from several goroutines; it may be nil.
-	Failed func(error)
+	OnFailure func(error)
 	// RestartAfter is the time from the end of a node's process to its restart.
 	RestartAfter time.Duration
 }
@@ -86,17 +86,17 @@
 	if err := c.startNodes(ctx); err != nil {
 		return nil, err
 	}
-	c.wg.Go(func() { c.Servers.Drive(ctx, workersAddr) })
+	c.wg.Go(func() { c.Servers.Run(ctx, workersAddr) })
 	c.wg.Go(func() { c.measureMemory(ctx) })
 	return c, nil
 }
 
 // loadState loads the state and the uploaded jobs from the state file, if there is one.
 func (c *Cluster) loadState() (err error) {
-	if c.opt.Data == "" {
+	if c.opt.StateFile == "" {
 		return nil
 	}
-	if c.disk, err = emulator.OpenDisk(c.opt.Data); err != nil {
+	if c.disk, err = emulator.OpenDisk(c.opt.StateFile); err != nil {
 		return err
 	}
 	if c.Servers.State, err = c.disk.Load(); err != nil {
@@ -110,8 +110,8 @@
 func (c *Cluster) configureServers() {
 	s := c.Servers
 	limits := &c.opt.Cluster
-	s.OnFailure = c.opt.Failed
-	s.State.Keep = watchHistory
+	s.OnFailure = c.opt.OnFailure
+	s.State.MinHistory = watchHistory
 	s.State.ValueBytes = int(limits.State.ValueKB * 1024)
 	s.State.TxnOps = limits.State.TxnOps
 	s.SetQuotas(limits.State.RPS, limits.State.WriteRPS, limits.Cloud.RPS)
@@ -119,12 +119,12 @@
 	e.Types = c.opt.Types
 	e.Capacity = c.opt.Capacity
 	e.Model = c.opt.Model
-	e.Boot = c.opt.Boot
-	e.Watch = c.opt.Watch
+	e.BootTime = c.opt.BootTime
+	e.OnEvent = c.opt.OnEvent
 	e.Lease = config.FromSeconds(limits.Workers.LeaseS)
 	e.GangWait = config.FromSeconds(limits.Workers.GangWaitS)
-	e.CancelIn = config.FromSeconds(limits.Workers.CancelS)
-	e.ReportEvery = config.FromSeconds(limits.Workers.ReportS)
+	e.CancelTimeout = config.FromSeconds(limits.Workers.CancelS)
+	e.HeartbeatInterval = config.FromSeconds(limits.Workers.ReportS)
 }
 
 // startServers starts the servers of the emulators, creates the nodes with their links to them, and writes
@@ -149,8 +149,8 @@
 		if err := c.writeConfig(n); err != nil {
 			return "", err
 		}
-		c.Servers.Nodes = append(c.Servers.Nodes, n.Workers.Addr())
-		c.Servers.Names = append(c.Servers.Names, n.Name)
+		c.Servers.NodeAddrs = append(c.Servers.NodeAddrs, n.Workers.Addr())
+		c.Servers.NodeNames = append(c.Servers.NodeNames, n.Name)
 	}
 	return workersAddr, nil
 }
@@ -212,7 +212,7 @@
 	for _, p := range c.proxies {
 		p.Close()
 	}
-	c.Servers.With(func() { // a request to a machine that hangs ends when the machine is deleted
+	c.Servers.WithLock(func() { // a request to a machine that hangs ends when the machine is deleted
 		for name := range c.Servers.Environment.Machines {
 			delete(c.Servers.Environment.Machines, name)
 		}
@@ -231,7 +231,7 @@
 	}
 	for _, n := range c.Nodes {
 		if p := n.current(); p != nil {
-			<-p.Gone()
+			<-p.Done()
 		}
 	}
 }
--- a/internal/faulttest/status.go
+++ b/internal/faulttest/status.go
@@ -35,7 +35,7 @@
 	Submitted, Accepted, Started, Done, Cancelled int
 }
 
-// statusInterval is the interval between calls of Options.Watch.
+// statusInterval is the interval between calls of Options.OnStatus.
 const statusInterval = 500 * time.Millisecond
 
 // taskSet holds sets of task indices by job ID.
@@ -113,7 +113,7 @@
 		if e.Via == invariants.BySubmit && isSuccess(e.Status) {
 			counts.Accepted++
 		}
-		if e.Said == wire.Cancelled && !w.cancelled[e.Job] {
+		if e.JobStatus == wire.Cancelled && !w.cancelled[e.Job] {
 			w.cancelled[e.Job] = true
 			counts.Cancelled++
 		}
@@ -138,7 +138,7 @@
 	for i := range w.scenario.Classes {
 		s.Classes = append(s.Classes, *w.counts[w.scenario.Classes[i].Name])
 	}
-	usage := w.cluster.Use()
+	usage := w.cluster.Usage()
 	for i, n := range w.cluster.Nodes {
 		s.Nodes = append(s.Nodes, NodeStatus{
 			Name:     n.Name,
@@ -149,7 +149,7 @@
 			Restarts: usage[i].Restarts,
 		})
 	}
-	servers.With(func() {
+	servers.WithLock(func() {
 		for _, m := range servers.Environment.Machines {
 			s.Machines[machineState(m, servers.Now())]++
 		}
@@ -160,9 +160,9 @@
 // machineState returns the state of a machine, a key of Status.Machines.
 func machineState(m *emulator.Machine, now emulator.Micros) string {
 	switch {
-	case m.Hang:
+	case m.Hanging:
 		return "hanging"
-	case now < m.Up:
+	case now < m.StartsAt:
 		return "booting"
 	}
 	return "up"
--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -119,6 +119,6 @@
 // kill kills a process and waits until it has exited.
 func kill(p *process.Process) {
 	if p.Signal(syscall.SIGKILL) == nil {
-		<-p.Gone()
+		<-p.Done()
 	}
 }
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -71,13 +71,13 @@
 		select {
 		case usage := <-h.usage:
 			result.hosts = append(result.hosts, hostSample{cpu: h.CPU(), memoryMB: h.Measure(), usage: usage})
-		case <-h.Gone():
+		case <-h.Done():
 			return result, fmt.Errorf("%s: a process of hollow workers has exited", r.name)
 		case <-ctx.Done():
 			return result, fmt.Errorf("%s: read usage of hollow workers: %w", r.name, ctx.Err())
 		}
 	}
-	r.servers.With(func() {
+	r.servers.WithLock(func() {
 		result.requests = r.servers.Requests
 		result.refused = r.servers.Refused
 		result.revision = r.servers.State.Revision()
