--- a/cmd/coralhub/bound.go
+++ b/cmd/coralhub/bound.go
@@ -14,8 +14,9 @@
 func boundCommand() *cobra.Command {
 	var gpus, within float64
 	cmd := &cobra.Command{
-		Use:   "bound LOG...",
-		Short: "Compare the fraction of jobs that started in time with an upper bound for any scheduler, from nodes' debug logs",
+		Use: "bound LOG...",
+		Short: "Compare the fraction of jobs that started in time with an upper bound for any scheduler, " +
+			"from nodes' debug logs",
 		Example: `  LOG_LEVEL=debug coralhub serve --config node.toml 2>node.log
   coralhub bound --gpus 4 node.log`,
 		Args: cobra.MinimumNArgs(1),
--- a/cmd/coralhub/capacity.go
+++ b/cmd/coralhub/capacity.go
@@ -12,9 +12,10 @@
 func capacityCommand() *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
-		Use:     "capacity",
-		Short:   "Extrapolate the resource usage of each role to the target size from measured slopes",
-		Long:    "Extrapolate what each role of a region uses at the target size, from the measured slopes that are\nbuilt into the program, and print it as a Markdown page.",
+		Use:   "capacity",
+		Short: "Extrapolate the resource usage of each role to the target size from measured slopes",
+		Long: "Extrapolate what each role of a region uses at the target size, from the measured slopes that are\n" +
+			"built into the program, and print it as a Markdown page.",
 		Example: "  coralhub capacity\n  coralhub capacity --write docs/CAPACITY.md",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/coralhub/estimate.go
+++ b/cmd/coralhub/estimate.go
@@ -103,10 +103,12 @@
 
 func printReplay(out io.Writer, r *history.Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "class\tjobs\twith similar runs\twithin 1.25\t1.5\t2\t0.5 covers\t0.8\t0.95\tlog error\tusers'\tfirst seen\twithin 2\tunknown\t")
+	fmt.Fprintln(w, "class\tjobs\twith similar runs\twithin 1.25\t1.5\t2\t"+
+		"0.5 covers\t0.8\t0.95\tlog error\tusers'\tfirst seen\twithin 2\tunknown\t")
 	for _, c := range r.Classes {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%.3f\t%d\t\n", c.Class, c.Jobs, c.WithSimilar,
-			c.Within["1.25"], c.Within["1.5"], c.Within["2"], c.Coverage["0.5"], c.Coverage["0.8"], c.Coverage["0.95"],
+		fmt.Fprintf(w, "%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%.3f\t%d\t\n", c.Class, c.Jobs,
+			c.WithSimilar, c.Within["1.25"], c.Within["1.5"], c.Within["2"],
+			c.Coverage["0.5"], c.Coverage["0.8"], c.Coverage["0.95"],
 			c.LogError, c.UserLogError, c.FirstSeen.Jobs, c.FirstSeen.Within2, c.FirstSeen.Unknown)
 	}
 	if err := w.Flush(); err != nil {
@@ -139,7 +141,8 @@
 				defer func() { err = errors.Join(err, f.Close()) }()
 				w = f
 			}
-			r := &recorder.Recorder{Nodes: nodes, Client: &http.Client{Timeout: 5 * time.Second}, OnProblem: func(s string) { fmt.Fprintln(cmd.ErrOrStderr(), s) }}
+			r := &recorder.Recorder{Nodes: nodes, Client: &http.Client{Timeout: 5 * time.Second},
+				OnProblem: func(s string) { fmt.Fprintln(cmd.ErrOrStderr(), s) }}
 			return runUntilSignal(cmd.Context(), func(ctx context.Context, _ context.CancelFunc) error {
 				if duration > 0 {
 					var cancel context.CancelFunc
--- a/cmd/coralhub/faulttest.go
+++ b/cmd/coralhub/faulttest.go
@@ -80,7 +80,8 @@
 	f.BoolVar(&flags.asJSON, "json", false, "print each result as JSON")
 	f.Uint64Var(&flags.seed, "seed", 1, "random seed of arrivals, run times and machines")
 	f.Float64Var(&flags.scale, "scale", 1, "factor of the machines and the load")
-	f.Float64Var(&flags.speed, "speed", 1, "factor by which there are more jobs and each is shorter; the protocol's times are unchanged")
+	f.Float64Var(&flags.speed, "speed", 1,
+		"factor by which there are more jobs and each is shorter; the protocol's times are unchanged")
 	f.StringVar(&flags.dir, "dir", filepath.Join(os.TempDir(), "coralhub-runs"), "`DIR` for results, settings and logs")
 	f.StringVar(&flags.settings, "settings", "", "operators' settings `FILE` for the nodes")
 	f.StringVar(&flags.logLevel, "log", "info", "log level of the nodes: error, info or debug")
@@ -134,7 +135,8 @@
 
 // runScenario runs a scenario. It returns the error of a run that could not be made as a failed result, unless the run
 // was interrupted.
-func (f *faulttestFlags) runScenario(ctx context.Context, stop func(), out io.Writer, s *faulttest.Scenario, runDir string) (*faulttest.Result, error) {
+func (f *faulttestFlags) runScenario(ctx context.Context, stop func(), out io.Writer, s *faulttest.Scenario,
+	runDir string) (*faulttest.Result, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -156,7 +158,8 @@
 
 // showProgress sets opt to report the progress of a run, on a screen if out is a terminal and line by line otherwise.
 // It returns the screen, or nil if there is none. With --plain or --json, no progress is reported.
-func (f *faulttestFlags) showProgress(ctx context.Context, stop func(), out io.Writer, s *faulttest.Scenario, opt *faulttest.Options) *view.Screen {
+func (f *faulttestFlags) showProgress(ctx context.Context, stop func(), out io.Writer, s *faulttest.Scenario,
+	opt *faulttest.Options) *view.Screen {
 	if f.plain || f.asJSON {
 		return nil
 	}
@@ -202,18 +205,22 @@
 
 func printResult(out io.Writer, res *faulttest.Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "class\tsubmitted\taccepted\tstarted\tdone\tcancelled\tsubmit p50/p99 ms\tstart p50/p90/max s\tdone p50/p90/max s\t")
+	fmt.Fprintln(w, "class\tsubmitted\taccepted\tstarted\tdone\tcancelled\tsubmit p50/p99 ms\t"+
+		"start p50/p90/max s\tdone p50/p90/max s\t")
 	for _, c := range res.Classes {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f/%.0f\t%.1f/%.1f/%.1f\t%.1f/%.1f/%.1f\t\n", c.Class, c.Submitted, c.Accepted, c.Started, c.Done, c.Cancelled,
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f/%.0f\t%.1f/%.1f/%.1f\t%.1f/%.1f/%.1f\t\n", c.Class, c.Submitted,
+			c.Accepted, c.Started, c.Done, c.Cancelled,
 			c.SubmitMS.P50, c.SubmitMS.P99, c.StartS.P50, c.StartS.P90, c.StartS.Max, c.DoneS.P50, c.DoneS.P90, c.DoneS.Max)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	for _, n := range res.Nodes {
-		fmt.Fprintf(out, "%s: %.1f s of CPU time, %.0f MB of memory at peak, %d restarts\n", n.Node, n.CPUS, n.PeakMB, n.Restarts)
+		fmt.Fprintf(out, "%s: %.1f s of CPU time, %.0f MB of memory at peak, %d restarts\n", n.Node, n.CPUS, n.PeakMB,
+			n.Restarts)
 	}
-	fmt.Fprintf(out, "state service: %d requests (%d refused), %d changes; %d machines rented\n", res.Requests, res.Refused, res.Changes, res.Machines)
+	fmt.Fprintf(out, "state service: %d requests (%d refused), %d changes; %d machines rented\n", res.Requests,
+		res.Refused, res.Changes, res.Machines)
 	for _, b := range res.Violations {
 		fmt.Fprintf(out, "rule violation: %s\n", b)
 	}
--- a/cmd/coralhub/load.go
+++ b/cmd/coralhub/load.go
@@ -37,11 +37,14 @@
 				if asJSON {
 					return json.NewEncoder(out).Encode(res)
 				}
-				fmt.Fprintf(out, "%d jobs, %d accepted, %d ended, %d not sent because the limit of concurrent jobs was reached; responses by status %v\n",
+				fmt.Fprintf(out, "%d jobs, %d accepted, %d ended, %d not sent "+
+					"because the limit of concurrent jobs was reached; responses by status %v\n",
 					res.Jobs, res.Accepted, res.Ended, res.Missed, res.Statuses)
-				fmt.Fprintf(out, "submission p50 %.3f p90 %.3f p99 %.3f max %.3f s\n", res.Submit.P50, res.Submit.P90, res.Submit.P99, res.Submit.Max)
+				fmt.Fprintf(out, "submission p50 %.3f p90 %.3f p99 %.3f max %.3f s\n", res.Submit.P50, res.Submit.P90,
+					res.Submit.P99, res.Submit.Max)
 				if opt.Wait {
-					fmt.Fprintf(out, "end        p50 %.3f p90 %.3f p99 %.3f max %.3f s\n", res.End.P50, res.End.P90, res.End.P99, res.End.Max)
+					fmt.Fprintf(out, "end        p50 %.3f p90 %.3f p99 %.3f max %.3f s\n", res.End.P50, res.End.P90, res.End.P99,
+						res.End.Max)
 				}
 				return nil
 			})
--- a/cmd/coralhub/names_test.go
+++ b/cmd/coralhub/names_test.go
@@ -27,7 +27,8 @@
 	}
 	list(rootCommand(), "")
 	golden.Check(t, "commands.txt", out.String())
-	if run, _, err := rootCommand().Find([]string{"rehearse", "run"}); err != nil || run.CommandPath() != "coralhub faulttest run" {
+	if run, _, err := rootCommand().Find([]string{"rehearse", "run"}); err != nil ||
+		run.CommandPath() != "coralhub faulttest run" {
 		t.Errorf("rehearse run, the old name of faulttest run, finds command %v, error %v", run, err)
 	}
 }
--- a/cmd/coralhub/scale.go
+++ b/cmd/coralhub/scale.go
@@ -29,8 +29,9 @@
 			"and report how many tasks start, after which time, and which resources are used. SETTINGS is a\n" +
 			"TOML file; the default is one region of the target. The command exits when the run is complete,\n" +
 			"with status 1 if a rule was violated or the run could not be completed.",
-		Example: "  coralhub scale\n  coralhub scale --workers 500 --controllers 3 --starts 50 --duration 20\n  coralhub scale region.toml --json",
-		Args:    cobra.MaximumNArgs(1),
+		Example: "  coralhub scale\n  coralhub scale --workers 500 --controllers 3 --starts 50 --duration 20\n" +
+			"  coralhub scale region.toml --json",
+		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			file := ""
 			if len(args) > 0 {
@@ -84,7 +85,8 @@
 		return err
 	}
 	out, startedAt := cmd.OutOrStdout(), time.Now()
-	opt := scale.Options{Program: program, ServeArgs: []string{"serve", "--with-parent"}, HollowArgs: []string{hollowCommandName}, Dir: runDir, LogLevel: level}
+	opt := scale.Options{Program: program, ServeArgs: []string{"serve", "--with-parent"},
+		HollowArgs: []string{hollowCommandName}, Dir: runDir, LogLevel: level}
 	if !asJSON {
 		opt.OnProgress = func(line string) { fmt.Fprintf(out, "%7.1f  %s\n", time.Since(startedAt).Seconds(), line) }
 	}
@@ -110,7 +112,8 @@
 	}
 	for i := range res.Regions {
 		if n := len(res.Regions[i].Violations); n > 0 {
-			return fmt.Errorf("scale: %d rule violations in %s, first: %s", n, res.Regions[i].Region, res.Regions[i].Violations[0])
+			return fmt.Errorf("scale: %d rule violations in %s, first: %s", n, res.Regions[i].Region,
+				res.Regions[i].Violations[0])
 		}
 	}
 	return nil
--- a/cmd/coralhub/up.go
+++ b/cmd/coralhub/up.go
@@ -80,7 +80,8 @@
 	for _, n := range c.Nodes {
 		fmt.Fprintf(out, "%s in %s: http://%s\n", n.Name, n.Zone, n.Users.Addr())
 	}
-	fmt.Fprintf(out, "users: http://%s   logs: %s\n\nTry\n  coralhub load --to %s --jobs 20 --rate 5\n\nPress Ctrl-C to stop.\n", address, opt.Dir, address)
+	fmt.Fprintf(out, "users: http://%s   logs: %s\n\nTry\n  coralhub load --to %s --jobs 20 --rate 5\n\n"+
+		"Press Ctrl-C to stop.\n", address, opt.Dir, address)
 	<-ctx.Done()
 	return nil
 }
@@ -98,10 +99,11 @@
 		LogLevel: f.logLevel,
 		Cluster:  demoCluster(f.nodes),
 		BootTime: 2 * config.Second,
-		Types: []wire.MachineType{{Name: "g4", CPUs: 64, GPUs: 4, MemoryGB: 256, CacheGB: 500, FetchGBPerS: 0.4, Price: 8, SpotPrice: 3,
-			BootS: 2, Zones: demoZones}},
-		Capacity:     map[string]int{demoZones[0]: (f.machines + 1) / 2, demoZones[1]: f.machines / 2},
-		Model:        &emulator.Model{Rand: rand.New(rand.NewPCG(1, 1)), BootSpread: 0.3, ListLag: 2 * config.Second, SpeedSpread: 0.1, BootTimeFactor: 1},
+		Types: []wire.MachineType{{Name: "g4", CPUs: 64, GPUs: 4, MemoryGB: 256, CacheGB: 500, FetchGBPerS: 0.4, Price: 8,
+			SpotPrice: 3, BootS: 2, Zones: demoZones}},
+		Capacity: map[string]int{demoZones[0]: (f.machines + 1) / 2, demoZones[1]: f.machines / 2},
+		Model: &emulator.Model{Rand: rand.New(rand.NewPCG(1, 1)), BootSpread: 0.3, ListLag: 2 * config.Second,
+			SpeedSpread: 0.1, BootTimeFactor: 1},
 		RestartAfter: 2 * time.Second,
 		Dir:          f.dir,
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -61,11 +61,13 @@
 		t.Errorf("%+v", f)
 	}
 	totals := d.Totals(&d.Situations[0])
-	if len(totals) != 1 || math.Abs(totals[0].Value-(28+2+9)) > 1e-9 || totals[0].ExtrapolationRatio != 3 || math.Abs(totals[0].LimitRatio()-39.0/20) > 1e-9 {
+	if len(totals) != 1 || math.Abs(totals[0].Value-(28+2+9)) > 1e-9 || totals[0].ExtrapolationRatio != 3 ||
+		math.Abs(totals[0].LimitRatio()-39.0/20) > 1e-9 {
 		t.Errorf("%+v", totals)
 	}
 	var page bytes.Buffer
-	if err := d.WritePage(&page, "first\n"); err != nil || !strings.Contains(page.String(), "**over: x1.95**") || !strings.Contains(page.String(), "x3.00") {
+	if err := d.WritePage(&page, "first\n"); err != nil || !strings.Contains(page.String(), "**over: x1.95**") ||
+		!strings.Contains(page.String(), "x3.00") {
 		t.Errorf("%v\n%s", err, page.String())
 	}
 }
@@ -83,14 +85,16 @@
 		`unit = "ms"|unit = 5`:                                    "capacity",
 	} {
 		valid, invalid, _ := strings.Cut(change, "|")
-		if _, err := Parse([]byte(strings.Replace(small, valid, invalid, 1))); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Parse([]byte(strings.Replace(small, valid, invalid, 1))); err == nil ||
+			!strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", change, err)
 		}
 	}
 }
 
 func TestFormatNumber(t *testing.T) {
-	for v, want := range map[float64]string{0: "0", 1234.4: "1234", 12.34: "12.3", 0.01234: "0.0123", 4600: "4600", -2.5: "-2.50"} {
+	for v, want := range map[float64]string{0: "0", 1234.4: "1234", 12.34: "12.3", 0.01234: "0.0123", 4600: "4600",
+		-2.5: "-2.50"} {
 		if got := FormatNumber(v); got != want {
 			t.Errorf("%v: %s, want %s", v, got, want)
 		}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -19,17 +19,22 @@
 		s := &d.Situations[i]
 		fmt.Fprintf(&b, "\n## %s\n\n%s\n\n", s.Name, s.Description)
 		fmt.Fprintf(&b, "Drivers: %s.\n\n", formatDrivers(s))
-		b.WriteString("| role | what | amount | limit | of the limit | beyond what was measured | carried by |\n| --- | --- | --- | --- | --- | --- | --- |\n")
+		b.WriteString("| role | what | amount | limit | of the limit | beyond what was measured | carried by |\n" +
+			"| --- | --- | --- | --- | --- | --- | --- |\n")
 		for _, t := range d.Totals(s) {
-			fmt.Fprintf(&b, "| %s | %s | %s %s | %s | %s | %s | %s |\n", t.Row.Role, t.Row.Resource, FormatNumber(t.Value), t.Row.Unit, formatLimit(t.Row), formatLimitRatio(&t), formatExtrapolation(&t), t.Row.Mechanism)
+			fmt.Fprintf(&b, "| %s | %s | %s %s | %s | %s | %s | %s |\n", t.Row.Role, t.Row.Resource, FormatNumber(t.Value),
+				t.Row.Unit, formatLimit(t.Row), formatLimitRatio(&t), formatExtrapolation(&t), t.Row.Mechanism)
 		}
 	}
-	b.WriteString("\n## Slopes\n\nA line through the measured points by least squares; the spread is the root of the mean squared distance from it.\n\n")
-	b.WriteString("| slope | cost | for each | slope | intercept | spread | measured at | by |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	b.WriteString("\n## Slopes\n\nA line through the measured points by least squares; " +
+		"the spread is the root of the mean squared distance from it.\n\n")
+	b.WriteString("| slope | cost | for each | slope | intercept | spread | measured at | by |\n" +
+		"| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for i := range d.Slopes {
 		s := &d.Slopes[i]
 		f := s.Fit()
-		fmt.Fprintf(&b, "| `%s` | %s, %s | %s | %s | %s | %s | %s | %s |\n", s.ID, s.Cost, s.Unit, s.Driver, FormatNumber(f.PerUnit), FormatNumber(f.Intercept), FormatNumber(f.ResidualRMS), formatPoints(s), s.Source)
+		fmt.Fprintf(&b, "| `%s` | %s, %s | %s | %s | %s | %s | %s | %s |\n", s.ID, s.Cost, s.Unit, s.Driver,
+			FormatNumber(f.PerUnit), FormatNumber(f.Intercept), FormatNumber(f.ResidualRMS), formatPoints(s), s.Source)
 	}
 	_, err := io.WriteString(out, b.String())
 	return err
--- a/internal/hollow/commands.go
+++ b/internal/hollow/commands.go
@@ -70,7 +70,8 @@
 // it. The caller holds w.mu.
 func (w *worker) startTask(c *wire.Command) {
 	id, number, ok := wire.ParseTaskName(c.Task)
-	t := &task{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.Running}, job: w.host.job(id), number: number}
+	t := &task{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.Running}, job: w.host.job(id),
+		number: number}
 	w.tasks = append(w.tasks, t)
 	w.requestHeartbeat()
 	switch {
@@ -185,5 +186,6 @@
 }
 
 func (w *worker) emit(kind string, t *task) {
-	w.host.emit(Event{Task: &TaskEvent{Kind: kind, Job: t.job.ID, Task: t.number, Attempt: t.Attempt, Machine: w.machine.Name}})
+	w.host.emit(Event{Task: &TaskEvent{Kind: kind, Job: t.job.ID, Task: t.number, Attempt: t.Attempt,
+		Machine: w.machine.Name}})
 }
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -33,9 +33,12 @@
 	h := &testHost{t: t, events: make(chan Event, 1000)}
 	h.answer = func(int, *wire.Heartbeat) (int, any) { return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5} }
 	for i := range nodes {
-		server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, q *http.Request) { h.handleHeartbeat(i, out, q) }))
+		server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, q *http.Request) {
+			h.handleHeartbeat(i, out, q)
+		}))
 		t.Cleanup(server.Close)
-		config.Nodes = append(config.Nodes, Node{Name: string(rune('a' + i)), Address: strings.TrimPrefix(server.URL, "http://")})
+		config.Nodes = append(config.Nodes, Node{Name: string(rune('a' + i)),
+			Address: strings.TrimPrefix(server.URL, "http://")})
 	}
 	in, input := io.Pipe()
 	out, output := io.Pipe()
@@ -124,7 +127,8 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	req, err := http.NewRequestWithContext(h.t.Context(), http.MethodPost, "http://"+h.machine.Address+wire.PathCommands, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(h.t.Context(), http.MethodPost, "http://"+h.machine.Address+wire.PathCommands,
+		bytes.NewReader(raw))
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -156,7 +160,9 @@
 	h.send(Command{Job: &Job{ID: "j-1", Tasks: 2, GPUs: 3, RunS: 0.1}})
 	h.send(Command{Usage: true}) // its event shows that the earlier commands were executed
 	h.waitForEvent(func(e *Event) bool { return e.Usage != nil && e.Usage.Workers == 1 })
-	status, report := h.sendCommands(wire.CommandRequest{FencingToken: 7, Incarnation: 1, Commands: []wire.Command{startCommand("j-1/0", 1), startCommand("j-1/0", 1), startCommand("j-1/0", 2), startCommand("j-1/1", 1), startCommand("j-2/0", 1)}})
+	status, report := h.sendCommands(wire.CommandRequest{FencingToken: 7, Incarnation: 1,
+		Commands: []wire.Command{startCommand("j-1/0", 1), startCommand("j-1/0", 1), startCommand("j-1/0", 2),
+			startCommand("j-1/1", 1), startCommand("j-2/0", 1)}})
 	if status != http.StatusOK || report.FencingToken != 7 || len(report.Tasks) != 4 {
 		t.Fatalf("%d %+v", status, report)
 	}
@@ -176,7 +182,9 @@
 	h.waitForTask(TaskDone)
 	h.waitForTask(TaskRemoved)
 	forget := []wire.Command{{Verb: wire.CommandForget, Task: "j-1/0", Attempt: 1}, startCommand("j-1/0", 1)}
-	if _, report = h.sendCommands(wire.CommandRequest{FencingToken: 7, Incarnation: 1, Commands: forget}); len(report.Tasks) != 4 || report.Tasks[3].State != wire.Running {
+	if _, report = h.sendCommands(
+		wire.CommandRequest{FencingToken: 7, Incarnation: 1, Commands: forget},
+	); len(report.Tasks) != 4 || report.Tasks[3].State != wire.Running {
 		t.Errorf("start after forget: %+v, want a fourth task in state running", report.Tasks)
 	}
 }
@@ -187,7 +195,10 @@
 	if status, _ := h.sendCommands(wire.CommandRequest{FencingToken: 9, Incarnation: 1}); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	for _, c := range []wire.CommandRequest{{FencingToken: 8, Incarnation: 1, Commands: []wire.Command{startCommand("j-1/0", 1)}}, {FencingToken: 9, Incarnation: 2, Commands: []wire.Command{startCommand("j-1/0", 1)}}} {
+	for _, c := range []wire.CommandRequest{
+		{FencingToken: 8, Incarnation: 1, Commands: []wire.Command{startCommand("j-1/0", 1)}},
+		{FencingToken: 9, Incarnation: 2, Commands: []wire.Command{startCommand("j-1/0", 1)}},
+	} {
 		if status, report := h.sendCommands(c); status != http.StatusConflict || len(report.Tasks) != 0 {
 			t.Errorf("%+v: %d %+v", c, status, report)
 		}
@@ -211,7 +222,8 @@
 		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 4, Commands: []wire.Command{startCommand("j-1/0", 2)}}
 	})
 	h.waitForTask(TaskRemoved)
-	if _, report := h.sendCommands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); report.Incarnation < 2 || len(report.Tasks) != 0 {
+	if _, report := h.sendCommands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); report.Incarnation < 2 ||
+		len(report.Tasks) != 0 {
 		t.Errorf("after the lease expired: %+v, want a later incarnation without tasks", report)
 	}
 }
@@ -242,7 +254,8 @@
 	h := newTestHost(t, longLeaseConfig, 1)
 	h.send(Command{Job: &Job{ID: "j-1", Tasks: 2, GPUs: 1, Gang: true, RunS: 60}})
 	h.setAnswer(func(int, *wire.Heartbeat) (int, any) {
-		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5, Commands: []wire.Command{startCommand("j-1/0", 1), startCommand("j-1/1", 1)}}
+		return http.StatusOK, wire.HeartbeatResponse{FencingToken: 5,
+			Commands: []wire.Command{startCommand("j-1/0", 1), startCommand("j-1/1", 1)}}
 	})
 	h.waitForTask(TaskPlaced)
 	h.waitForTask(TaskPlaced)
@@ -251,7 +264,8 @@
 	h.send(Command{Break: attempt})
 	h.waitForTask(TaskRemoved)
 	h.waitForTask(TaskRemoved)
-	if _, report := h.sendCommands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); len(report.Tasks) != 2 || report.Tasks[0].Cause != wire.CausePeerStopped || report.Tasks[1].Cause != wire.CausePeerStopped {
+	if _, report := h.sendCommands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); len(report.Tasks) != 2 ||
+		report.Tasks[0].Cause != wire.CausePeerStopped || report.Tasks[1].Cause != wire.CausePeerStopped {
 		t.Errorf("%+v", report.Tasks)
 	}
 }
@@ -266,12 +280,15 @@
 	h.waitForTask(TaskPlaced)
 	h.send(Command{Restart: &Restart{Machine: "m-1", DowntimeS: 0.3}})
 	h.waitForTask(TaskRemoved)
-	if status, report := h.sendCommands(wire.CommandRequest{FencingToken: 5, Incarnation: 1}); status != http.StatusConflict || report.Incarnation != 2 {
+	if status, report := h.sendCommands(
+		wire.CommandRequest{FencingToken: 5, Incarnation: 1},
+	); status != http.StatusConflict || report.Incarnation != 2 {
 		t.Errorf("%d %+v", status, report)
 	}
 	h.send(Command{Remove: "m-1"})
 	h.send(Command{Usage: true})
-	if u := h.waitForEvent(func(e *Event) bool { return e.Usage != nil }).Usage; u.Workers != 0 || u.Heartbeats == 0 || u.BytesIn == 0 || u.BytesOut == 0 {
+	if u := h.waitForEvent(func(e *Event) bool { return e.Usage != nil }).Usage; u.Workers != 0 || u.Heartbeats == 0 ||
+		u.BytesIn == 0 || u.BytesOut == 0 {
 		t.Errorf("%+v", u)
 	}
 }
--- a/internal/hollow/host.go
+++ b/internal/hollow/host.go
@@ -226,7 +226,8 @@
 	if err != nil {
 		return 0, nil
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.host.config.Nodes[node].Address+wire.PathHeartbeat, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+		"http://"+w.host.config.Nodes[node].Address+wire.PathHeartbeat, bytes.NewReader(raw))
 	if err != nil {
 		return 0, nil
 	}
--- a/internal/hollow/meter.go
+++ b/internal/hollow/meter.go
@@ -18,8 +18,8 @@
 
 // usage returns the counters. The number of workers is not set.
 func (m *meter) usage() Usage {
-	return Usage{BytesIn: m.in.Load(), BytesOut: m.out.Load(), Heartbeats: m.heartbeats.Load(), Answered: m.answered.Load(),
-		Commands: m.commands.Load(), LeasesExpired: m.expired.Load()}
+	return Usage{BytesIn: m.in.Load(), BytesOut: m.out.Load(), Heartbeats: m.heartbeats.Load(),
+		Answered: m.answered.Load(), Commands: m.commands.Load(), LeasesExpired: m.expired.Load()}
 }
 
 // dial opens a connection whose bytes are counted.
--- a/internal/jobclient/client.go
+++ b/internal/jobclient/client.go
@@ -41,7 +41,8 @@
 
 // Rejected reports whether the request was rejected permanently: it must not be retried.
 func (r *Response) Rejected() bool {
-	return r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity || r.Status == http.StatusNotFound
+	return r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity ||
+		r.Status == http.StatusNotFound
 }
 
 // Client sends requests, each to the address that PickNode returns. It is safe for concurrent use if
@@ -110,7 +111,8 @@
 
 // Follow polls a job until it has ended or ctx ends, and calls onResponse with the result of each poll. If
 // cancelIn is above 0, it calls cancel once after cancelIn, unless the job has ended before.
-func (c *Client) Follow(ctx context.Context, id string, cancelIn time.Duration, onResponse func(*Response), cancel func()) {
+func (c *Client) Follow(ctx context.Context, id string, cancelIn time.Duration, onResponse func(*Response),
+	cancel func()) {
 	var cancelAt <-chan time.Time
 	if cancelIn > 0 {
 		t := time.NewTimer(cancelIn)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -66,7 +66,8 @@
 // invalid or ctx ends.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if len(options.Addresses) == 0 || options.Jobs < 1 || !(options.Rate > 0) || options.MaxConcurrent < 1 {
-		return nil, fmt.Errorf("load: invalid options: jobs %d, rate %v, limit %d, addresses %d: all must be above 0", options.Jobs, options.Rate, options.MaxConcurrent, len(options.Addresses))
+		return nil, fmt.Errorf("load: invalid options: jobs %d, rate %v, limit %d, addresses %d: all must be above 0",
+			options.Jobs, options.Rate, options.MaxConcurrent, len(options.Addresses))
 	}
 	g := newGenerator(options)
 	defer g.client.HTTP.CloseIdleConnections()
@@ -142,8 +143,8 @@
 	if err != nil {
 		return
 	}
-	accepted := g.client.Retry(ctx, http.MethodPost, wire.PathJobs, raw, func(a *jobclient.Response) {
-		g.update(func(r *Result) { r.Statuses[strconv.Itoa(a.Status)]++ })
+	accepted := g.client.Retry(ctx, http.MethodPost, wire.PathJobs, raw, func(response *jobclient.Response) {
+		g.update(func(r *Result) { r.Statuses[strconv.Itoa(response.Status)]++ })
 	})
 	if !accepted {
 		return
@@ -151,7 +152,7 @@
 	g.recordSince(g.submitTimes, due)
 	g.update(func(r *Result) { r.Accepted++ })
 	for g.options.Wait && j.Shape != wire.Service && wait.For(ctx, pollInterval) {
-		if a := g.client.Poll(ctx, j.ID); a.Ended() {
+		if response := g.client.Poll(ctx, j.ID); response.Ended() {
 			g.recordSince(g.endTimes, due)
 			g.update(func(r *Result) { r.Ended++ })
 			return
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -54,8 +54,10 @@
 }
 
 func options(addr string) Options {
-	return Options{Addresses: []string{strings.TrimPrefix(addr, "http://")}, Jobs: 20, Rate: 400, FirstJobNumber: 1, MaxConcurrent: 100, Wait: true,
-		Spec: wire.Job{Class: "c", Team: "t", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "i"}}
+	return Options{Addresses: []string{strings.TrimPrefix(addr, "http://")}, Jobs: 20, Rate: 400, FirstJobNumber: 1,
+		MaxConcurrent: 100, Wait: true,
+		Spec: wire.Job{Class: "c", Team: "t", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1,
+			MemoryGB: 1, Image: "i"}}
 }
 
 // Submissions that are answered with 503 are retried, and jobs are polled until they end.
--- a/internal/scale/leak_test.go
+++ b/internal/scale/leak_test.go
@@ -11,7 +11,8 @@
 )
 
 // ownFunctions are name parts of the functions that goroutines of a run execute.
-var ownFunctions = []string{"scale.(*run)", "scale.(*region)", "scale.(*host)", "scale.(*users)", "emulator.(*Servers)", "wait.Every"}
+var ownFunctions = []string{"scale.(*run)", "scale.(*region)", "scale.(*host)", "scale.(*users)", "emulator.(*Servers)",
+	"wait.Every"}
 
 // smallRegion returns a region with the settings of smallRun. It is not started.
 func smallRegion(t *testing.T) *region {
--- a/internal/scale/machines.go
+++ b/internal/scale/machines.go
@@ -20,7 +20,8 @@
 		boot := env.BootTime
 		env.BootTime = 0
 		for _, zone := range r.settings.zoneNames() {
-			env.Rent(r.servers.Now(), wire.RentalRequest{Name: "at-start-" + zone, Type: "m", Zone: zone, Count: env.Capacity[zone]})
+			env.Rent(r.servers.Now(), wire.RentalRequest{Name: "at-start-" + zone, Type: "m", Zone: zone,
+				Count: env.Capacity[zone]})
 		}
 		env.BootTime = boot
 	})
@@ -34,7 +35,8 @@
 	case invariants.MachineAdded:
 		up := time.Duration(r.servers.Environment.Machines[e.Machine].StartsAt-r.servers.Now()) * time.Microsecond
 		h := r.assignHost(e.Machine)
-		m := hollow.Machine{Name: e.Machine, Type: e.Host.Type, Zone: e.Host.Zone, Spot: e.Host.Spot, GPUs: r.settings.Machine.GPUs}
+		m := hollow.Machine{Name: e.Machine, Type: e.Host.Type, Zone: e.Host.Zone, Spot: e.Host.Spot,
+			GPUs: r.settings.Machine.GPUs}
 		start := func() { h.enqueue(hollow.Command{Start: &m}) }
 		if up <= 0 {
 			start()
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -218,7 +218,8 @@
 // taskChanged records a task event. If the event completes or breaks a gang, it sends all hollow workers the
 // command to run or stop that gang.
 func (r *region) taskChanged(at int64, t *hollow.TaskEvent) {
-	r.record(invariants.Event{At: at, Kind: taskEvents[t.Kind], Job: t.Job, Task: t.Task, Attempt: t.Attempt, Machine: t.Machine})
+	r.record(invariants.Event{At: at, Kind: taskEvents[t.Kind], Job: t.Job, Task: t.Task, Attempt: t.Attempt,
+		Machine: t.Machine})
 	attempt := hollow.Attempt{Job: t.Job, Attempt: t.Attempt}
 	switch r.gangs.taskChanged(t) {
 	case gangComplete:
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -333,7 +333,8 @@
 // Print writes the result as human-readable text.
 func (res *Result) Print(out io.Writer) error {
 	s := &res.Settings
-	fmt.Fprintf(out, "%d processes use %.0f of %.0f MB; %d cores; %.0f s\n", res.Processes, res.MemoryInUseMB, res.MemoryMB, res.Cores, res.DurationS)
+	fmt.Fprintf(out, "%d processes use %.0f of %.0f MB; %d cores; %.0f s\n", res.Processes, res.MemoryInUseMB,
+		res.MemoryMB, res.Cores, res.DurationS)
 	for i := range res.Regions {
 		if err := res.Regions[i].print(out, s); err != nil {
 			return err
@@ -344,13 +345,18 @@
 
 // print writes the result of the region as human-readable text.
 func (r *RegionResult) print(out io.Writer, s *Settings) error {
-	fmt.Fprintf(out, "%s: task starts per second: requested %.1f, measured %.1f (ends %.1f); jobs submitted %d, accepted %d, ended %d\n",
+	fmt.Fprintf(out, "%s: task starts per second: requested %.1f, measured %.1f (ends %.1f); "+
+		"jobs submitted %d, accepted %d, ended %d\n",
 		r.Region, r.RequestedStartsPerS, r.StartsPerS, r.EndsPerS, r.Jobs.Submitted, r.Jobs.Accepted, r.Jobs.Ended)
-	fmt.Fprintf(out, "  urgent tasks start after p50 %.3f p99 %.3f max %.3f s, %.3f of them within %v; others p50 %.3f p99 %.3f max %.3f s\n",
-		r.UrgentStartS.P50, r.UrgentStartS.P99, r.UrgentStartS.Max, r.UrgentInTime, urgentStartTarget, r.OtherStartS.P50, r.OtherStartS.P99, r.OtherStartS.Max)
-	fmt.Fprintf(out, "  submissions are accepted after p50 %.3f p99 %.3f max %.3f s; errors %v\n", r.SubmitS.P50, r.SubmitS.P99, r.SubmitS.Max, r.Errors)
-	fmt.Fprintf(out, "  state service, per second: %.1f requests (quota %g), %.1f changes (quota %g; %.3f per start), %.1f refused\n", sum(r.RequestsPerS), s.State.RPS,
-		sum(r.ChangesPerS), s.State.WriteRPS, r.ChangesPerStart, r.RefusedPerS)
+	fmt.Fprintf(out, "  urgent tasks start after p50 %.3f p99 %.3f max %.3f s, %.3f of them within %v; "+
+		"others p50 %.3f p99 %.3f max %.3f s\n",
+		r.UrgentStartS.P50, r.UrgentStartS.P99, r.UrgentStartS.Max, r.UrgentInTime, urgentStartTarget,
+		r.OtherStartS.P50, r.OtherStartS.P99, r.OtherStartS.Max)
+	fmt.Fprintf(out, "  submissions are accepted after p50 %.3f p99 %.3f max %.3f s; errors %v\n", r.SubmitS.P50,
+		r.SubmitS.P99, r.SubmitS.Max, r.Errors)
+	fmt.Fprintf(out, "  state service, per second: %.1f requests (quota %g), %.1f changes (quota %g; %.3f per start), "+
+		"%.1f refused\n", sum(r.RequestsPerS), s.State.RPS, sum(r.ChangesPerS), s.State.WriteRPS,
+		r.ChangesPerStart, r.RefusedPerS)
 	fmt.Fprintf(out, "    changes:  %s\n    requests: %s\n", rates(r.ChangesPerS), rates(r.RequestsPerS))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "  controller\tcores\tstate machine\tMB\theap MB\tfiles\tforwarded heartbeats/s\twaiting jobs\t")
@@ -360,14 +366,18 @@
 		if c.IsLeader {
 			name += " (leader)"
 		}
-		fmt.Fprintf(w, "  %s\t%.3f\t%.3f\t%.0f\t%.0f\t%d\t%.1f\t%.0f\t\n", name, c.Cores, sum(c.StepSecondsPerS), c.MemoryMB, c.HeapMB, c.OpenFiles, c.ForwardedPerS, c.WaitingJobs)
+		fmt.Fprintf(w, "  %s\t%.3f\t%.3f\t%.0f\t%.0f\t%d\t%.1f\t%.0f\t\n", name, c.Cores, sum(c.StepSecondsPerS), c.MemoryMB,
+			c.HeapMB, c.OpenFiles, c.ForwardedPerS, c.WaitingJobs)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "  per worker: %.5f cores, %.0f bytes/s, %.3f MB, %.2f heartbeats/s, %.2f command requests/s; %d leases expired in total\n",
-		r.Workers.CoresEach, r.Workers.BytesPerS, r.Workers.MemoryMBEach, r.Workers.HeartbeatsPerS, r.Workers.CommandsPerS, r.Workers.LeasesExpired)
-	fmt.Fprintf(out, "  machines failed %d, restarted %d; rule violations: %d\n", r.Faults.Failed, r.Faults.Restarted, len(r.Violations))
+	fmt.Fprintf(out, "  per worker: %.5f cores, %.0f bytes/s, %.3f MB, %.2f heartbeats/s, "+
+		"%.2f command requests/s; %d leases expired in total\n",
+		r.Workers.CoresEach, r.Workers.BytesPerS, r.Workers.MemoryMBEach, r.Workers.HeartbeatsPerS,
+		r.Workers.CommandsPerS, r.Workers.LeasesExpired)
+	fmt.Fprintf(out, "  machines failed %d, restarted %d; rule violations: %d\n", r.Faults.Failed, r.Faults.Restarted,
+		len(r.Violations))
 	for i, b := range r.Violations {
 		if i == maxPrintedViolations {
 			break
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -61,7 +61,8 @@
 	}
 	perHost := (limit - reservedFiles) / filesPerWorker
 	if perHost < 1 || s.Limits.MaxConnections+reservedFiles > limit {
-		return fmt.Errorf("a process may open %d files: too few for controllers with %d connections", limit, s.Limits.MaxConnections)
+		return fmt.Errorf("a process may open %d files: too few for controllers with %d connections", limit,
+			s.Limits.MaxConnections)
 	}
 	o.hostsPerRegion = max(minHostsPerRegion, (s.Workers+perHost-1)/perHost)
 	if n := 1 + s.Regions*(s.Controllers+o.hostsPerRegion); n > maxProcesses {
@@ -69,7 +70,8 @@
 	}
 	need := ownMB + float64(s.Regions)*(float64(s.Workers)*workerMB+float64(s.Controllers)*s.Limits.MemoryMB)
 	if total := process.TotalMB(); total > 0 && need > total*maxMemoryFraction {
-		return fmt.Errorf("up to %.0f MB are needed and half of the machine's memory is %.0f MB", need, total*maxMemoryFraction)
+		return fmt.Errorf("up to %.0f MB are needed and half of the machine's memory is %.0f MB", need,
+			total*maxMemoryFraction)
 	}
 	return nil
 }
@@ -81,8 +83,8 @@
 	}
 }
 
-// fail ends the run because of an error of the run itself, not of the measured service. Only the first
-// error is kept.
+// fail ends the run because of an error of the run itself, not of the measured control plane. Only
+// the first error is kept.
 func (o *run) fail(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -100,7 +102,7 @@
 }
 
 // requestFailed handles the error of a request that received no response. It ends the run if this process
-// has reached its limit of open files, because that is not a failure of the service.
+// has reached its limit of open files, because that is not a failure of the control plane.
 func (o *run) requestFailed(err error) {
 	if process.OutOfFiles(err) {
 		o.fail(fmt.Errorf("this process has reached its limit of open files: %w", err))
@@ -138,7 +140,8 @@
 	if err := each(regions, func(r *region) error { return r.start(ctx) }); err != nil {
 		return nil, o.failureOr(err)
 	}
-	o.logf("%d regions with %d controllers each are ready; %d workers listen after %.1f s", s.Regions, s.Controllers, s.Regions*s.Workers, time.Since(start).Seconds())
+	o.logf("%d regions with %d controllers each are ready; %d workers listen after %.1f s", s.Regions, s.Controllers,
+		s.Regions*s.Workers, time.Since(start).Seconds())
 	background.Go(func() { o.watchMemory(ctx, regions) })
 	results := make([]RegionResult, len(regions))
 	err := each(regions, func(r *region) error {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -102,7 +102,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, Options{Program: program, ServeArgs: []string{"serve"}, HollowArgs: []string{"hollow-workers"}, Dir: t.TempDir(), LogLevel: "error"}
+	return s, Options{Program: program, ServeArgs: []string{"serve"}, HollowArgs: []string{"hollow-workers"},
+		Dir: t.TempDir(), LogLevel: "error"}
 }
 
 // A small run completes without rule violations, and all parts of its result are measured.
@@ -120,7 +121,8 @@
 		t.Errorf("jobs: %+v", r.Jobs)
 	}
 	if r.StartsPerS < s.StartsPerS/4 || r.UrgentStartS.P50 <= 0 || r.OtherStartS.P50 <= 0 {
-		t.Errorf("%.1f starts per second; time to start: urgent tasks %+v, others %+v", r.StartsPerS, r.UrgentStartS, r.OtherStartS)
+		t.Errorf("%.1f starts per second; time to start: urgent tasks %+v, others %+v", r.StartsPerS, r.UrgentStartS,
+			r.OtherStartS)
 	}
 	leaders, forwarded := 0, 0.0
 	for _, c := range r.Controllers {
@@ -133,7 +135,8 @@
 		}
 	}
 	if leaders != 1 || forwarded == 0 {
-		t.Errorf("%d leaders, %.1f heartbeats forwarded per second; want 1 leader and forwarded heartbeats", leaders, forwarded)
+		t.Errorf("%d leaders, %.1f heartbeats forwarded per second; want 1 leader and forwarded heartbeats", leaders,
+			forwarded)
 	}
 	if w := r.Workers; w.BytesPerS <= 0 || w.HeartbeatsPerS < 0.5 || w.HeartbeatsPerS > 4 || w.MemoryMBEach <= 0 {
 		t.Errorf("workers: %+v", w)
@@ -165,7 +168,8 @@
 	} {
 		s, opt := smallRun(t)
 		change(&s)
-		if _, err := Run(t.Context(), s, opt); err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
+		if _, err := Run(t.Context(), s, opt); err == nil || !strings.Contains(err.Error(), name) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v", name, err)
 		}
 	}
@@ -185,7 +189,8 @@
 		"[failures]\ntimes = -1\n":                  "minimum",
 		"[protocol]\nreport_s = 0.1\nlease_s = 3\n": "minimum",
 	} {
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
@@ -199,7 +204,7 @@
 }
 
 // If this process reaches its limit of open files, the run ends with that error, so that it is not counted
-// as a failure of the service.
+// as a failure of the control plane.
 func TestOutOfFilesEndsTheRun(t *testing.T) {
 	stopped := false
 	o := &run{stop: func() { stopped = true }}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -105,7 +105,8 @@
 // and of a controller are the largest that are in use.
 func Defaults() Settings {
 	return Settings{
-		Regions: 1, Workers: 4600, Zones: 3, Controllers: 9, Teams: 220, StartsPerS: 840, RampS: 30, DurationS: 60, SettleS: 40, Seed: 1,
+		Regions: 1, Workers: 4600, Zones: 3, Controllers: 9, Teams: 220, StartsPerS: 840,
+		RampS: 30, DurationS: 60, SettleS: 40, Seed: 1,
 		Machine:  Machine{CPUs: 64, GPUs: 8, MemoryGB: 512},
 		Protocol: Protocol{ReportS: 5, LeaseS: 26.5, GangWaitS: 45, GangPeerS: 5, CancelS: 46.5},
 		State:    State{RPS: 400, WriteRPS: 150, ValueKB: 8, TxnOps: 12, DelayMS: 3},
@@ -113,9 +114,12 @@
 		Limits:   Limits{MemoryMB: 356, MaxConnections: 3744},
 		Failures: Failures{FailedPerDay: 62, RestartedPerDay: 1340, Multiplier: 10, RestartDurationS: 3},
 		Classes: []Class{
-			{Name: "urgent", Shape: "array", Priority: "production", Share: 0.02, Tasks: []int{1}, GPUs: 1, RunS: []float64{5, 20}, Urgent: true},
-			{Name: "array", Shape: "array", Priority: "normal", Share: 0.88, Tasks: []int{16, 32, 64, 128}, GPUs: 1, RunS: []float64{10, 40}, Cancelled: 0.02},
-			{Name: "gang", Shape: "gang", Priority: "high", Share: 0.1, Tasks: []int{8, 32, 128, 512}, GPUs: 1, RunS: []float64{10, 40}},
+			{Name: "urgent", Shape: "array", Priority: "production", Share: 0.02, Tasks: []int{1}, GPUs: 1,
+				RunS: []float64{5, 20}, Urgent: true},
+			{Name: "array", Shape: "array", Priority: "normal", Share: 0.88, Tasks: []int{16, 32, 64, 128}, GPUs: 1,
+				RunS: []float64{10, 40}, Cancelled: 0.02},
+			{Name: "gang", Shape: "gang", Priority: "high", Share: 0.1, Tasks: []int{8, 32, 128, 512}, GPUs: 1,
+				RunS: []float64{10, 40}},
 		},
 	}
 }
@@ -181,7 +185,8 @@
 		}
 		for _, n := range c.Tasks {
 			if c.Shape == "gang" && float64(n)*c.GPUs > s.teamLimit() {
-				return fmt.Errorf("class %s: a gang of %d tasks needs %g GPUs and a team may use %g", c.Name, n, float64(n)*c.GPUs, s.teamLimit())
+				return fmt.Errorf("class %s: a gang of %d tasks needs %g GPUs and a team may use %g", c.Name, n, float64(n)*c.GPUs,
+					s.teamLimit())
 			}
 		}
 	}
@@ -220,10 +225,11 @@
 // cluster returns the cluster section of the configuration of a region's controllers.
 func (s *Settings) cluster() config.Cluster {
 	c := config.Cluster{Size: s.Controllers, Zones: s.zoneNames(), SkewMS: 25,
-		Workers: config.Workers{ReportS: s.Protocol.ReportS, LeaseS: s.Protocol.LeaseS, GangWaitS: s.Protocol.GangWaitS, GangPeerS: s.Protocol.GangPeerS, CancelS: s.Protocol.CancelS},
-		State:   config.State{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, TxnOps: s.State.TxnOps},
-		Cloud:   config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
-		Limits:  config.Limits{Cores: 1, MemoryMB: s.Limits.MemoryMB, MaxConnections: s.Limits.MaxConnections},
+		Workers: config.Workers{ReportS: s.Protocol.ReportS, LeaseS: s.Protocol.LeaseS, GangWaitS: s.Protocol.GangWaitS,
+			GangPeerS: s.Protocol.GangPeerS, CancelS: s.Protocol.CancelS},
+		State:  config.State{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueKB: s.State.ValueKB, TxnOps: s.State.TxnOps},
+		Cloud:  config.Cloud{RPS: s.Cloud.RPS, ListLagS: s.Cloud.ListLagS},
+		Limits: config.Limits{Cores: 1, MemoryMB: s.Limits.MemoryMB, MaxConnections: s.Limits.MaxConnections},
 	}
 	for i := range s.Teams {
 		c.Teams = append(c.Teams, config.Team{Name: teamName(i), GPUs: s.teamGuarantee(), GPUsMax: s.teamLimit()})
@@ -235,8 +241,8 @@
 
 // machineType returns the only machine type that the cloud offers.
 func (s *Settings) machineType() wire.MachineType {
-	return wire.MachineType{Name: "m", CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, MemoryGB: s.Machine.MemoryGB, CacheGB: 1000, FetchGBPerS: 1,
-		Price: 4, SpotPrice: 2, BootS: s.Cloud.BootS, Zones: s.zoneNames()}
+	return wire.MachineType{Name: "m", CPUs: s.Machine.CPUs, GPUs: s.Machine.GPUs, MemoryGB: s.Machine.MemoryGB,
+		CacheGB: 1000, FetchGBPerS: 1, Price: 4, SpotPrice: 2, BootS: s.Cloud.BootS, Zones: s.zoneNames()}
 }
 
 // meanTasks returns the mean number of tasks per job.
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -141,7 +141,8 @@
 	if j.Shape == wire.Gang {
 		r.gangs.add(j.ID, j.Tasks)
 	}
-	r.enqueueAll(hollow.Command{Job: &hollow.Job{ID: j.ID, Tasks: j.Tasks, GPUs: j.GPUs, Gang: j.Shape == wire.Gang, RunS: j.runS}})
+	r.enqueueAll(hollow.Command{Job: &hollow.Job{ID: j.ID, Tasks: j.Tasks, GPUs: j.GPUs, Gang: j.Shape == wire.Gang,
+		RunS: j.runS}})
 	raw, err := wire.Marshal(&j.Job)
 	if err != nil {
 		return
@@ -150,7 +151,8 @@
 	u.mu.Lock()
 	u.submitted[j.ID] = sub
 	u.mu.Unlock()
-	r.record(invariants.Event{At: sub.submittedAt, Kind: invariants.JobSubmitted, Job: j.ID, Spec: &invariants.Spec{Team: j.Team, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs}})
+	r.record(invariants.Event{At: sub.submittedAt, Kind: invariants.JobSubmitted, Job: j.ID,
+		Spec: &invariants.Spec{Team: j.Team, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs}})
 	if !u.retry(ctx, j.ID, invariants.BySubmit, wire.PathJobs, raw) {
 		return
 	}
@@ -166,7 +168,7 @@
 // poll polls a job until it has ended or ctx ends. If cancelIn is above 0, it cancels the job after that
 // time.
 func (u *users) poll(ctx context.Context, id string, cancelIn time.Duration) {
-	u.client.Follow(ctx, id, cancelIn, func(a *jobclient.Response) { u.recordResponse(id, invariants.ByPoll, a) }, func() {
+	u.client.Follow(ctx, id, cancelIn, func(r *jobclient.Response) { u.recordResponse(id, invariants.ByPoll, r) }, func() {
 		u.region.record(invariants.Event{At: now(), Kind: invariants.CancelRequested, Job: id})
 		u.retry(ctx, id, invariants.ByCancel, wire.PathJobs+"/"+id+"/"+wire.CancelVerb, nil)
 	})
@@ -175,15 +177,16 @@
 // retry sends a request and retries it as jobclient.Client.Retry does. It reports whether the request was
 // accepted.
 func (u *users) retry(ctx context.Context, id, via, path string, body []byte) bool {
-	return u.client.Retry(ctx, http.MethodPost, path, body, func(a *jobclient.Response) { u.recordResponse(id, via, a) })
+	return u.client.Retry(ctx, http.MethodPost, path, body, func(r *jobclient.Response) { u.recordResponse(id, via, r) })
 }
 
 // recordResponse records the result of a user's request.
-func (u *users) recordResponse(id, via string, a *jobclient.Response) {
-	u.region.record(invariants.Event{At: now(), Kind: invariants.Answered, Job: id, Via: via, Status: a.Status, JobStatus: a.Job.Status})
-	if !a.Accepted() {
+func (u *users) recordResponse(id, via string, r *jobclient.Response) {
+	u.region.record(invariants.Event{At: now(), Kind: invariants.Answered, Job: id, Via: via, Status: r.Status,
+		JobStatus: r.Job.Status})
+	if !r.Accepted() {
 		u.mu.Lock()
-		u.errors[via+" "+strconv.Itoa(a.Status)]++
+		u.errors[via+" "+strconv.Itoa(r.Status)]++
 		u.mu.Unlock()
 	}
 }
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -19,8 +19,8 @@
 	return msgpack.Unmarshal(b, v)
 }
 
-// JSONSize returns an upper bound of the size, in bytes, that an encoded message would have as JSON. The protocol states
-// its limits on the size of values as sizes of JSON. JSONSize returns math.MaxInt32 for a malformed message.
+// JSONSize returns an upper bound of the size, in bytes, that an encoded message would have as JSON. The protocol
+// states its limits on the size of values as sizes of JSON. JSONSize returns math.MaxInt32 for a malformed message.
 func JSONSize(b []byte) int {
 	if Check(b) != nil {
 		return math.MaxInt32
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -45,7 +45,7 @@
 	CheckpointS  float64  `msgpack:"bookmark_s"` // checkpoint interval; 0 if tasks can't save checkpoints
 	SaveS        float64  `msgpack:"stash_s"`    // time that a task takes to save a checkpoint when stopped
 	DeadlineS    *float64 `msgpack:"due_s,omitempty"`
-	Dependencies []string `msgpack:"awaits,omitempty"` // dependencies: IDs of jobs that must be done before any task starts
+	Dependencies []string `msgpack:"awaits,omitempty"` // IDs of jobs that must be done before any task starts
 }
 
 // ShapeName returns the name of a shape outside of the protocol: array, gang or service. It returns an unknown shape
--- a/wire/submission_fields.go
+++ b/wire/submission_fields.go
@@ -19,8 +19,8 @@
 // maxTypes bounds the length of a submission's list of machine types.
 const maxTypes = 16
 
-// MaxDependencies bounds the number of different jobs that a submission may depend on, so that checking them takes only a
-// small part of what the limits of the state service allow.
+// MaxDependencies bounds the number of different jobs that a submission may depend on, so that checking them takes
+// only a small part of what the limits of the state service allow.
 const MaxDependencies = 256
 
 var requiredFields = []string{"ref", "docket", "desk", "shape", "rank", "lots", "cores", "gpus", "ram_gb",
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -9,9 +9,10 @@
 )
 
 func submission() map[string]any {
-	return map[string]any{"ref": "j-000412", "docket": "train", "desk": "vision", "shape": "group", "rank": "high", "lots": 16,
-		"cores": 8.0, "gpus": 1.0, "ram_gb": 64.0, "build": "img-07", "pull_gb": 6.2, "rigs": []string{"g8"}, "yard": nil,
-		"one_zone": true, "spread": false, "loaners": true, "expect_s": 240.0, "bookmark_s": 30.0, "stash_s": 4.0, "due_s": 900.0}
+	return map[string]any{"ref": "j-000412", "docket": "train", "desk": "vision", "shape": "group", "rank": "high",
+		"lots": 16, "cores": 8.0, "gpus": 1.0, "ram_gb": 64.0, "build": "img-07", "pull_gb": 6.2, "rigs": []string{"g8"},
+		"yard": nil, "one_zone": true, "spread": false, "loaners": true, "expect_s": 240.0, "bookmark_s": 30.0,
+		"stash_s": 4.0, "due_s": 900.0}
 }
 
 func manyIDs(n int) []string {
@@ -113,7 +114,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, raw := range [][]byte{nil, {0xc0}, {0x93, 1, 2, 3}, []byte("{}"), {0xdf, 0xff, 0xff, 0xff, 0xff}, {0x81, 0xa3}, append(append([]byte(nil), good...), 0xc0)} {
+	for _, raw := range [][]byte{nil, {0xc0}, {0x93, 1, 2, 3}, []byte("{}"), {0xdf, 0xff, 0xff, 0xff, 0xff}, {0x81, 0xa3},
+		append(append([]byte(nil), good...), 0xc0)} {
 		if _, err := ParseJob(raw); err == nil {
 			t.Errorf("ParseJob accepted the malformed message %x", raw)
 		}
@@ -155,7 +157,8 @@
 	f.Add([]byte{0x81, 0xa4, 0x6c, 0x6f, 0x74, 0x73, 0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if j, err := ParseJob(raw); err == nil {
-			if !ValidJobID(j.ID) || j.Tasks < 1 || j.Tasks > MaxTasksPerJob || !(j.CPUs >= 0) || !(j.GPUs >= 0) || !(j.MemoryGB >= 0) {
+			if !ValidJobID(j.ID) || j.Tasks < 1 || j.Tasks > MaxTasksPerJob || !(j.CPUs >= 0) || !(j.GPUs >= 0) ||
+				!(j.MemoryGB >= 0) {
 				t.Fatalf("ParseJob accepted %+v", j)
 			}
 		}
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -43,7 +43,7 @@
 	Type         string       `msgpack:"rig"`
 	Zone         string       `msgpack:"yard"`
 	Spot         bool         `msgpack:"loaners"`
-	Incarnation  uint64       `msgpack:"shift"` // starts at 1; increases when the worker's lease expires and when it restarts
+	Incarnation  uint64       `msgpack:"shift"` // starts at 1; increases when the lease expires or the worker restarts
 	Sequence     uint64       `msgpack:"tally"`
 	FencingToken uint64       `msgpack:"baton"`    // the highest that the worker has received
 	NoticeS      *float64     `msgpack:"recall_s"` // time until the cloud reclaims the machine; nil without a notice
