--- a/internal/emulator/environment.go
+++ b/internal/emulator/environment.go
@@ -23,7 +23,7 @@
 type Protocol struct {
 	Lease         Micros // of workers: how long tasks continue without an answered heartbeat
 	GangWait      Micros // how long a task of a gang waits for the other tasks
-	CancelTimeout Micros // how long tasks may run on after a user received the answer that their job is cancelled
+	CancelTimeout Micros // how long tasks may continue after a user received the answer that their job is cancelled
 	// HeartbeatInterval applies to all workers; 0 is treated as one second.
 	HeartbeatInterval Micros
 	// KeepTasksOnHang makes a machine that hangs beyond its lease keep its tasks until it resumes, and end them
--- a/internal/emulator/heartbeats.go
+++ b/internal/emulator/heartbeats.go
@@ -45,7 +45,7 @@
 }
 
 // Run advances the machines and sends the workers' heartbeats until ctx ends. workersAddr is the
-// address of WorkerHandler.
+// address at which WorkerHandler is served.
 func (s *Servers) Run(ctx context.Context, workersAddr string) {
 	client := &http.Client{
 		Timeout:   heartbeatTimeout,
--- a/internal/emulator/jobs.go
+++ b/internal/emulator/jobs.go
@@ -2,8 +2,8 @@
 
 import "coralhub/wire"
 
-// SubmittedJob is a job as its user submitted it, what the user has been answered about it, and how its
-// tasks behave on the machines.
+// SubmittedJob is a job as its user submitted it, with the user's request to cancel it and the answer to that,
+// and with how its tasks behave on the machines.
 type SubmittedJob struct {
 	wire.Job
 	CancelledAt     Micros  // when the user received the answer that it is cancelled; 0 if never
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -16,7 +16,7 @@
 	Node                int               // index of the node that heartbeats are sent to
 	NextAt              Micros            // when the next heartbeat is due
 	sentAt              Micros            // when the last heartbeat was sent
-	changed             bool              // the status has changed since, so that the next heartbeat is due earlier
+	changed             bool              // the status has changed since sentAt, so that the next heartbeat is due earlier
 	inFlight            bool              // a heartbeat is in flight
 	Speed               float64           // how fast tasks run, relative to the usual speed
 	imageReadyAt        map[string]Micros // when each image has been or will be fetched, by name
@@ -100,7 +100,7 @@
 	}
 }
 
-// Recall makes the cloud reclaim a machine at a time, with or without notice to the worker.
+// Recall makes the cloud reclaim a machine at the given time, with or without notice to the worker.
 func (m *Machine) Recall(at Micros, withoutNotice bool) {
 	m.recallAt = at
 	m.recallWithoutNotice = withoutNotice
--- a/internal/emulator/servers.go
+++ b/internal/emulator/servers.go
@@ -26,9 +26,9 @@
 
 	start         time.Time
 	wake          chan struct{} // closed and replaced to make open watches check for changes
-	stateRequests *rate.Limiter // of the state service
-	stateWrites   *rate.Limiter // of the state service
-	cloudRequests *rate.Limiter
+	stateRequests *rate.Limiter // requests to the state service
+	stateWrites   *rate.Limiter // changes of the state service
+	cloudRequests *rate.Limiter // requests to the cloud
 	stateDelay    time.Duration // of each answer of the state service
 	repeatWithinS float64       // maximum delay of repeated heartbeats, in seconds; 0 if none are repeated
 }
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -20,8 +20,8 @@
 // Second is a second in Micros.
 const Second Micros = 1_000_000
 
-// State is a key-value store with compare-and-swap transactions, leases and watches. It is not safe for
-// concurrent use. Methods that return an int return an HTTP status.
+// State emulates the state service: a key-value store with compare-and-swap transactions, leases and
+// watches. It is not safe for concurrent use. Methods that return an int return an HTTP status.
 type State struct {
 	Down bool // simulates an outage, in which every request is answered 503
 	// ValueBytes limits the size of values, in bytes of their JSON, and TxnOps the number of changes of a
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -18,7 +18,7 @@
 
 // TaskRunner advances tasks through their states.
 type TaskRunner struct {
-	FailingSince map[string]Micros // machines on which each task that starts after the given time fails
+	FailingSince map[string]Micros // by machine: every task that starts there after this time fails
 
 	protocol *Protocol
 	cloud    *Cloud // for its model
--- a/internal/emulator/workers.go
+++ b/internal/emulator/workers.go
@@ -111,7 +111,7 @@
 	return used
 }
 
-// Restart stops a machine with all its tasks; it starts again after a time. Its worker continues with the
+// Restart stops a machine with all its tasks; it starts again after the given time. Its worker continues with the
 // next incarnation or, if loseState is set, starts at incarnation 1 without any of its former state.
 func (w *Workers) Restart(now, after Micros, m *Machine, loseState bool) {
 	w.tasks.endAll(now, m)
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -59,8 +59,10 @@
 
 // Settings bound the memory of a Model.
 type Settings struct {
-	MaxGroups   int // maximum number of groups of similar work; the least recently used ones are evicted
-	MaxMachines int // maximum number of machines with a recorded speed
+	// MaxGroups is the maximum number of groups of similar work, and also of classes with a recorded coverage. The least
+	// recently used ones are evicted.
+	MaxGroups   int
+	MaxMachines int // maximum number of machines with a recorded speed; the least recently used ones are evicted
 }
 
 // DefaultSettings returns settings for a node with little memory.
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -351,11 +351,11 @@
 	m := New(DefaultSettings(), 1)
 	a := m.Estimate(&Features{Class: "c"})
 	if a.Level != Unknown || a.Median != 0 || !math.IsNaN(a.ProbabilityWithin(second)) {
-		t.Errorf("%+v", a)
+		t.Errorf("estimate without data: %+v, want level Unknown, no median and no probability", a)
 	}
 	a = m.Estimate(&Features{Class: "c", UserEstimate: 60 * second})
 	if a.Level != User || a.Median != 60*second || a.High[1] < 2*a.Median || a.Coverage[0] >= 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("estimate without past runs: %+v, want the user's 60 s with wide intervals", a)
 	}
 	// The mean error of users' estimates is also corrected for work that was never observed.
 	for i := range 100 {
@@ -367,7 +367,7 @@
 	}
 	if a := m.Estimate(&Features{Class: "c", Team: "new", UserEstimate: 60 * second}); a.Level != Everything ||
 		a.Median < 100*second || a.Median > 140*second {
-		t.Errorf("%+v", a)
+		t.Errorf("estimate of work without past runs: %+v, want level Everything and a median of 100 to 140 s", a)
 	}
 }
 
@@ -388,7 +388,8 @@
 		})
 	}
 	if len(m.groups) > 64 || len(m.machines) > 32 || len(m.coverage) > 64 {
-		t.Errorf("%d groups, %d machines, %d classes", len(m.groups), len(m.machines), len(m.coverage))
+		t.Errorf("%d groups, %d machines and %d classes, want at most 64, 32 and 64",
+			len(m.groups), len(m.machines), len(m.coverage))
 	}
 	f := Features{Image: "i4999", Class: "c99", Shape: "array", Team: "t49", UserEstimate: second, Machine: "m4999"}
 	if n := testing.AllocsPerRun(100, func() { m.Estimate(&f) }); n != 0 {
--- a/internal/estimate/restore.go
+++ b/internal/estimate/restore.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// contribution is the data of one origin: that of a single epoch, or of all epochs up to it.
+// contribution is a part of the data of a value: that of a single epoch, or that of all epochs up to it.
 type contribution struct {
 	epoch, observed uint64
 	groups          []storedGroup
--- a/internal/estimate/stored.go
+++ b/internal/estimate/stored.go
@@ -30,7 +30,7 @@
 	ErrDamaged = errors.New("damaged")
 )
 
-// envelope is the outer encoding of a value in the key-value store, made of strings and numbers only.
+// envelope is the outer encoding of a value in the state service, made of strings and numbers only.
 type envelope struct {
 	Version int    `msgpack:"v"`
 	Data    string `msgpack:"d"` // base64 of a Chunk, compressed by zstd with a checksum
@@ -47,7 +47,7 @@
 	Speeds []storedSpeed
 }
 
-// storedGroup is a tally of a group.
+// storedGroup is the stored form of a tally of a group.
 type storedGroup struct {
 	//lint:ignore U1000 read by the encoder: a group is stored as an array, which is shorter than a map
 	_msgpack       struct{} `msgpack:",as_array"`
--- a/internal/estimate/stored_values_test.go
+++ b/internal/estimate/stored_values_test.go
@@ -9,7 +9,7 @@
 	"coralhub/internal/golden"
 )
 
-// The stored format doesn't change, because values are read by later releases than the one that wrote them.
+// The stored format doesn't change, because later versions read values that earlier ones have written.
 func TestStoredFormat(t *testing.T) {
 	c := &Chunk{
 		UpTo:  3,
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -73,7 +73,7 @@
 			Outcome:   Done,
 			Machine:   fmt.Sprint("m-", rnd.IntN(40)),
 		}
-		if l.Machine == "m-3" { // slow machine: the run times differ from those of the work
+		if l.Machine == "m-3" { // a slow machine, on which runs take three times as long
 			l.Ended = at + 3*ran
 		}
 		if rnd.Float64() < w.censoredFraction {
@@ -86,7 +86,8 @@
 	return lines
 }
 
-// total returns the means over the classes, weighted by their numbers of runs with similar runs.
+// total returns the means over the classes, weighted by their numbers of runs with similar runs, and the sum of these
+// numbers.
 func total(r *Result) (within, coverage, logError, userLogError float64, jobs int) {
 	for _, c := range r.Classes {
 		n := float64(c.WithSimilar)
@@ -146,7 +147,9 @@
 // Read skips unusable lines and reports every problem.
 func TestReadReportsProblems(t *testing.T) {
 	text := strings.Join([]string{
-		`{"ref":"a","class":"c","team":"t","shape":"array","tasks":1,"cpus":1,"gpus":1,"memory_gb":1,"image":"i","expect_s":2,"submitted_s":0,"started_s":1,"ended_s":3,"outcome":"done","machine":"m","type":"g"}`,
+		`{"ref":"a","class":"c","team":"t","shape":"array","tasks":1,"cpus":1,"gpus":1,"memory_gb":1,` +
+			`"image":"i","expect_s":2,"submitted_s":0,"started_s":1,"ended_s":3,"outcome":"done",` +
+			`"machine":"m","type":"g"}`,
 		`{"class":"c","started_s":1,"ended_s":4,"outcome":"done","colour":"red"}`,
 		`{"class":"c","started_s":1,"ended_s":4,"outcome":"melted"}`,
 		`{"class":"c","started_s":5,"ended_s":4,"outcome":"done"}`,
@@ -199,7 +202,7 @@
 				c.LogError, c.UserLogError, c.Within["2"], c.Coverage["0.8"], c.FirstSeen.LogError,
 			} {
 				if math.IsNaN(v) || math.IsInf(v, 0) {
-					t.Fatalf("%+v", c)
+					t.Fatalf("result of class %s has a value that is not finite: %+v", c.Class, c)
 				}
 			}
 		}
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -109,28 +109,43 @@
 		rule string
 		by   mutation
 	}{
-		"a task starts on a second machine": {"ran_twice", insert(Event{At: at(4), Kind: TaskStarted, Job: "j-1", Task: 1, Attempt: 2, Machine: "m3x"})},
-		"more GPUs than the limit":          {"quota", respec("j-1", func(s *Spec) { s.GPUs = 3 })},
-		"another type":                      {"wrong_place", respec("j-1", func(s *Spec) { s.Types = []string{"a100"} })},
-		"another zone":                      {"wrong_place", respec("j-2", func(s *Spec) { s.Zone = "a" })},
-		"a spot machine":                    {"wrong_place", change(TaskStarted, "j-2", func(e *Event) { e.Machine = "m3" })},
-		"two zones": {"wrong_place", all(insert(Event{At: at(12.5), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m2"}),
+		"a task starts on a second machine": {"ran_twice", insert(
+			Event{At: at(4), Kind: TaskStarted, Job: "j-1", Task: 1, Attempt: 2, Machine: "m3x"})},
+		"more GPUs than the limit": {"quota", respec("j-1", func(s *Spec) { s.GPUs = 3 })},
+		"another type":             {"wrong_place", respec("j-1", func(s *Spec) { s.Types = []string{"a100"} })},
+		"another zone":             {"wrong_place", respec("j-2", func(s *Spec) { s.Zone = "a" })},
+		"a spot instance":          {"wrong_place", change(TaskStarted, "j-2", func(e *Event) { e.Machine = "m3" })},
+		"two zones": {"wrong_place", all(
+			insert(Event{At: at(12.5), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m2"}),
 			insert(Event{At: at(12.6), Kind: TaskStopped, Job: "j-3", Task: 1, Attempt: 1, Machine: "m2"}))},
-		"tasks not spread over zones":               {"wrong_place", respec("j-1", func(s *Spec) { s.Spread, s.OneZone = true, false })},
-		"a machine that was never rented":           {"wrong_place", change(TaskStarted, "j-2", func(e *Event) { e.Machine = "m9" })},
-		"task remains after the cancellation":       {"ran_cancelled", remove(TaskStopped, "j-3")},
-		"task starts after the cancellation":        {"ran_cancelled", insert(Event{At: at(30), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m1"})},
-		"404 for an accepted job":                   {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 404})},
-		"422 for a repeated submission":             {"forgotten", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: BySubmit, Status: 422})},
-		"a job that was never submitted":            {"invented", insert(Event{At: at(8), Kind: Answered, Job: "j-99", Via: ByPoll, Status: 200, JobStatus: "queued"})},
-		"a task of a job that was never submitted":  {"invented", insert(Event{At: at(8), Kind: TaskStarted, Job: "j-99", Machine: "m1"})},
-		"done with a task missing":                  {"not_done", all(remove(TaskStarted, "j-2"), change(TaskDone, "j-1", func(e *Event) { e.Task = 1 }))},
-		"done and then running":                     {"went_back", insert(Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, JobStatus: "running"})},
-		"cancelled without request":                 {"went_back", remove(CancelRequested, "j-3")},
-		"started before a dependency is done":       {"too_early", change(TaskStarted, "j-2", func(e *Event) { e.At = at(5.5) })},
-		"queued although a dependency is cancelled": {"orphaned", all(remove(Answered, "j-4"), insert(Event{At: at(30), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, JobStatus: "queued"}))},
+		"tasks not spread over zones": {"wrong_place", respec("j-1",
+			func(s *Spec) { s.Spread, s.OneZone = true, false })},
+		"a machine that was never rented": {"wrong_place", change(TaskStarted, "j-2",
+			func(e *Event) { e.Machine = "m9" })},
+		"task remains after the cancellation": {"ran_cancelled", remove(TaskStopped, "j-3")},
+		"task starts after the cancellation": {"ran_cancelled", insert(
+			Event{At: at(30), Kind: TaskStarted, Job: "j-3", Task: 1, Attempt: 1, Machine: "m1"})},
+		"404 for an accepted job": {"forgotten", insert(
+			Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 404})},
+		"422 for a repeated submission": {"forgotten", insert(
+			Event{At: at(8), Kind: Answered, Job: "j-1", Via: BySubmit, Status: 422})},
+		"a job that was never submitted": {"invented", insert(
+			Event{At: at(8), Kind: Answered, Job: "j-99", Via: ByPoll, Status: 200, JobStatus: "queued"})},
+		"a task of a job that was never submitted": {"invented", insert(
+			Event{At: at(8), Kind: TaskStarted, Job: "j-99", Machine: "m1"})},
+		"done with a task missing": {"not_done", all(remove(TaskStarted, "j-2"),
+			change(TaskDone, "j-1", func(e *Event) { e.Task = 1 }))},
+		"done and then running": {"went_back", insert(
+			Event{At: at(8), Kind: Answered, Job: "j-1", Via: ByPoll, Status: 200, JobStatus: "running"})},
+		"cancelled without request": {"went_back", remove(CancelRequested, "j-3")},
+		"started before a dependency is done": {"too_early", change(TaskStarted, "j-2",
+			func(e *Event) { e.At = at(5.5) })},
+		"queued although a dependency is cancelled": {"orphaned", all(remove(Answered, "j-4"),
+			insert(Event{At: at(30), Kind: Answered, Job: "j-4", Via: ByPoll, Status: 200, JobStatus: "queued"}))},
 		"no task starts": {"nothing_ran", func(h []Event) []Event {
-			return slices.DeleteFunc(h, func(e Event) bool { return e.Kind != JobSubmitted && (e.Kind != Answered || e.JobStatus == "done") })
+			return slices.DeleteFunc(h, func(e Event) bool {
+				return e.Kind != JobSubmitted && (e.Kind != Answered || e.JobStatus == "done")
+			})
 		}},
 		"every poll fails": {"forgotten", func(h []Event) []Event {
 			for s := 20.0; s < 130; s += 5 {
--- a/internal/invariants/tasks.go
+++ b/internal/invariants/tasks.go
@@ -77,7 +77,7 @@
 	case s.Zone != "" && s.Zone != m.Zone:
 		why = "job excludes zone " + m.Zone
 	case m.Spot && !s.Spot:
-		why = "job excludes spot machines"
+		why = "job excludes spot instances"
 	case s.OneZone && elsewhere > 0:
 		why = "other tasks of the job are in another zone"
 	case s.Spread && inZone > (s.Tasks+1)/2:
