--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -27,7 +27,7 @@
 	process            *process.Process // the process started last
 	restarts           int
 	keepRunning        bool          // whether the process is restarted when it ends
-	previousCPU        time.Duration // processor time of all processes before the current one
+	previousCPU        time.Duration // CPU time of all processes before the current one
 	peakMB             float64       // peak resident memory of all processes, in MB of 2^20 bytes
 }
 
@@ -109,7 +109,7 @@
 // NodeUsage is the resource usage of a node, over all its processes.
 type NodeUsage struct {
 	Node     string  `json:"node"`
-	CPUS     float64 `json:"cpu_s"`   // processor time, in seconds
+	CPUS     float64 `json:"cpu_s"`   // CPU time, in seconds
 	PeakMB   float64 `json:"peak_mb"` // peak resident memory, in MB of 2^20 bytes
 	Restarts int     `json:"restarts"`
 }
--- a/internal/faulttest/experiment.go
+++ b/internal/faulttest/experiment.go
@@ -50,8 +50,9 @@
 		names[v.Name] = true
 	}
 	if len(e.Variants) < 2 || len(e.Seeds) == 0 || len(e.Measures) == 0 || e.Scale <= 0 {
-		return nil, fmt.Errorf("experiment %s: needs two variants, a seed, a measure and a scale above 0 at least; "+
-			"found %d, %d, %d and %g", path, len(e.Variants), len(e.Seeds), len(e.Measures), e.Scale)
+		return nil, fmt.Errorf("experiment %s: expected at least two variants, a seed, a measure and a scale above 0; "+
+			"found %d variants, %d seeds, %d measures and scale %g",
+			path, len(e.Variants), len(e.Seeds), len(e.Measures), e.Scale)
 	}
 	for _, name := range e.Measures {
 		if _, err := measure(name, &Result{}); err != nil {
--- a/internal/faulttest/experiment_test.go
+++ b/internal/faulttest/experiment_test.go
@@ -69,10 +69,15 @@
 
 // LoadExperiment rejects an invalid experiment with an error that names the reason.
 func TestInvalidExperiments(t *testing.T) {
-	const valid = "name = \"x\"\nscenario = \"surge\"\nseeds = [1]\nmeasures = [\"cpu\"]\n[[variant]]\nname = \"a\"\n[[variant]]\nname = \"b\"\n"
+	const valid = "name = \"x\"\nscenario = \"surge\"\nseeds = [1]\nmeasures = [\"cpu\"]\n" +
+		"[[variant]]\nname = \"a\"\n[[variant]]\nname = \"b\"\n"
 	for _, c := range []struct{ text, want string }{
-		{valid, ""}, {strings.Replace(valid, "cpu", "luck", 1), "no measure"}, {strings.Replace(valid, "surge", "no-such", 1), "no scenario"},
-		{strings.Replace(valid, "\"b\"", "\"a\"", 1), "twice"}, {strings.Replace(valid, "[1]", "[]", 1), "a seed"}, {"name = [", "line 1"},
+		{valid, ""},
+		{strings.Replace(valid, "cpu", "luck", 1), "no measure"},
+		{strings.Replace(valid, "surge", "no-such", 1), "no scenario"},
+		{strings.Replace(valid, "\"b\"", "\"a\"", 1), "twice"},
+		{strings.Replace(valid, "[1]", "[]", 1), "a seed"},
+		{"name = [", "line 1"},
 	} {
 		path := filepath.Join(t.TempDir(), "e.toml")
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -103,7 +103,8 @@
 		{valid + "[[fault]]\nat_s = 1\nfor_s = 900\nkind = \"state_out\"\n", "beyond the end"},
 		{valid + "[[expect]]\nkind = \"done\"\nshare = 1\nclass = \"d\"\n", "no class"},
 	} {
-		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("parse %q: error %v, want one line with %q", c.text, err, c.want)
 		}
 	}
@@ -237,7 +238,12 @@
 func (x *tamperingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	answer := func(status int, st wire.JobStatus) (*http.Response, error) {
 		raw, err := wire.Marshal(&st)
-		return &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(raw)), Request: req}, err
+		return &http.Response{
+			StatusCode: status,
+			Header:     http.Header{},
+			Body:       io.NopCloser(bytes.NewReader(raw)),
+			Request:    req,
+		}, err
 	}
 	if x.skip != nil {
 		if st, yes := x.skip(req); yes {
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -8,7 +8,8 @@
 
 // Mark is the beginning or the end of a fault in a run.
 type Mark struct {
-	At   float64 `json:"at_s"` // seconds since the run began; in history, seconds of the clock of the emulated services
+	// At is in seconds since the run began. In a history it is in seconds of the clock of the emulated services.
+	At   float64 `json:"at_s"`
 	What string  `json:"what"`
 }
 
--- a/internal/faulttest/inject_services.go
+++ b/internal/faulttest/inject_services.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// exhaustCloud sets the capacity of the cloud for ordinary machines to 0. Capacity that is released during
+// exhaustCloud sets the capacity of the cloud for on-demand machines to 0. Capacity that is released during
 // the fault can be rented again at once.
 func (sf *serviceFaults) exhaustCloud(*Fault) undoFault {
 	withheld := map[string]int{}
--- a/internal/faulttest/plan.go
+++ b/internal/faulttest/plan.go
@@ -21,8 +21,8 @@
 	estimateSpread = 0.4
 	// deadlineSlackS is added to each deadline, in seconds.
 	deadlineSlackS = 10
-	// A job that is cancelled is cancelled at least minCancelDelayS after its acceptance, and less than
-	// cancelDelayRangeS later than that; in seconds.
+	// minCancelDelayS and cancelDelayRangeS bound the time from the acceptance of a job to its planned
+	// cancellation, in seconds: at least minCancelDelayS, and less than the sum of both.
 	minCancelDelayS   = 1
 	cancelDelayRangeS = 10
 )
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -34,8 +34,8 @@
 type Deploy struct {
 	Nodes          int      `toml:"nodes"`
 	Zones          []string `toml:"zones"`
-	Machines       int      `toml:"machines"`        // ordinary machines in the cloud, all zones together
-	Spot           int      `toml:"spot"`            // spot machines in the cloud, all zones together
+	Machines       int      `toml:"machines"`        // on-demand machines in the cloud, all zones together
+	Spot           int      `toml:"spot"`            // spot instances in the cloud, all zones together
 	GPUs           float64  `toml:"gpus"`            // per machine
 	BootS          float64  `toml:"boot_s"`          // boot time of a machine
 	ReportS        float64  `toml:"report_s"`        // heartbeat interval of the workers
--- a/internal/faulttest/slo_test.go
+++ b/internal/faulttest/slo_test.go
@@ -13,8 +13,10 @@
 	}
 	all = append(all, countedJob{id: "b", class: "one", team: "south", tasks: 3, inTime: true})
 	got := sharesInTime(all)
-	if got.Class["narrow"] != 0.9 || got.Largest["narrow"] != 0 || got.Team["north"] != 0.9 || got.Class["one"] != 1 || got.Largest["one"] != 1 {
-		t.Errorf("shares %+v", got)
+	if got.Class["narrow"] != 0.9 || got.Largest["narrow"] != 0 || got.Team["north"] != 0.9 ||
+		got.Class["one"] != 1 || got.Largest["one"] != 1 {
+		t.Errorf("shares %+v, want 0.9 of class narrow and team north, 0 of the largest jobs of narrow, and 1 of class one",
+			got)
 	}
 	if l := got.minShare(""); l != 0 {
 		t.Errorf("smallest share %v, want 0", l)
--- a/internal/faulttest/users.go
+++ b/internal/faulttest/users.go
@@ -159,8 +159,8 @@
 	return u.healthy[i]
 }
 
-// pollUnknown polls for jobs that were never submitted, until ctx ends. The answers are recorded, since a
-// service that knows such a job violates an invariant.
+// pollUnknown polls for jobs that were never submitted, until ctx ends. The answers are recorded, since
+// an answer that reports such a job violates an invariant.
 func (u *users) pollUnknown(ctx context.Context) {
 	wait.Every(ctx, unknownPollInterval, func() {
 		id := fmt.Sprintf("j-9%08d", rand.IntN(1e8))
@@ -207,7 +207,9 @@
 
 // submitAll starts a user for each job at its submission time: in the group services for services, and in
 // finite for all other jobs. It returns false if ctx ends before the last job.
-func (u *users) submitAll(ctx context.Context, began time.Time, jobs []plannedJob, finite, services *sync.WaitGroup) bool {
+func (u *users) submitAll(
+	ctx context.Context, began time.Time, jobs []plannedJob, finite, services *sync.WaitGroup,
+) bool {
 	for i := range jobs {
 		p := &jobs[i]
 		due := began.Add(p.at)
@@ -271,7 +273,7 @@
 	return b
 }
 
-// request retries a request until it is accepted or refused, or jobclient.TryFor would be exceeded, or ctx
+// request retries a request until it is accepted or refused, or jobclient.MaxRetryTime would be exceeded, or ctx
 // ends. It records each answer and reports whether the request was accepted.
 func (u *users) request(ctx context.Context, p *plannedJob, via, method, path string, body []byte) bool {
 	return u.client.Repeat(ctx, method, path, body, func(a *jobclient.Answer) {
--- a/internal/process/proc.go
+++ b/internal/process/proc.go
@@ -45,7 +45,7 @@
 	clockTick = 10 * time.Millisecond
 )
 
-// CPU returns the processor time of a process, to a hundredth of a second, or 0 if it is unknown.
+// CPU returns the CPU time of a process, to a hundredth of a second, or 0 if it is unknown.
 func CPU(pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -60,7 +60,7 @@
 	return p, nil
 }
 
-// wait waits for the end of the process and records its processor time.
+// wait waits for the end of the process and records its CPU time.
 func (p *Process) wait(cmd *exec.Cmd) {
 	_ = cmd.Wait() // the process's log shows why it ended
 	_ = p.input.Close()
@@ -100,7 +100,7 @@
 	return p.running.Process.Pid
 }
 
-// CPU returns the processor time used so far; while the process runs, to a hundredth of a second.
+// CPU returns the CPU time used so far, to a hundredth of a second while the process runs.
 func (p *Process) CPU() time.Duration {
 	if pid := p.pid(); pid != 0 {
 		if used := CPU(pid); used > 0 {
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -19,8 +19,8 @@
 const (
 	pollInterval = time.Second // delay between polls while no runs end
 	maxPageBytes = 8 << 20     // maximum size of a response
-	// reportAfterRounds is the number of consecutive rounds of failed polls of all nodes after which each report that
-	// there is no leader is made.
+	// reportAfterRounds is the number of consecutive rounds of failed polls, each of all nodes, after which it is
+	// reported that no node answers as the leader, and after which that is reported again.
 	reportAfterRounds = 10
 )
 
--- a/internal/startbound/bound.go
+++ b/internal/startbound/bound.go
@@ -35,8 +35,8 @@
 	Jobs    []Job
 }
 
-// Bound holds, for each class of gangs, the largest fraction that could have started in time both of all its jobs and
-// of its largest jobs.
+// Bound is the result of Solve. StartShare holds, by class of gangs, the largest fraction such that this fraction of
+// all jobs of the class and this fraction of its largest jobs could have started in time.
 type Bound struct{ StartShare map[string]float64 }
 
 // largestFraction is the fraction of a class's jobs that are counted as its largest jobs.
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -100,7 +100,8 @@
 		done = min(s.ElapsedS/s.DurationS, 1)
 	}
 	filled := int(done * barWidth)
-	fmt.Fprintf(b, "%s\n[%s%s] %.0f of %.0f s\n\n", title, strings.Repeat("#", filled), strings.Repeat(".", barWidth-filled), s.ElapsedS, s.DurationS)
+	fmt.Fprintf(b, "%s\n[%s%s] %.0f of %.0f s\n\n",
+		title, strings.Repeat("#", filled), strings.Repeat(".", barWidth-filled), s.ElapsedS, s.DurationS)
 }
 
 func renderNodes(b *strings.Builder, s *faulttest.Status) {
@@ -112,7 +113,8 @@
 		if n.Name == s.Leader {
 			state += ", leads"
 		}
-		fmt.Fprintf(b, "%-8s in %-8s %-14s %6.1f s cpu %5.0f MB %2d restarts\n", n.Name, n.Zone, state, n.CPUS, n.PeakMB, n.Restarts)
+		fmt.Fprintf(b, "%-8s in %-8s %-14s %6.1f s cpu %5.0f MB %2d restarts\n",
+			n.Name, n.Zone, state, n.CPUS, n.PeakMB, n.Restarts)
 	}
 }
 
