--- a/internal/scenario/chaos_test.go
+++ b/internal/scenario/chaos_test.go
@@ -51,9 +51,9 @@
 }
 
 // linkFaultSeeds is the number of seeds of TestChaosOfLinks. The default takes a few seconds.
-var linkFaultSeeds = flag.Int("links", 40, "days of TestChaosOfLinks")
+var linkFaultSeeds = flag.Int("links", 40, "number of seeds of TestChaosOfLinks")
 
-// TestChaosInUpgrade starts with every node held to the older format. The nodes are upgraded one by
+// TestChaosInUpgrade starts with every node held to the first format. The nodes are upgraded one by
 // one during the faults, and jobs with dependencies are submitted throughout. Some time after the
 // last upgrade the limits of the state service are lowered.
 func TestChaosInUpgrade(t *testing.T) {
@@ -95,7 +95,7 @@
 	rnd                  *rand.Rand
 	maxTasks             int
 	possibleDependencies []string        // accepted jobs that others may depend on, so no services
-	submitted            map[string]bool // true if a job is known to be accepted; if false it may be accepted too
+	submitted            map[string]bool // by job: true if known to be accepted; if false it may be accepted too
 	services             map[string]bool
 }
 
--- a/internal/scenario/concurrent_faults_test.go
+++ b/internal/scenario/concurrent_faults_test.go
@@ -118,7 +118,7 @@
 			break
 		}
 		if !slices.ContainsFunc(s.users, func(u *user) bool { return s.lastStatus[u.id] != "" }) {
-			break // the users of every accepted job have got its final status
+			break // the users of every accepted job have received its final status
 		}
 		if s.now-faultsEnded > cancelLongJobsAfter && len(waiting) == 0 {
 			s.cancelLongJobs()
@@ -159,8 +159,8 @@
 	s.releaseHeld()
 }
 
-// unansweredUsers returns a problem for each user of an accepted job who has got no response for too
-// long.
+// unansweredUsers returns a problem for each user of an accepted job who has received no response for
+// longer than maxUnanswered.
 func (s *Sim) unansweredUsers(faultsEnded emulator.Micros) (problems []string) {
 	for _, u := range s.users {
 		if s.lastStatus[u.id] == "" {
--- a/internal/scenario/day_generator_test.go
+++ b/internal/scenario/day_generator_test.go
@@ -96,8 +96,9 @@
 	}
 }
 
-// workerTimings are pairs of the lease of workers and the time limit of a cancellation, in seconds: as
-// operators use them, a fifth of that, nearly equal ones, and a limit shorter than the lease.
+// workerTimings are pairs of the lease of workers and the time limit of a cancellation, in seconds:
+// values as operators use them, a fifth of these values, nearly equal values, and a limit shorter than
+// the lease.
 var workerTimings = [][2]float64{{4, 20}, {10, 40}, {16, 36}, {26.5, 46.5}, {26.5, 56.5}, {4, 9}, {4, 8}, {5, 5.5},
 	{6, 4}}
 
--- a/internal/scenario/message_faults_test.go
+++ b/internal/scenario/message_faults_test.go
@@ -25,8 +25,8 @@
 	lateCopies     float64 // heartbeats of which a copy arrives 2 s to three leases later, at a random node
 	slowHeartbeats float64 // heartbeats that take up to 6 s including the response
 	slowBatches    float64 // responses to heartbeat batches that arrive up to 2 s late
-	// lateCommands is the fraction of direct commands that are executed 1 to 9 s late without a response,
-	// and the fraction of those that are executed at once with a response up to 2 s late.
+	// lateCommands is the fraction of direct commands that are executed 1 to 9 s late without a response. The
+	// same fraction is executed at once with a response up to 2 s late.
 	lateCommands float64
 	lostCommands float64 // direct commands executed at once, without a response
 }
@@ -66,7 +66,7 @@
 
 const (
 	onTime         messageFate = iota
-	executedLate               // the request arrives after the timeout, without a response
+	executedLate               // executed late, without a response
 	responseLost               // executed at once, without a response
 	responseSlow               // executed at once, with a late response
 	executedSlowly             // executed late but before the timeout, with a response at that time
@@ -99,7 +99,7 @@
 	if f.slowCommits > 0 && f.rnd.Float64() < f.slowCommits {
 		return executedSlowly, f.drawDuration(tick, stateTimeout-tick)
 	}
-	if len(t.Changes) == 0 { // executed late and without a response it would have no effect
+	if len(t.Changes) == 0 { // a late execution without a response would have no effect
 		return f.drawFate(0, f.lostWrites, f.slowWrites, 0, 0)
 	}
 	return f.drawFate(f.lateWrites, f.lostWrites, f.slowWrites, 2*emulator.Second, 12*emulator.Second)
@@ -217,8 +217,8 @@
 	})
 }
 
-// commandLate executes a direct command whose sender has timed out, once its machine neither hangs nor
-// has its messages held back. The command is lost if messages to the machine are dropped by then.
+// commandLate executes a direct command without a response, once its machine neither hangs nor has its
+// messages held back. The command is lost if messages to the machine are dropped by then.
 func (s *Sim) commandLate(machine string, run func() (int, wire.Heartbeat)) {
 	m := s.env.Machines[machine]
 	if m == nil {
--- a/internal/scenario/runner_test.go
+++ b/internal/scenario/runner_test.go
@@ -1,7 +1,7 @@
 // Package scenario tests clusters in a discrete-time simulation: a few nodes that run the
-// real core, with an emulated state service (key-value store), cloud and workers, a simulated
-// clock and links that can be cut. The simulation is driven by the scripts in testdata and by
-// randomly generated scripts of faults, called days. The invariants of the emulator and of this
+// real core, with an emulated state service, cloud and workers, a simulated clock and links
+// that can be cut. The simulation is driven by the scripts in testdata and by randomly
+// generated scripts of faults, called days. The invariants of the emulator and of this
 // package are checked throughout.
 package scenario
 
@@ -52,7 +52,7 @@
 	isolatedZone       string              // zone whose nodes and machines reach only each other, "" if none
 	concurrentRequests *concurrentRequests // nil if there are none and messages are delivered in order
 	deposedLeader      *node               // the last node that was cut off while it led
-	reachableOnlyBy    map[string]*node    // machines that only one node reaches
+	reachableOnlyBy    map[string]*node    // by machine: the only node that reaches it
 }
 
 // crashTrigger crashes the node that next sends a transaction that writes a key with a prefix:
@@ -117,8 +117,9 @@
 	return newSimWithUpgrade(nodes, scale, quota, nil)
 }
 
-// newSimWithUpgrade is newSimOfScale with lower limits of the state service announced and the
-// nodes named in held kept to the first format. If held is nil no limits are announced.
+// newSimWithUpgrade returns a simulation like newSimOfScale, but with lower limits of the state
+// service announced and the nodes named in held kept to the first format. If held is nil no
+// limits are announced.
 func newSimWithUpgrade(nodes, scale int, quota float64, held []string) *Sim {
 	s := &Sim{
 		limitsAnnounced: held != nil,
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -10,9 +10,9 @@
 )
 
 // TestScenarios runs every script in testdata. In place of a node's name, "leader" is the node that
-// leads, "deposed" the last node that was cut off while it led, and "successor" the leader if it is
-// not that node. Every command prints the violations of invariants that were found so far, so that
-// no script can overlook them. The commands:
+// leads, "deposed" the last node that was cut off while it led, "successor" the leader if it is not
+// that node, and "other" a live node that doesn't lead. Every command prints the violations of
+// invariants that were found so far, so that no script can overlook them. The commands:
 //
 //	environment nodes=3             creates a simulation and runs it until there is a leader;
 //	                                held=n1+n2: lower limits are announced, and these nodes are
@@ -42,7 +42,7 @@
 //	start_all                       starts all nodes that are down
 //	duplicate_heartbeats node=n1 count=5
 //	                                copies of heartbeats arrive again at a node, or at all
-//	announce_limits                 nodes that start from now on know the coming limits
+//	announce_limits                 the coming limits are announced to nodes that start from now on
 //	limits next                     the state service enforces the coming limits
 //	keys under=ch/part/             prints the number of keys with a prefix
 //	submit id=j-1 shape=array ...   a user submits a job; prints the response; count=3 also
@@ -54,15 +54,17 @@
 //	                                to the first format;
 //	                                kill on=ch/x after: crashes the node whose next transaction
 //	                                writes a key with that prefix, before the transaction takes
-//	                                effect or (after) once it did
+//	                                effect or, with after, once it has taken effect
 //	node node=n1 shared|unshared    restarts a node with placement pages enabled or disabled
-//	slo                             prints SLO attainment by class and team, from the leader
+//	slo                             prints from the leader how many jobs were completed in time, by class,
+//	                                by team and among the largest; begun: how many were started in time
 //	wait_reason id=j-1 node=leader  prints why a job waits, from the leader
 //	usage node=n1                   prints the usage of teams that a node has recorded
 //	block node=n1 for=3s            blocks the loop of a node
 //	cut node=n1 link=state mode=hold
 //	                                cuts a link: state, watch, answer (the response to one
 //	                                transaction), workers, peers or cloud;
+//	                                node=others: of all nodes but the leader and the deposed one;
 //	                                mode=stall of state: like hold, and the node waits for a
 //	                                response until its timeout
 //	heal node=n1                    heals a node's links and delivers all messages that were held
--- a/internal/scenario/transaction_checks_test.go
+++ b/internal/scenario/transaction_checks_test.go
@@ -138,8 +138,8 @@
 		s.env.Violations = append(s.env.Violations, "placed without a condition on its record: "+id+" in "+page)
 	}
 	if where := stored.locate(s, id, task); where != "" {
-		s.env.Violations = append(s.env.Violations, fmt.Sprintf("%s/%d placed in %s, but already placed in %s", id, task, page,
-			where))
+		s.env.Violations = append(s.env.Violations, fmt.Sprintf("%s/%d placed in %s, but already placed in %s",
+			id, task, page, where))
 	}
 }
 
